--- a/cmd/ottershed/takeover_cluster_test.go
+++ b/cmd/ottershed/takeover_cluster_test.go
@@ -100,6 +100,20 @@
 	return lines
 }
 
+// awaitLogged awaits as many lines with all of these texts, for as long as a test awaits the table that goes with them: a
+// member writes its line some milliseconds after the log has the entry. It returns the lines there are by then.
+func awaitLogged(t *testing.T, ctx context.Context, f *lab.Fleet, want int, texts ...string) []string {
+	t.Helper()
+	var lines []string
+	await(t, ctx, 10*time.Second, func() error {
+		if lines = logged(f, texts...); len(lines) < want {
+			return fmt.Errorf("%d lines with %q, want %d: %q", len(lines), texts, want, lines)
+		}
+		return nil
+	})
+	return lines
+}
+
 // The owner of a trial's work is killed: one other goes on from its last checkpoint, and no vote counts twice.
 func TestWorkOwnerKilled(t *testing.T) {
 	t.Parallel()
@@ -116,7 +130,7 @@
 		t.Fatal(err)
 	}
 	await(t, ctx, 10*time.Second, func() error { return f.Held(ctx, 0, 4) })
-	lines := logged(f, `msg="work resumed"`, "work=trial/n2")
+	lines := awaitLogged(t, ctx, f, 1, `msg="work resumed"`, "work=trial/n2")
 	if len(lines) != 1 {
 		t.Fatalf("resumed %d times: %v", len(lines), lines)
 	}
@@ -130,7 +144,7 @@
 		t.Fatal(err)
 	}
 	await(t, ctx, 10*time.Second, func() error { return f.Held(ctx, 0, 5) })
-	if lines := logged(f, `msg="work claimed"`, "work=trial/n2", "marshal=n2", "bytes=0"); len(lines) != 2 {
+	if lines := awaitLogged(t, ctx, f, 2, `msg="work claimed"`, "work=trial/n2", "marshal=n2", "bytes=0"); len(lines) != 2 {
 		t.Errorf("started again it begins with nothing: %v", lines)
 	}
 	// One that is told to leave gives its work free, and another has it before its lease would have lapsed.
@@ -272,7 +286,7 @@
 	racing.Wait()
 	f.Rules.Heal()
 	await(t, ctx, 10*time.Second, func() error { return f.Held(ctx, 0, 4) })
-	if lines := logged(f, `msg="work resumed"`, "work=trial/n4"); len(lines) != 1 || won.Load() > 1 {
+	if lines := awaitLogged(t, ctx, f, 1, `msg="work resumed"`, "work=trial/n4"); len(lines) != 1 || won.Load() > 1 {
 		t.Errorf("%d won, resumed: %v", won.Load(), lines)
 	}
 	for i, text := range refused {
@@ -366,13 +380,14 @@
 	}
 	grants(t, f)
 	votesOnce(t, f)
+	resumed := logged(f, `msg="work resumed"`) // read first: what it takes is in the log before what follows from it
 	taken := map[string]int{}
 	for _, line := range logged(f, `msg="work taken"`) {
 		if m := tokenField.FindStringSubmatch(line); m != nil {
 			taken[m[1]]++
 		}
 	}
-	for _, line := range logged(f, `msg="work resumed"`) {
+	for _, line := range resumed {
 		if m := tokenField.FindStringSubmatch(line); m == nil || taken[m[1]] != 1 {
 			t.Errorf("resumed without having been taken once: %s", line)
 		}
