--- /dev/null
+++ b/internal/consensus/golden_test.go
@@ -0,0 +1,348 @@
+package consensus
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"maps"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+	"github.com/vmihailenco/msgpack/v5"
+	"go.etcd.io/bbolt"
+
+	"ottershed/internal/golden"
+	"ottershed/internal/policystore"
+	"ottershed/internal/quorum"
+	"ottershed/internal/takeover"
+)
+
+// Kinds of the log's commands. Danger: internal/policynode and internal/keeper define them and import this package, so they
+// are repeated here; the fixtures of entries there begin with them.
+const (
+	policyKind byte = 'p'
+	leaseKind  byte = 'l'
+)
+
+// policyPart and leasePart do as those of internal/policynode and internal/keeper.
+type policyPart struct{ policystore.State }
+
+func (p *policyPart) Apply(_ uint64, _ quorum.Millis, command []byte) []byte {
+	var proposal policystore.Proposal
+	if err := msgpack.Unmarshal(command, &proposal); err != nil {
+		return []byte(err.Error())
+	}
+	return []byte(p.State.Apply(&proposal).Refused)
+}
+
+func (p *policyPart) Snapshot() ([]byte, error) { return p.Encode() }
+
+type leasePart struct{ takeover.Book }
+
+func (p *leasePart) Apply(_ uint64, at quorum.Millis, raw []byte) []byte {
+	var command takeover.Command
+	if err := msgpack.Unmarshal(raw, &command); err != nil {
+		return []byte(err.Error())
+	}
+	return []byte(p.Book.Apply(&command, at).Refused)
+}
+
+func (p *leasePart) Snapshot() ([]byte, error) { return p.Encode() }
+
+// goldenMachine is a state machine with the parts that a server has.
+func goldenMachine() (*machine, *policyPart, *leasePart) {
+	policy, leases := &policyPart{}, &leasePart{Book: *takeover.NewBook()}
+	return &machine{parts: map[byte]Part{policyKind: policy, leaseKind: leases}}, policy, leases
+}
+
+// namedCommand is a command of the log with the name of its fixture.
+type namedCommand struct {
+	name    string
+	command any
+}
+
+// goldenCommands are commands of each kind, in an order in which all of them succeed. They leave a lease and a piece that
+// was ended, with no field empty.
+func goldenCommands() []namedCommand {
+	a, b := takeover.Holder{Name: "a", Run: 5}, takeover.Holder{Name: "b", Run: 6}
+	claim := func(work takeover.Work, by takeover.Holder) takeover.Command {
+		return takeover.Command{Verb: takeover.Claim, Work: work, By: by, Span: 60000}
+	}
+	release := func(work takeover.Work, token takeover.Token) takeover.Command {
+		return takeover.Command{Verb: takeover.Release, Work: work, By: b, Token: token}
+	}
+	take := func(work takeover.Work) takeover.Command {
+		return takeover.Command{Verb: takeover.Take, Work: work, By: a, Span: 60000}
+	}
+	return []namedCommand{
+		{"proposal", policystore.Proposal{ID: "first", By: "a", At: 1764700000123.5, Body: []byte(`{"note":"a trial"}`)}},
+		{"proposal_based", policystore.Proposal{ID: "second", By: "b", At: 1764700001123.5, Based: true, Base: 1,
+			Body: []byte(`{"note":"another"}`)}},
+		{"claim_a", claim("trial/a", a)},
+		{"claim_b", claim("trial/b", b)},
+		{"claim_c", claim("trial/c", b)},
+		{"keep_a", takeover.Command{Verb: takeover.Keep, Work: "trial/a", By: a, Token: 1, Span: 60000,
+			Checkpoint: []byte("seen"), Seq: 3}},
+		{"release_b", release("trial/b", 2)},
+		{"release_c", release("trial/c", 3)},
+		{"take_b", take("trial/b")},
+		{"take_c", take("trial/c")},
+		{"merge_b", takeover.Command{Verb: takeover.Merge, Work: "trial/b", By: a, Token: 4, Span: 60000,
+			Checkpoint: []byte("both"), Into: "trial/a", IntoToken: 1, Seq: 4}},
+		{"end_c", takeover.Command{Verb: takeover.End, Work: "trial/c", By: a, Token: 5, Why: "can't be read"}},
+	}
+}
+
+// goldenEntries are the log's entries with these commands, each under its leader's stamp.
+func goldenEntries(t *testing.T) (entries []*raft.Log) {
+	t.Helper()
+	for i, c := range goldenCommands() {
+		raw, err := msgpack.Marshal(c.command)
+		if err != nil {
+			t.Fatal(err)
+		}
+		kind := leaseKind
+		if _, ok := c.command.(policystore.Proposal); ok {
+			kind = policyKind
+		}
+		stamp := quorum.Stamp{Process: 0xfedcba9876543210, Ran: 1000.5 + 10*float64(i)}
+		entries = append(entries, &raft.Log{Index: uint64(i) + 4, Term: 2, Type: raft.LogCommand,
+			Data: sealStamp(stamp, append([]byte{kind}, raw...)), Extensions: []byte("extension"),
+			AppendedAt: time.Date(2026, 12, 3, 8, 0, i, 123456789, time.UTC)})
+	}
+	return entries
+}
+
+// applied is a machine that has taken all entries.
+func applied(t *testing.T) *machine {
+	t.Helper()
+	m, policy, leases := goldenMachine()
+	for _, entry := range goldenEntries(t) {
+		if answer := m.Apply(entry).([]byte); len(answer) > 0 {
+			t.Fatalf("entry %d: %s", entry.Index, answer)
+		}
+	}
+	golden.Filled(t, "clock", m.clock)
+	golden.Filled(t, "records", policy.Since(0))
+	lease, _ := leases.Find("trial/a")
+	golden.Filled(t, "lease", lease)
+	golden.Filled(t, "list of leases", leases.List().Ended)
+	return m
+}
+
+// Each entry of the log is as it was stored, and the stamp and the command are found in it.
+func TestStoredEntries(t *testing.T) {
+	commands := goldenCommands()
+	for i, entry := range goldenEntries(t) {
+		name := "entry_" + commands[i].name + ".bin"
+		golden.Compare(t, name, entry.Data)
+		stamp, command, ok := cutStamp(golden.Read(t, name))
+		want, wantCommand, _ := cutStamp(entry.Data)
+		if !ok || stamp != want || !bytes.Equal(command, wantCommand) {
+			t.Errorf("%s: stamp %+v of %q", name, stamp, command)
+		}
+		golden.Filled(t, name, stamp)
+	}
+}
+
+// buffer is a raft.SnapshotSink.
+type buffer struct{ bytes.Buffer }
+
+func (*buffer) ID() string    { return "buffer" }
+func (*buffer) Cancel() error { return nil }
+func (*buffer) Close() error  { return nil }
+
+func persisted(t *testing.T, m *machine) []byte {
+	t.Helper()
+	taken, err := m.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var sink buffer
+	if err := taken.Persist(&sink); err != nil {
+		t.Fatal(err)
+	}
+	return sink.Bytes()
+}
+
+// canonical is a snapshot with its parts sorted by key: the program writes a map, whose order differs from one time to the
+// next. Each part stays byte by byte as it is, and the sum over all is checked.
+func canonical(t *testing.T, raw []byte) []byte {
+	t.Helper()
+	plain, err := unseal(raw)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var parts map[string][]byte
+	if err := msgpack.Unmarshal(plain, &parts); err != nil {
+		t.Fatal(err)
+	}
+	var out bytes.Buffer
+	encoder := msgpack.NewEncoder(&out)
+	err = encoder.EncodeMapLen(len(parts))
+	for _, name := range slices.Sorted(maps.Keys(parts)) {
+		err = errors.Join(err, encoder.EncodeString(name), encoder.EncodeBytes(parts[name]))
+	}
+	if err != nil || out.Len() != len(plain) {
+		t.Errorf("snapshot has %d bytes, its sorted form %d, %v", len(plain), out.Len(), err)
+	}
+	return out.Bytes()
+}
+
+// A snapshot is as it was stored, but for the order of its parts, and restores the same machine.
+func TestStoredSnapshot(t *testing.T) {
+	const name = "snapshot.bin"
+	want := applied(t)
+	written := persisted(t, want)
+	if golden.Updating() {
+		golden.Write(t, name, written)
+	}
+	if got, stored := canonical(t, written), canonical(t, golden.Read(t, name)); !bytes.Equal(got, stored) {
+		t.Errorf("%s: encoded differently:\n got %q\nwant %q", name, got, stored)
+	}
+	got, _, _ := goldenMachine()
+	if err := got.Restore(io.NopCloser(bytes.NewReader(golden.Read(t, name)))); err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, name, got.clock, want.clock)
+	golden.Equal(t, name, got.last.Load(), want.last.Load())
+	golden.Equal(t, name, got.parts, want.parts)
+}
+
+// goldenKept is what policy keeps of the version that was run last.
+func goldenKept(t *testing.T) []byte {
+	t.Helper()
+	raw, err := policystore.EncodeRecord(&policystore.Record{Version: 2, ID: "second", By: "b", At: 1764700001123.5,
+		Body: []byte(`{"note":"another"}`), Sum: 0xfedcba9876543210})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// goldenStored are the entries of the store, from the first index on, as in a store without a snapshot. No field of the last
+// one is empty.
+func goldenStored(t *testing.T) []*raft.Log {
+	t.Helper()
+	entries := goldenEntries(t)
+	last := *entries[len(entries)-1]
+	last.Type, last.Data = raft.LogConfiguration, []byte("configuration")
+	golden.Filled(t, "log", last)
+	entries = append(entries, &last)
+	for i, entry := range entries {
+		entry.Index = uint64(i) + 1
+	}
+	return entries
+}
+
+func writeStore(t *testing.T, dir string) {
+	t.Helper()
+	store := opened(t, dir)
+	defer store.Close()
+	for _, err := range []error{store.StoreLogs(goldenStored(t)), store.SetUint64([]byte("CurrentTerm"), 2),
+		store.Set([]byte("LastVoteCand"), []byte("a")), store.Keep("policy", goldenKept(t))} {
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func opened(t *testing.T, dir string) *Store {
+	t.Helper()
+	store, aside, err := OpenStore(dir)
+	if err != nil || aside != "" {
+		t.Fatalf("store of %s: aside %q, %v", dir, aside, err)
+	}
+	return store
+}
+
+// content lists all keys and values of a store.
+func content(t *testing.T, store *Store) (lines []string) {
+	t.Helper()
+	if err := store.db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
+			return b.ForEach(func(k, v []byte) error {
+				lines = append(lines, fmt.Sprintf("%s %q %q", bucket, k, v))
+				return nil
+			})
+		})
+	}); err != nil {
+		t.Fatal(err)
+	}
+	return lines
+}
+
+// copied is a copy of the stored file, for opening a store writes to its file.
+func copied(t *testing.T) string {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, storeFile), golden.Read(t, "store.db"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// The store has the keys and values that an earlier program wrote, byte by byte; its pages may lie otherwise.
+func TestStoredStore(t *testing.T) {
+	dir := t.TempDir()
+	writeStore(t, dir)
+	if golden.Updating() {
+		raw, err := os.ReadFile(filepath.Join(dir, storeFile))
+		if err != nil {
+			t.Fatal(err)
+		}
+		golden.Write(t, "store.db", raw)
+	}
+	written, stored := opened(t, dir), opened(t, copied(t))
+	defer written.Close()
+	defer stored.Close()
+	got, want := content(t, written), content(t, stored)
+	if len(want) != len(goldenStored(t))+3 {
+		t.Errorf("%d values are stored", len(want))
+	}
+	golden.Equal(t, "store.db", got, want)
+	readStore(t, stored)
+}
+
+// readStore reads a store as raft and policy do.
+func readStore(t *testing.T, store *Store) {
+	t.Helper()
+	for _, want := range goldenStored(t) {
+		var entry raft.Log
+		if err := store.GetLog(want.Index, &entry); err != nil {
+			t.Fatal(err)
+		}
+		entry.AppendedAt = entry.AppendedAt.UTC()
+		golden.Equal(t, "entry of store.db", &entry, want)
+	}
+	term, terr := store.GetUint64([]byte("CurrentTerm"))
+	vote, verr := store.Get([]byte("LastVoteCand"))
+	kept, kerr := store.Kept("policy")
+	if terr != nil || verr != nil || kerr != nil || term != 2 || string(vote) != "a" || !bytes.Equal(kept, goldenKept(t)) {
+		t.Errorf("term %d, vote %q, kept %q; %v, %v, %v", term, vote, kept, terr, verr, kerr)
+	}
+}
+
+// answered is what a server answers a call with.
+func answered(value any) ([]byte, error) {
+	recorder := httptest.NewRecorder()
+	Answer(recorder, value)
+	return recorder.Body.Bytes(), nil
+}
+
+// Servers ask each other for their state and for their place.
+func TestCallsOnTheWire(t *testing.T) {
+	golden.RoundTrip(t, "state.json", state{Established: true}, answered, json.Unmarshal)
+	golden.RoundTrip(t, "readmission.json", readmission{Name: "b", Empty: true, Has: 7}, json.Marshal, json.Unmarshal)
+	golden.RoundTrip(t, "status.json", Status{Role: "leader", Leader: "a", Term: 3, Commit: 20, Applied: 19,
+		Voters: []string{"a", "b"}}, json.Marshal, json.Unmarshal)
+	steps := []quorum.Step{quorum.Nothing, quorum.Remove, quorum.AddToo, quorum.LetItCome, quorum.Promote, quorum.Settled}
+	golden.RoundTrip(t, "steps.json", steps, answered, json.Unmarshal)
+}
--- /dev/null
+++ b/internal/membership/golden_test.go
@@ -0,0 +1,71 @@
+package membership
+
+import (
+	"encoding/json"
+	"testing"
+
+	"ottershed/internal/golden"
+)
+
+func goldenUpdate(state State) Update {
+	return Update{Name: "c", Address: "127.0.0.3:7003", State: state, Incarnation: 1764700000123, Run: 0xfedcba9876543210, By: "a"}
+}
+
+// goldenPacket has every field set, those too that its kind does not need.
+func goldenPacket(kind Kind) *Packet {
+	p := &Packet{Kind: kind, From: "a", Address: "127.0.0.1:7001", Incarnation: 1764700000001, Run: 0x123456789abcdef0, Seq: 99,
+		Target: "b", TargetAt: "127.0.0.2:7002", Updates: []Update{goldenUpdate(Suspect), goldenUpdate(Dead)}}
+	for i := range uint64(buckets) {
+		p.Sums = append(p.Sums, i<<40+1)
+	}
+	return p
+}
+
+// comparePacket compares a packet with its fixture, both ways, sealed and open.
+func comparePacket(t *testing.T, name string, p *Packet) {
+	t.Helper()
+	for suffix, codec := range map[string]Codec{"": {Cluster: "town"}, "_sealed": {Cluster: "town", Key: []byte("0123456789abcdef")}} {
+		file := "packet_" + name + suffix + ".bin"
+		raw, err := codec.Encode(p)
+		if err != nil {
+			t.Fatalf("%s: %v", file, err)
+		}
+		golden.Compare(t, file, raw)
+		back, err := codec.Decode(golden.Read(t, file))
+		if err != nil {
+			t.Fatalf("%s: %v", file, err)
+		}
+		golden.Equal(t, file, back, p)
+	}
+}
+
+// Packets of every kind are as instances of earlier programs send and read them.
+func TestPacketsOnTheWire(t *testing.T) {
+	kinds := map[string]Kind{"ping": Ping, "ack": Ack, "ping_req": PingReq, "nack": Nack, "gossip": Gossip, "digest": Digest,
+		"records": Records}
+	if len(kinds) != int(kindEnd)-1 {
+		t.Errorf("%d kinds of packets, %d of them here", kindEnd-1, len(kinds))
+	}
+	for name, kind := range kinds {
+		p := goldenPacket(kind)
+		golden.Filled(t, name, p)
+		comparePacket(t, name, p)
+	}
+}
+
+// Every state of a member keeps its place on the wire.
+func TestStatesOnTheWire(t *testing.T) {
+	p := goldenPacket(Gossip)
+	p.Updates = nil
+	for state := Alive; state <= Left; state++ {
+		p.Updates = append(p.Updates, goldenUpdate(state))
+	}
+	comparePacket(t, "states", p)
+}
+
+// The view is what the admin address answers.
+func TestViewOnTheWire(t *testing.T) {
+	view := View{Self: "a", At: 1764700000123.5, Health: 3, Superseded: "127.0.0.9:7009", Refused: 2, Members: []Member{{Name: "c",
+		Address: "127.0.0.3:7003", State: Suspect, Incarnation: 1764700000123, Run: 0xfedcba9876543210, Since: 1764700000001.25, By: "a"}}}
+	golden.RoundTrip(t, "view.json", view, json.Marshal, json.Unmarshal)
+}
--- /dev/null
+++ b/internal/policystore/golden_test.go
@@ -0,0 +1,85 @@
+package policystore
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/golden"
+)
+
+const goldenPolicy = `{"note":"a trial","halt":true,"trial-share":0.25,"settings":{"pace":1}}`
+
+func goldenProposal(id string, base Version) *Proposal {
+	return &Proposal{ID: id, By: "marshal-a", At: 1764700000123.5, Based: true, Base: base, Body: []byte(goldenPolicy)}
+}
+
+// goldenState holds two versions.
+func goldenState(t *testing.T) *State {
+	t.Helper()
+	state := &State{}
+	first := goldenProposal("first", 0)
+	for _, p := range []*Proposal{first, goldenProposal("second", 1)} {
+		if out := state.Apply(p); out.Refused != "" {
+			t.Fatal(out.Refused)
+		}
+	}
+	return state
+}
+
+// A proposal is an entry of the replicated log.
+func TestStoredProposal(t *testing.T) {
+	golden.RoundTrip(t, "proposal.msgpack", *goldenProposal("second", 1), msgpack.Marshal, msgpack.Unmarshal)
+}
+
+// An outcome is the log's answer to a proposal.
+func TestOutcomeOnTheWire(t *testing.T) {
+	outcome := Outcome{Version: 7, Again: true, Refused: "not the newest"}
+	golden.RoundTrip(t, "outcome.json", outcome, json.Marshal, json.Unmarshal)
+}
+
+// A policy's text is the body of records.
+func TestStoredPolicy(t *testing.T) {
+	share := 0.25
+	policy := Policy{Note: "a trial", Halt: true, TrialShare: &share, Settings: json.RawMessage(`{"pace":1}`)}
+	golden.RoundTrip(t, "policy.json", policy, json.Marshal, json.Unmarshal)
+	parsed, body, err := Parse(golden.Read(t, "policy.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "policy.json", body)
+	golden.Equal(t, "policy.json", *parsed, policy)
+}
+
+// The version that was run last is kept in the store.
+func TestStoredRecord(t *testing.T) {
+	record, _ := goldenState(t).Newest()
+	golden.Filled(t, "record", record)
+	raw, err := EncodeRecord(&record)
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "record.bin", raw)
+	back, err := DecodeRecord(golden.Read(t, "record.bin"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "record.bin", *back, record)
+}
+
+// All versions are policy's part of a snapshot.
+func TestStoredState(t *testing.T) {
+	state := goldenState(t)
+	golden.Filled(t, "records", state.records)
+	raw, err := state.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "state.msgpack", raw)
+	back := &State{}
+	if err := back.Restore(golden.Read(t, "state.msgpack")); err != nil {
+		t.Fatal(err)
+	}
+	golden.Equal(t, "state.msgpack", back, state)
+}
