--- /dev/null
+++ b/internal/golden/golden.go
@@ -0,0 +1,67 @@
+// Package golden compares what a test observed with a file that was stored before, byte by byte. Only tests import it. With
+// the flag -update a test stores what it observed instead.
+package golden
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+)
+
+var update = flag.Bool("update", false, "store what is observed in the golden files instead of comparing")
+
+// Check compares what was observed with the golden file; the error shows the first line that differs.
+func Check(path string, observed []byte) error {
+	if *update {
+		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
+			return err
+		}
+		return os.WriteFile(path, observed, 0o644)
+	}
+	stored, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	if bytes.Equal(stored, observed) {
+		return nil
+	}
+	return fmt.Errorf("%s: %s", path, difference(string(stored), string(observed)))
+}
+
+// difference describes the first line in which two texts differ.
+func difference(stored, observed string) string {
+	want, got := strings.SplitAfter(stored, "\n"), strings.SplitAfter(observed, "\n")
+	for i := range max(len(want), len(got)) {
+		if w, g := lineAt(want, i), lineAt(got, i); w != g {
+			return fmt.Sprintf("line %d: got %q, want %q", i+1, g, w)
+		}
+	}
+	return "equal"
+}
+
+// lineAt is a line of a text, empty behind its end.
+func lineAt(lines []string, i int) string {
+	if i < len(lines) {
+		return lines[i]
+	}
+	return ""
+}
+
+// Quote shows bytes as they are on the wire: one quoted text for each line, its line end included.
+func Quote(raw []byte) string {
+	var b strings.Builder
+	for _, line := range strings.SplitAfter(string(raw), "\n") {
+		if line != "" {
+			b.WriteString(strconv.Quote(line))
+			b.WriteByte('\n')
+		}
+	}
+	return b.String()
+}
+
+// Section is a part of a golden file under its title.
+func Section(title, text string) string { return "== " + title + "\n" + text }
--- /dev/null
+++ b/internal/nodes/golden_test.go
@@ -0,0 +1,102 @@
+package nodes
+
+import (
+	"bufio"
+	"bytes"
+	"io"
+	"net"
+	"net/http"
+	"regexp"
+	"strings"
+	"testing"
+
+	"ottershed/internal/golden"
+	"ottershed/internal/marshal"
+	"ottershed/logic"
+)
+
+// goldenRequests are requests as the front hands them over.
+var goldenRequests = []struct {
+	title   string
+	request marshal.Request
+}{
+	{"GET without headers", marshal.Request{Method: "GET", URI: "/level-read/7", Host: "app.svc"}},
+	{"GET with the headers of a client", marshal.Request{Method: "GET", URI: "/level-read/a%2Fb?key=k%201&q=;", Host: "app.svc:8080",
+		Fields: map[string][]string{"X-Correlation-Id": {"c1"}, "X-Account": {"acme"}, "X-Time-Left": {"9"}, "Accept": {"a", "b"},
+			"User-Agent": {"app/1"}}}},
+	{"POST with a body", marshal.Request{Method: "POST", URI: "/send-text", Host: "app.svc", Body: []byte("line\r\nend\x00"),
+		Fields: map[string][]string{"Content-Type": {"text/plain"}, "Content-Length": {"99"}, "X-Correlation-Id": {"c2"}}}},
+	{"POST without a body", marshal.Request{Method: "POST", URI: "/send-text", Host: "app.svc",
+		Fields: map[string][]string{"X-Correlation-Id": {"c3"}}}},
+	{"POST that is marked, and a client's repeat", marshal.Request{Method: "POST", URI: "/subscribe", Host: "app.svc", Body: []byte("x"),
+		Fields: map[string][]string{"Idempotency-Key": {"mark-1"}, "X-Repeat": {"1"}, "X-Resume": {"1"}, "X-Correlation-Id": {"c4"}}}},
+	{"GET with headers of one connection", marshal.Request{Method: "GET", URI: "/level-read/7", Host: "app.svc",
+		Fields: map[string][]string{"Connection": {"close"}, "Keep-Alive": {"1"}, "Te": {"trailers"}, "Upgrade": {"h2c"},
+			"Transfer-Encoding": {"chunked"}, "Trailer": {"X"}, "Proxy-Authorization": {"p"}}}},
+}
+
+// timeLeft is the header whose figure depends on when the test runs; its form does not.
+var timeLeft = regexp.MustCompile(`X-Time-Left: \d+\.\d{3}\r\n`)
+
+// The bytes of a request as a raw listener reads them are those of the golden file. The figure of X-Time-Left is volatile
+// and stands there as TIME.
+func TestGoldenRequests(t *testing.T) {
+	var observed strings.Builder
+	for _, c := range goldenRequests {
+		raw := timeLeft.ReplaceAll(written(t, &c.request), []byte("X-Time-Left: TIME\r\n"))
+		observed.WriteString(golden.Section(c.title, golden.Quote(raw)))
+	}
+	if err := golden.Check("testdata/requests.golden", []byte(observed.String())); err != nil {
+		t.Error(err)
+	}
+}
+
+// The time that is left is written in seconds with three decimals, and never below nothing.
+func TestGoldenTimeLeft(t *testing.T) {
+	var observed strings.Builder
+	for _, left := range []logic.Millis{1234.5678, 1, 0.4, 0, -20, 3600000} {
+		observed.Write(timeLeft.Find(encode(&marshal.Request{Method: "GET", URI: "/", Host: "h"}, left)))
+	}
+	if err := golden.Check("testdata/time-left.golden", []byte(golden.Quote([]byte(observed.String())))); err != nil {
+		t.Error(err)
+	}
+}
+
+// written is what a raw listener reads when the pool carries a request to it.
+func written(t *testing.T, request *marshal.Request) []byte {
+	t.Helper()
+	l, read := listen(t), make(chan []byte, 1)
+	go func() {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		defer c.Close()
+		read <- readRequest(c)
+	}()
+	p, ends := newPool(4), make(chan marshal.End, 1)
+	p.Moved("n", l.Addr().String())
+	p.Forward(marshal.Forward{Node: "n", Address: l.Addr().String(), Until: p.clock.Now() + deadline, Request: request,
+		Ended: func(e marshal.End) { ends <- e }})
+	if end := <-ends; end.Ending != logic.Delivered {
+		t.Fatalf("the attempt ended as %d", end.Ending)
+	}
+	return <-read
+}
+
+// readRequest reads one request, answers it, and returns all that came before the other side closed.
+func readRequest(c net.Conn) []byte {
+	var all bytes.Buffer
+	r := bufio.NewReader(io.TeeReader(c, &all))
+	request, err := http.ReadRequest(r)
+	if err == nil {
+		_, err = io.Copy(io.Discard, request.Body)
+	}
+	if err == nil {
+		_, err = io.WriteString(c, strings.Replace(ok, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
+	}
+	if err == nil {
+		io.Copy(io.Discard, r) // what follows the request, if anything does
+	}
+	return all.Bytes()
+}
