--- /dev/null
+++ b/internal/front/golden_test.go
@@ -0,0 +1,164 @@
+package front
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"net/http"
+	"regexp"
+	"strings"
+	"testing"
+
+	"ottershed/internal/golden"
+	"ottershed/internal/marshal"
+	"ottershed/internal/takeover"
+)
+
+// date is the header whose value depends on when the test runs.
+var date = regexp.MustCompile(`Date: [^\r]*\r\n`)
+
+// goldenRead is a request that is passed on.
+const goldenRead = "GET /read/1 HTTP/1.1\r\nHost: app.svc\r\nX-Time-Left: 1\r\nX-Correlation-Id: g1\r\n\r\n"
+
+// exchange is one request and what is done with it.
+type exchange struct {
+	title   string
+	request string
+	answer  *marshal.Answer // of the marshal; nil: it hears nothing of the request
+	prepare func(*Front)    // before the front serves; may be nil
+	serving func(*Front)    // while it serves; may be nil
+}
+
+// head is a request of this line with these headers, beside those that every request needs.
+func head(line, headers string) string {
+	return line + " HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: g1\r\n" + headers + "\r\n"
+}
+
+// finalAnswers are the outcomes of requests that are passed on, or turned away with an answer of the same kind.
+func finalAnswers() []exchange {
+	reply := &marshal.Reply{Body: []byte("ok\n"), Fields: map[string][]string{"Content-Type": {"text/odd"}, "X-Image": {"42"},
+		"Set-Cookie": {"a=1", "b=2"}, "Retry-After": {"9"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}, "Keep-Alive": {"2"},
+		"Transfer-Encoding": {"chunked"}, "Content-Length": {"77"}, "X-Backend-Load": {"util=0.5"}}}
+	return []exchange{
+		{title: "success passed through", request: goldenRead, answer: &marshal.Answer{Reply: reply}},
+		{title: "success without a body", request: goldenRead, answer: &marshal.Answer{Reply: &marshal.Reply{Fields: http.Header{}}}},
+		{title: "rejected, with Retry-After", request: goldenRead, answer: &marshal.Answer{Kind: marshal.Bounced, ComeBack: 125.4}},
+		{title: "rejected, without advice", request: goldenRead, answer: &marshal.Answer{Kind: marshal.Bounced}},
+		{title: "failed", request: goldenRead, answer: &marshal.Answer{Kind: marshal.Errored}},
+		{title: "failed, the marshal leaves", request: goldenRead, answer: &marshal.Answer{Kind: marshal.Errored}, serving: leaving},
+		{title: "rejected before the list is known", request: goldenRead, prepare: (*Front).Hold},
+		{title: "brought again, may have run", request: head("POST /pay/1", "X-Time-Left: 1\r\nX-Resume: 1\r\nContent-Length: 0\r\n"),
+			prepare: func(f *Front) { f.Resume(takeover.Resumed) }},
+		{title: "an HTTP/1.0 client", request: strings.Replace(goldenRead, "HTTP/1.1", "HTTP/1.0", 1),
+			answer: &marshal.Answer{Reply: &marshal.Reply{Fields: http.Header{}, Body: []byte("ok")}}},
+	}
+}
+
+// refusals are requests that never reach the marshal.
+func refusals() []exchange {
+	const left = "X-Time-Left: 1\r\n"
+	return []exchange{
+		{title: "400 no time", request: head("GET /read/1", "")},
+		{title: "400 two times", request: head("GET /read/1", left+left)},
+		{title: "400 two ids", request: head("GET /read/1", left+"X-Correlation-Id: g2\r\n")},
+		{title: "400 two accounts", request: head("GET /read/1", left+"X-Account: a\r\nX-Account: b\r\n")},
+		{title: "400 two marks", request: head("POST /mark/1", left+"Idempotency-Key: a\r\nIdempotency-Key: b\r\n")},
+		{title: "400 no mark", request: head("POST /mark/1", left+"Content-Length: 0\r\n")},
+		{title: "400 no id", request: strings.Replace(goldenRead, "X-Correlation-Id: g1\r\n", "", 1)},
+		{title: "400 account", request: head("GET /read/1", left+"X-Account: nobody\r\n")},
+		{title: "400 GET with a body", request: head("GET /read/1", left+"Content-Length: 2\r\n") + "hi"},
+		{title: "400 no HTTP", request: "what\r\n\r\n"},
+		{title: "404 path group", request: head("GET /other/1", left)},
+		{title: "405 takes GET", request: head("POST /read/1", left+"Content-Length: 0\r\n")},
+		{title: "405 takes POST", request: head("GET /pay/1", left)},
+		{title: "411 a transfer coding", request: head("POST /pay/1", left+"Transfer-Encoding: chunked\r\n") + "0\r\n\r\n"},
+		{title: "413 the body is too long", request: head("POST /pay/1", left+fmt.Sprintf("Content-Length: %d\r\n", longestBody+1))},
+		{title: "431 the head is too long", request: head("GET /read/1", "X-Filler: "+strings.Repeat("x", 3*longestHead)+"\r\n")},
+		{title: "a body that stays a part: closed", request: head("POST /pay/1", "X-Time-Left: 0.05\r\nContent-Length: 5\r\n") + "four"},
+		{title: "a head that stays a part: closed", request: "GET /read/1 HTTP/1.1\r\nHost: a\r\n"},
+	}
+}
+
+// readiness is what /up says in each state.
+func readiness() []exchange {
+	const up = "GET /up HTTP/1.1\r\nHost: app.svc\r\n\r\n"
+	return []exchange{
+		{title: "up: ready", request: up},
+		{title: "up: held, the list is not known yet", request: up, prepare: (*Front).Hold},
+		{title: "up: ready after it was held", request: up, prepare: (*Front).Hold, serving: (*Front).Ready},
+		{title: "up: leaving", request: up, serving: leaving},
+	}
+}
+
+// leaving puts a front into the state of one that is leaving, without the end that follows.
+func leaving(f *Front) { f.leaving.Store(true) }
+
+// The bytes of the answer to each request are those of the golden file. The value of Date is volatile and stands there as DATE.
+func TestGoldenAnswers(t *testing.T) {
+	for file, exchanges := range map[string][]exchange{"answers": finalAnswers(), "refusals": refusals(), "up": readiness()} {
+		t.Run(file, func(t *testing.T) {
+			var observed strings.Builder
+			for _, e := range exchanges {
+				observed.WriteString(golden.Section(e.title, golden.Quote(answered(t, e))))
+			}
+			if err := golden.Check("testdata/"+file+".golden", []byte(observed.String())); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+// A request whose id is that of an open one is refused; the open one is answered all the same.
+func TestGoldenConflict(t *testing.T) {
+	_, m, address := start(t, 10)
+	first, second := dial(t, address), dial(t, address)
+	io.WriteString(first, goldenRead)
+	request := <-m.hits
+	io.WriteString(second, goldenRead)
+	refused := finalAnswer(t, second)
+	request.Answer(marshal.Answer{Kind: marshal.Errored})
+	observed := golden.Section("409 the id is open", golden.Quote(refused)) +
+		golden.Section("the open one", golden.Quote(finalAnswer(t, first)))
+	if err := golden.Check("testdata/conflict.golden", []byte(observed)); err != nil {
+		t.Error(err)
+	}
+}
+
+// answered is the answer to one exchange at a front of its own.
+func answered(t *testing.T, e exchange) []byte {
+	t.Helper()
+	l := listen(t)
+	f, m := serve(t, l, 10, e.prepare)
+	if e.serving != nil {
+		e.serving(f)
+	}
+	c := dial(t, l.Addr().String())
+	if _, err := io.WriteString(c, e.request); err != nil {
+		t.Fatal(err)
+	}
+	if e.answer != nil {
+		(<-m.hits).Answer(*e.answer)
+	}
+	raw := finalAnswer(t, c)
+	if len(m.hits) > 0 {
+		t.Errorf("%s: it reached the marshal", e.title)
+	}
+	return raw
+}
+
+// finalAnswer is one answer as it came, up to the connection's end where that is announced; empty where the connection ends
+// without one.
+func finalAnswer(t *testing.T, c *client) []byte {
+	t.Helper()
+	var all bytes.Buffer
+	r := bufio.NewReader(io.TeeReader(c, &all))
+	if res, err := http.ReadResponse(r, nil); err == nil {
+		if _, err := io.Copy(io.Discard, res.Body); err != nil {
+			t.Error(err)
+		}
+	} else if all.Len() > 0 {
+		t.Errorf("not an answer: %q: %v", all.String(), err)
+	}
+	return date.ReplaceAll(all.Bytes(), []byte("Date: DATE\r\n"))
+}
