--- /dev/null
+++ b/internal/benchwire/golden_test.go
@@ -0,0 +1,175 @@
+package benchwire
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"ottershed/internal/golden"
+	"ottershed/logic"
+)
+
+// bornLine starts an instance with every figure that the module reads.
+const bornLine = "born\t3\t5138197539985895\tn-instances=3\tzone=oulu\tgranularity-ms=5.5\tdiscovery=ask\trules.ask-within-ms=10000" +
+	"\tcharges.cross-zone=0.02\tcharges.probe=0.01\tlimits.probing=true\tlimits.cancel=true\tlimits.second-copies=1" +
+	"\tlimits.retry-after=true\tlimits.max-retry-after-ms=500\tlimits.most-tries=5\trules.cold-from=0.35\trules.warm-after-ms=4500" +
+	"\trules.overload-factor=3.5\trules.overload-for-ms=1000\tdomain.swap=rolling\tdomain.caps=0.1,0.4,1\tdomain.waves=0.08,0.25,1" +
+	"\tdomain.uncounted=1.5\tdomain.per=per_lane\tdomain.guarded-stages=2\tdomain.keys-stay=true\tdomain.reported-share=0.3" +
+	"\tdomain.vote-ttl-ms=6000\tdomain.vote-wait-ms=800\tdomain.on-votes=4\tdomain.votes-to-revert=6\tdomain.to-pause=7" +
+	"\tdomain.tally-every-ms=900\tdomain.vote-mode=clocked\tservices.count=3\tservices.0.name=level-read\tservices.0.aim-ms=400" +
+	"\tservices.0.give-up-ms=1500\tservices.0.idempotency=safe\tservices.1.name=subscribe\tservices.1.aim-ms=500" +
+	"\tservices.1.give-up-ms=2000\tservices.1.idempotency=keyed\tservices.1.group=zone\tservices.1.window-ms=1200" +
+	"\tservices.2.name=send-text\tservices.2.aim-ms=550\tservices.2.give-up-ms=1500\tservices.2.idempotency=unsafe" +
+	"\ttenants.count=2\ttenants.0.name=tulvavahti\ttenants.1.name=jokisilma"
+
+// goldenLines are lines of every kind, with every word that the wire has for a field.
+func goldenLines() []string {
+	lines := []string{bornLine, "born\t3\t7", "down\t3", "sheet\t1\t3", "node\t2\t7000.5\toulu\t42\tthree-core\tup\t1.5\t10.0.0.1:80",
+		"node\t-\t-\t-\t41\t-\tdraining\t-\t10.0.0.2:80", "node\t3\t1\ta\t40\tk\tremoved\t2\t10.0.0.3:80"}
+	for _, how := range []string{"changes", "all", "remembered"} {
+		lines = append(lines, "backends_changed\t3\t"+how+"\t5\t1")
+	}
+	lines = append(lines, "backends_changed\t3\trefused\t5\t-")
+	for bits := range 4 {
+		lines = append(lines, fmt.Sprintf("req\t3\t4294967295\tlevel-read\ttulvavahti\tacct/k\t240.5\t12.5\t%d", bits))
+	}
+	lines = append(lines, "req\t3\t7\tlevel-read\t-\t-\t240\t-\t0", "flowing\t3\t7\t2\t10.0.0.1:80\t4.5", "aborted\t3\t7",
+		"tick_due\t3\t9223372036854775808", "message\t3\t2\t6869", "message\t3\t2\t-")
+	for i, ending := range []string{"completed", "errored", "saturated", "overdue", "refused_conn", "severed", "recalled", "superseded"} {
+		lines = append(lines, fmt.Sprintf("verdict\t3\t7\t%s\t10.0.0.1:80\t2\t4.5\t%d\tcpu:0.5,waiting:3,other:9", ending, i%2),
+			fmt.Sprintf("ping_result\t3\t10.0.0.1:80\t%s\t250.5\t-", ending))
+	}
+	lines = append(lines, "verdict\t3\t7\tcompleted\tn\t1\t4.5\t-\twaiting:2", "ping_result\t3\tn\tcompleted\t1\tcpu:0.25")
+	for _, phase := range []string{"0", "-", "1", "2", "3"} {
+		lines = append(lines, "stage\t3\t310.5\t42\t"+phase+"\t0\t0.28\t2\tcompleted")
+	}
+	for _, fate := range []string{"completed", "errored", "saturated", "overdue", "superseded"} {
+		lines = append(lines, "stage\t3\t310.5\t42\t1\t1\t0.28\t2\t"+fate)
+	}
+	return append(lines, "metrics\t3\t42\tlevel-read\t20\t2\t31.5\t900.5", "reported_wrong\t3\t10.0.0.1:80\tlevel-read\t1200.5")
+}
+
+// Each line decodes into the event of the golden file, figure by figure. The words there are the test's own, so that they
+// stay when fields get other names.
+func TestGoldenEvents(t *testing.T) {
+	var observed strings.Builder
+	var d Decoder
+	for _, line := range goldenLines() {
+		in, err := d.Line(line)
+		if err != nil {
+			t.Fatalf("%q: %v", line, err)
+		}
+		fmt.Fprintf(&observed, "%s  %s\n", golden.Quote([]byte(line)), describe(in))
+	}
+	if err := golden.Check("testdata/events.golden", []byte(observed.String())); err != nil {
+		t.Error(err)
+	}
+}
+
+// Each action is the line of the golden file; all its fields are set.
+func TestGoldenActions(t *testing.T) {
+	var lines []byte
+	for _, action := range []logic.Action{
+		logic.Forward{Hit: 4294967295, Node: "10.0.0.1:80", Timeout: 80.1234, SendBy: 99},
+		logic.Bounce{Hit: 7, ComeBack: 125.5},
+		logic.Fail{Hit: 7},
+		logic.Cancel{Hit: 7, Forward: 2},
+		logic.WakeAt{Token: 1 << 63, At: 8912.25},
+		logic.Probe{Node: "10.0.0.1:80"},
+		logic.CloseIdle{Node: "10.0.0.1:80"},
+		logic.Tell{All: true, To: 2, Data: []byte{0, 0xff}},
+		logic.Tell{To: 2, Data: []byte("hi")},
+		logic.Log{Text: "a\tb\nc\rd ä"},
+		logic.Watch{On: true},
+		logic.Watch{},
+		logic.Lookup{},
+		logic.Vote{Build: 42, Stage: 1, Verdict: logic.VoteNone},
+		logic.Vote{Build: 42, Stage: 1, Verdict: logic.VoteOn},
+		logic.Vote{Build: 42, Stage: 1, Verdict: logic.VoteHold},
+		logic.Vote{Build: 42, Stage: 1, Verdict: logic.VoteBack},
+	} {
+		lines = Append(lines, 3, action)
+	}
+	lines = AppendFault(lines, 3, "what\tfailed\n")
+	if err := golden.Check("testdata/actions.golden", []byte(golden.Quote(lines))); err != nil {
+		t.Error(err)
+	}
+}
+
+// describe tells what a line has brought, in words of this test alone.
+func describe(in *Incoming) string {
+	switch {
+	case in == nil:
+		return "adds to a list"
+	case in.Born != nil:
+		return fmt.Sprintf("instance %d starts: seed %d, fault %v\n%s", in.Who, in.Born.Seed, in.Born.Err, describeSettings(&in.Born.Settings))
+	case in.Down:
+		return fmt.Sprintf("instance %d ends", in.Who)
+	}
+	return fmt.Sprintf("instance %d: %s", in.Who, describeEvent(in.Event))
+}
+
+func describeEvent(event logic.Event) string {
+	switch e := event.(type) {
+	case logic.NodesChanged:
+		text := fmt.Sprintf("list: kind %d, number %d", int(e.How), e.Stamp)
+		for _, n := range e.Nodes {
+			text += fmt.Sprintf("; endpoint %q cell %d started %g zone %q build %d kind %q state %d units %g", string(n.ID),
+				int(n.Cell), n.Started, string(n.Zone), int(n.Build), string(n.Kind), int(n.State), n.Units)
+		}
+		return text
+	case logic.HitTaken:
+		return fmt.Sprintf("request %d: class %q tenant %q key %q left %g hint %g repeated %t", uint64(e.Hit), string(e.Group),
+			string(e.Tenant), string(e.Key), e.TTL, e.Hint, e.Retried)
+	case logic.AnswerStarted:
+		return fmt.Sprintf("answer begins: request %d attempt %d endpoint %q after %g", uint64(e.Hit), e.Forward, string(e.Node), e.After)
+	case logic.ForwardEnded:
+		return fmt.Sprintf("attempt ended: request %d ending %d endpoint %q attempt %d after %g request ended %t load %s",
+			uint64(e.Hit), int(e.Ending), string(e.Node), e.Forward, e.After, e.HitEnded, describeLoad(e.Load))
+	case logic.HitGone:
+		return fmt.Sprintf("request gone: %d", uint64(e.Hit))
+	case logic.TimerDue:
+		return fmt.Sprintf("timer due: %d", uint64(e.Token))
+	case logic.ProbeEnded:
+		return fmt.Sprintf("probe ended: endpoint %q ending %d after %g load %s", string(e.Node), int(e.Ending), e.After, describeLoad(e.Load))
+	case logic.PeerSaid:
+		return fmt.Sprintf("peer %d said %q", int(e.From), e.Data)
+	case logic.StageNews:
+		return fmt.Sprintf("stage: age %g build %d phase %d to a vote %t cap %g stage %d fate %d", e.Age, int(e.Build), int(e.Phase),
+			e.ToVote, e.Cap, e.Stage, int(e.VoteFate))
+	case logic.Tally:
+		return fmt.Sprintf("tally: build %d class %q count %d failed %d mean %g age %g", int(e.Build), string(e.Group), e.Count,
+			e.Failed, e.Mean, e.Age)
+	case logic.Flagged:
+		return fmt.Sprintf("reported wrong: endpoint %q class %q age %g", string(e.Node), string(e.Group), e.Age)
+	}
+	return "an event that this test does not know"
+}
+
+func describeLoad(l *logic.Load) string {
+	if l == nil {
+		return "none"
+	}
+	return fmt.Sprintf("busy %g waiting %g", l.Util, l.Queue)
+}
+
+func describeSettings(s *logic.Settings) string {
+	lines := []string{
+		fmt.Sprintf("instances %d zone %q granularity %g asks %t within %g", s.Marshals, string(s.Zone), s.Granularity, s.AskList, s.AskWithin),
+		fmt.Sprintf("prices: cross %g probe %g; may cancel %t copy %t probe %t", s.CrossPrice, s.ProbePrice, s.MayCancel, s.MayCopy, s.MayProbe),
+		fmt.Sprintf("come back %g attempts %d cold %g over %g warm %g over for %g", s.MaxComeBack, s.MaxForwards, s.ColdFrom, s.OverFactor,
+			s.WarmAfter, s.OverFor),
+		fmt.Sprintf("control %d in place %t caps %v stages %v free %g per class %t guarded %d keys stay %t reported %g", int(s.Control), s.InPlace,
+			s.Caps, s.Stages, s.Free, s.PerGroup, s.Guarded, s.KeysStay, s.FlagShare),
+		fmt.Sprintf("votes: life %g wait %g on %d back %d hold %d; tally every %g", s.VoteLife, s.VoteWait, s.OnVotes, s.BackVotes, s.HoldVotes,
+			s.TallyEvery),
+	}
+	for _, g := range s.Groups {
+		lines = append(lines, fmt.Sprintf("class %q target %g effect %d scope %d remembered %g", string(g.Name), g.Target, int(g.Effect),
+			int(g.Scope), g.Remember))
+	}
+	for _, tenant := range s.Tenants {
+		lines = append(lines, fmt.Sprintf("tenant %q", string(tenant)))
+	}
+	return "    " + strings.Join(lines, "\n    ")
+}
