--- /dev/null
+++ b/internal/admin/golden_test.go
@@ -0,0 +1,129 @@
+package admin
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"ottershed/internal/golden"
+)
+
+// date is the header whose value depends on when the test runs.
+var date = regexp.MustCompile(`Date: [^\r]*\r\n`)
+
+// The bytes of each kind of answer are those of the golden file. The value of Date and the
+// address are volatile and stand there as DATE and ADDRESS.
+func TestGoldenAnswers(t *testing.T) {
+	address := goldenServer(t)
+	var observed strings.Builder
+	for _, c := range []struct{ title, line, headers, body string }{
+		{"an answer", "GET /who", "", ""},
+		{"an answer to a body", "POST /do", "Content-Type: application/json\r\n", `"it"`},
+		{"what can't be done", "POST /do", "Content-Type: application/json\r\n", `"<that>"`},
+		{"a body that is too long", "POST /do", "Content-Type: application/json\r\n", strings.Repeat("x", longestBody+1)},
+		{"no such path", "GET /none", "", ""},
+		{"another method", "DELETE /who", "", ""},
+		{"a form", "POST /do", "Content-Type: text/plain\r\n", `"it"`},
+		{"asked by a name", "GET http://elsewhere.example:80/who", "", ""},
+		{"an answer that is no JSON", "GET /broken", "", ""},
+	} {
+		request := fmt.Sprintf("%s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n%sContent-Length: %d\r\n\r\n%s", c.line, address,
+			c.headers, len(c.body), c.body)
+		observed.WriteString(golden.Section(c.title, golden.Quote(ask(t, address, request))))
+	}
+	if err := golden.Check("testdata/answers.golden", []byte(observed.String())); err != nil {
+		t.Error(err)
+	}
+}
+
+// goldenServer runs a server that has an answer of each kind.
+func goldenServer(t *testing.T) (address string) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := New()
+	s.Get("/who", func() any { return map[string]any{"n": 1, "names": []string{"a", "<b>"}} })
+	s.Get("/broken", func() any { return func() {} })
+	s.Post("/do", func(_ context.Context, body []byte) (any, error) {
+		if string(body) != `"it"` {
+			return nil, errors.New("that can't be done: " + string(body))
+		}
+		return "done", nil
+	})
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan error, 1)
+	go func() { ended <- s.Run(ctx, l) }()
+	t.Cleanup(func() {
+		cancel()
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	})
+	return l.Addr().String()
+}
+
+// ask sends a request and reads its answer, with what is volatile replaced.
+func ask(t *testing.T, address, request string) []byte {
+	t.Helper()
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(10 * time.Second))
+	if _, err := io.WriteString(c, request); err != nil {
+		t.Fatal(err)
+	}
+	var all bytes.Buffer
+	res, err := http.ReadResponse(bufio.NewReader(io.TeeReader(c, &all)), nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.Copy(io.Discard, res.Body); err != nil {
+		t.Fatal(err)
+	}
+	raw := date.ReplaceAll(all.Bytes(), []byte("Date: DATE\r\n"))
+	return bytes.ReplaceAll(raw, []byte(address), []byte("ADDRESS"))
+}
+
+// The requests that the commands send are those of the golden file.
+func TestGoldenQuestions(t *testing.T) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	asked := make(chan []byte, 2)
+	go func() {
+		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
+			var all bytes.Buffer
+			if r, err := http.ReadRequest(bufio.NewReader(io.TeeReader(c, &all))); err == nil {
+				io.Copy(io.Discard, r.Body)
+				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
+			}
+			c.Close()
+			asked <- all.Bytes()
+		}
+	}()
+	observed := ""
+	for _, body := range [][]byte{nil, []byte(`{"a":1}`)} {
+		if _, err := Ask(t.Context(), l.Addr().String(), "/path", body); err != nil {
+			t.Fatal(err)
+		}
+		observed += golden.Quote(bytes.ReplaceAll(<-asked, []byte(l.Addr().String()), []byte("ADDRESS"))) + "\n"
+	}
+	if err := golden.Check("testdata/questions.golden", []byte(observed)); err != nil {
+		t.Error(err)
+	}
+}
