--- /dev/null
+++ b/internal/consensus/golden_test.go
@@ -0,0 +1,69 @@
+package consensus
+
+import (
+	"encoding/json"
+	"maps"
+	"slices"
+	"testing"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/golden"
+	"ottershed/internal/quorum"
+)
+
+// onePart is a part of the log that holds a fixed text.
+type onePart struct{}
+
+func (onePart) Apply(uint64, quorum.Millis, []byte) []byte { return nil }
+func (onePart) Snapshot() ([]byte, error)                  { return []byte("held"), nil }
+func (onePart) Restore([]byte) error                       { return nil }
+
+// What servers of the log ask each other, a stamped entry, and a snapshot's clock, are those of the golden file. A snapshot is a
+// table in no order, so its parts are listed by name.
+func TestGoldenMessages(t *testing.T) {
+	stamp := quorum.Stamp{Process: 1 << 63, Ran: 1234.5}
+	observed := golden.Section("a stamped entry", golden.Quote(sealStamp(stamp, []byte("xcommand")))+"\n")
+	for _, message := range []struct {
+		title string
+		value any
+	}{
+		{"state", state{Established: true}},
+		{"readmission", readmission{Name: "n0", Empty: true, Has: 7}},
+		{"status", Status{Role: "leader", Leader: "n0", Term: 2, Commit: 3, Applied: 4, Voters: []string{"n0"}}},
+	} {
+		raw, err := json.Marshal(message.value)
+		if err != nil {
+			t.Fatal(err)
+		}
+		observed += golden.Section(message.title, golden.Quote(raw)+"\n")
+	}
+	observed += golden.Section("the parts of a snapshot", snapshotParts(t, stamp))
+	if err := golden.Check("testdata/messages.golden", []byte(observed)); err != nil {
+		t.Error(err)
+	}
+}
+
+// snapshotParts lists what a snapshot holds.
+func snapshotParts(t *testing.T, stamp quorum.Stamp) string {
+	t.Helper()
+	m := &machine{parts: map[byte]Part{'x': onePart{}}, clock: quorum.Clock{Now: 2000.5, Last: stamp}}
+	m.last.Store(7)
+	taken, err := m.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw, err := unseal(taken.(snapshot))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var parts map[string][]byte
+	if err := msgpack.Unmarshal(raw, &parts); err != nil {
+		t.Fatal(err)
+	}
+	text := ""
+	for _, name := range slices.Sorted(maps.Keys(parts)) {
+		text += name + ": " + golden.Quote(parts[name])
+	}
+	return text
+}
--- /dev/null
+++ b/internal/policystore/golden_test.go
@@ -0,0 +1,46 @@
+package policystore
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/golden"
+)
+
+// The bytes of proposals, outcomes, records and snapshots are those of the golden file. Servers of different versions read
+// each other's, and stores last over restarts.
+func TestGoldenLog(t *testing.T) {
+	share := 0.5
+	body, err := json.Marshal(Policy{Note: "why", Halt: true, TrialShare: &share, Settings: json.RawMessage(`{"zone":"a"}`)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	proposal := Proposal{ID: "id", By: "n0", At: 1.7e12, Based: true, Base: 0, Body: body}
+	state := &State{}
+	if out := state.Apply(&proposal); out.Refused != "" {
+		t.Fatal(out.Refused)
+	}
+	record, _ := state.Newest()
+	proposal.Base = 7
+	observed := golden.Section("policy", golden.Quote(body)+"\n")
+	for _, part := range []struct {
+		title  string
+		encode func() ([]byte, error)
+	}{
+		{"proposal", func() ([]byte, error) { return msgpack.Marshal(&proposal) }},
+		{"outcome", func() ([]byte, error) { return json.Marshal(Outcome{Version: 7, Again: true, Refused: "why"}) }},
+		{"record", func() ([]byte, error) { return EncodeRecord(&record) }},
+		{"snapshot", state.Encode},
+	} {
+		raw, err := part.encode()
+		if err != nil {
+			t.Fatal(err)
+		}
+		observed += golden.Section(part.title, golden.Quote(raw)+"\n")
+	}
+	if err := golden.Check("testdata/log.golden", []byte(observed)); err != nil {
+		t.Error(err)
+	}
+}
