--- /dev/null
+++ b/internal/marshal/golden_test.go
@@ -0,0 +1,47 @@
+package marshal
+
+import (
+	"fmt"
+	"io"
+	"testing"
+
+	"github.com/sirupsen/logrus"
+
+	"ottershed/internal/golden"
+	"ottershed/logic"
+)
+
+// logged keeps the lines of a log.
+type logged struct{ lines []*logrus.Entry }
+
+func (l *logged) Levels() []logrus.Level { return logrus.AllLevels }
+
+func (l *logged) Fire(line *logrus.Entry) error {
+	l.lines = append(l.lines, line)
+	return nil
+}
+
+// The fields of the log's line about a panic in the decision module are those of the golden file, for each kind of event: whoever
+// reads logs looks for the event by this name. The stack in its text is volatile and left out.
+func TestGoldenPanics(t *testing.T) {
+	observed := ""
+	for _, event := range []logic.Event{logic.NodesChanged{}, logic.HitTaken{}, logic.AnswerStarted{}, logic.ForwardEnded{}, logic.HitGone{},
+		logic.TimerDue{}, logic.ProbeEnded{}, logic.PeerSaid{}, logic.StageNews{}, logic.SettingsChanged{}, logic.Adopted{},
+		logic.Disowned{}, logic.Tally{}, logic.Flagged{}} {
+		r, lines := newRig(), &logged{}
+		log := logrus.New()
+		log.SetOutput(io.Discard)
+		log.AddHook(lines)
+		r.core.log = log
+		r.module.panic = true
+		r.core.ask(r.now, event)
+		if len(lines.lines) == 0 {
+			t.Fatal("nothing was logged")
+		}
+		fields := lines.lines[0].Data
+		observed += fmt.Sprintf("level=%s event=%v open=%v panic=%v\n", lines.lines[0].Level, fields["event"], fields["open"], fields["panic"])
+	}
+	if err := golden.Check("testdata/panics.golden", []byte(observed)); err != nil {
+		t.Error(err)
+	}
+}
