--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -92,9 +92,10 @@
 }
 
 // checkpoint is what a piece holds: what the marshal had seen, and what it had taken over that its module had not yet.
+// Its tags stay whatever the fields are called: another version may go on from it.
 type checkpoint struct {
-	Parts  []logic.Evidence
-	Merged []takeover.Past
+	Parts  []logic.Evidence `msgpack:"Parts"`
+	Merged []takeover.Past  `msgpack:"Merged"`
 }
 
 // New makes a keeper; Run does the rest.
--- a/internal/lab/load.go
+++ b/internal/lab/load.go
@@ -36,6 +36,12 @@
 	Wrong     int // with an answer that was not theirs
 }
 
+// String tells all figures. Their names are fixed here: otterlab prints them.
+func (r LoadResult) String() string {
+	return fmt.Sprintf("{Hits:%d Delivered:%d Bounced:%d Errored:%d Resumed:%d Refused:%d Lost:%d Wrong:%d}", r.Hits, r.Delivered,
+		r.Bounced, r.Errored, r.Resumed, r.Refused, r.Lost, r.Wrong)
+}
+
 // resumeWithin is how long a client looks for a marshal that takes its hit.
 const resumeWithin = 5 * time.Second
 
--- a/internal/marshal/core.go
+++ b/internal/marshal/core.go
@@ -303,7 +303,7 @@
 func (c *core) ask(now logic.Millis, event logic.Event) (actions []logic.Action) {
 	defer func() {
 		if p := recover(); p != nil {
-			c.log.WithFields(logrus.Fields{"panic": fmt.Sprint(p), "event": fmt.Sprintf("%T", event),
+			c.log.WithFields(logrus.Fields{"panic": fmt.Sprint(p), "event": eventName(event),
 				"open": len(c.open)}).Errorf("module panicked, starts anew\n%s", debug.Stack())
 			actions = nil
 			c.restart(now)
--- a/internal/policynode/node.go
+++ b/internal/policynode/node.go
@@ -46,14 +46,14 @@
 
 // Marshal is one line of the fleet's status.
 type Marshal struct {
-	Name    string              `json:"name"`
-	Role    string              `json:"role"` // leader, follower, candidate, placing, watcher
-	Version policystore.Version `json:"version"`
-	Sum     string              `json:"sum"`
-	Open    bool                `json:"open"`              // takes trial traffic
-	Failed  string              `json:"failed,omitempty"`  // why it can't run the newest version
-	Missing string              `json:"missing,omitempty"` // why nothing is known of it
-	At      float64             `json:"at_ms,omitempty"`   // when it was last heard of, Unix
+	Name    string              `json:"name" msgpack:"Name"`
+	Role    string              `json:"role" msgpack:"Role"` // leader, follower, candidate, placing, watcher
+	Version policystore.Version `json:"version" msgpack:"Version"`
+	Sum     string              `json:"sum" msgpack:"Sum"`
+	Open    bool                `json:"open" msgpack:"Open"`                 // takes trial traffic
+	Failed  string              `json:"failed,omitempty" msgpack:"Failed"`   // why it can't run the newest version
+	Missing string              `json:"missing,omitempty" msgpack:"Missing"` // why nothing is known of it
+	At      float64             `json:"at_ms,omitempty" msgpack:"At"`        // when it was last heard of, Unix
 }
 
 // Node is a marshal's part.
@@ -252,17 +252,18 @@
 	return nil
 }
 
-// since is what a watcher asks a server, and tells of itself.
+// since is what a watcher asks a server, and tells of itself. Its tags, as those of its parts and of the answer, stay whatever
+// the fields are called: marshals of different versions ask each other.
 type since struct {
-	Self    Marshal
-	Version policystore.Version
-	Confirm bool // the answer has to hold all that is committed now
+	Self    Marshal             `msgpack:"Self"`
+	Version policystore.Version `msgpack:"Version"`
+	Confirm bool                `msgpack:"Confirm"` // the answer has to hold all that is committed now
 }
 
 type sinceAnswer struct {
-	Records   []policystore.Record
-	Newest    policystore.Version
-	Confirmed bool
+	Records   []policystore.Record `msgpack:"Records"`
+	Newest    policystore.Version  `msgpack:"Newest"`
+	Confirmed bool                 `msgpack:"Confirmed"`
 }
 
 func (n *Node) answerSince(w http.ResponseWriter, r *http.Request) {
--- a/internal/policystore/state.go
+++ b/internal/policystore/state.go
@@ -9,31 +9,32 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Proposal is a policy on its way through the log.
+// Proposal is a policy on its way through the log. Here and below, tags name the parts in what is stored and sent: they stay
+// whatever the fields are called.
 type Proposal struct {
-	ID    string  // the proposer's, so that one that comes twice counts once
-	By    string  // the marshal that was asked
-	At    float64 // Unix milliseconds there
-	Based bool    // only if Base is the newest version when it is committed
-	Base  Version
-	Body  []byte // a policy's form for the log, see Parse
+	ID    string  `msgpack:"ID"`    // the proposer's, so that one that comes twice counts once
+	By    string  `msgpack:"By"`    // the marshal that was asked
+	At    float64 `msgpack:"At"`    // Unix milliseconds there
+	Based bool    `msgpack:"Based"` // only if Base is the newest version when it is committed
+	Base  Version `msgpack:"Base"`
+	Body  []byte  `msgpack:"Body"` // a policy's form for the log, see Parse
 }
 
 // Record is a version that holds.
 type Record struct {
-	Version Version
-	ID      string
-	By      string
-	At      float64
-	Body    []byte
-	Sum     uint64 // over this record and the sum before: the same at all that went through the same versions
+	Version Version `msgpack:"Version"`
+	ID      string  `msgpack:"ID"`
+	By      string  `msgpack:"By"`
+	At      float64 `msgpack:"At"`
+	Body    []byte  `msgpack:"Body"`
+	Sum     uint64  `msgpack:"Sum"` // over this record and the sum before: the same at all that went through the same versions
 }
 
 // Outcome is what became of a proposal.
 type Outcome struct {
-	Version Version // that it got, or got before
-	Again   bool    // it had come before
-	Refused string  // why it got none; empty: it did
+	Version Version `json:"Version"` // that it got, or got before
+	Again   bool    `json:"Again"`   // it had come before
+	Refused string  `json:"Refused"` // why it got none; empty: it did
 }
 
 const (
--- a/internal/quorum/clock.go
+++ b/internal/quorum/clock.go
@@ -5,8 +5,8 @@
 
 // Stamp is what a leader writes on an entry: which process it is, and how long that has run by its monotonic clock.
 type Stamp struct {
-	Process uint64 // drawn at each start
-	Ran     Millis
+	Process uint64 `msgpack:"Process"` // drawn at each start
+	Ran     Millis `msgpack:"Ran"`
 }
 
 // Clock is the log's time. It moves only by what one leader measured between two entries of its own; a new leader goes on
@@ -14,8 +14,8 @@
 // the last entry of one leader and the first of the next is not counted: time in the log may lag behind, never run ahead but
 // by as much as a leader's clock runs fast. All servers that applied the same entries have the same time.
 type Clock struct {
-	Now  Millis
-	Last Stamp
+	Now  Millis `msgpack:"Now"`
+	Last Stamp  `msgpack:"Last"`
 }
 
 // Pass takes the stamp of the next entry and returns the log's time at it.
--- a/internal/takeover/book.go
+++ b/internal/takeover/book.go
@@ -27,35 +27,36 @@
 
 // Holder is one process of a marshal.
 type Holder struct {
-	Name string
-	Run  uint64 // drawn at each start
+	Name string `json:"Name" msgpack:"Name"`
+	Run  uint64 `json:"Run" msgpack:"Run"` // drawn at each start
 }
 
-// Lease is a piece of work with its owner.
+// Lease is a piece of work with its owner. Here and below, tags name the parts in what is stored and sent: stores last, and
+// marshals of different versions read each other, so they stay whatever the fields are called.
 type Lease struct {
-	Work       Work
-	Owner      Holder
-	Token      Token
-	Until      Millis // by the log's clock; past it another may take the piece
-	Checkpoint []byte // the owner's, to go on from
-	Written    Millis // when that was
-	Merged     []Past // pieces whose work is in the checkpoint, the newest last
-	Seq        uint64 // of its checkpoint, by its owner
+	Work       Work   `json:"Work" msgpack:"Work"`
+	Owner      Holder `json:"Owner" msgpack:"Owner"`
+	Token      Token  `json:"Token" msgpack:"Token"`
+	Until      Millis `json:"Until" msgpack:"Until"`           // by the log's clock; past it another may take the piece
+	Checkpoint []byte `json:"Checkpoint" msgpack:"Checkpoint"` // the owner's, to go on from
+	Written    Millis `json:"Written" msgpack:"Written"`       // when that was
+	Merged     []Past `json:"Merged" msgpack:"Merged"`         // pieces whose work is in the checkpoint, the newest last
+	Seq        uint64 `json:"Seq" msgpack:"Seq"`               // of its checkpoint, by its owner
 }
 
 // Past is a piece that was merged into another, by the token under which it was taken.
 type Past struct {
-	Work  Work
-	Token Token
+	Work  Work  `json:"Work" msgpack:"Work"`
+	Token Token `json:"Token" msgpack:"Token"`
 }
 
 // Ended is a piece that was ended, for it could not be gone on with.
 type Ended struct {
-	Work  Work
-	Token Token // under which it was taken
-	By    string
-	Why   string
-	At    Millis // by the log's clock
+	Work  Work   `json:"Work" msgpack:"Work"`
+	Token Token  `json:"Token" msgpack:"Token"` // under which it was taken
+	By    string `json:"By" msgpack:"By"`
+	Why   string `json:"Why" msgpack:"Why"`
+	At    Millis `json:"At" msgpack:"At"` // by the log's clock
 }
 
 // Verb is what a command wants.
@@ -72,22 +73,22 @@
 
 // Command is one entry of the log.
 type Command struct {
-	Verb       Verb
-	Work       Work
-	By         Holder
-	Token      Token // of the lease that it goes by; none for Claim and Take
-	Span       Millis
-	Checkpoint []byte // none: the one before stays
-	Into       Work   // Merge: one's own
-	IntoToken  Token
-	Seq        uint64 // of a checkpoint: each that a holder writes has a higher one than any before
-	Why        string // End
+	Verb       Verb   `msgpack:"Verb"`
+	Work       Work   `msgpack:"Work"`
+	By         Holder `msgpack:"By"`
+	Token      Token  `msgpack:"Token"` // of the lease that it goes by; none for Claim and Take
+	Span       Millis `msgpack:"Span"`
+	Checkpoint []byte `msgpack:"Checkpoint"` // none: the one before stays
+	Into       Work   `msgpack:"Into"`       // Merge: one's own
+	IntoToken  Token  `msgpack:"IntoToken"`
+	Seq        uint64 `msgpack:"Seq"` // of a checkpoint: each that a holder writes has a higher one than any before
+	Why        string `msgpack:"Why"` // End
 }
 
 // Reply is what became of a command.
 type Reply struct {
-	Refused string // why; empty: it was done
-	Lease   Lease  // Claim and Take: with the checkpoint to go on from
+	Refused string `msgpack:"Refused"` // why; empty: it was done
+	Lease   Lease  `msgpack:"Lease"`   // Claim and Take: with the checkpoint to go on from
 }
 
 // Bounds of what the book keeps.
@@ -105,9 +106,9 @@
 
 // List is all leases, and the log's time as of its newest entry: what is left of a lease is no more than it says.
 type List struct {
-	Now    Millis
-	Leases []Lease // without their checkpoints
-	Ended  []Ended // the newest last
+	Now    Millis  `json:"Now"`
+	Leases []Lease `json:"Leases"` // without their checkpoints
+	Ended  []Ended `json:"Ended"`  // the newest last
 }
 
 // Book holds all leases. Its clock is the log's, which no machine's wall clock enters (quorum.Clock), and never goes back.
@@ -270,10 +271,10 @@
 
 // book is what a snapshot holds.
 type book struct {
-	Leases []Lease
-	Token  Token
-	Now    Millis
-	Ended  []Ended
+	Leases []Lease `msgpack:"Leases"`
+	Token  Token   `msgpack:"Token"`
+	Now    Millis  `msgpack:"Now"`
+	Ended  []Ended `msgpack:"Ended"`
 }
 
 // Encode writes all.
--- a/logic/api.go
+++ b/logic/api.go
@@ -99,27 +99,30 @@
 // granularity stay as at its start; what it has taken stays open.
 type SettingsChanged struct{ Settings Settings }
 
-// Evidence is what a marshal has seen of the newest build, in a form that another can take over.
+// Evidence is what a marshal has seen of the newest build, in a form that another can take over. Tags name its
+// parts in stores; they stay whatever the fields are called.
 type Evidence struct {
-	Build  Build
-	Stage  int
-	Groups []GroupEvidence // of this stage
-	Counts []NodeCount     // since the build was offered
+	Build  Build           `msgpack:"Build"`
+	Stage  int             `msgpack:"Stage"`
+	Groups []GroupEvidence `msgpack:"Groups"` // of this stage
+	Counts []NodeCount     `msgpack:"Counts"` // since the build was offered
 }
 
 // GroupEvidence holds one path group's outcomes of either build, oldest first, each against the pace of the earlier build;
 // a failure is infinite. No name: all path groups together.
 type GroupEvidence struct {
-	Group     GroupName
-	Blue, Grn []float64
+	Group GroupName `msgpack:"Group"`
+	Blue  []float64 `msgpack:"Blue"`
+	Grn   []float64 `msgpack:"Grn"`
 }
 
 // NodeCount holds how many hits of a path group a node has answered, good and bad. No node: earlier ones that have left.
 type NodeCount struct {
-	Node      NodeID
-	Build     Build
-	Group     GroupName
-	Good, Bad float64
+	Node  NodeID    `msgpack:"Node"`
+	Build Build     `msgpack:"Build"`
+	Group GroupName `msgpack:"Group"`
+	Good  float64   `msgpack:"Good"`
+	Bad   float64   `msgpack:"Bad"`
 }
 
 // Adopted hands over the evidence of a marshal that is gone, once.
