--- a/internal/front/golden_test.go
+++ b/internal/front/golden_test.go
@@ -48,6 +48,7 @@
 		{title: "failed", request: goldenRead, answer: &marshal.Answer{Kind: marshal.Errored}},
 		{title: "failed, the marshal leaves", request: goldenRead, answer: &marshal.Answer{Kind: marshal.Errored}, serving: leaving},
 		{title: "rejected before the list is known", request: goldenRead, prepare: (*Front).Hold},
+		{title: "rejected for want of room", request: goldenRead, prepare: func(f *Front) { f.gate.most = 0 }},
 		{title: "brought again, may have run", request: head("POST /pay/1", "X-Time-Left: 1\r\nX-Resume: 1\r\nContent-Length: 0\r\n"),
 			prepare: func(f *Front) { f.Resume(takeover.Resumed) }},
 		{title: "an HTTP/1.0 client", request: strings.Replace(goldenRead, "HTTP/1.1", "HTTP/1.0", 1),
