--- a/internal/policynode/node.go
+++ b/internal/policynode/node.go
@@ -252,7 +252,8 @@
 	return nil
 }
 
-// since is what a watcher asks a server, and tells of itself.
+// since is what a watcher asks a server, and tells of itself. Its tags, as those of its parts and of the answer, stay whatever
+// the fields are called: marshals of different versions ask each other.
 type since struct {
 	Self    Marshal             `msgpack:"Self"`
 	Version policystore.Version `msgpack:"Version"`
--- a/internal/policystore/state.go
+++ b/internal/policystore/state.go
@@ -9,7 +9,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Proposal is a policy on its way through the log.
+// Proposal is a policy on its way through the log. Here and below, tags name the parts in what is stored and sent: they stay
+// whatever the fields are called.
 type Proposal struct {
 	ID    string  `msgpack:"ID"`    // the proposer's, so that one that comes twice counts once
 	By    string  `msgpack:"By"`    // the marshal that was asked
--- a/internal/takeover/book.go
+++ b/internal/takeover/book.go
@@ -31,7 +31,8 @@
 	Run  uint64 `json:"Run" msgpack:"Run"` // drawn at each start
 }
 
-// Lease is a piece of work with its owner.
+// Lease is a piece of work with its owner. Here and below, tags name the parts in what is stored and sent: stores last, and
+// marshals of different versions read each other, so they stay whatever the fields are called.
 type Lease struct {
 	Work       Work   `json:"Work" msgpack:"Work"`
 	Owner      Holder `json:"Owner" msgpack:"Owner"`
--- a/logic/api.go
+++ b/logic/api.go
@@ -99,7 +99,8 @@
 // granularity stay as at its start; what it has taken stays open.
 type SettingsChanged struct{ Settings Settings }
 
-// Evidence is what a marshal has seen of the newest build, in a form that another can take over.
+// Evidence is what a marshal has seen of the newest build, in a form that another can take over. Tags name its
+// parts in stores; they stay whatever the fields are called.
 type Evidence struct {
 	Build  Build           `msgpack:"Build"`
 	Stage  int             `msgpack:"Stage"`
