--- /dev/null
+++ b/logic/golden_test.go
@@ -0,0 +1,270 @@
+package logic_test
+
+import (
+	"encoding/binary"
+	"flag"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/cespare/xxhash/v2"
+
+	"ottershed/logic"
+)
+
+var update = flag.Bool("update", false, "rewrite testdata/streams.txt from the present behaviour")
+
+const (
+	seeds       = 64
+	perPoint    = 1000 // events from one checkpoint to the next
+	checkpoints = 10   // of each seed
+)
+
+var goldenFile = filepath.Join("testdata", "streams.txt")
+
+// TestStreams drives an instance through the rollouts of all seeds and compares a hash of all that it did, and of what it
+// says of itself, with the one that was kept at each checkpoint. A change that is meant to keep the behaviour keeps all
+// hashes; one that changes it on purpose rewrites them with -update.
+func TestStreams(t *testing.T) {
+	lines := make([][]string, seeds)
+	want := goldenLines(t)
+	t.Run("seeds", func(t *testing.T) {
+		for seed := range lines {
+			t.Run(fmt.Sprint(seed), func(t *testing.T) {
+				t.Parallel()
+				lines[seed] = streamLines(seed)
+				if !*update {
+					compareLines(t, lines[seed], want)
+				}
+			})
+		}
+	})
+	if *update {
+		writeGolden(t, lines)
+	}
+}
+
+// goldenLines are the kept lines by what they begin with, seed and checkpoint.
+func goldenLines(t *testing.T) map[string]string {
+	t.Helper()
+	if *update {
+		return nil
+	}
+	data, err := os.ReadFile(goldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := map[string]string{}
+	for line := range strings.Lines(string(data)) {
+		point, sum, _ := strings.Cut(strings.TrimSpace(line), ": ")
+		want[point] = sum
+	}
+	if len(want) != seeds*checkpoints {
+		t.Fatalf("%s has %d checkpoints, want %d", goldenFile, len(want), seeds*checkpoints)
+	}
+	return want
+}
+
+// compareLines names the first checkpoint of a seed that differs.
+func compareLines(t *testing.T, got []string, want map[string]string) {
+	t.Helper()
+	for _, line := range got {
+		point, sum, _ := strings.Cut(line, ": ")
+		if want[point] != sum {
+			t.Fatalf("%s is the first that differs: hash %s, want %q", point, sum, want[point])
+		}
+	}
+}
+
+func writeGolden(t *testing.T, lines [][]string) {
+	t.Helper()
+	var out strings.Builder
+	for _, ofSeed := range lines {
+		for _, line := range ofSeed {
+			out.WriteString(line + "\n")
+		}
+	}
+	if err := os.WriteFile(goldenFile, []byte(out.String()), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// streamLines plays a seed and returns one line for each checkpoint.
+func streamLines(seed int) (lines []string) {
+	s := newSimulation(uint64(seed), checkpoints*perPoint)
+	enc := encoder{xxhash.New()}
+	s.observe = func(now logic.Millis, _ logic.Event, actions []logic.Action) {
+		enc.actions(s.handled, now, actions)
+		if s.handled%perPoint == 0 {
+			enc.sight(s.instance.Sight())
+			enc.evidence(s.instance.Evidence())
+			lines = append(lines, fmt.Sprintf("seed %d checkpoint %d: %016x", seed, s.handled/perPoint, enc.hash.Sum64()))
+		}
+	}
+	s.run()
+	return lines
+}
+
+// encoder writes values to a hash in a form that depends on no name of a type or field.
+type encoder struct{ hash *xxhash.Digest }
+
+func (e encoder) text(s string) {
+	e.integer(len(s))
+	e.hash.WriteString(s)
+}
+
+func (e encoder) integer(i int) {
+	var b [8]byte
+	binary.LittleEndian.PutUint64(b[:], uint64(i))
+	e.hash.Write(b[:])
+}
+
+func (e encoder) floats(values ...float64) {
+	for _, v := range values {
+		e.integer(int(math.Float64bits(v)))
+	}
+}
+
+func (e encoder) truth(b bool) {
+	if b {
+		e.integer(1)
+	} else {
+		e.integer(0)
+	}
+}
+
+// actions writes all that an event led to.
+func (e encoder) actions(number int, now logic.Millis, actions []logic.Action) {
+	if len(actions) == 0 {
+		return
+	}
+	e.integer(number)
+	e.floats(now)
+	for _, a := range actions {
+		e.action(a)
+	}
+}
+
+// action writes one action: a fixed text for its kind and its fields in order.
+func (e encoder) action(action logic.Action) {
+	switch a := action.(type) {
+	case logic.Forward:
+		e.text("forward")
+		e.integer(int(a.Hit))
+		e.text(string(a.Node))
+		e.floats(a.Timeout, a.SendBy)
+	case logic.Bounce:
+		e.text("bounce")
+		e.integer(int(a.Hit))
+		e.floats(a.ComeBack)
+	case logic.Fail:
+		e.text("fail")
+		e.integer(int(a.Hit))
+	case logic.Cancel:
+		e.text("cancel")
+		e.integer(int(a.Hit))
+		e.integer(a.Forward)
+	case logic.WakeAt:
+		e.text("wake")
+		e.integer(int(a.Token))
+		e.floats(a.At)
+	case logic.Probe:
+		e.text("probe")
+		e.text(string(a.Node))
+	case logic.CloseIdle:
+		e.text("close idle")
+		e.text(string(a.Node))
+	case logic.Tell:
+		e.text("tell")
+		e.integer(int(a.To))
+		e.truth(a.All)
+		e.text(string(a.Data))
+	case logic.Log: // its text may change
+		e.text("log")
+	case logic.Watch:
+		e.text("watch")
+		e.truth(a.On)
+	case logic.Lookup:
+		e.text("lookup")
+	case logic.Vote:
+		e.text("vote")
+		e.integer(int(a.Build))
+		e.integer(a.Stage)
+		e.integer(int(a.Verdict))
+	default:
+		panic("an action of a new kind: write it to the hash here")
+	}
+}
+
+// sight writes the figures that an instance gives to those who look on.
+func (e encoder) sight(s logic.Sight) {
+	e.text("sight")
+	for _, i := range []int{
+		s.Nodes, s.Cold, s.Away, s.Out, s.Waiting, int(s.Build), s.Stage, int(s.Phase), int(s.Verdict), s.Rejects,
+	} {
+		e.integer(i)
+	}
+	e.floats(s.Seen, s.Failing)
+}
+
+// evidence writes what an instance has seen of the newest build.
+func (e encoder) evidence(v logic.Evidence, onTrial bool) {
+	e.text("evidence")
+	e.truth(onTrial)
+	e.integer(int(v.Build))
+	e.integer(v.Stage)
+	e.integer(len(v.Groups))
+	for _, g := range v.Groups {
+		e.text(string(g.Group))
+		e.integer(len(g.Blue))
+		e.floats(g.Blue...)
+		e.integer(len(g.Grn))
+		e.floats(g.Grn...)
+	}
+	e.integer(len(v.Counts))
+	for _, c := range v.Counts {
+		e.text(string(c.Node))
+		e.integer(int(c.Build))
+		e.text(string(c.Group))
+		e.floats(c.Good, c.Bad)
+	}
+}
+
+// recorded is an event of a stream and the time it came.
+type recorded struct {
+	now   logic.Millis
+	event logic.Event
+}
+
+// BenchmarkStreams replays the recorded events of a few seeds to a fresh instance and reports the cost of an event.
+func BenchmarkStreams(b *testing.B) {
+	for _, seed := range []uint64{0, 3, 5, 6} {
+		b.Run(fmt.Sprint("seed", seed), func(b *testing.B) {
+			s := newSimulation(seed, checkpoints*perPoint)
+			settings := s.settings
+			var stream []recorded
+			s.observe = func(now logic.Millis, event logic.Event, _ []logic.Action) {
+				stream = append(stream, recorded{now, event})
+			}
+			s.run()
+			replay(b, settings, seed, stream)
+		})
+	}
+}
+
+// replay measures the events of one stream.
+func replay(b *testing.B, settings logic.Settings, seed uint64, stream []recorded) {
+	b.Helper()
+	b.ReportAllocs()
+	for b.Loop() {
+		instance := logic.New(settings, seed)
+		for _, r := range stream {
+			instance.Handle(r.now, r.event)
+		}
+	}
+	events := float64(b.N) * float64(len(stream))
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/events, "ns/event")
+}
--- /dev/null
+++ b/logic/stream_test.go
@@ -0,0 +1,808 @@
+package logic_test
+
+import (
+	"cmp"
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+
+	"ottershed/logic"
+)
+
+// simulation is a simulated world around one instance of the load balancer: clients, endpoints, a service registry and a
+// controller that rolls builds out. All of it is drawn from one seed, and it reacts to what the instance does. Nothing in
+// it depends on the order of a map, so a seed gives the same stream of events as long as the instance behaves the same.
+type simulation struct {
+	scenario
+	settings logic.Settings
+	random   *rand.Rand
+	now      logic.Millis
+	pending  schedule
+	made     int // entries put in the schedule so far
+	instance *logic.Marshal
+	observe  func(now logic.Millis, event logic.Event, actions []logic.Action)
+	handled  int // events so far
+	limit    int // events after which the simulation stops
+
+	endpoints  []*endpoint // in the registry, in the order of their start
+	byID       map[logic.NodeID]*endpoint
+	requests   map[logic.HitID]*request // never iterated over
+	lastID     logic.HitID
+	started    int // endpoints so far
+	controller controller
+	subscribed bool // the instance is told of changes of the endpoints
+	evidence   logic.Evidence
+}
+
+// scenario holds the conditions of a seed, beside the settings.
+type scenario struct {
+	arrivals      float64      // requests a millisecond
+	serviceTime   logic.Millis // of an idle, warm endpoint
+	fleet         int          // endpoints at the start
+	capacity      int          // requests that an endpoint takes at once
+	trouble       logic.Millis // mean time between troubles of single endpoints
+	noise         float64      // share of attempts that end in a drawn way
+	keyed         float64      // share of requests with a key
+	streamed      float64      // share of answers that are streams
+	obeyed        float64      // share of votes that the controller follows
+	refusals      float64      // share of calls for the list that are refused
+	mostWait      logic.Millis // longest stay in one stage
+	candidateSlow float64      // service time of a bad candidate, as a multiple
+	candidateFail float64      // share of failures of a bad candidate
+	badCandidates float64      // share of candidates that are bad
+	zoneLostAt    logic.Millis // the second zone can't be reached from then on, for a while; 0: never
+	sharedSlowAt  logic.Millis // all endpoints are slower from then on, for a while; 0: never
+	sharedSlow    float64      // by this factor
+	burstAt       logic.Millis // more requests come from then on, for a while; 0: never
+	troubleLasts  logic.Millis // the whiles above
+}
+
+// controller rolls builds out, one after the other.
+type controller struct {
+	build logic.Build
+	phase logic.Phase
+	stage int
+	since logic.Millis // start of the stage
+	bad   bool         // the build is slow or failing
+}
+
+// endpoint is a simulated one.
+type endpoint struct {
+	logic.Node
+	inFlight int
+	slow     float64 // service time, as a multiple of that of a sound one
+	failing  float64 // share of failures
+	silent   bool    // accepts requests and never answers
+	down     bool    // refuses connections
+	bad      bool    // runs a bad candidate
+}
+
+// request is one as its client sees it.
+type request struct {
+	logic.HitTaken
+	attempts []*attempt
+	done     bool
+}
+
+// attempt is one forward of a request to an endpoint.
+type attempt struct {
+	endpoint *endpoint
+	sent     logic.Millis
+	ended    bool
+}
+
+// entry is something that happens at a time, in the order of its making where times are equal.
+type entry struct {
+	at     logic.Millis
+	number int
+	run    func()
+}
+
+type schedule []entry
+
+func (s schedule) Len() int { return len(s) }
+func (s schedule) Less(i, j int) bool {
+	return s[i].at < s[j].at || s[i].at == s[j].at && s[i].number < s[j].number
+}
+func (s schedule) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+func (s *schedule) Push(e any)   { *s = append(*s, e.(entry)) }
+func (s *schedule) Pop() any {
+	last := (*s)[len(*s)-1]
+	*s = (*s)[:len(*s)-1]
+	return last
+}
+
+// newSimulation draws the settings and the conditions of a seed and starts an instance.
+func newSimulation(seed uint64, limit int) *simulation {
+	random := rand.New(rand.NewPCG(seed, 0x6f74746572))
+	s := &simulation{
+		random: random, now: 10000, limit: limit,
+		byID: map[logic.NodeID]*endpoint{}, requests: map[logic.HitID]*request{},
+		observe: func(logic.Millis, logic.Event, []logic.Action) {},
+	}
+	s.settings = drawSettings(random)
+	s.scenario = drawScenario(random)
+	s.shape(int(seed % 8))
+	s.instance = logic.New(s.settings, seed)
+	s.controller = controller{build: 7, phase: logic.Released, since: s.now}
+	for range s.fleet {
+		s.startEndpoint(7, 0)
+	}
+	return s
+}
+
+// drawSettings draws figures of a deployment, with every switch on in some seeds and off in others.
+func drawSettings(random *rand.Rand) logic.Settings {
+	flip := func() bool { return random.IntN(2) == 0 }
+	target := 300 + 900*random.Float64()
+	s := logic.Settings{
+		Marshals: 1 + random.IntN(8), Zone: "a", Granularity: float64(1 + random.IntN(6)),
+		Tenants: []logic.TenantID{"gold", "silver"},
+		AskList: flip(), AskWithin: 400 + 2000*random.Float64(),
+		MayCancel: flip(), MayCopy: flip(), MayProbe: flip(),
+		MaxComeBack: 50 + 400*random.Float64(), MaxForwards: 2 + random.IntN(4),
+		ColdFrom: 0.2 + 0.4*random.Float64(), OverFactor: 1.5 + 2*random.Float64(),
+		WarmAfter: 800 + 3000*random.Float64(), OverFor: 300 + 900*random.Float64(),
+		InPlace: flip(), Caps: []float64{0.1, 0.5, 1}, Stages: []float64{0.08, 0.4, 1},
+		Free: float64(random.IntN(4)), PerGroup: flip(), Guarded: random.IntN(3), KeysStay: flip(),
+		FlagShare: random.Float64(), VoteLife: 2000 + 4000*random.Float64(), VoteWait: 200 + 800*random.Float64(),
+	}
+	s.Groups = []logic.PathGroup{
+		{Name: "read", Target: target, Effect: logic.Repeatable},
+		{Name: "mark-cell", Target: target * 1.5, Effect: logic.Tagged, Scope: logic.ScopeCell, Remember: target},
+		{Name: "mark-zone", Target: target * 1.2, Effect: logic.Tagged, Scope: logic.ScopeZone, Remember: target},
+		{Name: "mark-all", Target: target, Effect: logic.Tagged, Scope: logic.ScopeAll, Remember: target * 2},
+		{Name: "pay", Target: target * 2, Effect: logic.Mutating},
+	}
+	if flip() {
+		s.CrossPrice, s.ProbePrice = 0.02*random.Float64(), 0.01*random.Float64()
+	}
+	if random.IntN(3) == 0 {
+		s.Caps, s.Stages = []float64{0.05, 0.2, 0.6, 1}, []float64{0.05, 0.2, 0.5, 1}
+	}
+	if random.IntN(4) == 0 {
+		s.Control = logic.ByClock
+		s.HoldVotes = random.IntN(3)
+	}
+	if random.IntN(8) == 0 {
+		s.Withheld = 0.6
+	}
+	s.Halt = random.IntN(10) == 0
+	if flip() {
+		s.TallyEvery = 500 + 1000*random.Float64()
+	}
+	s.OnVotes, s.BackVotes = 1+s.Marshals/2, 1+s.Marshals/10
+	return s
+}
+
+// drawScenario draws the conditions that all seeds have.
+func drawScenario(random *rand.Rand) scenario {
+	return scenario{
+		arrivals: 0.04 + 0.12*random.Float64(), serviceTime: 15 + 60*random.Float64(),
+		fleet: 4 + random.IntN(8), capacity: 8 + random.IntN(16),
+		trouble: 800 + 4000*random.Float64(), noise: 0.03 * random.Float64(),
+		keyed: random.Float64(), streamed: 0.1 * random.Float64(),
+		obeyed: random.Float64(), refusals: 0.6 * random.Float64(),
+		mostWait:      4500 + 4000*random.Float64(),
+		candidateSlow: 1 + random.Float64(), candidateFail: 0.02, badCandidates: 0.3,
+		troubleLasts: 1500 + 4000*random.Float64(),
+	}
+}
+
+// shape gives a seed its theme.
+func (s *simulation) shape(theme int) {
+	switch theme {
+	case 0: // calm, long enough for whole rollouts
+		s.trouble, s.noise = 1e5, 0
+	case 1: // slow candidates
+		s.candidateSlow, s.badCandidates = 1.4+3*s.random.Float64(), 0.8
+	case 2: // failing candidates
+		s.candidateFail, s.badCandidates = 0.05+0.4*s.random.Float64(), 0.8
+	case 3: // a zone is lost
+		s.zoneLostAt = s.now + 3000 + 8000*s.random.Float64()
+	case 4: // all endpoints are slower
+		s.sharedSlowAt, s.sharedSlow = s.now+3000+8000*s.random.Float64(), 2+6*s.random.Float64()
+	case 5: // one of hundreds of instances, with few requests
+		s.thin()
+	case 6: // overload
+		s.burstAt, s.fleet, s.capacity = s.now+4000, 3, 6
+		s.serviceTime *= 2
+	case 7: // thin, with bad candidates
+		s.thin()
+		s.candidateSlow, s.candidateFail, s.badCandidates = 1+3*s.random.Float64(), 0.3*s.random.Float64(), 0.7
+	}
+}
+
+// thin makes the instance one of hundreds that sees a few requests a second.
+func (s *simulation) thin() {
+	s.settings.Marshals = 100 + s.random.IntN(300)
+	s.settings.OnVotes = s.settings.Marshals * 6 / 10
+	s.settings.BackVotes = s.settings.Marshals * 8 / 100
+	s.settings.HoldVotes *= s.settings.Marshals / 20
+	s.arrivals = 0.003 + 0.02*s.random.Float64()
+	s.fleet = 12 + s.random.IntN(20)
+	for i := range s.settings.Groups {
+		s.settings.Groups[i].Target *= 2
+	}
+}
+
+// at has something happen at a time, at the earliest now.
+func (s *simulation) at(when logic.Millis, run func()) {
+	s.made++
+	heap.Push(&s.pending, entry{max(when, s.now), s.made, run})
+}
+
+// every has something happen again and again, after drawn pauses with this mean.
+func (s *simulation) every(mean logic.Millis, run func()) {
+	s.at(s.now+mean*(0.5+s.random.Float64()), func() {
+		run()
+		s.every(mean, run)
+	})
+}
+
+// run plays the world until the limit of events.
+func (s *simulation) run() {
+	s.begin()
+	for s.handled < s.limit {
+		next := heap.Pop(&s.pending).(entry)
+		s.now = next.at
+		next.run()
+	}
+}
+
+// handle gives the instance an event and carries out what it wants.
+func (s *simulation) handle(event logic.Event) {
+	if s.handled >= s.limit {
+		return
+	}
+	s.handled++
+	actions := s.instance.Handle(s.now, event)
+	s.observe(s.now, event, actions)
+	for _, action := range actions {
+		s.perform(action)
+	}
+}
+
+// begin schedules what happens by itself.
+func (s *simulation) begin() {
+	s.handle(logic.NodesChanged{How: logic.Remembered, Nodes: s.list()})
+	if s.subscribed = !s.settings.AskList; s.subscribed {
+		s.at(s.now+20, func() { s.handle(logic.NodesChanged{How: logic.Whole, Nodes: s.list()}) })
+	}
+	s.at(s.now+1000*s.random.Float64(), s.announce)
+	s.at(s.now+3000, s.offer)
+	s.arrive()
+	s.every(s.trouble, s.troubleEndpoint)
+	s.every(900, s.rotate)
+	s.every(5000, s.administer)
+	s.every(1500, func() { s.handle(logic.PeerSaid{From: 2, Data: []byte("state")}) })
+	s.every(700, s.flag)
+	s.every(2500, func() {
+		if s.subscribed {
+			s.handle(logic.NodesChanged{How: logic.Whole, Nodes: s.list()})
+		}
+	})
+	s.every(1200, s.announce)
+	if s.settings.TallyEvery > 0 {
+		s.every(s.settings.TallyEvery, s.count)
+	}
+	s.every(400, s.checkStage)
+}
+
+// perform carries out an action of the instance. It only schedules events, for an action is performed within one.
+func (s *simulation) perform(action logic.Action) {
+	switch a := action.(type) {
+	case logic.Forward:
+		s.send(a)
+	case logic.Bounce:
+		s.bounced(a)
+	case logic.Fail:
+		s.requests[a.Hit].done = true
+	case logic.Cancel:
+		s.cancel(a)
+	case logic.WakeAt:
+		s.at(a.At, func() { s.handle(logic.TimerDue{Token: a.Token}) })
+	case logic.Probe:
+		s.probe(a.Node)
+	case logic.Watch, logic.Lookup:
+		s.at(s.now+5+200*s.random.Float64(), s.answerWatch)
+	case logic.Vote:
+		s.at(s.now+2+60*s.random.Float64(), func() { s.voted(a) })
+	}
+}
+
+// arrive has a request come, and the next one after it.
+func (s *simulation) arrive() {
+	pace := s.arrivals
+	if s.during(s.burstAt) {
+		pace *= 4
+	}
+	s.at(s.now+s.random.ExpFloat64()/pace, func() {
+		s.take(s.drawRequest())
+		s.arrive()
+	})
+}
+
+// during tells whether a trouble that begins at a time lasts now.
+func (s *simulation) during(start logic.Millis) bool {
+	return start > 0 && s.now >= start && s.now < start+s.troubleLasts
+}
+
+func (s *simulation) drawRequest() logic.HitTaken {
+	class := s.settings.Groups[s.random.IntN(len(s.settings.Groups))]
+	taken := logic.HitTaken{Group: class.Name, TTL: class.Target * (0.5 + 3*s.random.Float64())}
+	taken.Tenant = []logic.TenantID{"gold", "silver", "unknown"}[min(2, s.random.IntN(20)/9)]
+	if s.random.IntN(60) == 0 {
+		taken.Group = "unheard-of"
+	}
+	if s.random.Float64() < s.keyed {
+		taken.Key = logic.Key(fmt.Sprint("key", s.random.IntN(40)))
+	}
+	if s.random.IntN(4) == 0 {
+		taken.Hint = 10
+	}
+	return taken
+}
+
+// take hands a request to the instance. Its client leaves at the end of its time, some earlier.
+func (s *simulation) take(taken logic.HitTaken) {
+	s.lastID++
+	taken.Hit = s.lastID
+	r := &request{HitTaken: taken}
+	s.requests[r.Hit] = r
+	s.handle(taken)
+	stay := taken.TTL
+	if s.random.IntN(25) == 0 {
+		stay *= s.random.Float64()
+	}
+	s.at(s.now+stay, func() { s.leave(r) })
+}
+
+// leave has a client that still waits go away; its attempts break off a little later.
+func (s *simulation) leave(r *request) {
+	if !r.done {
+		r.done = true
+		s.handle(logic.HitGone{Hit: r.Hit})
+	}
+	for i, a := range r.attempts {
+		if !a.ended {
+			how := []logic.Ending{logic.TimedOut, logic.Broken, logic.Recalled}[s.random.IntN(3)]
+			s.at(s.now+3, func() { s.end(r, i, how) })
+		}
+	}
+}
+
+// bounced has most clients come again after the time that they were told.
+func (s *simulation) bounced(b logic.Bounce) {
+	r := s.requests[b.Hit]
+	r.done = true
+	if s.random.IntN(3) > 0 {
+		again := r.HitTaken
+		again.Retried = true
+		s.at(s.now+b.ComeBack, func() { s.take(again) })
+	}
+}
+
+// send carries out an attempt and schedules its ending.
+func (s *simulation) send(f logic.Forward) {
+	r, e := s.requests[f.Hit], s.byID[f.Node]
+	number := len(r.attempts)
+	r.attempts = append(r.attempts, &attempt{endpoint: e, sent: s.now})
+	e.inFlight++
+	how, after := s.serve(e)
+	if connect := 4 * s.random.Float64(); f.SendBy > 0 && s.now+connect >= f.SendBy || s.random.IntN(400) == 0 {
+		how, after = logic.NeverSent, connect
+	}
+	if f.Timeout > 0 && after > f.Timeout {
+		how, after = logic.TimedOut, f.Timeout
+	}
+	if after >= 60000 { // it never ends by itself
+		return
+	}
+	if how == logic.Delivered && s.random.Float64() < s.streamed {
+		s.at(s.now+after/2, func() { s.startAnswer(r, number) })
+	}
+	s.at(s.now+after, func() { s.end(r, number, how) })
+}
+
+// serve draws how an attempt at an endpoint ends and how long it takes.
+func (s *simulation) serve(e *endpoint) (logic.Ending, logic.Millis) {
+	lost := e.Zone != s.settings.Zone && s.during(s.zoneLostAt)
+	switch {
+	case e.down && s.random.IntN(2) == 0:
+		return logic.Unreachable, 0.5
+	case e.down, lost && s.random.IntN(2) == 0:
+		return logic.Unreachable, 300
+	case lost:
+		return logic.Broken, 100 * s.random.Float64()
+	case e.silent:
+		return logic.TimedOut, 1e9
+	case e.inFlight > s.capacity:
+		return logic.NodeFull, 1
+	}
+	after := s.serviceTimeAt(e)
+	if s.random.Float64() < e.failing {
+		return logic.NodeError, after * s.random.Float64()
+	}
+	if s.random.Float64() < s.noise {
+		return logic.Ending(s.random.IntN(int(logic.Spoilt) + 1)), after
+	}
+	return logic.Delivered, after
+}
+
+// serviceTimeAt draws the service time at an endpoint: by its kind, build, warmth, load and zone.
+func (s *simulation) serviceTimeAt(e *endpoint) logic.Millis {
+	after := s.serviceTime * e.slow * (0.4 + 0.6*s.random.ExpFloat64()) * (1 + float64(e.inFlight-1)/4)
+	if e.Kind == "old" {
+		after *= 1.6
+	}
+	if age := s.now - e.Started; e.Started > 0 && age < s.settings.WarmAfter {
+		after /= s.settings.ColdFrom + (1-s.settings.ColdFrom)*age/s.settings.WarmAfter
+	}
+	if s.during(s.sharedSlowAt) {
+		after *= s.sharedSlow
+	}
+	if e.bad {
+		after *= s.candidateSlow
+	}
+	if e.Zone != s.settings.Zone {
+		after += 4
+	}
+	return after
+}
+
+func (s *simulation) startAnswer(r *request, number int) {
+	if a := r.attempts[number]; !a.ended {
+		s.handle(logic.AnswerStarted{Hit: r.Hit, Forward: number, Node: a.endpoint.ID, After: s.now - a.sent})
+	}
+}
+
+// end tells the instance how an attempt ended.
+func (s *simulation) end(r *request, number int, how logic.Ending) {
+	a := r.attempts[number]
+	if a.ended {
+		return
+	}
+	a.ended = true
+	a.endpoint.inFlight--
+	last := how == logic.Delivered || how == logic.NodeError && s.random.IntN(2) == 0
+	r.done = r.done || last
+	s.handle(logic.ForwardEnded{
+		Hit: r.Hit, Ending: how, Node: a.endpoint.ID, Forward: number,
+		After: s.now - a.sent, HitEnded: last, Load: s.drawLoad(a.endpoint),
+	})
+	if s.random.IntN(200) == 0 { // heard twice
+		s.handle(logic.ForwardEnded{Hit: r.Hit, Ending: how, Node: a.endpoint.ID, Forward: number, HitEnded: last})
+	}
+}
+
+func (s *simulation) cancel(c logic.Cancel) {
+	r := s.requests[c.Hit]
+	s.at(s.now+2*s.random.Float64(), func() { s.end(r, c.Forward, logic.Recalled) })
+}
+
+// drawLoad is an endpoint's report of its load; some give none, some only a part.
+func (s *simulation) drawLoad(e *endpoint) *logic.Load {
+	busy := min(1, float64(e.inFlight)/float64(s.capacity)+0.3*s.random.Float64())
+	switch s.random.IntN(3) {
+	case 0:
+		return nil
+	case 1:
+		return &logic.Load{Util: -1, Queue: float64(e.inFlight)}
+	}
+	return &logic.Load{Util: busy, Queue: float64(e.inFlight)}
+}
+
+// probe answers a probe, unless the endpoint is silent.
+func (s *simulation) probe(id logic.NodeID) {
+	e := s.byID[id]
+	after := 0.5 + s.random.Float64()*(1+float64(e.inFlight))/2
+	how := logic.Delivered
+	if e.down || e.silent {
+		how, after = logic.Unreachable, 20
+	}
+	s.at(s.now+after, func() {
+		s.handle(logic.ProbeEnded{Node: id, Ending: how, After: after, Load: s.drawLoad(e)})
+	})
+}
+
+// list is what the registry says of all endpoints, in a drawn order.
+func (s *simulation) list() (nodes []logic.Node) {
+	for _, e := range s.endpoints {
+		nodes = append(nodes, e.Node)
+	}
+	s.random.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
+	return nodes
+}
+
+// changed tells the instance that one endpoint has changed.
+func (s *simulation) changed(node logic.Node) {
+	if s.subscribed {
+		s.handle(logic.NodesChanged{How: logic.Changes, Stamp: int64(s.handled), Nodes: []logic.Node{node}})
+	}
+}
+
+// answerWatch answers a call for the list.
+func (s *simulation) answerWatch() {
+	if s.random.Float64() < s.refusals {
+		s.handle(logic.NodesChanged{How: logic.ListRefused})
+		return
+	}
+	s.subscribed = true
+	s.handle(logic.NodesChanged{How: logic.Whole, Nodes: s.list()})
+}
+
+// startEndpoint starts one more endpoint on a build and lists it.
+func (s *simulation) startEndpoint(build logic.Build, at logic.Millis) *endpoint {
+	i := s.started
+	s.started++
+	e := &endpoint{slow: 1, bad: s.controller.bad && build == s.controller.build, Node: logic.Node{
+		ID: logic.NodeID(fmt.Sprintf("endpoint%02d", i)), Cell: logic.Cell(i % 3), Started: at, Build: build,
+		Zone: logic.Zone("ab"[i%2 : i%2+1]), Kind: []logic.Kind{"new", "old"}[i%5/4], Units: float64(1 + i%3),
+	}}
+	if e.bad {
+		e.failing = s.candidateFail
+	}
+	s.endpoints = append(s.endpoints, e)
+	s.byID[e.ID] = e
+	return e
+}
+
+// restart replaces an endpoint by a new one of the same name.
+func (s *simulation) restart(e *endpoint, build logic.Build) {
+	fresh := *e
+	fresh.Started, fresh.Build, fresh.State = s.now, build, logic.Up
+	fresh.inFlight, fresh.slow, fresh.failing, fresh.silent, fresh.down = 0, 1, 0, false, false
+	if fresh.bad = s.controller.bad && build == s.controller.build; fresh.bad {
+		fresh.failing = s.candidateFail
+	}
+	s.endpoints[slices.Index(s.endpoints, e)] = &fresh
+	s.byID[e.ID] = &fresh
+	s.changed(fresh.Node)
+}
+
+// drain takes an endpoint out of service and removes it later.
+func (s *simulation) drain(e *endpoint) {
+	e.State = logic.Draining
+	s.changed(e.Node)
+	s.at(s.now+800, func() {
+		if i := slices.Index(s.endpoints, e); i >= 0 && e.State == logic.Draining {
+			s.endpoints = slices.Delete(s.endpoints, i, i+1)
+			if gone := e.Node; s.random.IntN(3) > 0 { // else only the next whole list shows it
+				gone.State = logic.Removed
+				s.changed(gone)
+			}
+		}
+	})
+}
+
+// troubleEndpoint gives one endpoint a trouble for a while.
+func (s *simulation) troubleEndpoint() {
+	e := s.endpoints[s.random.IntN(len(s.endpoints))]
+	was := *e
+	switch s.random.IntN(6) {
+	case 0:
+		e.silent = true
+	case 1:
+		e.down = true
+		s.at(s.now+300, func() { s.restartIfListed(e) })
+	case 2:
+		e.slow = 2 + 6*s.random.Float64()
+	case 3:
+		e.failing = 0.2 + 0.6*s.random.Float64()
+	case 4:
+		s.restart(e, e.Build)
+	case 5:
+		s.changed(s.startEndpoint(e.Build, s.now).Node)
+		if len(s.endpoints) > 4 {
+			s.drain(e)
+		}
+	}
+	s.at(s.now+500+2500*s.random.Float64(), func() {
+		e.silent, e.down, e.slow, e.failing = false, false, was.slow, was.failing
+	})
+}
+
+func (s *simulation) restartIfListed(e *endpoint) {
+	if slices.Contains(s.endpoints, e) && e.State == logic.Up {
+		s.restart(e, e.Build)
+	}
+}
+
+// rotate brings the endpoints to where the rollout stands, one at a time.
+func (s *simulation) rotate() {
+	c := &s.controller
+	on := 0
+	for _, e := range s.endpoints {
+		if e.Build == c.build {
+			on++
+		}
+	}
+	share := append(slices.Clone(s.settings.Stages), 1)[min(c.stage, len(s.settings.Stages))]
+	switch back := c.phase == logic.GoingBack || c.phase == logic.Withdrawn; {
+	case back && on > 0:
+		s.replace(func(e *endpoint) bool { return e.Build == c.build }, c.build-1)
+	case !back && (on == 0 || float64(on) < share*float64(len(s.endpoints))):
+		s.replace(func(e *endpoint) bool { return e.Build < c.build }, c.build)
+	}
+}
+
+// replace moves the first endpoint that is fit to a build: it restarts in place, or a new one starts beside it.
+func (s *simulation) replace(fit func(*endpoint) bool, build logic.Build) {
+	i := slices.IndexFunc(s.endpoints, func(e *endpoint) bool { return e.State == logic.Up && fit(e) })
+	if i < 0 {
+		return
+	}
+	e := s.endpoints[i]
+	if !s.settings.InPlace {
+		s.changed(s.startEndpoint(build, s.now).Node)
+		s.drain(e)
+		return
+	}
+	s.restart(e, build)
+}
+
+// offer begins the rollout of the next build.
+func (s *simulation) offer() {
+	bad := s.random.Float64() < s.badCandidates
+	s.controller = controller{build: s.controller.build + 1, since: s.now, bad: bad}
+	s.announce()
+}
+
+// announce tells the instance where the newest build stands.
+func (s *simulation) announce() { s.handle(s.news()) }
+
+func (s *simulation) news() logic.StageNews {
+	c := s.controller
+	n := logic.StageNews{Age: s.now - c.since, Build: c.build, Phase: c.phase, Stage: c.stage}
+	n.Cap = s.settings.Caps[min(c.stage, len(s.settings.Caps)-1)]
+	if c.phase == logic.GoingBack || c.phase == logic.Withdrawn {
+		n.Cap = 0
+	}
+	return n
+}
+
+// move brings the rollout to a stage; the last one releases the build.
+func (s *simulation) move() {
+	c := &s.controller
+	if c.phase != logic.OnTrial {
+		return
+	}
+	c.since = s.now
+	if c.stage++; c.stage >= len(s.settings.Stages) {
+		c.stage, c.phase = len(s.settings.Stages)-1, logic.Released
+		s.at(s.now+1500, s.offer)
+	}
+	s.announce()
+}
+
+// goBack takes the candidate out of service; another one follows.
+func (s *simulation) goBack() {
+	c := &s.controller
+	if c.phase != logic.OnTrial {
+		return
+	}
+	c.phase, c.since = logic.GoingBack, s.now
+	s.announce()
+	s.at(s.now+1500, func() {
+		c.phase, c.since = logic.Withdrawn, s.now
+		s.announce()
+	})
+	s.at(s.now+3000, s.offer)
+}
+
+// checkStage moves a stage on or back that lasts too long, as the votes of other instances would.
+func (s *simulation) checkStage() {
+	if s.now-s.controller.since < s.mostWait {
+		return
+	}
+	if s.controller.bad && s.random.IntN(2) == 0 {
+		s.goBack()
+	} else {
+		s.move()
+	}
+}
+
+// voted has the controller answer a vote, and follow some.
+func (s *simulation) voted(v logic.Vote) {
+	fate := logic.VoteFate(max(0, s.random.IntN(16)-11))
+	current := v.Build == s.controller.build && v.Stage == s.controller.stage
+	if fate == logic.VoteOK && current && s.random.Float64() < s.obeyed {
+		switch v.Verdict {
+		case logic.VoteOn:
+			s.move()
+		case logic.VoteBack:
+			s.goBack()
+		case logic.VoteHold:
+			s.controller.since = s.now
+		}
+	}
+	answer := s.news()
+	answer.ToVote, answer.VoteFate = true, fate
+	s.handle(answer)
+}
+
+// count gives the controller's counts of all instances, for the candidate and the build before it.
+func (s *simulation) count() {
+	for _, class := range s.settings.Groups[:1+s.random.IntN(len(s.settings.Groups))] {
+		for _, build := range []logic.Build{s.controller.build - 1, s.controller.build} {
+			t := logic.Tally{Build: build, Group: class.Name, Count: s.random.IntN(40), Age: 20}
+			t.Mean = s.serviceTime * (1.2 + 0.3*s.random.Float64())
+			if s.during(s.sharedSlowAt) {
+				t.Mean *= s.sharedSlow
+			}
+			failing := 0.01
+			if build == s.controller.build && s.controller.bad {
+				t.Mean *= s.candidateSlow
+				failing = s.candidateFail
+			}
+			for range t.Count {
+				if s.random.Float64() < failing {
+					t.Failed++
+				}
+			}
+			s.handle(t)
+		}
+	}
+	s.handle(logic.Tally{Build: s.controller.build, Group: "unheard-of", Count: 3})
+}
+
+// flag tells of a wrong answer of an endpoint.
+func (s *simulation) flag() {
+	e := s.endpoints[s.random.IntN(len(s.endpoints))]
+	if e.failing > 0 || s.random.IntN(8) == 0 {
+		class := s.settings.Groups[s.random.IntN(len(s.settings.Groups))]
+		s.handle(logic.Flagged{Node: e.ID, Group: class.Name, Age: 30})
+	}
+}
+
+// administer has the operators or the other instances step in.
+func (s *simulation) administer() {
+	switch s.random.IntN(4) {
+	case 0:
+		s.changeSettings()
+	case 1:
+		s.handle(logic.Disowned{})
+	case 2:
+		if e, on := s.instance.Evidence(); on {
+			s.evidence = e
+		}
+		s.handle(logic.Adopted{Evidence: s.drawEvidence()})
+	case 3:
+		s.evidence, _ = s.instance.Evidence()
+	}
+}
+
+// changeSettings brings new figures of the deployment.
+func (s *simulation) changeSettings() {
+	next, drawn := s.settings, drawSettings(s.random)
+	next.Free, next.MaxForwards, next.Guarded, next.KeysStay = drawn.Free, drawn.MaxForwards, drawn.Guarded, drawn.KeysStay
+	next.MayCancel, next.MayCopy, next.MayProbe = drawn.MayCancel, drawn.MayCopy, drawn.MayProbe
+	next.Withheld, next.Halt, next.CrossPrice = drawn.Withheld, drawn.Halt, drawn.CrossPrice
+	s.settings = next
+	s.handle(logic.SettingsChanged{Settings: next})
+}
+
+// drawEvidence is what another instance may have seen: as this one had, with outcomes of its own and of endpoints that are
+// gone.
+func (s *simulation) drawEvidence() logic.Evidence {
+	e := logic.Evidence{Build: s.controller.build, Stage: s.controller.stage}
+	e.Build = cmp.Or(s.evidence.Build, e.Build)
+	e.Groups, e.Counts = slices.Clone(s.evidence.Groups), slices.Clone(s.evidence.Counts)
+	var baseline, candidate []float64
+	for range 2 + s.random.IntN(25) {
+		baseline = append(baseline, 0.5+s.random.ExpFloat64())
+		candidate = append(candidate, 0.5+s.random.ExpFloat64()*(0.8+s.random.Float64()))
+	}
+	e.Groups = append(e.Groups,
+		logic.GroupEvidence{Blue: baseline, Grn: candidate},
+		logic.GroupEvidence{Group: "read", Blue: baseline, Grn: candidate},
+		logic.GroupEvidence{Group: "unheard-of", Blue: baseline})
+	e.Counts = append(e.Counts,
+		logic.NodeCount{Node: "left", Build: e.Build - 1, Group: "read", Good: 9, Bad: 1},
+		logic.NodeCount{Node: "left", Build: e.Build, Group: "read", Good: 9, Bad: 1},
+		logic.NodeCount{Group: "pay", Good: 4},
+		logic.NodeCount{Node: "left", Group: "unheard-of", Good: 4})
+	return e
+}
