--- a/logic/golden_test.go
+++ b/logic/golden_test.go
@@ -18,7 +18,7 @@
 var update = flag.Bool("update", false, "rewrite testdata/streams.txt from the present behaviour")
 
 const (
-	seeds       = 64
+	seeds       = 72
 	perPoint    = 1000 // events from one checkpoint to the next
 	checkpoints = 10   // of each seed
 )
@@ -113,13 +113,13 @@
 
 func (e encoder) text(s string) {
 	e.integer(len(s))
-	e.hash.WriteString(s)
+	_, _ = e.hash.WriteString(s) // never fails
 }
 
 func (e encoder) integer(i int) {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(i))
-	e.hash.Write(b[:])
+	_, _ = e.hash.Write(b[:])
 }
 
 func (e encoder) floats(values ...float64) {
@@ -241,7 +241,7 @@
 
 // BenchmarkStreams replays the recorded events of a few seeds to a fresh instance and reports the cost of an event.
 func BenchmarkStreams(b *testing.B) {
-	for _, seed := range []uint64{0, 3, 5, 6} {
+	for _, seed := range []uint64{0, 3, 5, 6, 8} {
 		b.Run(fmt.Sprint("seed", seed), func(b *testing.B) {
 			s := newSimulation(seed, checkpoints*perPoint)
 			settings := s.settings
--- a/logic/stream_test.go
+++ b/logic/stream_test.go
@@ -54,6 +54,8 @@
 	zoneLostAt    logic.Millis // the second zone can't be reached from then on, for a while; 0: never
 	sharedSlowAt  logic.Millis // all endpoints are slower from then on, for a while; 0: never
 	sharedSlow    float64      // by this factor
+	homeSlowAt    logic.Millis // endpoints of the instance's own zone are slower from then on, for a while; 0: never
+	spreads       bool         // a bad candidate slows all endpoints as long as one runs it
 	burstAt       logic.Millis // more requests come from then on, for a while; 0: never
 	troubleLasts  logic.Millis // the whiles above
 }
@@ -123,7 +125,7 @@
 	}
 	s.settings = drawSettings(random)
 	s.scenario = drawScenario(random)
-	s.shape(int(seed % 8))
+	s.shape(int(seed % themes))
 	s.instance = logic.New(s.settings, seed)
 	s.controller = controller{build: 7, phase: logic.Released, since: s.now}
 	for range s.fleet {
@@ -190,6 +192,8 @@
 	}
 }
 
+const themes = 12
+
 // shape gives a seed its theme.
 func (s *simulation) shape(theme int) {
 	switch theme {
@@ -199,27 +203,39 @@
 		s.candidateSlow, s.badCandidates = 1.4+3*s.random.Float64(), 0.8
 	case 2: // failing candidates
 		s.candidateFail, s.badCandidates = 0.05+0.4*s.random.Float64(), 0.8
-	case 3: // a zone is lost
+	case 3: // the other zone is lost
 		s.zoneLostAt = s.now + 3000 + 8000*s.random.Float64()
-	case 4: // all endpoints are slower
-		s.sharedSlowAt, s.sharedSlow = s.now+3000+8000*s.random.Float64(), 2+6*s.random.Float64()
+	case 4: // all endpoints are slower, in half of the seeds as a candidate is offered that none of them runs yet
+		s.sharedSlowAt, s.sharedSlow = s.now+2600+10000*float64(s.random.IntN(2))*s.random.Float64(), 2+6*s.random.Float64()
 	case 5: // one of hundreds of instances, with few requests
-		s.thin()
+		s.thin(100 + s.random.IntN(300))
 	case 6: // overload
 		s.burstAt, s.fleet, s.capacity = s.now+4000, 3, 6
 		s.serviceTime *= 2
 	case 7: // thin, with bad candidates
-		s.thin()
+		s.thin(100 + s.random.IntN(300))
 		s.candidateSlow, s.candidateFail, s.badCandidates = 1+3*s.random.Float64(), 0.3*s.random.Float64(), 0.7
-	}
-}
-
-// thin makes the instance one of hundreds that sees a few requests a second.
-func (s *simulation) thin() {
-	s.settings.Marshals = 100 + s.random.IntN(300)
-	s.settings.OnVotes = s.settings.Marshals * 6 / 10
-	s.settings.BackVotes = s.settings.Marshals * 8 / 100
-	s.settings.HoldVotes *= s.settings.Marshals / 20
+	case 8: // one of dozens
+		s.thin(10 + s.random.IntN(50))
+		s.settings.OnVotes = 1 + s.settings.Marshals/4
+	case 9: // candidates that slow all endpoints
+		s.trouble, s.spreads = 1e5, true
+		s.candidateSlow, s.badCandidates, s.mostWait = 2+4*s.random.Float64(), 0.9, 9000
+	case 10: // the instance's own zone is slow
+		s.homeSlowAt, s.troubleLasts = s.now+2000+4000*s.random.Float64(), 8000
+	case 11: // overload and silent endpoints, with short targets
+		s.hurry(20)
+		s.fleet, s.trouble, s.arrivals = 4, 300, 0.5
+		s.settings.AskWithin = 20
+	}
+}
+
+// thin makes the instance one of many that sees a few requests a second.
+func (s *simulation) thin(instances int) {
+	s.settings.Marshals = instances
+	s.settings.OnVotes = instances * 6 / 10
+	s.settings.BackVotes = 1 + instances*8/100
+	s.settings.HoldVotes *= 1 + instances/20
 	s.arrivals = 0.003 + 0.02*s.random.Float64()
 	s.fleet = 12 + s.random.IntN(20)
 	for i := range s.settings.Groups {
@@ -227,6 +243,15 @@
 	}
 }
 
+// hurry makes targets and service times so many times shorter.
+func (s *simulation) hurry(times float64) {
+	s.settings.Granularity = 0.5
+	s.serviceTime /= times
+	for i := range s.settings.Groups {
+		s.settings.Groups[i].Target /= times
+	}
+}
+
 // at has something happen at a time, at the earliest now.
 func (s *simulation) at(when logic.Millis, run func()) {
 	s.made++
@@ -288,6 +313,7 @@
 		s.every(s.settings.TallyEvery, s.count)
 	}
 	s.every(400, s.checkStage)
+	s.every(6000, func() { s.handle(logic.NodesChanged{How: logic.ListRefused}) }) // not asked for
 }
 
 // perform carries out an action of the instance. It only schedules events, for an action is performed within one.
@@ -443,7 +469,10 @@
 	if s.during(s.sharedSlowAt) {
 		after *= s.sharedSlow
 	}
-	if e.bad {
+	if e.Zone == s.settings.Zone && s.during(s.homeSlowAt) {
+		after *= 6
+	}
+	if e.bad || s.spreads && slices.ContainsFunc(s.endpoints, func(other *endpoint) bool { return other.bad }) {
 		after *= s.candidateSlow
 	}
 	if e.Zone != s.settings.Zone {
