--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,7 @@
 // Package golden compares encoded values with fixtures, files under the testdata directory of the package under test. The
 // fixtures were written by an earlier program: they hold what is stored on disks and what other instances send.
+//
+// Where a change of the encoding is wanted, `go test ./internal/takeover -update` rewrites the fixtures of one package.
 package golden
 
 import (
