--- a/logic/golden_test.go
+++ b/logic/golden_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/binary"
-	"flag"
 	"fmt"
 	"math"
 	"os"
@@ -12,11 +11,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"ottershed/internal/golden"
 	"ottershed/logic"
 )
 
-var update = flag.Bool("update", false, "rewrite testdata/streams.txt from the present behaviour")
-
 const (
 	seeds       = 72
 	perPoint    = 1000 // events from one checkpoint to the next
@@ -36,13 +34,13 @@
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
 				lines[seed] = streamLines(seed)
-				if !*update {
+				if !golden.Updating() {
 					compareLines(t, lines[seed], want)
 				}
 			})
 		}
 	})
-	if *update {
+	if golden.Updating() {
 		writeGolden(t, lines)
 	}
 }
@@ -50,7 +48,7 @@
 // goldenLines are the kept lines by what they begin with, seed and checkpoint.
 func goldenLines(t *testing.T) map[string]string {
 	t.Helper()
-	if *update {
+	if golden.Updating() {
 		return nil
 	}
 	data, err := os.ReadFile(goldenFile)
