--- a/internal/cluster/failover/keeper_test.go
+++ b/internal/cluster/failover/keeper_test.go
@@ -5,6 +5,11 @@
 	"errors"
 	"fmt"
 	"io"
+	"ottershed/decision"
+	"ottershed/internal/clock"
+	"ottershed/internal/cluster/lease"
+	"ottershed/internal/cluster/membership"
+	"ottershed/internal/rollout"
 	"strings"
 	"sync"
 	"testing"
@@ -12,121 +17,119 @@
 
 	"github.com/sirupsen/logrus"
 	"github.com/vmihailenco/msgpack/v5"
-
-	"ottershed/decision"
-	"ottershed/internal/clock"
-	"ottershed/internal/cluster/lease"
-	"ottershed/internal/cluster/membership"
-	"ottershed/internal/rollout"
 )
 
 // book is a log of one server: its time is the test's own, and a command can be held up.
-type book struct {
+type fakeLog struct {
 	mu   sync.Mutex
-	part Part
-	at   float64
+	part StateMachine
+	now  float64
 	hold func(*lease.Command) error // called with the lock free, before the command; an error loses it
 }
 
-func (b *book) Command(_ context.Context, _ byte, raw []byte) ([]byte, error) {
+func (l *fakeLog) Command(_ context.Context, _ byte, raw []byte) ([]byte, error) {
 	var c lease.Command
 	if err := msgpack.Unmarshal(raw, &c); err != nil {
 		return nil, err
 	}
-	b.mu.Lock()
-	hold := b.hold
-	b.mu.Unlock()
+	l.mu.Lock()
+	hold := l.hold
+	l.mu.Unlock()
 	if hold != nil {
 		if err := hold(&c); err != nil {
 			return nil, err
 		}
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.part.Apply(0, b.at, raw), nil
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.part.Apply(0, l.now, raw), nil
 }
 
-func (b *book) Get(_ context.Context, _ string, to any) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	*to.(*lease.List) = b.part.book.List()
+func (l *fakeLog) Get(_ context.Context, _ string, to any) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	*to.(*lease.List) = l.part.table.List()
 	return nil
 }
 
-func (b *book) apply(t *testing.T, c lease.Command) lease.Reply {
+func (l *fakeLog) apply(t *testing.T, c lease.Command) lease.Reply {
 	t.Helper()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.part.book.Apply(&c, b.at)
-	if r.Refused != "" {
-		t.Fatalf("%+v: %s", c, r.Refused)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	r := l.part.table.Apply(&c, l.now)
+	if r.Rejection != "" {
+		t.Fatalf("%+v: %s", c, r.Rejection)
 	}
 	return r
 }
 
-func (b *book) find(w lease.Work) (lease.Lease, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.part.book.Find(w)
+func (l *fakeLog) get(w lease.ID) (lease.Lease, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.part.table.Get(w)
 }
 
 // module has seen so many hits, and adopts.
-type module struct {
-	mu   sync.Mutex
-	hits float64
-	told int
+type fakeEngine struct {
+	mu        sync.Mutex
+	responses float64
+	notified  int
 }
 
-func (m *module) Evidence(context.Context) (decision.Evidence, bool) {
+func (m *fakeEngine) Evidence(context.Context) (decision.Evidence, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return decision.Evidence{Build: 8, Counts: []decision.NodeCount{{Node: "a", Build: 8, Good: m.hits}}}, true
+	return decision.Evidence{Build: 8, Counts: []decision.EndpointCount{{Endpoint: "a", Build: 8, Succeeded: m.responses}}}, true
 }
 
-func (m *module) Adopt(e decision.Evidence) {
+func (m *fakeEngine) AcquireEvidence(e decision.Evidence) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, c := range e.Counts {
-		m.hits += c.Good
+		m.responses += c.Succeeded
 	}
 }
 
-func (m *module) Disown() {}
-func (m *module) Told(decision.Event) {
+func (m *fakeEngine) RevokeEvidence() {}
+func (m *fakeEngine) HandleEvent(decision.Event) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.told++
+	m.notified++
 }
 
-type nobody struct{}
+type fakeController struct{}
 
-func (nobody) VoteUnder(decision.Vote, []rollout.Fence) {}
-func (nobody) View() *membership.View {
-	return &membership.View{Self: "b", Members: []membership.Member{{Name: "b"},
-		{Name: "a", State: membership.Dead}}}
+func (fakeController) VoteFenced(decision.Vote, []rollout.Fence) {}
+func (fakeController) View() *membership.View {
+	return &membership.View{Self: "b", Members: []membership.Member{
+		{Name: "b"},
+		{Name: "a", State: membership.Dead},
+	}}
 }
-func (nobody) Changes() <-chan membership.Change { return nil }
+func (fakeController) Changes() <-chan membership.Change { return nil }
 
 // started is a keeper of marshal b that holds its own piece, beside a dead one's piece with a checkpoint.
-func started(t *testing.T, leaseSpan time.Duration, theirs []byte) (*book, *module, *Keeper) {
+func startManager(t *testing.T, leaseSpan time.Duration, theirs []byte) (*fakeLog, *fakeEngine, *Manager) {
 	t.Helper()
-	b := &book{part: Part{book: lease.NewBook()}}
-	b.apply(t, lease.Command{Verb: lease.Claim, Work: "trial/a", By: lease.Holder{Name: "a", Run: 1}, Span: 1000})
-	b.apply(t, lease.Command{Verb: lease.Keep, Work: "trial/a", By: lease.Holder{Name: "a", Run: 1}, Token: 1, Span: 1000,
-		Checkpoint: theirs})
+	b := &fakeLog{part: StateMachine{table: lease.NewTable()}}
+	b.apply(t, lease.Command{Operation: lease.Acquire, ID: "trial/a", Holder: lease.Holder{Name: "a", Incarnation: 1}, TTL: 1000})
+	b.apply(t, lease.Command{
+		Operation: lease.Renew, ID: "trial/a", Holder: lease.Holder{Name: "a", Incarnation: 1}, Token: 1, TTL: 1000,
+		Checkpoint: theirs,
+	})
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	m := &module{hits: 3}
-	k := New(Config{Name: "b", Run: 2, Lease: leaseSpan}, b, m, nobody{}, nobody{}, clock.New(), log)
+	m := &fakeEngine{responses: 3}
+	k := New(Config{Name: "b", Incarnation: 2, TTL: leaseSpan}, b, m, fakeController{}, fakeController{}, clock.New(), log)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { k.Run(ctx); close(ended) }()
 	t.Cleanup(func() { cancel(); <-ended })
-	until(t, "its own piece is held", func() bool { _, held := b.find("trial/b"); return held })
+	waitFor(t, "its own piece is held", func() bool { _, held := b.get("trial/b"); return held })
 	return b, m, k
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -135,35 +138,35 @@
 	}
 }
 
-func (b *book) pass(ms float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.at += ms
+func (l *fakeLog) advance(ms float64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.now += ms
 }
 
 // While the answer to a merge is long in coming, this marshal goes on keeping its own lease, and writes no checkpoint that
 // lacks what it has just taken over. Before, one loop did both: a merge without an answer cost the taker its own piece.
-func TestKeepsWhileItTakes(t *testing.T) {
-	theirs, err := msgpack.Marshal(&checkpoint{Parts: []decision.Evidence{{Build: 8, Counts: []decision.NodeCount{{Node: "a", Build: 8, Good: 40}}}}})
+func TestRenewsDuringTakeover(t *testing.T) {
+	theirs, err := msgpack.Marshal(&checkpoint{Parts: []decision.Evidence{{Build: 8, Counts: []decision.EndpointCount{{Endpoint: "a", Build: 8, Succeeded: 40}}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, m, _ := started(t, 400*time.Millisecond, theirs)
+	b, m, _ := startManager(t, 400*time.Millisecond, theirs)
 	held, free, once := make(chan struct{}), make(chan struct{}), sync.Once{}
 	keeps := make(chan int, 1000)
 	b.mu.Lock()
 	b.hold = func(c *lease.Command) error {
-		switch c.Verb {
+		switch c.Operation {
 		case lease.Merge:
 			once.Do(func() { close(held) })
 			<-free
-		case lease.Keep:
+		case lease.Renew:
 			keeps <- len(c.Checkpoint)
 		}
 		return nil
 	}
 	b.mu.Unlock()
-	b.pass(1001) // the dead one's lease has lapsed
+	b.advance(1001) // the dead one's lease has lapsed
 	<-held
 	for len(keeps) > 0 {
 		<-keeps
@@ -174,17 +177,17 @@
 		}
 	}
 	close(free)
-	until(t, "merged", func() bool { _, there := b.find("trial/a"); return !there })
-	until(t, "adopted", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return m.hits == 43 })
-	until(t, "checkpoints again", func() bool { return <-keeps > 0 })
+	waitFor(t, "merged", func() bool { _, there := b.get("trial/a"); return !there })
+	waitFor(t, "adopted", func() bool { m.mu.Lock(); defer m.mu.Unlock(); return m.responses == 43 })
+	waitFor(t, "checkpoints again", func() bool { return <-keeps > 0 })
 	var both checkpoint
-	l, _ := b.find("trial/b")
+	l, _ := b.get("trial/b")
 	if err := msgpack.Unmarshal(l.Checkpoint, &both); err != nil || len(both.Merged) != 1 {
 		t.Errorf("%v: %+v", err, both)
 	}
 	sum := 0
 	for _, e := range both.Parts {
-		sum += answered(&e)
+		sum += countResponses(&e)
 	}
 	if sum != 43 {
 		t.Errorf("%d hits are in its checkpoint", sum)
@@ -193,28 +196,28 @@
 
 // A checkpoint that can't be read ends the piece, once, and is seen; before, it was taken again and again.
 func TestUnreadableCheckpoint(t *testing.T) {
-	b, m, k := started(t, 200*time.Millisecond, []byte("not a checkpoint"))
+	b, m, k := startManager(t, 200*time.Millisecond, []byte("not a checkpoint"))
 	lost := false
 	b.mu.Lock()
 	b.hold = func(c *lease.Command) error {
-		if c.Verb == lease.End && !lost {
+		if c.Operation == lease.Abandon && !lost {
 			lost = true
 			return errors.New("its answer is lost")
 		}
 		return nil
 	}
 	b.mu.Unlock()
-	b.pass(1001)
-	until(t, "ended", func() bool { _, there := b.find("trial/a"); return !there })
-	lines, err := k.Answer(t.Context())
-	if err != nil || len(lines) != 2 || !strings.Contains(lines[1].Ended, "can't be read") || lines[1].Owner != "b" {
+	b.advance(1001)
+	waitFor(t, "ended", func() bool { _, there := b.get("trial/a"); return !there })
+	lines, err := k.Status(t.Context())
+	if err != nil || len(lines) != 2 || !strings.Contains(lines[1].AbandonReason, "can't be read") || lines[1].Holder != "b" {
 		t.Errorf("%v: %+v", err, lines)
 	}
-	if m.mu.Lock(); m.hits != 3 {
-		t.Errorf("%v hits", m.hits)
+	if m.mu.Lock(); m.responses != 3 {
+		t.Errorf("%v hits", m.responses)
 	}
 	m.mu.Unlock()
-	if l, _ := b.find("trial/b"); l.Token != 2 {
+	if l, _ := b.get("trial/b"); l.Token != 2 {
 		t.Errorf("its own piece: %+v", l)
 	}
 }
@@ -223,12 +226,12 @@
 func TestVotesUnderLease(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	m := &module{}
-	k := New(Config{Name: "b", Run: 2, Lease: time.Second}, &book{part: Part{book: lease.NewBook()}}, m, nobody{}, nobody{}, clock.New(), log)
-	for i, v := range []decision.Verdict{decision.VoteOn, decision.VoteHold, decision.VoteBack, decision.VoteNone} {
+	m := &fakeEngine{}
+	k := New(Config{Name: "b", Incarnation: 2, TTL: time.Second}, &fakeLog{part: StateMachine{table: lease.NewTable()}}, m, fakeController{}, fakeController{}, clock.New(), log)
+	for i, v := range []decision.Verdict{decision.VoteAdvance, decision.VoteHold, decision.VoteRollback, decision.VoteNone} {
 		k.Vote(decision.Vote{Verdict: v})
-		if want := min(i+1, 2); m.told != want {
-			t.Error(fmt.Sprint("verdict ", v, ": told ", m.told, " times that it did not go, want ", want))
+		if want := min(i+1, 2); m.notified != want {
+			t.Error(fmt.Sprint("verdict ", v, ": told ", m.notified, " times that it did not go, want ", want))
 		}
 	}
 }
--- a/internal/cluster/gossip/peers.go
+++ b/internal/cluster/gossip/peers.go
@@ -10,14 +10,13 @@
 	"fmt"
 	"net"
 	"net/netip"
+	"ottershed/internal/clock"
+	"ottershed/internal/cluster/membership"
+	"ottershed/internal/logging"
 	"sync/atomic"
 	"time"
 
 	"github.com/sirupsen/logrus"
-
-	"ottershed/internal/clock"
-	"ottershed/internal/cluster/membership"
-	"ottershed/internal/logging"
 )
 
 // Config is what the operator's file says of membership.
@@ -28,50 +27,50 @@
 }
 
 const (
-	inbox    = 256  // packets that wait for the owner; beyond, they are lost as on the way
-	longest  = 4096 // bytes read of a packet
-	outbox   = 256  // changes that wait for a reader
-	farewell = 3    // packets of word that this member leaves, a moment apart
+	receiveQueue    = 256  // packets that wait for the owner; beyond, they are lost as on the way
+	maxPacketBytes  = 4096 // bytes read of a packet
+	changeQueue     = 256  // changes that wait for a reader
+	leaveBroadcasts = 3    // packets of word that this member leaves, a moment apart
 )
 
 // Counters are sums since the start.
 type Counters struct {
-	PacketsIn  uint64 `json:"packets_in"`
-	PacketsOut uint64 `json:"packets_out"`
-	BytesIn    uint64 `json:"bytes_in"`
-	BytesOut   uint64 `json:"bytes_out"`
-	Refused    uint64 `json:"refused"` // packets that could not be read or were not of this cluster
-	Missed     uint64 `json:"missed"`  // changes that no reader took in time
+	PacketsIn      uint64 `json:"packets_in"`
+	PacketsOut     uint64 `json:"packets_out"`
+	BytesIn        uint64 `json:"bytes_in"`
+	BytesOut       uint64 `json:"bytes_out"`
+	Rejected       uint64 `json:"refused"` // packets that could not be read or were not of this cluster
+	DroppedChanges uint64 `json:"missed"`  // changes that no reader took in time
 }
 
 // Peers is this marshal's part in the membership of its fleet.
-type Peers struct {
-	conn    *net.UDPConn
-	codec   membership.Codec
-	clock   *clock.Clock
-	log     logrus.FieldLogger
-	det     *membership.Detector // the owner's
-	run     membership.RunID
-	in      chan *membership.Packet
-	leave   chan chan struct{}
-	changes chan membership.Change
-	view    atomic.Pointer[membership.View]
-	wanted  atomic.Bool // somebody reads the changes
-	causes  logging.Causes
-	turns   uint64 // of the view
-
-	packetsIn, packetsOut, bytesIn, bytesOut, bad, missed atomic.Uint64
+type Transport struct {
+	conn      *net.UDPConn
+	codec     membership.Codec
+	clock     *clock.Clock
+	log       logrus.FieldLogger
+	detector  *membership.Detector // the owner's
+	run       membership.RunID
+	packets   chan *membership.Packet
+	leave     chan chan struct{}
+	changes   chan membership.Change
+	view      atomic.Pointer[membership.View]
+	hasReader atomic.Bool // somebody reads the changes
+	causes    logging.Limiter
+	version   uint64 // of the view
+
+	packetsIn, packetsOut, bytesIn, bytesOut, rejected, droppedChanges atomic.Uint64
 }
 
 // Listen opens the socket; Run does the rest. An error names the key of the operator's file.
-func Listen(cfg Config, c *clock.Clock, log logrus.FieldLogger) (*Peers, error) {
+func Listen(cfg Config, c *clock.Clock, log logrus.FieldLogger) (*Transport, error) {
 	var drawn [16]byte
 	if _, err := rand.Read(drawn[:]); err != nil {
 		return nil, fmt.Errorf("membership: %w", err)
 	}
 	set := cfg.Membership
 	set.Run = membership.RunID(binary.BigEndian.Uint64(drawn[:8]))
-	set.Chance = binary.BigEndian.Uint64(drawn[8:])
+	set.RandomSeed = binary.BigEndian.Uint64(drawn[8:])
 	set.Start = c.Now()
 	if err := errors.Join(set.Check(), cfg.Codec.Check()); err != nil {
 		return nil, err
@@ -84,51 +83,55 @@
 	if err != nil {
 		return nil, fmt.Errorf("membership.bind: %w", err)
 	}
-	p := &Peers{conn: conn, codec: cfg.Codec, clock: c, log: log, det: membership.New(set), run: set.Run,
-		in: make(chan *membership.Packet, inbox), leave: make(chan chan struct{}),
-		changes: make(chan membership.Change, outbox)}
+	p := &Transport{
+		conn: conn, codec: cfg.Codec, clock: c, log: log, detector: membership.New(set), run: set.Run,
+		packets: make(chan *membership.Packet, receiveQueue), leave: make(chan chan struct{}),
+		changes: make(chan membership.Change, changeQueue),
+	}
 	p.publish()
 	return p, nil
 }
 
 // RunID is the number by which this process is told from others of its name.
-func (p *Peers) RunID() membership.RunID { return p.run }
+func (t *Transport) RunID() membership.RunID { return t.run }
 
 // View is the present view. It is never nil and does not change.
-func (p *Peers) View() *membership.View { return p.view.Load() }
+func (t *Transport) View() *membership.View { return t.view.Load() }
 
 // Changes tells of members' states as they change, from the first call on; it has one reader. It holds a bounded number; a
 // reader that falls behind sees in Counters that it missed some, and finds the truth in View.
-func (p *Peers) Changes() <-chan membership.Change {
-	p.wanted.Store(true)
-	return p.changes
+func (t *Transport) Changes() <-chan membership.Change {
+	t.hasReader.Store(true)
+	return t.changes
 }
 
 // Counters are the sums so far.
-func (p *Peers) Counters() Counters {
-	return Counters{PacketsIn: p.packetsIn.Load(), PacketsOut: p.packetsOut.Load(), BytesIn: p.bytesIn.Load(),
-		BytesOut: p.bytesOut.Load(), Refused: p.bad.Load(), Missed: p.missed.Load()}
+func (t *Transport) Counters() Counters {
+	return Counters{
+		PacketsIn: t.packetsIn.Load(), PacketsOut: t.packetsOut.Load(), BytesIn: t.bytesIn.Load(),
+		BytesOut: t.bytesOut.Load(), Rejected: t.rejected.Load(), DroppedChanges: t.droppedChanges.Load(),
+	}
 }
 
 // Leave tells the others that this member goes, and returns once that is said.
-func (p *Peers) Leave(ctx context.Context) {
-	said := make(chan struct{})
+func (t *Transport) Leave(ctx context.Context) {
+	sent := make(chan struct{})
 	select {
-	case p.leave <- said:
-		<-said
+	case t.leave <- sent:
+		<-sent
 	case <-ctx.Done():
 	}
 }
 
 // Run owns the detector until ctx ends.
-func (p *Peers) Run(ctx context.Context) {
+func (t *Transport) Run(ctx context.Context) {
 	read := make(chan struct{})
 	go func() {
 		defer close(read)
-		p.read()
+		t.read()
 	}()
 	defer func() {
-		p.conn.Close()
+		t.conn.Close()
 		<-read
 	}()
 	wake := time.NewTimer(0)
@@ -137,84 +140,86 @@
 		select {
 		case <-ctx.Done():
 			return
-		case packet := <-p.in:
-			p.carryOut(p.det.Receive(p.clock.Now(), packet))
+		case packet := <-t.packets:
+			t.execute(t.detector.Receive(t.clock.Now(), packet))
 		case <-wake.C:
-			p.carryOut(p.det.Tick(p.clock.Now()))
-		case said := <-p.leave:
-			for range farewell { // Danger: word that is lost would leave the others to find out
-				p.carryOut(p.det.Leave(p.clock.Now()))
+			t.execute(t.detector.Tick(t.clock.Now()))
+		case sent := <-t.leave:
+			for range leaveBroadcasts { // Danger: word that is lost would leave the others to find out
+				t.execute(t.detector.Leave(t.clock.Now()))
 			}
-			close(said)
+			close(sent)
 		}
-		wake.Reset(clock.Span(max(0, p.det.Next()-p.clock.Now())))
+		wake.Reset(clock.Duration(max(0, t.detector.Next()-t.clock.Now())))
 	}
 }
 
 // read hands packets to the owner until the socket is closed.
-func (p *Peers) read() {
-	raw := make([]byte, longest)
+func (t *Transport) read() {
+	raw := make([]byte, maxPacketBytes)
 	for {
-		n, _, err := p.conn.ReadFromUDPAddrPort(raw)
+		n, _, err := t.conn.ReadFromUDPAddrPort(raw)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue // an earlier packet found nobody; that says nothing of the socket
 		}
-		packet, err := p.codec.Decode(raw[:n])
+		packet, err := t.codec.Decode(raw[:n])
 		if err != nil {
-			p.bad.Add(1)
-			if p.causes.New("refused") {
-				p.log.WithError(err).Warn("membership: packet refused")
+			t.rejected.Add(1)
+			if t.causes.Allow("refused") {
+				t.log.WithError(err).Warn("membership: packet refused")
 			}
 			continue
 		}
-		p.packetsIn.Add(1)
-		p.bytesIn.Add(uint64(n))
+		t.packetsIn.Add(1)
+		t.bytesIn.Add(uint64(n))
 		select {
-		case p.in <- packet:
+		case t.packets <- packet:
 		default:
 		}
 	}
 }
 
 // carryOut sends what the detector wants sent, logs changes and hands them on.
-func (p *Peers) carryOut(out membership.Output) {
+func (t *Transport) execute(out membership.Output) {
 	for i := range out.Sends {
 		s := &out.Sends[i]
-		raw, err := p.codec.Encode(&s.Packet)
+		raw, err := t.codec.Encode(&s.Packet)
 		at, aerr := netip.ParseAddrPort(s.To)
 		if err = errors.Join(err, aerr); err == nil {
-			_, err = p.conn.WriteToUDPAddrPort(raw, at)
+			_, err = t.conn.WriteToUDPAddrPort(raw, at)
 		}
 		if err != nil {
-			if p.causes.New("send") {
-				p.log.WithError(err).Warn("membership: packet not sent")
+			if t.causes.Allow("send") {
+				t.log.WithError(err).Warn("membership: packet not sent")
 			}
 			continue
 		}
-		p.packetsOut.Add(1)
-		p.bytesOut.Add(uint64(len(raw)))
+		t.packetsOut.Add(1)
+		t.bytesOut.Add(uint64(len(raw)))
 	}
-	if p.det.Turns() != p.turns || len(out.Changes) > 0 {
-		p.publish()
+	if t.detector.Version() != t.version || len(out.Changes) > 0 {
+		t.publish()
 	}
 	for _, c := range out.Changes {
-		p.tell(c)
+		t.notify(c)
 	}
 }
 
-func (p *Peers) publish() {
-	v := p.det.View()
-	p.turns = p.det.Turns()
-	p.view.Store(&v)
+func (t *Transport) publish() {
+	v := t.detector.View()
+	t.version = t.detector.Version()
+	t.view.Store(&v)
 }
 
-func (p *Peers) tell(c membership.Change) {
-	v := p.View()
-	line := p.log.WithFields(logrus.Fields{"member": c.Name, "state": c.State, "was": c.Was, "address": c.Address,
-		"incarnation": uint64(c.Incarnation)})
+func (t *Transport) notify(c membership.Change) {
+	v := t.View()
+	line := t.log.WithFields(logrus.Fields{
+		"member": c.Name, "state": c.State, "was": c.Previous, "address": c.Address,
+		"incarnation": uint64(c.Incarnation),
+	})
 	if c.By != "" {
 		line = line.WithField("by", c.By)
 	}
@@ -228,12 +233,12 @@
 	default:
 		line.Info("member changed")
 	}
-	if !p.wanted.Load() {
+	if !t.hasReader.Load() {
 		return
 	}
 	select {
-	case p.changes <- c:
+	case t.changes <- c:
 	default:
-		p.missed.Add(1)
+		t.droppedChanges.Add(1)
 	}
 }
--- a/internal/cluster/lease/book.go
+++ b/internal/cluster/lease/book.go
@@ -17,119 +17,119 @@
 type Millis = float64
 
 // Work names a piece: its kind, and the marshal that it began with.
-type Work string
+type ID string
 
 // TrialOf is what a marshal has seen of the build on trial, and its vote.
-func TrialOf(marshal string) Work { return Work("trial/" + marshal) }
+func TrialID(instance string) ID { return ID("trial/" + instance) }
 
 // Token fences a piece: each lease that is granted has a higher one than any before, of whatever piece.
 type Token uint64
 
 // Holder is one process of a marshal.
 type Holder struct {
-	Name string `json:"Name" msgpack:"Name"`
-	Run  uint64 `json:"Run" msgpack:"Run"` // drawn at each start
+	Name        string `json:"Name" msgpack:"Name"`
+	Incarnation uint64 `json:"Run" msgpack:"Run"` // drawn at each start
 }
 
 // Lease is a piece of work with its owner. Here and below, tags name the parts in what is stored and sent: stores last, and
 // marshals of different versions read each other, so they stay whatever the fields are called.
 type Lease struct {
-	Work       Work   `json:"Work" msgpack:"Work"`
-	Owner      Holder `json:"Owner" msgpack:"Owner"`
-	Token      Token  `json:"Token" msgpack:"Token"`
-	Until      Millis `json:"Until" msgpack:"Until"`           // by the log's clock; past it another may take the piece
-	Checkpoint []byte `json:"Checkpoint" msgpack:"Checkpoint"` // the owner's, to go on from
-	Written    Millis `json:"Written" msgpack:"Written"`       // when that was
-	Merged     []Past `json:"Merged" msgpack:"Merged"`         // pieces whose work is in the checkpoint, the newest last
-	Seq        uint64 `json:"Seq" msgpack:"Seq"`               // of its checkpoint, by its owner
+	ID            ID      `json:"Work" msgpack:"Work"`
+	Holder        Holder  `json:"Owner" msgpack:"Owner"`
+	Token         Token   `json:"Token" msgpack:"Token"`
+	ExpiresAt     Millis  `json:"Until" msgpack:"Until"`           // by the log's clock; past it another may take the piece
+	Checkpoint    []byte  `json:"Checkpoint" msgpack:"Checkpoint"` // the owner's, to go on from
+	CheckpointAt  Millis  `json:"Written" msgpack:"Written"`       // when that was
+	Merged        []Grant `json:"Merged" msgpack:"Merged"`         // pieces whose work is in the checkpoint, the newest last
+	CheckpointSeq uint64  `json:"Seq" msgpack:"Seq"`               // of its checkpoint, by its owner
 }
 
 // Past is a piece that was merged into another, by the token under which it was taken.
-type Past struct {
-	Work  Work  `json:"Work" msgpack:"Work"`
+type Grant struct {
+	ID    ID    `json:"Work" msgpack:"Work"`
 	Token Token `json:"Token" msgpack:"Token"`
 }
 
 // Ended is a piece that was ended, for it could not be gone on with.
-type Ended struct {
-	Work  Work   `json:"Work" msgpack:"Work"`
-	Token Token  `json:"Token" msgpack:"Token"` // under which it was taken
-	By    string `json:"By" msgpack:"By"`
-	Why   string `json:"Why" msgpack:"Why"`
-	At    Millis `json:"At" msgpack:"At"` // by the log's clock
+type Abandoned struct {
+	ID     ID     `json:"Work" msgpack:"Work"`
+	Token  Token  `json:"Token" msgpack:"Token"` // under which it was taken
+	Holder string `json:"By" msgpack:"By"`
+	Reason string `json:"Why" msgpack:"Why"`
+	At     Millis `json:"At" msgpack:"At"` // by the log's clock
 }
 
 // Verb is what a command wants.
-type Verb int
+type Operation int
 
 const (
-	Claim   Verb = iota + 1 // a marshal's own piece, free, lapsed, or held by an earlier run of it
-	Keep                    // hold it longer, with a newer checkpoint where there is one
-	Take                    // another's piece, once its lease has lapsed
-	Merge                   // end a piece that was taken: what it held is in the checkpoint of one's own from now on
-	Release                 // it may be taken at once
-	End                     // a piece that was taken and can't be gone on with: it is no piece any more
+	Acquire  Operation = iota + 1 // a marshal's own piece, free, lapsed, or held by an earlier run of it
+	Renew                         // hold it longer, with a newer checkpoint where there is one
+	TakeOver                      // another's piece, once its lease has lapsed
+	Merge                         // end a piece that was taken: what it held is in the checkpoint of one's own from now on
+	Release                       // it may be taken at once
+	Abandon                       // a piece that was taken and can't be gone on with: it is no piece any more
 )
 
 // Command is one entry of the log.
 type Command struct {
-	Verb       Verb   `msgpack:"Verb"`
-	Work       Work   `msgpack:"Work"`
-	By         Holder `msgpack:"By"`
-	Token      Token  `msgpack:"Token"` // of the lease that it goes by; none for Claim and Take
-	Span       Millis `msgpack:"Span"`
-	Checkpoint []byte `msgpack:"Checkpoint"` // none: the one before stays
-	Into       Work   `msgpack:"Into"`       // Merge: one's own
-	IntoToken  Token  `msgpack:"IntoToken"`
-	Seq        uint64 `msgpack:"Seq"` // of a checkpoint: each that a holder writes has a higher one than any before
-	Why        string `msgpack:"Why"` // End
+	Operation     Operation `msgpack:"Verb"`
+	ID            ID        `msgpack:"Work"`
+	Holder        Holder    `msgpack:"By"`
+	Token         Token     `msgpack:"Token"` // of the lease that it goes by; none for Claim and Take
+	TTL           Millis    `msgpack:"Span"`
+	Checkpoint    []byte    `msgpack:"Checkpoint"` // none: the one before stays
+	Into          ID        `msgpack:"Into"`       // Merge: one's own
+	IntoToken     Token     `msgpack:"IntoToken"`
+	CheckpointSeq uint64    `msgpack:"Seq"` // of a checkpoint: each that a holder writes has a higher one than any before
+	Reason        string    `msgpack:"Why"` // End
 }
 
 // Reply is what became of a command.
 type Reply struct {
-	Refused string `msgpack:"Refused"` // why; empty: it was done
-	Lease   Lease  `msgpack:"Lease"`   // Claim and Take: with the checkpoint to go on from
+	Rejection string `msgpack:"Refused"` // why; empty: it was done
+	Lease     Lease  `msgpack:"Lease"`   // Claim and Take: with the checkpoint to go on from
 }
 
 // Bounds of what the book keeps.
 const (
-	mostLeases     = 8192
-	LongestCheck   = 256 << 10 // bytes of a checkpoint
-	longestWork    = 80
-	shortest       = 50.0 // ms of a lease
-	longestLease   = 3.6e6
-	longestHolders = 64
-	mostMerged     = 64 // of a lease: for votes, and for a Merge that comes twice
-	mostEnded      = 64
-	LongestWhy     = 200 // bytes of a reason
+	maxLeases          = 8192
+	MaxCheckpointBytes = 256 << 10 // bytes of a checkpoint
+	maxIDBytes         = 80
+	minTTL             = 50.0 // ms of a lease
+	maxTTL             = 3.6e6
+	maxHolderBytes     = 64
+	maxMerged          = 64 // of a lease: for votes, and for a Merge that comes twice
+	maxAbandoned       = 64
+	MaxReasonBytes     = 200 // bytes of a reason
 )
 
 // List is all leases, and the log's time as of its newest entry: what is left of a lease is no more than it says.
 type List struct {
-	Now    Millis  `json:"Now"`
-	Leases []Lease `json:"Leases"` // without their checkpoints
-	Ended  []Ended `json:"Ended"`  // the newest last
+	Now       Millis      `json:"Now"`
+	Leases    []Lease     `json:"Leases"` // without their checkpoints
+	Abandoned []Abandoned `json:"Ended"`  // the newest last
 }
 
 // Book holds all leases. Its clock is the log's, which no machine's wall clock enters (quorum.Clock), and never goes back.
-type Book struct {
-	leases map[Work]*Lease
-	ended  []Ended
-	token  Token
-	now    Millis
+type Table struct {
+	leases    map[ID]*Lease
+	abandoned []Abandoned
+	lastToken Token
+	now       Millis
 }
 
 // NewBook makes an empty one.
-func NewBook() *Book { return &Book{leases: map[Work]*Lease{}} }
+func NewTable() *Table { return &Table{leases: map[ID]*Lease{}} }
 
 // List is all that the book holds, without checkpoints.
-func (b *Book) List() List { return List{b.now, b.Leases(), slices.Clone(b.ended)} }
+func (t *Table) List() List { return List{t.now, t.Leases(), slices.Clone(t.abandoned)} }
 
 // Leases are all, by name, without their checkpoints.
-func (b *Book) Leases() []Lease {
+func (t *Table) Leases() []Lease {
 	var out []Lease
-	for _, w := range slices.Sorted(maps.Keys(b.leases)) {
-		l := *b.leases[w]
+	for _, w := range slices.Sorted(maps.Keys(t.leases)) {
+		l := *t.leases[w]
 		l.Checkpoint = nil
 		out = append(out, l)
 	}
@@ -137,132 +137,132 @@
 }
 
 // Now is the log's time at the newest command.
-func (b *Book) Now() Millis { return b.now }
+func (t *Table) Now() Millis { return t.now }
 
 // Apply takes the next command of the log at the log's time.
-func (b *Book) Apply(c *Command, at Millis) Reply {
-	b.now = max(b.now, at)
+func (t *Table) Apply(c *Command, at Millis) Reply {
+	t.now = max(t.now, at)
 	if fault := c.check(); fault != "" {
-		return Reply{Refused: fault}
+		return Reply{Rejection: fault}
 	}
-	l := b.leases[c.Work]
-	switch c.Verb {
-	case Claim:
-		return b.claim(l, c)
-	case Take:
-		return b.take(l, c)
+	l := t.leases[c.ID]
+	switch c.Operation {
+	case Acquire:
+		return t.acquire(l, c)
+	case TakeOver:
+		return t.takeOver(l, c)
 	}
-	if c.Verb == Merge && b.merged(c) || c.Verb == End && b.wasEnded(c) {
+	if c.Operation == Merge && t.wasMerged(c) || c.Operation == Abandon && t.wasAbandoned(c) {
 		return Reply{} // its answer got lost
 	}
-	if l == nil || l.Token != c.Token || l.Owner != c.By {
-		return Reply{Refused: fenced(c, l)}
+	if l == nil || l.Token != c.Token || l.Holder != c.Holder {
+		return Reply{Rejection: staleToken(c, l)}
 	}
-	switch c.Verb {
-	case Keep:
-		l.Until = b.now + c.Span
+	switch c.Operation {
+	case Renew:
+		l.ExpiresAt = t.now + c.TTL
 		// Danger: a checkpoint whose answer was lost may come after the one that holds another's work as well, and would be
 		// written over it.
-		if c.Checkpoint != nil && c.Seq >= l.Seq {
-			l.Checkpoint, l.Written, l.Seq = c.Checkpoint, b.now, c.Seq
+		if c.Checkpoint != nil && c.CheckpointSeq >= l.CheckpointSeq {
+			l.Checkpoint, l.CheckpointAt, l.CheckpointSeq = c.Checkpoint, t.now, c.CheckpointSeq
 		}
 	case Release:
-		l.Until = b.now
-	case End:
-		b.ended = append(b.ended, Ended{c.Work, c.Token, c.By.Name, c.Why, b.now})
-		b.ended = slices.Clone(b.ended[max(0, len(b.ended)-mostEnded):])
-		delete(b.leases, c.Work)
+		l.ExpiresAt = t.now
+	case Abandon:
+		t.abandoned = append(t.abandoned, Abandoned{c.ID, c.Token, c.Holder.Name, c.Reason, t.now})
+		t.abandoned = slices.Clone(t.abandoned[max(0, len(t.abandoned)-maxAbandoned):])
+		delete(t.leases, c.ID)
 	case Merge:
-		into := b.leases[c.Into]
-		if into == nil || into.Token != c.IntoToken || into.Owner != c.By {
-			return Reply{Refused: fenced(&Command{Work: c.Into, Token: c.IntoToken, By: c.By}, into)}
+		into := t.leases[c.Into]
+		if into == nil || into.Token != c.IntoToken || into.Holder != c.Holder {
+			return Reply{Rejection: staleToken(&Command{ID: c.Into, Token: c.IntoToken, Holder: c.Holder}, into)}
 		}
 		// Danger: ended first and written afterwards, a piece would be lost with its new owner between; the other way
 		// round it would be taken over twice. So both are one entry.
-		into.Checkpoint, into.Written, into.Until, into.Seq = c.Checkpoint, b.now, b.now+c.Span, max(into.Seq, c.Seq)
-		into.Merged = append(append(into.Merged, l.Merged...), Past{c.Work, c.Token})
-		if over := len(into.Merged) - mostMerged; over > 0 {
+		into.Checkpoint, into.CheckpointAt, into.ExpiresAt, into.CheckpointSeq = c.Checkpoint, t.now, t.now+c.TTL, max(into.CheckpointSeq, c.CheckpointSeq)
+		into.Merged = append(append(into.Merged, l.Merged...), Grant{c.ID, c.Token})
+		if over := len(into.Merged) - maxMerged; over > 0 {
 			into.Merged = slices.Clone(into.Merged[over:])
 		}
-		delete(b.leases, c.Work)
+		delete(t.leases, c.ID)
 	}
 	return Reply{}
 }
 
 // merged tells whether a Merge was done before.
-func (b *Book) merged(c *Command) bool {
-	into := b.leases[c.Into]
-	return into != nil && into.Owner == c.By && into.Token == c.IntoToken && slices.Contains(into.Merged, Past{c.Work, c.Token})
+func (t *Table) wasMerged(c *Command) bool {
+	into := t.leases[c.Into]
+	return into != nil && into.Holder == c.Holder && into.Token == c.IntoToken && slices.Contains(into.Merged, Grant{c.ID, c.Token})
 }
 
 // wasEnded tells whether an End was done before.
-func (b *Book) wasEnded(c *Command) bool {
-	return slices.ContainsFunc(b.ended, func(e Ended) bool { return e.Work == c.Work && e.Token == c.Token && e.By == c.By.Name })
+func (t *Table) wasAbandoned(c *Command) bool {
+	return slices.ContainsFunc(t.abandoned, func(e Abandoned) bool { return e.ID == c.ID && e.Token == c.Token && e.Holder == c.Holder.Name })
 }
 
 func (c *Command) check() string {
 	switch {
-	case c.Verb < Claim || c.Verb > End:
-		return fmt.Sprintf("no command %d", c.Verb)
-	case c.Work == "" || len(c.Work) > longestWork || len(c.Into) > longestWork || !strings.Contains(string(c.Work), "/"):
-		return fmt.Sprintf("no piece of work: %q", c.Work)
-	case c.By.Name == "" || len(c.By.Name) > longestHolders:
+	case c.Operation < Acquire || c.Operation > Abandon:
+		return fmt.Sprintf("no command %d", c.Operation)
+	case c.ID == "" || len(c.ID) > maxIDBytes || len(c.Into) > maxIDBytes || !strings.Contains(string(c.ID), "/"):
+		return fmt.Sprintf("no piece of work: %q", c.ID)
+	case c.Holder.Name == "" || len(c.Holder.Name) > maxHolderBytes:
 		return "nobody asks"
-	case len(c.Why) > LongestWhy:
-		return fmt.Sprintf("a reason of %d bytes", len(c.Why))
-	case c.Verb < Release && (c.Span < shortest || c.Span > longestLease):
-		return fmt.Sprintf("a lease of %g ms", c.Span)
-	case len(c.Checkpoint) > LongestCheck:
+	case len(c.Reason) > MaxReasonBytes:
+		return fmt.Sprintf("a reason of %d bytes", len(c.Reason))
+	case c.Operation < Release && (c.TTL < minTTL || c.TTL > maxTTL):
+		return fmt.Sprintf("a lease of %g ms", c.TTL)
+	case len(c.Checkpoint) > MaxCheckpointBytes:
 		return fmt.Sprintf("a checkpoint of %d bytes", len(c.Checkpoint))
-	case c.Verb == Merge && c.Work == c.Into:
+	case c.Operation == Merge && c.ID == c.Into:
 		return "a piece does not go into itself"
 	}
 	return ""
 }
 
 // fenced says by what a late command is refused.
-func fenced(c *Command, l *Lease) string {
+func staleToken(c *Command, l *Lease) string {
 	if l == nil {
-		return fmt.Sprintf("%s is no piece any more; token %d is of the past", c.Work, c.Token)
+		return fmt.Sprintf("%s is no piece any more; token %d is of the past", c.ID, c.Token)
 	}
-	return fmt.Sprintf("%s is held by %s under token %d, not by %s under %d", c.Work, l.Owner.Name, l.Token, c.By.Name, c.Token)
+	return fmt.Sprintf("%s is held by %s under token %d, not by %s under %d", c.ID, l.Holder.Name, l.Token, c.Holder.Name, c.Token)
 }
 
-func (b *Book) claim(l *Lease, c *Command) Reply {
-	if l != nil && l.Owner.Name != c.By.Name && b.now < l.Until {
-		return Reply{Refused: fmt.Sprintf("%s is held by %s under token %d", c.Work, l.Owner.Name, l.Token)}
+func (t *Table) acquire(l *Lease, c *Command) Reply {
+	if l != nil && l.Holder.Name != c.Holder.Name && t.now < l.ExpiresAt {
+		return Reply{Rejection: fmt.Sprintf("%s is held by %s under token %d", c.ID, l.Holder.Name, l.Token)}
 	}
-	if l == nil && len(b.leases) >= mostLeases {
-		return Reply{Refused: "no room for more pieces"}
+	if l == nil && len(t.leases) >= maxLeases {
+		return Reply{Rejection: "no room for more pieces"}
 	}
-	return b.grant(l, c)
+	return t.grant(l, c)
 }
 
-func (b *Book) take(l *Lease, c *Command) Reply {
+func (t *Table) takeOver(l *Lease, c *Command) Reply {
 	switch {
 	case l == nil:
-		return Reply{Refused: fmt.Sprintf("%s is no piece any more", c.Work)}
-	case l.Owner == c.By: // its answer got lost
+		return Reply{Rejection: fmt.Sprintf("%s is no piece any more", c.ID)}
+	case l.Holder == c.Holder: // its answer got lost
 		return Reply{Lease: *l}
-	case b.now < l.Until:
-		return Reply{Refused: fmt.Sprintf("%s is held by %s under token %d for %.0f ms more", c.Work, l.Owner.Name, l.Token, l.Until-b.now)}
+	case t.now < l.ExpiresAt:
+		return Reply{Rejection: fmt.Sprintf("%s is held by %s under token %d for %.0f ms more", c.ID, l.Holder.Name, l.Token, l.ExpiresAt-t.now)}
 	}
-	return b.grant(l, c)
+	return t.grant(l, c)
 }
 
-func (b *Book) grant(l *Lease, c *Command) Reply {
+func (t *Table) grant(l *Lease, c *Command) Reply {
 	if l == nil {
-		l = &Lease{Work: c.Work}
-		b.leases[c.Work] = l
+		l = &Lease{ID: c.ID}
+		t.leases[c.ID] = l
 	}
-	b.token++
-	l.Owner, l.Token, l.Until, l.Seq = c.By, b.token, b.now+c.Span, 0
+	t.lastToken++
+	l.Holder, l.Token, l.ExpiresAt, l.CheckpointSeq = c.Holder, t.lastToken, t.now+c.TTL, 0
 	return Reply{Lease: *l}
 }
 
 // Find is the lease of a piece with its checkpoint.
-func (b *Book) Find(w Work) (Lease, bool) {
-	l := b.leases[w]
+func (t *Table) Get(w ID) (Lease, bool) {
+	l := t.leases[w]
 	if l == nil {
 		return Lease{}, false
 	}
@@ -270,18 +270,18 @@
 }
 
 // book is what a snapshot holds.
-type book struct {
-	Leases []Lease `msgpack:"Leases"`
-	Token  Token   `msgpack:"Token"`
-	Now    Millis  `msgpack:"Now"`
-	Ended  []Ended `msgpack:"Ended"`
+type tableSnapshot struct {
+	Leases    []Lease     `msgpack:"Leases"`
+	Token     Token       `msgpack:"Token"`
+	Now       Millis      `msgpack:"Now"`
+	Abandoned []Abandoned `msgpack:"Ended"`
 }
 
 // Encode writes all.
-func (b *Book) Encode() ([]byte, error) {
-	all := book{Token: b.token, Now: b.now, Ended: b.ended}
-	for _, w := range slices.Sorted(maps.Keys(b.leases)) {
-		all.Leases = append(all.Leases, *b.leases[w])
+func (t *Table) Encode() ([]byte, error) {
+	all := tableSnapshot{Token: t.lastToken, Now: t.now, Abandoned: t.abandoned}
+	for _, w := range slices.Sorted(maps.Keys(t.leases)) {
+		all.Leases = append(all.Leases, *t.leases[w])
 	}
 	raw, err := msgpack.Marshal(&all)
 	if err != nil {
@@ -291,17 +291,17 @@
 }
 
 // Restore takes the place of all by what Encode wrote.
-func (b *Book) Restore(raw []byte) error {
-	var all book
+func (t *Table) Restore(raw []byte) error {
+	var all tableSnapshot
 	if err := msgpack.Unmarshal(raw, &all); err != nil {
 		return fmt.Errorf("leases: %w", err)
 	}
-	*b = Book{leases: map[Work]*Lease{}, token: all.Token, now: all.Now, ended: all.Ended}
+	*t = Table{leases: map[ID]*Lease{}, lastToken: all.Token, now: all.Now, abandoned: all.Abandoned}
 	for _, l := range all.Leases {
-		if l.Token > b.token {
-			return fmt.Errorf("leases: %s has token %d, above all that were given", l.Work, l.Token)
+		if l.Token > t.lastToken {
+			return fmt.Errorf("leases: %s has token %d, above all that were given", l.ID, l.Token)
 		}
-		b.leases[l.Work] = &l
+		t.leases[l.ID] = &l
 	}
 	return nil
 }
--- a/internal/cluster/lease/takeover_test.go
+++ b/internal/cluster/lease/takeover_test.go
@@ -3,12 +3,11 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"ottershed/decision"
+	"ottershed/internal/cluster/membership"
 	"slices"
 	"strings"
 	"testing"
-
-	"ottershed/decision"
-	"ottershed/internal/cluster/membership"
 )
 
 var (
@@ -19,108 +18,108 @@
 )
 
 // The terms of a lease, one command after another, at the log's times.
-func TestBook(t *testing.T) {
-	b := NewBook()
-	const w, wb = Work("trial/a"), Work("trial/b")
+func TestTable(t *testing.T) {
+	b := NewTable()
+	const w, wb = ID("trial/a"), ID("trial/b")
 	for i, s := range []struct {
 		at   Millis
 		c    Command
 		want string // of the refusal; empty: done
 	}{
-		{0, Command{Verb: Claim, Work: w, By: a1, Span: 1000}, ""}, // token 1
-		{0, Command{Verb: Claim, Work: wb, By: b1, Span: 1000}, ""},
-		{100, Command{Verb: Keep, Work: w, By: a1, Token: 1, Span: 1000, Checkpoint: []byte("x")}, ""},
-		{200, Command{Verb: Keep, Work: w, By: b1, Token: 1, Span: 1000}, "held by a under token 1, not by b"},
-		{200, Command{Verb: Take, Work: w, By: b1, Span: 1000}, "for 900 ms more"},
-		{200, Command{Verb: Claim, Work: w, By: b1, Span: 1000}, "held by a under token 1"},
-		{1099, Command{Verb: Take, Work: w, By: b1, Span: 1000}, "for 1 ms more"},
-		{1100, Command{Verb: Take, Work: w, By: b1, Span: 1000}, ""}, // token 3
-		{1100, Command{Verb: Take, Work: w, By: b1, Span: 1000}, ""}, // its answer was lost
-		{1101, Command{Verb: Take, Work: w, By: c1, Span: 1000}, "held by b under token 3"},
-		{1102, Command{Verb: Keep, Work: w, By: a1, Token: 1, Span: 1000, Checkpoint: []byte("late")}, "held by b under token 3, not by a under 1"},
-		{1103, Command{Verb: Merge, Work: w, By: b1, Token: 1, Span: 1000, Into: wb, IntoToken: 2, Checkpoint: []byte("ab")}, "not by b under 1"},
-		{1103, Command{Verb: Merge, Work: w, By: b1, Token: 3, Span: 1000, Into: wb, IntoToken: 9, Checkpoint: []byte("ab")}, "not by b under 9"},
-		{1104, Command{Verb: Merge, Work: w, By: b1, Token: 3, Span: 1000, Into: wb, IntoToken: 2, Checkpoint: []byte("ab")}, ""},
-		{1105, Command{Verb: Merge, Work: w, By: b1, Token: 3, Span: 1000, Into: wb, IntoToken: 2, Checkpoint: []byte("ab")}, ""}, // again
-		{1106, Command{Verb: Take, Work: w, By: c1, Span: 1000}, "no piece any more"},
-		{1107, Command{Verb: Keep, Work: w, By: a1, Token: 1, Span: 1000}, "token 1 is of the past"},
-		{1108, Command{Verb: Claim, Work: w, By: a1, Span: 1000}, ""}, // token 4
-		{1109, Command{Verb: Claim, Work: w, By: a2, Span: 1000}, ""}, // a restart: token 5
-		{1110, Command{Verb: Keep, Work: w, By: a1, Token: 4, Span: 1000}, "held by a under token 5"},
-		{900, Command{Verb: Take, Work: w, By: c1, Span: 1000}, "for 999 ms more"}, // a clock that is behind
-		{1111, Command{Verb: Release, Work: w, By: a2, Token: 5}, ""},
-		{1111, Command{Verb: Take, Work: w, By: c1, Span: 1000}, ""}, // token 6
-		{1112, Command{Verb: Keep, Work: w, By: c1, Token: 6, Span: 1}, "a lease of 1 ms"},
-		{1112, Command{Verb: Claim, Work: "x", By: c1, Span: 1000}, "no piece of work"},
-		{1112, Command{Verb: 9, Work: w, By: c1}, "no command 9"},
-		{1112, Command{Verb: Claim, Work: "trial/z", Span: 1000}, "nobody asks"},
-		{1112, Command{Verb: Keep, Work: w, By: c1, Token: 6, Span: 1000, Checkpoint: make([]byte, LongestCheck+1)}, "a checkpoint of"},
+		{0, Command{Operation: Acquire, ID: w, Holder: a1, TTL: 1000}, ""}, // token 1
+		{0, Command{Operation: Acquire, ID: wb, Holder: b1, TTL: 1000}, ""},
+		{100, Command{Operation: Renew, ID: w, Holder: a1, Token: 1, TTL: 1000, Checkpoint: []byte("x")}, ""},
+		{200, Command{Operation: Renew, ID: w, Holder: b1, Token: 1, TTL: 1000}, "held by a under token 1, not by b"},
+		{200, Command{Operation: TakeOver, ID: w, Holder: b1, TTL: 1000}, "for 900 ms more"},
+		{200, Command{Operation: Acquire, ID: w, Holder: b1, TTL: 1000}, "held by a under token 1"},
+		{1099, Command{Operation: TakeOver, ID: w, Holder: b1, TTL: 1000}, "for 1 ms more"},
+		{1100, Command{Operation: TakeOver, ID: w, Holder: b1, TTL: 1000}, ""}, // token 3
+		{1100, Command{Operation: TakeOver, ID: w, Holder: b1, TTL: 1000}, ""}, // its answer was lost
+		{1101, Command{Operation: TakeOver, ID: w, Holder: c1, TTL: 1000}, "held by b under token 3"},
+		{1102, Command{Operation: Renew, ID: w, Holder: a1, Token: 1, TTL: 1000, Checkpoint: []byte("late")}, "held by b under token 3, not by a under 1"},
+		{1103, Command{Operation: Merge, ID: w, Holder: b1, Token: 1, TTL: 1000, Into: wb, IntoToken: 2, Checkpoint: []byte("ab")}, "not by b under 1"},
+		{1103, Command{Operation: Merge, ID: w, Holder: b1, Token: 3, TTL: 1000, Into: wb, IntoToken: 9, Checkpoint: []byte("ab")}, "not by b under 9"},
+		{1104, Command{Operation: Merge, ID: w, Holder: b1, Token: 3, TTL: 1000, Into: wb, IntoToken: 2, Checkpoint: []byte("ab")}, ""},
+		{1105, Command{Operation: Merge, ID: w, Holder: b1, Token: 3, TTL: 1000, Into: wb, IntoToken: 2, Checkpoint: []byte("ab")}, ""}, // again
+		{1106, Command{Operation: TakeOver, ID: w, Holder: c1, TTL: 1000}, "no piece any more"},
+		{1107, Command{Operation: Renew, ID: w, Holder: a1, Token: 1, TTL: 1000}, "token 1 is of the past"},
+		{1108, Command{Operation: Acquire, ID: w, Holder: a1, TTL: 1000}, ""}, // token 4
+		{1109, Command{Operation: Acquire, ID: w, Holder: a2, TTL: 1000}, ""}, // a restart: token 5
+		{1110, Command{Operation: Renew, ID: w, Holder: a1, Token: 4, TTL: 1000}, "held by a under token 5"},
+		{900, Command{Operation: TakeOver, ID: w, Holder: c1, TTL: 1000}, "for 999 ms more"}, // a clock that is behind
+		{1111, Command{Operation: Release, ID: w, Holder: a2, Token: 5}, ""},
+		{1111, Command{Operation: TakeOver, ID: w, Holder: c1, TTL: 1000}, ""}, // token 6
+		{1112, Command{Operation: Renew, ID: w, Holder: c1, Token: 6, TTL: 1}, "a lease of 1 ms"},
+		{1112, Command{Operation: Acquire, ID: "x", Holder: c1, TTL: 1000}, "no piece of work"},
+		{1112, Command{Operation: 9, ID: w, Holder: c1}, "no command 9"},
+		{1112, Command{Operation: Acquire, ID: "trial/z", TTL: 1000}, "nobody asks"},
+		{1112, Command{Operation: Renew, ID: w, Holder: c1, Token: 6, TTL: 1000, Checkpoint: make([]byte, MaxCheckpointBytes+1)}, "a checkpoint of"},
 	} {
 		r := b.Apply(&s.c, s.at)
-		if (r.Refused == "") != (s.want == "") || !strings.Contains(r.Refused, s.want) {
-			t.Errorf("%d, %+v: refused %q, want %q", i, s.c, r.Refused, s.want)
+		if (r.Rejection == "") != (s.want == "") || !strings.Contains(r.Rejection, s.want) {
+			t.Errorf("%d, %+v: refused %q, want %q", i, s.c, r.Rejection, s.want)
 		}
 	}
-	l, _ := b.Find(wb)
-	if string(l.Checkpoint) != "ab" || len(l.Merged) != 1 || l.Merged[0] != (Past{w, 3}) || b.token != 6 {
-		t.Errorf("%+v, token %d", l, b.token)
+	l, _ := b.Get(wb)
+	if string(l.Checkpoint) != "ab" || len(l.Merged) != 1 || l.Merged[0] != (Grant{w, 3}) || b.lastToken != 6 {
+		t.Errorf("%+v, token %d", l, b.lastToken)
 	}
 	raw, err := b.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := NewBook()
-	if err := back.Restore(raw); err != nil || fmt.Sprint(back.Leases()) != fmt.Sprint(b.Leases()) || back.token != 6 || back.now != b.now {
+	back := NewTable()
+	if err := back.Restore(raw); err != nil || fmt.Sprint(back.Leases()) != fmt.Sprint(b.Leases()) || back.lastToken != 6 || back.now != b.now {
 		t.Errorf("%v, %+v", err, back)
 	}
-	back.token = 1
-	if raw, err = back.Encode(); err != nil || NewBook().Restore(raw) == nil {
+	back.lastToken = 1
+	if raw, err = back.Encode(); err != nil || NewTable().Restore(raw) == nil {
 		t.Error("tokens above all that were given are restored")
 	}
 }
 
 // Whatever comes in whatever order, a piece has one owner, tokens only rise, each checkpoint is in one piece at a time, and
 // none is lost but by its owner's own word.
-func TestBookAtRandom(t *testing.T) {
+func TestTableAtRandom(t *testing.T) {
 	for seed := range uint64(200) {
-		chance, b := rand.New(rand.NewPCG(seed, 1)), NewBook()
+		chance, b := rand.New(rand.NewPCG(seed, 1)), NewTable()
 		at, last := 0.0, Token(0)
 		holders := []Holder{a1, b1, c1, a2}
-		tokens := map[Work]map[Holder]Token{}
+		tokens := map[ID]map[Holder]Token{}
 		parts := map[string]bool{} // in a checkpoint: written and not yet replaced by their owner
 		for n := range 400 {
 			h := holders[chance.IntN(len(holders))]
-			w, own := TrialOf([]string{"a", "b", "c"}[chance.IntN(3)]), TrialOf(h.Name)
+			w, own := TrialID([]string{"a", "b", "c"}[chance.IntN(3)]), TrialID(h.Name)
 			at += 300 * chance.Float64()
-			c := Command{Verb: Verb(1 + chance.IntN(5)), Work: w, By: h, Span: 500, Token: tokens[w][h]}
-			if c.Verb == Claim {
-				c.Work = own
+			c := Command{Operation: Operation(1 + chance.IntN(5)), ID: w, Holder: h, TTL: 500, Token: tokens[w][h]}
+			if c.Operation == Acquire {
+				c.ID = own
 			}
-			before, _ := b.Find(c.Work)
-			into, _ := b.Find(own)
-			switch c.Verb {
-			case Keep:
+			before, _ := b.Get(c.ID)
+			into, _ := b.Get(own)
+			switch c.Operation {
+			case Renew:
 				c.Checkpoint = fmt.Appendf(nil, "%s+%d", before.Checkpoint, n)
 			case Merge:
 				c.Into, c.IntoToken = own, tokens[own][h]
 				c.Checkpoint = fmt.Appendf(nil, "%s%s", into.Checkpoint, before.Checkpoint)
 			}
 			r := b.Apply(&c, at)
-			if r.Refused != "" {
+			if r.Rejection != "" {
 				continue
 			}
-			switch c.Verb {
-			case Keep:
+			switch c.Operation {
+			case Renew:
 				parts[fmt.Sprint(n)] = true
-			case Claim, Take:
-				if tokens[c.Work] == nil {
-					tokens[c.Work] = map[Holder]Token{}
+			case Acquire, TakeOver:
+				if tokens[c.ID] == nil {
+					tokens[c.ID] = map[Holder]Token{}
 				}
-				if again := tokens[c.Work][h] == r.Lease.Token; !again && r.Lease.Token <= last {
+				if again := tokens[c.ID][h] == r.Lease.Token; !again && r.Lease.Token <= last {
 					t.Fatalf("seed %d: token %d after %d", seed, r.Lease.Token, last)
 				}
 				last = max(last, r.Lease.Token)
-				tokens[c.Work][h] = r.Lease.Token
+				tokens[c.ID][h] = r.Lease.Token
 			}
 			seen := map[string]int{}
 			for _, l := range b.leases {
@@ -138,38 +137,38 @@
 }
 
 // What a marshal may do by its own clock, and what it learns from refusals.
-func TestOwn(t *testing.T) {
-	o := Own{Work: "trial/a", By: a1, Span: 1000}
-	if o.MayVote(decision.VoteOn, 0) || !o.MayVote(decision.VoteBack, 0) || !o.MayVote(decision.VoteNone, 0) {
+func TestSession(t *testing.T) {
+	o := Session{ID: "trial/a", Holder: a1, TTL: 1000}
+	if o.MayVote(decision.VoteAdvance, 0) || !o.MayVote(decision.VoteRollback, 0) || !o.MayVote(decision.VoteNone, 0) {
 		t.Error("votes without a lease")
 	}
 	c := o.Next(nil)
-	if c.Verb != Claim || o.Said(&c, 100, &Reply{Refused: "held"}) || o.Holds(100) {
+	if c.Operation != Acquire || o.HandleReply(&c, 100, &Reply{Rejection: "held"}) || o.Valid(100) {
 		t.Errorf("%+v", o)
 	}
-	o.Said(&c, 100, &Reply{Lease: Lease{Token: 7}})
-	if !o.Holds(899) || o.Holds(900) || o.MayVote(decision.VoteHold, 900) || !o.MayVote(decision.VoteOn, 800) {
+	o.HandleReply(&c, 100, &Reply{Lease: Lease{Token: 7}})
+	if !o.Valid(899) || o.Valid(900) || o.MayVote(decision.VoteHold, 900) || !o.MayVote(decision.VoteAdvance, 800) {
 		t.Error("a lease counts from before it was asked for")
 	}
 	c = o.Next([]byte("x"))
-	if o.Said(&c, 900, &Reply{}); c.Verb != Keep || c.Token != 7 || !o.Holds(1600) || o.Holds(1700) {
+	if o.HandleReply(&c, 900, &Reply{}); c.Operation != Renew || c.Token != 7 || !o.Valid(1600) || o.Valid(1700) {
 		t.Errorf("%+v after %+v", o, c)
 	}
-	if !o.Said(&c, 5000, &Reply{Refused: "held by b"}) || o.Said(&c, 5000, &Reply{Refused: "held by b"}) || o.Holds(1000) {
+	if !o.HandleReply(&c, 5000, &Reply{Rejection: "held by b"}) || o.HandleReply(&c, 5000, &Reply{Rejection: "held by b"}) || o.Valid(1000) {
 		t.Error("a loss is told once")
 	}
-	if c = o.Next(nil); c.Verb != Claim {
+	if c = o.Next(nil); c.Operation != Acquire {
 		t.Errorf("%+v", c)
 	}
 }
 
 // Heirs have one order at all, first ones first; pieces of those that live, or of a held lease, are nobody's to take.
-func TestDue(t *testing.T) {
+func TestDueForTakeover(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	firsts := map[string]int{}
 	for i := range 300 {
-		w := TrialOf(fmt.Sprint("m", i))
-		one, two := Heirs(w, names), Heirs(w, []string{"e", "d", "c", "b", "a"})
+		w := TrialID(fmt.Sprint("m", i))
+		one, two := Successors(w, names), Successors(w, []string{"e", "d", "c", "b", "a"})
 		if !slices.Equal(one, two) {
 			t.Fatal("heirs hang on the order of names")
 		}
@@ -184,9 +183,9 @@
 		v := &membership.View{Self: "a", Members: []membership.Member{{Name: "a"}, {Name: "b"}, {Name: "c"}, {Name: "z", State: state}}}
 		return v
 	}
-	w := TrialOf("z")
-	heirs := Heirs(w, []string{"a", "b", "c"})
-	leases := []Lease{{Work: w, Owner: Holder{"z", 1}, Until: 1000}, {Work: TrialOf("a"), Owner: Holder{"a", 1}}}
+	w := TrialID("z")
+	heirs := Successors(w, []string{"a", "b", "c"})
+	leases := []Lease{{ID: w, Holder: Holder{"z", 1}, ExpiresAt: 1000}, {ID: TrialID("a"), Holder: Holder{"a", 1}}}
 	for _, c := range []struct {
 		state membership.State
 		now   Millis
@@ -203,32 +202,35 @@
 		{membership.Dead, 1400, 2, false},
 		{membership.Dead, 1500, 2, true},
 	} {
-		got := Due(heirs[c.place], view(c.state), List{Now: c.now, Leases: leases}, 500)
+		got := DueForTakeover(heirs[c.place], view(c.state), List{Now: c.now, Leases: leases}, 500)
 		if due := slices.Contains(got, w); due != c.due || len(got) > 1 {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
-	leases[0].Owner.Name = heirs[1]
-	if got := Due(heirs[1], view(membership.Dead), List{Now: 0, Leases: leases}, 500); !slices.Contains(got, w) {
+	leases[0].Holder.Name = heirs[1]
+	if got := DueForTakeover(heirs[1], view(membership.Dead), List{Now: 0, Leases: leases}, 500); !slices.Contains(got, w) {
 		t.Errorf("taken by this one and not merged: %v", got)
 	}
-	if got := Due(heirs[0], view(membership.Dead), List{Now: 1000, Leases: leases}, 500); !slices.Contains(got, w) {
+	if got := DueForTakeover(heirs[0], view(membership.Dead), List{Now: 1000, Leases: leases}, 500); !slices.Contains(got, w) {
 		t.Errorf("taken by another, not merged, and lapsed: %v", got)
 	}
-	leases[0].Owner.Name = "forgotten"
-	if got := Due(heirs[0], view(membership.Alive), List{Now: 9000, Leases: leases}, 500); len(got) != 1 {
+	leases[0].Holder.Name = "forgotten"
+	if got := DueForTakeover(heirs[0], view(membership.Alive), List{Now: 9000, Leases: leases}, 500); len(got) != 1 {
 		t.Errorf("of an owner that nobody knows any more: %v", got)
 	}
 }
 
-func TestResumed(t *testing.T) {
+func TestDecideResume(t *testing.T) {
 	for _, c := range []struct {
-		g    decision.PathGroup
-		want Resume
-	}{{decision.PathGroup{Effect: decision.Repeatable}, Again}, {decision.PathGroup{Effect: decision.Mutating}, Refuse},
-		{decision.PathGroup{Effect: decision.Tagged, Scope: decision.ScopeZone}, Refuse},
-		{decision.PathGroup{Effect: decision.Tagged, Scope: decision.ScopeAll, Remember: 1000}, Refuse}} {
-		if got := Resumed(&c.g); got != c.want {
+		g    decision.RequestClass
+		want ResumeDecision
+	}{
+		{decision.RequestClass{Idempotency: decision.Idempotent}, ResumeAdmit},
+		{decision.RequestClass{Idempotency: decision.NonIdempotent}, ResumeReject},
+		{decision.RequestClass{Idempotency: decision.IdempotentWithKey, RetryScope: decision.ScopeZone}, ResumeReject},
+		{decision.RequestClass{Idempotency: decision.IdempotentWithKey, RetryScope: decision.ScopeAll, DedupWindow: 1000}, ResumeReject},
+	} {
+		if got := DecideResume(&c.g); got != c.want {
 			t.Errorf("%+v: %v", c.g, got)
 		}
 	}
@@ -236,52 +238,52 @@
 
 // A checkpoint that was gathered before another's work was merged, and comes late, keeps the lease and is not written over it.
 func TestLateCheckpoint(t *testing.T) {
-	b := NewBook()
-	own, other := TrialOf("b"), TrialOf("a")
+	b := NewTable()
+	own, other := TrialID("b"), TrialID("a")
 	for i, c := range []Command{
-		{Verb: Claim, Work: own, By: b1, Span: 1000},
-		{Verb: Claim, Work: other, By: a1, Span: 1000},
-		{Verb: Release, Work: other, By: a1, Token: 2},
-		{Verb: Take, Work: other, By: b1, Span: 1000},
-		{Verb: Merge, Work: other, By: b1, Token: 3, Span: 1000, Into: own, IntoToken: 1, Checkpoint: []byte("both"), Seq: 8},
-		{Verb: Keep, Work: own, By: b1, Token: 1, Span: 2000, Checkpoint: []byte("mine"), Seq: 7},
+		{Operation: Acquire, ID: own, Holder: b1, TTL: 1000},
+		{Operation: Acquire, ID: other, Holder: a1, TTL: 1000},
+		{Operation: Release, ID: other, Holder: a1, Token: 2},
+		{Operation: TakeOver, ID: other, Holder: b1, TTL: 1000},
+		{Operation: Merge, ID: other, Holder: b1, Token: 3, TTL: 1000, Into: own, IntoToken: 1, Checkpoint: []byte("both"), CheckpointSeq: 8},
+		{Operation: Renew, ID: own, Holder: b1, Token: 1, TTL: 2000, Checkpoint: []byte("mine"), CheckpointSeq: 7},
 	} {
-		if r := b.Apply(&c, float64(i)); r.Refused != "" {
-			t.Fatalf("%d: %s", i, r.Refused)
+		if r := b.Apply(&c, float64(i)); r.Rejection != "" {
+			t.Fatalf("%d: %s", i, r.Rejection)
 		}
 	}
-	if l, _ := b.Find(own); string(l.Checkpoint) != "both" || l.Until != 2005 {
+	if l, _ := b.Get(own); string(l.Checkpoint) != "both" || l.ExpiresAt != 2005 {
 		t.Errorf("%+v", l)
 	}
 }
 
 // A piece that can't be gone on with is ended once, by who has it, and is seen among the ended; nobody takes it again.
-func TestEnd(t *testing.T) {
-	b := NewBook()
-	w := TrialOf("a")
-	b.Apply(&Command{Verb: Claim, Work: w, By: a1, Span: 1000}, 0)
-	b.Apply(&Command{Verb: Take, Work: w, By: b1, Span: 1000}, 1000)
+func TestAbandon(t *testing.T) {
+	b := NewTable()
+	w := TrialID("a")
+	b.Apply(&Command{Operation: Acquire, ID: w, Holder: a1, TTL: 1000}, 0)
+	b.Apply(&Command{Operation: TakeOver, ID: w, Holder: b1, TTL: 1000}, 1000)
 	for _, s := range []struct {
 		c    Command
 		want string
 	}{
-		{Command{Verb: End, Work: w, By: a1, Token: 1, Why: "late"}, "held by b under token 2"},
-		{Command{Verb: End, Work: w, By: b1, Token: 2, Why: strings.Repeat("x", 201)}, "a reason of 201 bytes"},
-		{Command{Verb: End, Work: w, By: b1, Token: 2, Why: "torn"}, ""},
-		{Command{Verb: End, Work: w, By: b1, Token: 2, Why: "torn"}, ""}, // its answer was lost
-		{Command{Verb: Take, Work: w, By: c1, Span: 1000}, "no piece any more"},
-		{Command{Verb: Claim, Work: w, By: a1, Span: 1000}, ""}, // its marshal begins anew
+		{Command{Operation: Abandon, ID: w, Holder: a1, Token: 1, Reason: "late"}, "held by b under token 2"},
+		{Command{Operation: Abandon, ID: w, Holder: b1, Token: 2, Reason: strings.Repeat("x", 201)}, "a reason of 201 bytes"},
+		{Command{Operation: Abandon, ID: w, Holder: b1, Token: 2, Reason: "torn"}, ""},
+		{Command{Operation: Abandon, ID: w, Holder: b1, Token: 2, Reason: "torn"}, ""}, // its answer was lost
+		{Command{Operation: TakeOver, ID: w, Holder: c1, TTL: 1000}, "no piece any more"},
+		{Command{Operation: Acquire, ID: w, Holder: a1, TTL: 1000}, ""}, // its marshal begins anew
 	} {
-		if r := b.Apply(&s.c, 1500); (r.Refused == "") != (s.want == "") || !strings.Contains(r.Refused, s.want) {
-			t.Errorf("%+v: refused %q, want %q", s.c, r.Refused, s.want)
+		if r := b.Apply(&s.c, 1500); (r.Rejection == "") != (s.want == "") || !strings.Contains(r.Rejection, s.want) {
+			t.Errorf("%+v: refused %q, want %q", s.c, r.Rejection, s.want)
 		}
 	}
 	raw, err := b.Encode()
-	back := NewBook()
+	back := NewTable()
 	if err == nil {
 		err = back.Restore(raw)
 	}
-	if l := back.List(); err != nil || len(l.Ended) != 1 || l.Ended[0] != (Ended{w, 2, "b", "torn", 1500}) || len(l.Leases) != 1 {
+	if l := back.List(); err != nil || len(l.Abandoned) != 1 || l.Abandoned[0] != (Abandoned{w, 2, "b", "torn", 1500}) || len(l.Leases) != 1 {
 		t.Errorf("%v: %+v", err, l)
 	}
 }
--- a/internal/cluster/membership/detector.go
+++ b/internal/cluster/membership/detector.go
@@ -2,108 +2,109 @@
 
 import (
 	"math"
-
 	"ottershed/internal/stats"
 )
 
 const (
-	relaysAsked  = 3   // others that are asked to ping one that does not answer
-	mostHealth   = 8   // of a member's doubt in itself, see awareness.go
-	mostProbes   = 16  // out at once: the regular one, and checks of those whom others accuse
-	mostRelays   = 128 // pings for others that are out at once
-	checkers     = 8   // members of a whole fleet that look for themselves at one whom others accuse
-	gossipFanout = 2
-	sendsFactor  = 4 // an update goes out so often, times the digits of the number of members
+	indirectProbes   = 3   // others that are asked to ping one that does not answer
+	maxAwareness     = 8   // of a member's doubt in itself, see awareness.go
+	maxProbes        = 16  // out at once: the regular one, and checks of those whom others accuse
+	maxRelays        = 128 // pings for others that are out at once
+	confirmingProbes = 8   // members of a whole fleet that look for themselves at one whom others accuse
+	gossipFanout     = 2
+	retransmitFactor = 4 // an update goes out so often, times the digits of the number of members
 )
 
 // Detector is one member's view of all, and what it does to keep that true. One goroutine owns it.
 type Detector struct {
-	set     Settings
-	pace    pace
-	chance  stats.Chance
-	now     Millis
-	self    Update
-	table   *table
-	queue   queue
-	walk    walk
-	suspect []Name // those suspected; the end of each suspicion empties it
-	probes  []*probe
-	relays  []relay
-	seq     uint64
-	health  health
-	out     Output
+	settings   Settings
+	timing     timing
+	random     stats.Random
+	now        Millis
+	self       Update
+	table      *table
+	broadcasts broadcastQueue
+	walk       walk
+	suspects   []Name // those suspected; the end of each suspicion empties it
+	probes     []*probe
+	relays     []relay
+	seq        uint64
+	awareness  awareness
+	output     Output
 
 	nextProbe, nextGossip, nextSync, nextSweep Millis
 
-	started    bool
-	joined     bool // somebody has answered
-	leaving    bool
-	superseded string // the address of a newer process of this name; empty: none
-	refused    int    // members not taken in for want of room
-	pages      int    // records that may still be sent to strangers' digests in this period
+	started         bool
+	joined          bool // somebody has answered
+	leaving         bool
+	superseded      string // the address of a newer process of this name; empty: none
+	rejected        int    // members not taken in for want of room
+	syncPacketsLeft int    // records that may still be sent to strangers' digests in this period
 }
 
 // probe is a ping that is out.
 type probe struct {
 	seq             uint64
 	target          Name
-	direct          Millis // without an answer by then others are asked
+	directUntil     Millis // without an answer by then others are asked
 	until           Millis // and by then it has failed
 	relays, nacks   int
-	asked, answered bool
-	again           bool // the second in a row
+	indirect, acked bool
+	retry           bool // the second in a row
 }
 
 // relay is a ping that is out for another.
 type relay struct {
-	seq, theirs uint64
-	to          string
-	target      Name
-	nack, until Millis
-	nacked      bool
+	seq, originSeq uint64
+	origin         string
+	target         Name
+	nackAt, until  Millis
+	nacked         bool
 }
 
 // New makes a detector; the settings are checked before.
 func New(set Settings) *Detector {
-	d := &Detector{set: set, pace: paceOf(&set), chance: stats.Chance{Seed: set.Chance}, table: newTable(set.Known)}
-	d.self = Update{Name: set.Name, Address: set.Address, State: Alive, Run: set.Run,
-		Incarnation: Incarnation(max(1, set.Start))}
+	d := &Detector{settings: set, timing: timingOf(&set), random: stats.Random{Seed: set.RandomSeed}, table: newTable(set.Initial)}
+	d.self = Update{
+		Name: set.Name, Address: set.Address, State: Alive, Run: set.Run,
+		Incarnation: Incarnation(max(1, set.Start)),
+	}
 	if m := d.table.write(set.Name); m != nil {
 		d.self.Incarnation = max(d.self.Incarnation, m.Incarnation)
 		d.table.set(m, d.self)
 	} else {
 		d.table.add(d.self)
 	}
-	d.queue.limit = math.MaxInt
+	d.broadcasts.transmitLimit = math.MaxInt
 	return d
 }
 
 // Next is when Tick is to be called at the latest.
 func (d *Detector) Next() Millis {
 	if !d.started || d.superseded != "" {
-		return d.now + d.pace.period
+		return d.now + d.timing.period
 	}
 	next := min(d.nextProbe, d.nextSync, d.nextSweep)
-	if d.queue.size > 0 {
+	if d.broadcasts.size > 0 {
 		next = min(next, d.nextGossip)
 	}
 	for _, p := range d.probes {
-		if !p.asked {
-			next = min(next, p.direct)
+		if !p.indirect {
+			next = min(next, p.directUntil)
 		}
 		next = min(next, p.until)
 	}
 	for _, r := range d.relays {
 		if !r.nacked {
-			next = min(next, r.nack)
+			next = min(next, r.nackAt)
 		}
 		next = min(next, r.until)
 	}
-	for _, name := range d.suspect {
+	for _, name := range d.suspects {
 		if m := d.table.get(name); m != nil && m.suspicion != nil {
-			next = min(next, m.suspicion.ends)
-			if m.suspicion.asked < mostAsks {
-				next = min(next, m.suspicion.asks(&d.pace))
+			next = min(next, m.suspicion.endsAt)
+			if m.suspicion.finalChecks < maxFinalChecks {
+				next = min(next, m.suspicion.nextFinalCheck(&d.timing))
 			}
 		}
 	}
@@ -112,38 +113,40 @@
 
 // Tick does what is due.
 func (d *Detector) Tick(now Millis) Output {
-	d.begin()
+	d.resetOutput()
 	d.advance(now)
-	return d.out
+	return d.output
 }
 
 // Receive takes a packet that was checked by Packet.Check.
 func (d *Detector) Receive(now Millis, p *Packet) Output {
-	d.begin()
+	d.resetOutput()
 	d.advance(now) // Danger: after a pause the packets that waited would pass before the pause is noticed
 	if d.superseded == "" {
 		d.receive(p)
 	}
-	return d.out
+	return d.output
 }
 
 // Leave says that this member goes; it is to be called once, and packets go on for a moment to spread it.
 func (d *Detector) Leave(now Millis) Output {
-	d.begin()
+	d.resetOutput()
 	d.advance(now)
 	if d.superseded != "" || d.leaving {
-		return d.out
+		return d.output
 	}
 	d.leaving = true
-	d.say(Left)
+	d.announce(Left)
 	// A member that leaves has no time for rounds: word goes to some at once, as much as it would in a period.
-	for _, m := range d.some(2*relaysAsked+gossipFanout, func(m *member) bool { return m.State <= Suspect }) {
+	for _, m := range d.sample(2*indirectProbes+gossipFanout, func(m *member) bool { return m.State <= Suspect }) {
 		d.send(m, Packet{Kind: Gossip})
 	}
-	return d.out
+	return d.output
 }
 
-func (d *Detector) begin() { d.out.Sends, d.out.Changes = d.out.Sends[:0], d.out.Changes[:0] }
+func (d *Detector) resetOutput() {
+	d.output.Sends, d.output.Changes = d.output.Sends[:0], d.output.Changes[:0]
+}
 
 // advance brings the detector to the present.
 func (d *Detector) advance(now Millis) {
@@ -153,8 +156,8 @@
 	if !d.started {
 		d.start(now)
 	}
-	if due := d.Next(); d.superseded == "" && now-due > d.pace.period {
-		d.woke(now - due)
+	if due := d.Next(); d.superseded == "" && now-due > d.timing.period {
+		d.resumed(now - due)
 	}
 	if d.now = now; d.superseded != "" {
 		return
@@ -163,19 +166,19 @@
 	d.relaysDue()
 	d.suspicionsDue()
 	if now >= d.nextProbe {
-		d.nextProbe = now + d.pace.period*d.health.factor()
-		d.pages = mostPages
+		d.nextProbe = now + d.timing.period*d.awareness.factor()
+		d.syncPacketsLeft = maxSyncPackets
 		d.probeNext()
 	}
 	if now >= d.nextSync {
-		d.compare()
+		d.sync()
 	}
-	if now >= d.nextGossip && d.queue.size > 0 {
-		d.nextGossip = now + d.pace.gossip
+	if now >= d.nextGossip && d.broadcasts.size > 0 {
+		d.nextGossip = now + d.timing.gossipInterval
 		d.gossip()
 	}
 	if now >= d.nextSweep {
-		d.nextSweep = now + d.pace.sync
+		d.nextSweep = now + d.timing.syncInterval
 		d.sweep()
 	}
 	// Danger: with nothing to spread this stays behind, and the next thing to spread would look like a pause.
@@ -184,32 +187,32 @@
 
 func (d *Detector) start(now Millis) {
 	d.started, d.now = true, now
-	d.joined = d.set.Known != nil
+	d.joined = d.settings.Initial != nil
 	// Danger: a fleet that starts at once would probe in step for good.
-	d.nextProbe = now + d.pace.period*d.chance.Next()
+	d.nextProbe = now + d.timing.period*d.random.Next()
 	d.nextSync = now
 	if d.joined {
-		d.nextSync = now + d.pace.sync*d.chance.Next()
+		d.nextSync = now + d.timing.syncInterval*d.random.Next()
 	}
-	d.nextSweep = now + d.pace.sync*(1+d.chance.Next())
+	d.nextSweep = now + d.timing.syncInterval*(1+d.random.Next())
 	d.nextGossip = now
-	d.pages = mostPages
+	d.syncPacketsLeft = maxSyncPackets
 	d.resize()
-	d.change(d.table.get(d.set.Name), Dead, true)
+	d.emitChange(d.table.get(d.settings.Name), Dead, true)
 }
 
 // woke notes that this member itself stood still for a while. Danger: by its clock all others were silent as long: it
 // would find its probes unanswered and the suspicions that it held run out, and declare sound members dead at once.
-func (d *Detector) woke(gap Millis) {
+func (d *Detector) resumed(stalledFor Millis) {
 	d.probes, d.relays = d.probes[:0], d.relays[:0]
-	for _, name := range d.suspect {
+	for _, name := range d.suspects {
 		if m := d.table.get(name); m != nil && m.suspicion != nil {
-			m.suspicion.from += gap
-			m.suspicion.ends += gap
-			m.heard = 0
+			m.suspicion.startedAt += stalledFor
+			m.suspicion.endsAt += stalledFor
+			m.confirmedAt = 0
 		}
 	}
-	d.health.worse(1)
+	d.awareness.worse(1)
 	d.nextProbe = max(d.nextProbe, d.now)
 }
 
@@ -217,8 +220,8 @@
 // them back; and what is never forgotten grows with every name that ever was.
 func (d *Detector) sweep() {
 	for _, m := range d.table.changed() {
-		if m.State >= Dead && m.Name != d.set.Name && d.now-m.since >= d.pace.forget {
-			d.queue.drop(m)
+		if m.State >= Dead && m.Name != d.settings.Name && d.now-m.since >= d.timing.forgetAfter {
+			d.broadcasts.drop(m)
 			d.table.forget(m)
 		}
 	}
@@ -227,12 +230,12 @@
 
 // resize follows the number of members.
 func (d *Detector) resize() {
-	d.queue.limit = sendsFactor * int(math.Ceil(math.Log10(float64(d.table.present()+1))))
+	d.broadcasts.transmitLimit = retransmitFactor * int(math.Ceil(math.Log10(float64(d.table.present()+1))))
 }
 
 // receive takes a packet in: first what its sender says by being there, then its updates, then what it asks.
 func (d *Detector) receive(p *Packet) {
-	if p.From == d.set.Name {
+	if p.From == d.settings.Name {
 		d.aboutSelf(Update{Name: p.From, Address: p.Address, State: Alive, Incarnation: p.Incarnation, Run: p.Run})
 		return
 	}
@@ -252,7 +255,7 @@
 		return
 	}
 	if sender.State == Suspect && p.Incarnation >= sender.Incarnation {
-		d.table.write(p.From).heard = d.now
+		d.table.write(p.From).confirmedAt = d.now
 	}
 	if p.Kind != Records { // that is answered in kind
 		d.correct(sender, p.Updates)
@@ -260,13 +263,13 @@
 	switch p.Kind {
 	case Ping:
 		// Danger: after a restart elsewhere an address may be another member's; its answer would prove nothing.
-		if p.Target == d.set.Name {
-			d.sendTo(p.Address, sender, Packet{Kind: Ack, Seq: p.Seq, Target: d.set.Name})
+		if p.Target == d.settings.Name {
+			d.sendTo(p.Address, sender, Packet{Kind: Ack, Seq: p.Seq, Target: d.settings.Name})
 		}
 	case PingReq:
-		d.relay(p)
+		d.handlePingReq(p)
 	case Ack:
-		d.acked(p)
+		d.handleAck(p)
 	case Nack:
 		for _, probe := range d.probes {
 			if probe.seq == p.Seq && probe.nacks < probe.relays {
@@ -274,13 +277,13 @@
 			}
 		}
 	case Digest:
-		d.answerDigest(p, sender)
+		d.handleDigest(p, sender)
 	case Records:
-		d.answerRecords(p, sender)
+		d.handleRecords(p, sender)
 	}
 	// Danger: one who is held dead and speaks would go on in the belief that all is well. An ack has told it above.
 	if sender = d.table.get(p.From); sender != nil && sender.State == Dead && p.Kind != Ping &&
-		d.now-sender.told >= d.pace.period {
+		d.now-sender.notifiedAt >= d.timing.period {
 		d.send(sender, Packet{Kind: Gossip})
 	}
 }
@@ -301,29 +304,29 @@
 // sendTo sends to an address at which a member is thought to hear; m may be nil.
 func (d *Detector) sendTo(address string, m *member, p Packet) {
 	p.From, p.Address, p.Incarnation, p.Run = d.self.Name, d.self.Address, d.self.Incarnation, d.self.Run
-	room := packetBytes - p.size()
+	remaining := maxPacketBytes - p.size()
 	if d.leaving {
-		room -= d.self.size()
+		remaining -= d.self.size()
 		p.Updates = append(p.Updates, d.self)
 	}
-	if m != nil && m.State > Alive && m.Name != d.set.Name {
+	if m != nil && m.State > Alive && m.Name != d.settings.Name {
 		// What is held of the receiver goes first, so that it can deny it (Lifeguard's buddy system).
-		room -= m.size()
+		remaining -= m.size()
 		p.Updates = append(p.Updates, m.Update)
 		if m.State == Dead {
-			d.table.write(m.Name).told = d.now
+			d.table.write(m.Name).notifiedAt = d.now
 		}
 	}
-	p.Updates = d.queue.take(p.Updates, room)
-	d.out.Sends = append(d.out.Sends, Send{To: address, Packet: p})
+	p.Updates = d.broadcasts.appendTo(p.Updates, remaining)
+	d.output.Sends = append(d.output.Sends, Send{To: address, Packet: p})
 }
 
 // some draws members that fit, in the order of a walk.
-func (d *Detector) some(n int, fit func(*member) bool) []*member {
+func (d *Detector) sample(n int, fit func(*member) bool) []*member {
 	var out []*member
 	w := d.newWalk()
 	for m := w.next(d.table); m != nil && len(out) < n; m = w.next(d.table) {
-		if m.Name != d.set.Name && fit(m) {
+		if m.Name != d.settings.Name && fit(m) {
 			out = append(out, m)
 		}
 	}
@@ -338,8 +341,8 @@
 	n := d.table.slots()
 	w := walk{slots: n, left: n}
 	if n > 1 {
-		w.at = int(d.chance.Next() * float64(n))
-		for w.stride = 1 + int(d.chance.Next()*float64(n-1)); gcd(w.stride, n) != 1; {
+		w.at = int(d.random.Next() * float64(n))
+		for w.stride = 1 + int(d.random.Next()*float64(n-1)); gcd(w.stride, n) != 1; {
 			w.stride = w.stride%(n-1) + 1
 		}
 	}
@@ -351,7 +354,7 @@
 	for w.left > 0 && w.slots == t.slots() {
 		w.left--
 		w.at = (w.at + w.stride) % w.slots
-		if m := t.at(w.at); m != nil {
+		if m := t.memberAt(w.at); m != nil {
 			return m
 		}
 	}
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -2,9 +2,8 @@
 
 import (
 	"encoding/json"
-	"testing"
-
 	"ottershed/internal/golden"
+	"testing"
 )
 
 func goldenUpdate(state State) Update {
@@ -13,8 +12,10 @@
 
 // goldenPacket has every field set, those too that its kind does not need.
 func goldenPacket(kind Kind) *Packet {
-	p := &Packet{Kind: kind, From: "a", Address: "127.0.0.1:7001", Incarnation: 1764700000001, Run: 0x123456789abcdef0, Seq: 99,
-		Target: "b", TargetAt: "127.0.0.2:7002", Updates: []Update{goldenUpdate(Suspect), goldenUpdate(Dead)}}
+	p := &Packet{
+		Kind: kind, From: "a", Address: "127.0.0.1:7001", Incarnation: 1764700000001, Run: 0x123456789abcdef0, Seq: 99,
+		Target: "b", TargetAddress: "127.0.0.2:7002", Updates: []Update{goldenUpdate(Suspect), goldenUpdate(Dead)},
+	}
 	for i := range uint64(buckets) {
 		p.Sums = append(p.Sums, i<<40+1)
 	}
@@ -41,10 +42,12 @@
 
 // Packets of every kind are as instances of earlier programs send and read them.
 func TestPacketsOnTheWire(t *testing.T) {
-	kinds := map[string]Kind{"ping": Ping, "ack": Ack, "ping_req": PingReq, "nack": Nack, "gossip": Gossip, "digest": Digest,
-		"records": Records}
-	if len(kinds) != int(kindEnd)-1 {
-		t.Errorf("%d kinds of packets, %d of them here", kindEnd-1, len(kinds))
+	kinds := map[string]Kind{
+		"ping": Ping, "ack": Ack, "ping_req": PingReq, "nack": Nack, "gossip": Gossip, "digest": Digest,
+		"records": Records,
+	}
+	if len(kinds) != int(kindCount)-1 {
+		t.Errorf("%d kinds of packets, %d of them here", kindCount-1, len(kinds))
 	}
 	for name, kind := range kinds {
 		p := goldenPacket(kind)
@@ -65,7 +68,9 @@
 
 // The view is what the admin address answers.
 func TestViewOnTheWire(t *testing.T) {
-	view := View{Self: "a", At: 1764700000123.5, Health: 3, Superseded: "127.0.0.9:7009", Refused: 2, Members: []Member{{Name: "c",
-		Address: "127.0.0.3:7003", State: Suspect, Incarnation: 1764700000123, Run: 0xfedcba9876543210, Since: 1764700000001.25, By: "a"}}}
+	view := View{Self: "a", At: 1764700000123.5, Health: 3, Superseded: "127.0.0.9:7009", Rejected: 2, Members: []Member{{
+		Name:    "c",
+		Address: "127.0.0.3:7003", State: Suspect, Incarnation: 1764700000123, Run: 0xfedcba9876543210, Since: 1764700000001.25, By: "a",
+	}}}
 	golden.RoundTrip(t, "view.json", view, json.Marshal, json.Unmarshal)
 }
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -68,7 +68,7 @@
 }
 
 // over tells whether u says something newer than was.
-func (u *Update) over(was *Update) bool {
+func (u *Update) supersedes(was *Update) bool {
 	return u.Incarnation > was.Incarnation || u.Incarnation == was.Incarnation && u.State > was.State
 }
 
@@ -83,21 +83,21 @@
 	Gossip       // updates only
 	Digest       // sums over what the sender holds; asks for what differs
 	Records      // the answer: what differs
-	kindEnd
+	kindCount
 )
 
 // Packet is one message between members. Every packet tells its sender's incarnation, which is an update by itself.
 type Packet struct {
-	Kind        Kind
-	From        Name
-	Address     string // where the sender hears; answers go there
-	Incarnation Incarnation
-	Run         RunID
-	Seq         uint64 // of a ping; its answers carry it
-	Target      Name   // of a ping: who is meant; of a PingReq: who is to be pinged
-	TargetAt    string // of a PingReq
-	Sums        []uint64
-	Updates     []Update
+	Kind          Kind
+	From          Name
+	Address       string // where the sender hears; answers go there
+	Incarnation   Incarnation
+	Run           RunID
+	Seq           uint64 // of a ping; its answers carry it
+	Target        Name   // of a ping: who is meant; of a PingReq: who is to be pinged
+	TargetAddress string // of a PingReq
+	Sums          []uint64
+	Updates       []Update
 }
 
 // Send is a packet that is to go to an address.
@@ -108,9 +108,9 @@
 
 // Change is a member's new state, or a new run of it.
 type Change struct {
-	At  Millis
-	Was State // of one that was not known: Dead
-	New bool  // not known before
+	At       Millis
+	Previous State // of one that was not known: Dead
+	New      bool  // not known before
 	Member
 }
 
@@ -128,26 +128,26 @@
 
 // Settings are what a detector is told at its start.
 type Settings struct {
-	Name    Name
-	Address string // where others reach it
-	Run     RunID
-	Start   Millis // Unix
-	Seeds   []Seed // its own entry among them does no harm
-	Chance  uint64 // seeds all that is drawn
+	Name       Name
+	Address    string // where others reach it
+	Run        RunID
+	Start      Millis // Unix
+	Seeds      []Seed // its own entry among them does no harm
+	RandomSeed uint64 // seeds all that is drawn
 
 	// BearPause is a silence that must be borne: a member that is back within it is not declared dead.
-	BearPause Millis
+	ToleratedPause Millis
 	// DetectWithin is when a member that has died is declared dead by all, at the latest.
-	DetectWithin Millis
-	MostMembers  int // beyond, no new ones are taken in
+	DetectionTimeout Millis
+	MaxMembers       int // beyond, no new ones are taken in
 
-	Known *Roster // those held as alive from the start on; nil: none
+	Initial *Roster // those held as alive from the start on; nil: none
 }
 
 const (
-	periods     = 16   // of probing, in what is left of DetectWithin beyond the pause; see pace
-	leastPeriod = 20.0 // ms; below, the timers of a busy machine are the noise
-	longestName = 64   // bytes
+	periodsPerDetection = 16   // of probing, in what is left of DetectWithin beyond the pause; see pace
+	minProbePeriod      = 20.0 // ms; below, the timers of a busy machine are the noise
+	maxNameBytes        = 64   // bytes
 )
 
 // Check tells what is wrong with the settings, naming the key of the operator's file.
@@ -158,15 +158,15 @@
 	if err := checkAddress(s.Address); err != nil {
 		return fmt.Errorf("membership.advertise: %w", err)
 	}
-	if s.BearPause < 0 {
-		return fmt.Errorf("membership.bear-pause: want 0 or more, got %g ms", s.BearPause)
+	if s.ToleratedPause < 0 {
+		return fmt.Errorf("membership.bear-pause: want 0 or more, got %g ms", s.ToleratedPause)
 	}
-	if least := s.BearPause + periods*leastPeriod; s.DetectWithin < least {
+	if least := s.ToleratedPause + periodsPerDetection*minProbePeriod; s.DetectionTimeout < least {
 		return fmt.Errorf("membership.detect-within: want at least bear-pause and %g ms, %g ms, got %g ms",
-			periods*leastPeriod, least, s.DetectWithin)
+			periodsPerDetection*minProbePeriod, least, s.DetectionTimeout)
 	}
-	if s.MostMembers < 2 || s.MostMembers > 1<<20 {
-		return fmt.Errorf("membership.most-members: want 2 to %d, got %d", 1<<20, s.MostMembers)
+	if s.MaxMembers < 2 || s.MaxMembers > 1<<20 {
+		return fmt.Errorf("membership.most-members: want 2 to %d, got %d", 1<<20, s.MaxMembers)
 	}
 	names, addresses := map[Name]bool{}, map[string]bool{}
 	for i, seed := range s.Seeds {
@@ -185,8 +185,8 @@
 		}
 		names[seed.Name], addresses[seed.Address] = true, true
 	}
-	if len(s.Seeds) > s.MostMembers {
-		return fmt.Errorf("membership.seeds: %d, more than most-members, %d", len(s.Seeds), s.MostMembers)
+	if len(s.Seeds) > s.MaxMembers {
+		return fmt.Errorf("membership.seeds: %d, more than most-members, %d", len(s.Seeds), s.MaxMembers)
 	}
 	return nil
 }
@@ -196,8 +196,8 @@
 	if n == "" {
 		return errors.New("missing")
 	}
-	if len(n) > longestName {
-		return fmt.Errorf("want %d bytes at most, got %d", longestName, len(n))
+	if len(n) > maxNameBytes {
+		return fmt.Errorf("want %d bytes at most, got %d", maxNameBytes, len(n))
 	}
 	for _, r := range n {
 		if r <= ' ' || r == 0x7f || r == 0xfffd {
@@ -218,21 +218,23 @@
 
 // pace is the detector's timing. It follows from the two figures that an operator can know: all parts of a detection
 // have to fit between them.
-type pace struct {
-	period Millis // between two probes
-	direct Millis // a ping's time before others are asked to ping
-	gossip Millis // between two rounds of updates
-	least  Millis // of a suspicion, where enough others confirm it
-	most   Millis // of a suspicion that nobody confirms
-	sync   Millis // between two comparisons of all that is held
-	forget Millis // until one that died or left is dropped
+type timing struct {
+	period         Millis // between two probes
+	directTimeout  Millis // a ping's time before others are asked to ping
+	gossipInterval Millis // between two rounds of updates
+	minSuspicion   Millis // of a suspicion, where enough others confirm it
+	maxSuspicion   Millis // of a suspicion that nobody confirms
+	syncInterval   Millis // between two comparisons of all that is held
+	forgetAfter    Millis // until one that died or left is dropped
 }
 
 // paceOf divides what DetectWithin leaves beyond BearPause into sixteen periods. Eight are for the first probe to meet
 // the dead member: each of the others probes all in turn, so that nobody does for j periods has the chance exp(-j).
 // Two are for that probe and the next to fail, five for the suspicion beyond the pause, one for word to reach all.
-func paceOf(s *Settings) pace {
-	t := (s.DetectWithin - s.BearPause) / periods
-	return pace{period: t, direct: t / 3, gossip: t / 4, least: s.BearPause + t, most: s.BearPause + 5*t,
-		sync: periods * t, forget: 10 * s.DetectWithin}
+func timingOf(s *Settings) timing {
+	t := (s.DetectionTimeout - s.ToleratedPause) / periodsPerDetection
+	return timing{
+		period: t, directTimeout: t / 3, gossipInterval: t / 4, minSuspicion: s.ToleratedPause + t, maxSuspicion: s.ToleratedPause + 5*t,
+		syncInterval: periodsPerDetection * t, forgetAfter: 10 * s.DetectionTimeout,
+	}
 }
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -8,12 +8,14 @@
 )
 
 func settings(name Name) Settings {
-	return Settings{Name: name, Address: "127.0.0.1:1", Run: 7, Start: 1000, Chance: 1, BearPause: 4000, DetectWithin: 12000,
-		MostMembers: 4, Seeds: []Seed{{"a", "127.0.0.1:1"}, {"b", "127.0.0.2:1"}}}
+	return Settings{
+		Name: name, Address: "127.0.0.1:1", Run: 7, Start: 1000, RandomSeed: 1, ToleratedPause: 4000, DetectionTimeout: 12000,
+		MaxMembers: 4, Seeds: []Seed{{"a", "127.0.0.1:1"}, {"b", "127.0.0.2:1"}},
+	}
 }
 
 // said is a packet from a member, with updates.
-func said(from Name, inc Incarnation, updates ...Update) *Packet {
+func packetFrom(from Name, inc Incarnation, updates ...Update) *Packet {
 	return &Packet{Kind: Gossip, From: from, Address: "127.0.0.2:1", Incarnation: inc, Run: 9, Updates: updates}
 }
 
@@ -22,9 +24,9 @@
 		"name: missing":                          func(s *Settings) { s.Name = "" },
 		"name: want no blanks":                   func(s *Settings) { s.Name = "a b" },
 		"membership.advertise: want ip:port":     func(s *Settings) { s.Address = "host:80" },
-		"membership.bear-pause":                  func(s *Settings) { s.BearPause = -1 },
-		"membership.detect-within: want at":      func(s *Settings) { s.DetectWithin = s.BearPause + 100 },
-		"membership.most-members":                func(s *Settings) { s.MostMembers = 1 },
+		"membership.bear-pause":                  func(s *Settings) { s.ToleratedPause = -1 },
+		"membership.detect-within: want at":      func(s *Settings) { s.DetectionTimeout = s.ToleratedPause + 100 },
+		"membership.most-members":                func(s *Settings) { s.MaxMembers = 1 },
 		"membership.seeds[1].name: \"a\" comes":  func(s *Settings) { s.Seeds[1].Name = "a" },
 		"membership.seeds[1].address: want":      func(s *Settings) { s.Seeds[1].Address = "0.0.0.0:1" },
 		"membership.seeds[1].address: \"127.0.0": func(s *Settings) { s.Seeds[1].Address = s.Seeds[0].Address },
@@ -41,26 +43,30 @@
 
 // Packets come back as they were, fit their bound, and nothing that is odd passes.
 func TestCodec(t *testing.T) {
-	long := Name(strings.Repeat("n", longestName))
-	full := &Packet{Kind: PingReq, From: long, Address: "127.255.255.255:65535", Incarnation: highest - 1, Run: 1<<64 - 1,
-		Seq: 1<<64 - 1, Target: long, TargetAt: "127.255.255.255:65535"}
-	for full.size() < packetBytes-200 {
-		full.Updates = append(full.Updates, Update{Name: long, Address: "127.255.255.255:65535", State: Dead,
-			Incarnation: highest - 1, Run: 1<<64 - 1, By: long})
-	}
-	sealed := Codec{Cluster: strings.Repeat("c", longestCluster), Key: []byte("sixteen bytes or more")}
+	long := Name(strings.Repeat("n", maxNameBytes))
+	full := &Packet{
+		Kind: PingReq, From: long, Address: "127.255.255.255:65535", Incarnation: maxIncarnation - 1, Run: 1<<64 - 1,
+		Seq: 1<<64 - 1, Target: long, TargetAddress: "127.255.255.255:65535",
+	}
+	for full.size() < maxPacketBytes-200 {
+		full.Updates = append(full.Updates, Update{
+			Name: long, Address: "127.255.255.255:65535", State: Dead,
+			Incarnation: maxIncarnation - 1, Run: 1<<64 - 1, By: long,
+		})
+	}
+	sealed := Codec{Cluster: strings.Repeat("c", maxClusterBytes), Key: []byte("sixteen bytes or more")}
 	raw, err := sealed.Encode(full)
 	if err != nil || len(raw) > full.size() {
 		t.Fatalf("%d bytes, reckoned %d, %v", len(raw), full.size(), err)
 	}
 	if back, err := sealed.Decode(raw); err != nil || len(back.Updates) != len(full.Updates) || back.Updates[0] != full.Updates[0] ||
-		back.Seq != full.Seq || back.From != full.From || back.TargetAt != full.TargetAt {
+		back.Seq != full.Seq || back.From != full.From || back.TargetAddress != full.TargetAddress {
 		t.Errorf("%+v, %v", back, err)
 	}
 	for i := range raw { // no byte can be changed
 		odd := append([]byte(nil), raw...)
 		odd[i]++
-		if _, err := sealed.Decode(odd); !errors.Is(err, ErrSeal) {
+		if _, err := sealed.Decode(odd); !errors.Is(err, ErrSignature) {
 			t.Fatalf("byte %d changed: %v", i, err)
 		}
 	}
@@ -72,7 +78,7 @@
 	}
 	ok := Update{Name: "x", Address: "127.0.0.1:1", Incarnation: 1}
 	for name, change := range map[string]func(*Packet){
-		"kind":               func(p *Packet) { p.Kind = kindEnd },
+		"kind":               func(p *Packet) { p.Kind = kindCount },
 		"no sender":          func(p *Packet) { p.From = "" },
 		"no address":         func(p *Packet) { p.Address = "" },
 		"a name to look up":  func(p *Packet) { p.Address = "example.org:80" },
@@ -81,16 +87,16 @@
 		"request to nowhere": func(p *Packet) { p.Kind, p.Target = PingReq, "x" },
 		"state":              func(p *Packet) { p.Updates[0].State = 9 },
 		"incarnation 0":      func(p *Packet) { p.Updates[0].Incarnation = 0 },
-		"at the top":         func(p *Packet) { p.Updates[0].Incarnation = highest },
+		"at the top":         func(p *Packet) { p.Updates[0].Incarnation = maxIncarnation },
 		"nobody accuses":     func(p *Packet) { p.Updates[0].State = Suspect },
 	} {
-		p := said("b", 5, ok)
+		p := packetFrom("b", 5, ok)
 		change(p)
 		raw, err := open.Encode(p)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := open.Decode(raw); !errors.Is(err, ErrForm) {
+		if _, err := open.Decode(raw); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -119,7 +125,7 @@
 		d := New(settings("a"))
 		tc.u.Name = "a"
 		d.Tick(1000)
-		d.Receive(1001, said("b", 5, tc.u))
+		d.Receive(1001, packetFrom("b", 5, tc.u))
 		if got := d.View().Superseded != ""; got != tc.superseded {
 			t.Errorf("%s: superseded %v", name, got)
 		}
@@ -133,27 +139,27 @@
 }
 
 // Word of a death is an accusation to who had no doubt, and the truth to who had.
-func TestWordOfDeath(t *testing.T) {
+func TestDeathReports(t *testing.T) {
 	d := New(settings("a"))
 	d.Tick(1000)
 	c := Update{Name: "c", Address: "127.0.0.3:1", Incarnation: 5, Run: 3}
-	d.Receive(1001, said("b", 5, c))
+	d.Receive(1001, packetFrom("b", 5, c))
 	dead := c
 	dead.State, dead.By = Dead, "b"
-	d.Receive(1002, said("b", 5, dead))
+	d.Receive(1002, packetFrom("b", 5, dead))
 	if s, _, _ := d.StateOf("c"); s != Suspect {
 		t.Errorf("at the first word %v", s)
 	}
-	d.Receive(1003, said("b", 5, dead))
+	d.Receive(1003, packetFrom("b", 5, dead))
 	if s, _, _ := d.StateOf("c"); s != Dead {
 		t.Errorf("at the second word %v", s)
 	}
-	d.Receive(1004, said("b", 5, c))
+	d.Receive(1004, packetFrom("b", 5, c))
 	if s, _, _ := d.StateOf("c"); s != Dead {
 		t.Errorf("old word of its life: %v", s)
 	}
 	c.Incarnation++
-	d.Receive(1005, said("b", 5, c))
+	d.Receive(1005, packetFrom("b", 5, c))
 	if s, inc, _ := d.StateOf("c"); s != Alive || inc != 6 {
 		t.Errorf("its denial: %v %d", s, inc)
 	}
@@ -165,20 +171,20 @@
 	d.Tick(1000)
 	names := []Name{"c", "d", "e", "f"}
 	for _, n := range names {
-		d.Receive(1001, said("b", 5, Update{Name: n, Address: "127.0.0.3:1", Incarnation: 5}))
+		d.Receive(1001, packetFrom("b", 5, Update{Name: n, Address: "127.0.0.3:1", Incarnation: 5}))
 	}
-	if v := d.View(); len(v.Members) != 4 || v.Refused != 2 {
-		t.Errorf("%d members, %d refused", len(v.Members), v.Refused)
+	if v := d.View(); len(v.Members) != 4 || v.Rejected != 2 {
+		t.Errorf("%d members, %d refused", len(v.Members), v.Rejected)
 	}
-	d.Receive(1002, said("b", 5, Update{Name: "c", Address: "127.0.0.3:1", Incarnation: 5, State: Left}))
+	d.Receive(1002, packetFrom("b", 5, Update{Name: "c", Address: "127.0.0.3:1", Incarnation: 5, State: Left}))
 	for now := 1002.0; now < 200000; now = max(now+1, d.Next()) {
 		d.Tick(now)
 	}
 	if _, _, known := d.StateOf("c"); known {
 		t.Error("one that left is never forgotten")
 	}
-	if d.table.size() != 1 || len(d.queue.levels) > 20 || d.queue.size > 1 {
-		t.Errorf("%d members, queue of %d", d.table.size(), d.queue.size)
+	if d.table.size() != 1 || len(d.broadcasts.levels) > 20 || d.broadcasts.size > 1 {
+		t.Errorf("%d members, queue of %d", d.table.size(), d.broadcasts.size)
 	}
 }
 
@@ -186,7 +192,7 @@
 func TestOwnPause(t *testing.T) {
 	d := New(settings("a"))
 	d.Tick(1000)
-	d.Receive(1001, said("b", 5))
+	d.Receive(1001, packetFrom("b", 5))
 	now := 1001.0
 	for s := Alive; s != Suspect; s, _, _ = d.StateOf("b") {
 		now = d.Next()
@@ -196,7 +202,7 @@
 	if s, _, _ := d.StateOf("b"); s != Suspect {
 		t.Errorf("after its own pause %v", s)
 	}
-	if d.health == 0 {
+	if d.awareness == 0 {
 		t.Error("it has no doubt in itself")
 	}
 }
@@ -210,7 +216,7 @@
 				all = append(all, Update{Name: Name("n" + strconv.Itoa(i)), Address: "127.0.0.1:" + strconv.Itoa(i+1), Incarnation: 1})
 			}
 			s := settings("n0")
-			s.Address, s.Known, s.MostMembers = "127.0.0.1:1", NewRoster(all), 2*members
+			s.Address, s.Initial, s.MaxMembers = "127.0.0.1:1", NewRoster(all), 2*members
 			d, codec, now := New(s), Codec{Cluster: "bench", Key: []byte("sixteen bytes or more")}, 1000.0
 			d.Tick(now)
 			raw, err := codec.Encode(&Packet{Kind: Ping, From: "n1", Address: "127.0.0.1:2", Incarnation: 1, Target: "n0"})
--- a/internal/cluster/membership/sim/sim_test.go
+++ b/internal/cluster/membership/sim/sim_test.go
@@ -1,15 +1,14 @@
 package sim
 
 import (
-	"testing"
-
 	"ottershed/internal/cluster/membership"
+	"testing"
 )
 
 func fleet(t *testing.T, set Settings) *Fleet {
 	t.Helper()
-	if set.BearPause == 0 {
-		set.BearPause, set.DetectWithin = 4000, 12000
+	if set.ToleratedPause == 0 {
+		set.ToleratedPause, set.DetectionTimeout = 4000, 12000
 	}
 	set.Delay, set.Seeds = 20, min(3, set.Members)
 	f, err := New(set)
@@ -22,7 +21,7 @@
 // falseDead counts the running members that anyone declares dead.
 func falseDead(f *Fleet) *int {
 	n := 0
-	f.Changed = func(h Heard) {
+	f.OnChange = func(h Observation) {
 		if h.State == membership.Dead && h.Running && !h.New {
 			n++
 		}
@@ -52,17 +51,17 @@
 	t.Parallel()
 	for _, members := range []int{2, 3, 5, 20, 100} {
 		for seed := range uint64(20) {
-			f := fleet(t, Settings{Members: members, Seed: seed, Acquainted: true})
+			f := fleet(t, Settings{Members: members, Seed: seed, Prejoined: true})
 			f.Run(5000 + 100*Millis(seed))
 			killed, last, declared := f.Now(), Millis(0), map[int]bool{}
-			f.Changed = func(h Heard) {
+			f.OnChange = func(h Observation) {
 				if h.State == membership.Dead && h.Name == f.Member(0).Name {
-					declared[h.Of], last = true, f.Now()-killed
+					declared[h.Observer], last = true, f.Now()-killed
 				}
 			}
 			f.Kill(0)
 			f.Run(14000)
-			if len(declared) != members-1 || last > f.set.DetectWithin {
+			if len(declared) != members-1 || last > f.settings.DetectionTimeout {
 				t.Errorf("%d members, seed %d: %d declared it, the last after %.0f ms", members, seed, len(declared), last)
 			}
 			if err := f.Agree(); err != nil {
@@ -79,7 +78,7 @@
 		members, stalled int
 	}{{2, 1}, {5, 1}, {5, 2}, {5, 4}, {20, 10}} {
 		for seed := range uint64(10) {
-			f := fleet(t, Settings{Members: tc.members, Seed: seed, Acquainted: true})
+			f := fleet(t, Settings{Members: tc.members, Seed: seed, Prejoined: true})
 			dead := falseDead(f)
 			for range 5 {
 				f.Run(3000 + 200*Millis(seed))
@@ -102,7 +101,7 @@
 // A long pause ends in death, and the dead that come back are taken in again, under a higher incarnation.
 func TestLongPause(t *testing.T) {
 	t.Parallel()
-	f := fleet(t, Settings{Members: 5, Seed: 3, Acquainted: true})
+	f := fleet(t, Settings{Members: 5, Seed: 3, Prejoined: true})
 	f.Run(3000)
 	f.Stall(2)
 	f.Run(15000)
@@ -116,7 +115,7 @@
 	if err := f.Agree(); err != nil {
 		t.Error(err)
 	}
-	if _, inc, _ := f.Member(0).Detector.StateOf("n2"); inc <= start {
+	if _, inc, _ := f.Member(0).Detector.StateOf("n2"); inc <= startUnix {
 		t.Errorf("incarnation %d", inc)
 	}
 }
@@ -135,7 +134,7 @@
 	} {
 		for _, loss := range []float64{0, 0.2} {
 			for seed := range uint64(6) {
-				f := fleet(t, Settings{Members: 5, Seed: seed, Acquainted: true, Loss: loss})
+				f := fleet(t, Settings{Members: 5, Seed: seed, Prejoined: true, Loss: loss})
 				dead := falseDead(f)
 				for _, c := range cuts {
 					f.Cut(c[0], c[1], true)
@@ -152,7 +151,7 @@
 // A fleet that was cut in two comes together again, also where no seed is on one side.
 func TestCutInTwo(t *testing.T) {
 	t.Parallel()
-	f := fleet(t, Settings{Members: 6, Seed: 5, Acquainted: true})
+	f := fleet(t, Settings{Members: 6, Seed: 5, Prejoined: true})
 	part := func(on bool) {
 		for i := range 6 {
 			for j := range 6 {
@@ -179,7 +178,7 @@
 func TestRestartAndLeave(t *testing.T) {
 	t.Parallel()
 	for _, down := range []Millis{100, 2000, 20000} {
-		f := fleet(t, Settings{Members: 5, Seed: 7, Acquainted: true})
+		f := fleet(t, Settings{Members: 5, Seed: 7, Prejoined: true})
 		f.Run(3000)
 		f.Kill(1)
 		f.Run(down)
@@ -191,7 +190,7 @@
 			t.Errorf("down for %g ms: %v", down, err)
 		}
 		for i := range 5 {
-			if _, inc, _ := f.Member(i).Detector.StateOf("n1"); inc < membership.Incarnation(start+3000+down) {
+			if _, inc, _ := f.Member(i).Detector.StateOf("n1"); inc < membership.Incarnation(startUnix+3000+down) {
 				t.Errorf("down for %g ms: n%d holds incarnation %d", down, i, inc)
 			}
 		}
@@ -213,16 +212,16 @@
 		for seed := range uint64(25) {
 			f := fleet(t, Settings{Members: 5, Seed: seed, Loss: 0.1})
 			for range 40 {
-				f.Run(200 + 1800*f.chance.Next())
-				i, j := int(5*f.chance.Next()), int(5*f.chance.Next())
-				switch what := int(6 * f.chance.Next()); {
-				case what == 0 && f.Member(i).Up:
+				f.Run(200 + 1800*f.random.Next())
+				i, j := int(5*f.random.Next()), int(5*f.random.Next())
+				switch what := int(6 * f.random.Next()); {
+				case what == 0 && f.Member(i).Running:
 					f.Kill(i)
-				case what == 1 && !f.Member(i).Up:
+				case what == 1 && !f.Member(i).Running:
 					f.Start(i)
-				case what == 2 && f.Member(i).Up:
+				case what == 2 && f.Member(i).Running:
 					f.Stall(i)
-				case what == 3 && f.Member(i).Stalled && f.Member(i).Up:
+				case what == 3 && f.Member(i).Stalled && f.Member(i).Running:
 					f.Resume(i)
 				case what >= 4:
 					f.Cut(i, j, what == 4)
@@ -233,7 +232,7 @@
 				for j := range 5 {
 					f.Cut(i, j, false)
 				}
-				if !f.Member(i).Up {
+				if !f.Member(i).Running {
 					f.Start(i)
 				} else if f.Member(i).Stalled {
 					f.Resume(i)
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -22,16 +22,16 @@
 	At         Millis   `json:"at_ms"`                   // Unix
 	Health     int      `json:"health"`                  // its doubt in itself, 0 to 8
 	Superseded string   `json:"superseded_by,omitempty"` // the address of a newer process of its name
-	Refused    int      `json:"refused"`                 // members not taken in for want of room
+	Rejected   int      `json:"refused"`                 // members not taken in for want of room
 	Members    []Member `json:"members"`                 // by name
 }
 
 // View is the present view.
 func (d *Detector) View() View {
-	v := View{Self: d.set.Name, At: d.now, Health: int(d.health), Superseded: d.superseded, Refused: d.refused}
+	v := View{Self: d.settings.Name, At: d.now, Health: int(d.awareness), Superseded: d.superseded, Rejected: d.rejected}
 	for i := range d.table.slots() {
-		if m := d.table.at(i); m != nil {
-			v.Members = append(v.Members, m.line())
+		if m := d.table.memberAt(i); m != nil {
+			v.Members = append(v.Members, m.snapshot())
 		}
 	}
 	slices.SortFunc(v.Members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
@@ -39,7 +39,7 @@
 }
 
 // Turns grows with each change of what View would show of members.
-func (d *Detector) Turns() uint64 { return d.table.turns }
+func (d *Detector) Version() uint64 { return d.table.version }
 
 // Count tells how many members are in each state, without making a view.
 func (d *Detector) Count() (by [4]int) { return d.table.count }
@@ -73,17 +73,19 @@
 	return out
 }
 
-func (m *member) line() Member {
-	return Member{Name: m.Name, Address: m.Address, State: m.State, Incarnation: m.Incarnation, Run: m.Run,
-		Since: m.since, By: m.By}
+func (m *member) snapshot() Member {
+	return Member{
+		Name: m.Name, Address: m.Address, State: m.State, Incarnation: m.Incarnation, Run: m.Run,
+		Since: m.since, By: m.By,
+	}
 }
 
-func (d *Detector) change(m *member, was State, fresh bool) {
+func (d *Detector) emitChange(m *member, was State, fresh bool) {
 	if d.started {
 		if fresh {
 			m = d.table.write(m.Name)
 			m.since = d.now
 		}
-		d.out.Changes = append(d.out.Changes, Change{At: d.now, Was: was, New: fresh, Member: m.line()})
+		d.output.Changes = append(d.output.Changes, Change{At: d.now, Previous: was, New: fresh, Member: m.snapshot()})
 	}
 }
--- a/internal/cluster/membership/view_test.go
+++ b/internal/cluster/membership/view_test.go
@@ -9,7 +9,7 @@
 func TestViewAsJSON(t *testing.T) {
 	d := New(settings("a"))
 	d.Tick(1000)
-	d.Receive(1001, said("b", 5, Update{Name: "c", Address: "127.0.0.3:1", State: Suspect, Incarnation: 7, Run: 1<<64 - 1, By: "b"}))
+	d.Receive(1001, packetFrom("b", 5, Update{Name: "c", Address: "127.0.0.3:1", State: Suspect, Incarnation: 7, Run: 1<<64 - 1, By: "b"}))
 	v := d.View()
 	raw, err := json.Marshal(v)
 	if err != nil {
--- a/internal/cluster/membership/wire_golden_test.go
+++ b/internal/cluster/membership/wire_golden_test.go
@@ -1,19 +1,20 @@
 package membership
 
 import (
-	"testing"
-
 	"ottershed/internal/golden"
+	"testing"
 )
 
 // The bytes of a packet with every field set, sealed and not, are those of the golden file: members of different versions hear
 // each other.
 func TestGoldenPackets(t *testing.T) {
-	packet := &Packet{Kind: PingReq, From: "n0", Address: "127.0.0.1:7946", Incarnation: 5, Run: 1 << 63, Seq: 7, Target: "n1",
-		TargetAt: "127.0.0.2:7946", Sums: make([]uint64, buckets), Updates: []Update{
+	packet := &Packet{
+		Kind: PingReq, From: "n0", Address: "127.0.0.1:7946", Incarnation: 5, Run: 1 << 63, Seq: 7, Target: "n1",
+		TargetAddress: "127.0.0.2:7946", Sums: make([]uint64, buckets), Updates: []Update{
 			{Name: "n1", Address: "127.0.0.2:7946", State: Suspect, Incarnation: 6, Run: 8, By: "n2"},
 			{Name: "n3", Address: "127.0.0.3:7946", State: Left, Incarnation: 9, Run: 10},
-		}}
+		},
+	}
 	packet.Sums[0] = 1 << 62
 	observed := ""
 	for _, c := range []struct {
--- a/internal/cluster/policy/golden_test.go
+++ b/internal/cluster/policy/golden_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"encoding/json"
+	"ottershed/internal/golden"
 	"testing"
 
 	"github.com/vmihailenco/msgpack/v5"
-
-	"ottershed/internal/golden"
 )
 
 const goldenPolicy = `{"note":"a trial","halt":true,"trial-share":0.25,"settings":{"pace":1}}`
@@ -21,8 +20,8 @@
 	state := &State{}
 	first := goldenProposal("first", 0)
 	for _, p := range []*Proposal{first, goldenProposal("second", 1)} {
-		if out := state.Apply(p); out.Refused != "" {
-			t.Fatal(out.Refused)
+		if out := state.Apply(p); out.Rejection != "" {
+			t.Fatal(out.Rejection)
 		}
 	}
 	return state
@@ -35,7 +34,7 @@
 
 // An outcome is the log's answer to a proposal.
 func TestOutcomeOnTheWire(t *testing.T) {
-	outcome := Outcome{Version: 7, Again: true, Refused: "not the newest"}
+	outcome := Outcome{Version: 7, Duplicate: true, Rejection: "not the newest"}
 	golden.RoundTrip(t, "outcome.json", outcome, json.Marshal, json.Unmarshal)
 }
 
@@ -54,7 +53,7 @@
 
 // The version that was run last is kept in the store.
 func TestStoredRecord(t *testing.T) {
-	record, _ := goldenState(t).Newest()
+	record, _ := goldenState(t).Latest()
 	golden.Filled(t, "record", record)
 	raw, err := EncodeRecord(&record)
 	if err != nil {
--- a/internal/cluster/policy/policy.go
+++ b/internal/cluster/policy/policy.go
@@ -28,16 +28,16 @@
 }
 
 const (
-	longestPolicy = 64 << 10 // bytes
-	longestNote   = 400
-	longestID     = 64
+	maxPolicyBytes = 64 << 10 // bytes
+	maxNoteBytes   = 400
+	maxIDBytes     = 64
 )
 
 // Parse reads a policy's text, and returns it with its form for the log: one line, so that the same policy has the
 // same sum everywhere. An error names the key.
 func Parse(raw []byte) (*Policy, []byte, error) {
-	if len(raw) > longestPolicy {
-		return nil, nil, fmt.Errorf("policy: want %d bytes at most, got %d", longestPolicy, len(raw))
+	if len(raw) > maxPolicyBytes {
+		return nil, nil, fmt.Errorf("policy: want %d bytes at most, got %d", maxPolicyBytes, len(raw))
 	}
 	p := &Policy{}
 	d := json.NewDecoder(bytes.NewReader(raw))
@@ -59,8 +59,8 @@
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
 		return nil, nil, errors.New("policy: more follows behind its end")
 	}
-	if p.Note == "" || len(p.Note) > longestNote {
-		return nil, nil, fmt.Errorf("note: want 1 to %d bytes that say what the change is for, got %d", longestNote, len(p.Note))
+	if p.Note == "" || len(p.Note) > maxNoteBytes {
+		return nil, nil, fmt.Errorf("note: want 1 to %d bytes that say what the change is for, got %d", maxNoteBytes, len(p.Note))
 	}
 	if s := p.TrialShare; s != nil && (*s < 0 || *s > 1) {
 		return nil, nil, fmt.Errorf("trial-share: want 0 to 1, got %g", *s)
--- a/internal/cluster/policy/policystore_test.go
+++ b/internal/cluster/policy/policystore_test.go
@@ -30,7 +30,7 @@
 		"{\"note\":\"x\",\n\"halt\" true}":            "policy: line 2:",
 		`{"note":"x"} {}`:                             "more follows",
 		`{"note":"x","settings":[1]}`:                 "settings: want an object",
-		strings.Repeat(" ", longestPolicy+1):          "want 65536 bytes",
+		strings.Repeat(" ", maxPolicyBytes+1):         "want 65536 bytes",
 	} {
 		if _, _, err := Parse([]byte(text)); want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Errorf("%.60s: want %q, got %v", text, want, err)
@@ -51,10 +51,10 @@
 	}{
 		{Proposal{ID: "1", Body: body(t, "one")}, Outcome{Version: 1}},
 		{Proposal{ID: "2", Body: body(t, "two"), Based: true, Base: 1}, Outcome{Version: 2}},
-		{Proposal{ID: "1", Body: body(t, "one")}, Outcome{Version: 1, Again: true}},
-		{Proposal{ID: "3", Body: body(t, "three"), Based: true, Base: 1}, Outcome{Refused: "version 2 holds, and it was made from 1"}},
-		{Proposal{ID: "4", Body: []byte("{}")}, Outcome{Refused: "note: want 1 to 400 bytes that say what the change is for, got 0"}},
-		{Proposal{Body: body(t, "x")}, Outcome{Refused: "no id, or one that is too long"}},
+		{Proposal{ID: "1", Body: body(t, "one")}, Outcome{Version: 1, Duplicate: true}},
+		{Proposal{ID: "3", Body: body(t, "three"), Based: true, Base: 1}, Outcome{Rejection: "version 2 holds, and it was made from 1"}},
+		{Proposal{ID: "4", Body: []byte("{}")}, Outcome{Rejection: "note: want 1 to 400 bytes that say what the change is for, got 0"}},
+		{Proposal{Body: body(t, "x")}, Outcome{Rejection: "no id, or one that is too long"}},
 		{Proposal{ID: "5", Body: body(t, "two")}, Outcome{Version: 3}},
 	} {
 		if got := a.Apply(&tc.p); got != tc.want {
@@ -62,8 +62,8 @@
 		}
 		b.Apply(&tc.p)
 	}
-	x, _ := a.Newest()
-	if y, _ := b.Newest(); x.Sum != y.Sum || x.Version != 3 {
+	x, _ := a.Latest()
+	if y, _ := b.Latest(); x.Sum != y.Sum || x.Version != 3 {
 		t.Errorf("%+v and %+v", x, y)
 	}
 }
@@ -71,10 +71,10 @@
 // What is kept is bounded, comes back from a snapshot as it was, and nothing that does not follow is taken.
 func TestKept(t *testing.T) {
 	var s State
-	for i := range 3 * mostRecords {
+	for i := range 3 * maxRecords {
 		s.Apply(&Proposal{ID: fmt.Sprint(i), Body: body(t, fmt.Sprint("version ", i))})
 	}
-	if len(s.records) != mostRecords || s.Version() != 3*mostRecords {
+	if len(s.records) != maxRecords || s.Version() != 3*maxRecords {
 		t.Errorf("%d records, version %d", len(s.records), s.Version())
 	}
 	raw, err := s.Encode()
@@ -85,9 +85,9 @@
 	if err := back.Restore(raw); err != nil || back.Version() != s.Version() || back.bytes != s.bytes {
 		t.Errorf("%v, version %d", err, back.Version())
 	}
-	broken := s.Since(3*mostRecords - 3)
+	broken := s.Since(3*maxRecords - 3)
 	broken[1].Body = body(t, "another")
-	if _, err := back.Follow(broken); !errors.Is(err, ErrChain) {
+	if _, err := back.Append(broken); !errors.Is(err, ErrChain) {
 		t.Error(err)
 	}
 	back.records[3].Version++
@@ -95,10 +95,10 @@
 		t.Error("versions that do not follow are restored")
 	}
 	var late State
-	if news, err := late.Follow(s.Since(0)); !news || err != nil || late.Version() != s.Version() {
+	if news, err := late.Append(s.Since(0)); !news || err != nil || late.Version() != s.Version() {
 		t.Errorf("%v, %v, version %d", news, err, late.Version())
 	}
-	if news, err := late.Follow(s.Since(700)); news || err != nil {
+	if news, err := late.Append(s.Since(700)); news || err != nil {
 		t.Errorf("the same again: %v, %v", news, err)
 	}
 	for _, big := range []int{100, 200} {
@@ -107,21 +107,21 @@
 			s.Apply(&Proposal{ID: fmt.Sprint("big", big, i), Body: []byte(text)})
 		}
 	}
-	if s.bytes > mostBytes {
+	if s.bytes > maxRecordBytes {
 		t.Errorf("%d bytes kept", s.bytes)
 	}
 }
 
 // A marshal runs nothing older than it ran, and nothing new and no trial before it is known how far the fleet has come.
-func TestGate(t *testing.T) {
+func TestTrialAdmission(t *testing.T) {
 	var s State
 	var records []Record
 	for i := range 4 {
 		s.Apply(&Proposal{ID: fmt.Sprint(i), Body: body(t, fmt.Sprint(i))})
-		r, _ := s.Newest()
+		r, _ := s.Latest()
 		records = append(records, r)
 	}
-	var g Gate
+	var g TrialAdmission
 	raw, err := EncodeRecord(&records[1])
 	if err != nil {
 		t.Fatal(err)
@@ -140,33 +140,33 @@
 			t.Fatalf("cut after %d and not found", i)
 		}
 	}
-	g.Restart(kept)
-	if r := g.Run(); r.Record.Version != 2 || r.Open {
+	g.Restore(kept)
+	if r := g.Current(); r.Record.Version != 2 || r.TrialsAdmitted {
 		t.Errorf("%+v", r)
 	}
 	for _, r := range records {
-		if g.Committed(r) {
+		if g.ShouldApply(r) {
 			t.Errorf("runs version %d before it has caught up", r.Version)
 		}
 	}
-	if !g.CaughtUp() || g.CaughtUp() {
+	if !g.MarkCaughtUp() || g.MarkCaughtUp() {
 		t.Error("caught up is told once")
 	}
-	if g.Committed(records[0]) || g.Committed(records[1]) || !g.Committed(records[3]) {
+	if g.ShouldApply(records[0]) || g.ShouldApply(records[1]) || !g.ShouldApply(records[3]) {
 		t.Error("the wrong versions would be run")
 	}
-	g.Ran(records[3])
-	g.Ran(records[2])
-	if r := g.Run(); r.Record.Version != 4 || !r.Open {
+	g.Applied(records[3])
+	g.Applied(records[2])
+	if r := g.Current(); r.Record.Version != 4 || !r.TrialsAdmitted {
 		t.Errorf("%+v", r)
 	}
-	g.Fails(errors.New("no"))
-	if r := g.Run(); r.Open || g.Failed() != "no" {
+	g.Fail(errors.New("no"))
+	if r := g.Current(); r.TrialsAdmitted || g.Failure() != "no" {
 		t.Errorf("%+v", r)
 	}
 	s.Apply(&Proposal{ID: "5", Body: body(t, "5")})
-	r, _ := s.Newest()
-	if g.Ran(r); !g.Run().Open || g.Failed() != "" {
+	r, _ := s.Latest()
+	if g.Applied(r); !g.Current().TrialsAdmitted || g.Failure() != "" {
 		t.Error("a later version does not open the gate again")
 	}
 }
--- a/internal/cluster/policy/state.go
+++ b/internal/cluster/policy/state.go
@@ -32,14 +32,14 @@
 
 // Outcome is what became of a proposal.
 type Outcome struct {
-	Version Version `json:"Version"` // that it got, or got before
-	Again   bool    `json:"Again"`   // it had come before
-	Refused string  `json:"Refused"` // why it got none; empty: it did
+	Version   Version `json:"Version"` // that it got, or got before
+	Duplicate bool    `json:"Again"`   // it had come before
+	Rejection string  `json:"Refused"` // why it got none; empty: it did
 }
 
 const (
-	mostRecords = 256     // that are kept for `policy history` and for marshals that come late
-	mostBytes   = 1 << 20 // of them
+	maxRecords     = 256     // that are kept for `policy history` and for marshals that come late
+	maxRecordBytes = 1 << 20 // of them
 )
 
 // State is all versions so far, as far as they are kept: the newest always.
@@ -49,7 +49,7 @@
 }
 
 // Newest is the version that holds; false where there is none yet.
-func (s *State) Newest() (Record, bool) {
+func (s *State) Latest() (Record, bool) {
 	if len(s.records) == 0 {
 		return Record{}, false
 	}
@@ -58,7 +58,7 @@
 
 // Version is the newest one's number.
 func (s *State) Version() Version {
-	r, _ := s.Newest()
+	r, _ := s.Latest()
 	return r.Version
 }
 
@@ -77,18 +77,18 @@
 	// Danger: a proposer that heard nothing, for its leader died, asks again; the first may have been committed.
 	for _, r := range s.records {
 		if r.ID == p.ID {
-			return Outcome{Version: r.Version, Again: true}
+			return Outcome{Version: r.Version, Duplicate: true}
 		}
 	}
-	last, _ := s.Newest()
-	if p.ID == "" || len(p.ID) > longestID {
-		return Outcome{Refused: "no id, or one that is too long"}
+	last, _ := s.Latest()
+	if p.ID == "" || len(p.ID) > maxIDBytes {
+		return Outcome{Rejection: "no id, or one that is too long"}
 	}
 	if p.Based && p.Base != last.Version {
-		return Outcome{Refused: fmt.Sprintf("version %d holds, and it was made from %d", last.Version, p.Base)}
+		return Outcome{Rejection: fmt.Sprintf("version %d holds, and it was made from %d", last.Version, p.Base)}
 	}
 	if _, _, err := Parse(p.Body); err != nil {
-		return Outcome{Refused: err.Error()}
+		return Outcome{Rejection: err.Error()}
 	}
 	r := Record{Version: last.Version + 1, ID: p.ID, By: p.By, At: p.At, Body: p.Body}
 	r.Sum = r.sum(last.Sum)
@@ -99,7 +99,7 @@
 func (s *State) add(r Record) {
 	s.records = append(s.records, r)
 	s.bytes += len(r.Body)
-	for len(s.records) > 1 && (len(s.records) > mostRecords || s.bytes > mostBytes) {
+	for len(s.records) > 1 && (len(s.records) > maxRecords || s.bytes > maxRecordBytes) {
 		s.bytes -= len(s.records[0].Body)
 		s.records[0] = Record{}
 		s.records = s.records[1:]
@@ -158,24 +158,24 @@
 
 // Follow takes records that another has sent, which follow on what is kept or take its place where they begin later. It
 // tells whether there was anything new. Older ones are passed over.
-func (s *State) Follow(records []Record) (bool, error) {
+func (s *State) Append(records []Record) (bool, error) {
 	if err := check(records); err != nil {
 		return false, err
 	}
-	news := false
+	changed := false
 	for _, r := range records {
-		last, any := s.Newest()
+		last, any := s.Latest()
 		if any && r.Version <= last.Version {
 			continue
 		}
 		if any && r.Version == last.Version+1 && r.Sum != r.sum(last.Sum) {
-			return news, fmt.Errorf("%w: %d behind %d", ErrChain, r.Version, last.Version)
+			return changed, fmt.Errorf("%w: %d behind %d", ErrChain, r.Version, last.Version)
 		}
 		if any && r.Version > last.Version+1 { // those between are kept nowhere any more
 			*s = State{}
 		}
 		s.add(r)
-		news = true
+		changed = true
 	}
-	return news, nil
+	return changed, nil
 }
--- a/internal/cluster/policy/wire_golden_test.go
+++ b/internal/cluster/policy/wire_golden_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"encoding/json"
+	"ottershed/internal/golden"
 	"testing"
 
 	"github.com/vmihailenco/msgpack/v5"
-
-	"ottershed/internal/golden"
 )
 
 // The bytes of proposals, outcomes, records and snapshots are those of the golden file. Servers of different versions read
@@ -19,10 +18,10 @@
 	}
 	proposal := Proposal{ID: "id", By: "n0", At: 1.7e12, Based: true, Base: 0, Body: body}
 	state := &State{}
-	if out := state.Apply(&proposal); out.Refused != "" {
-		t.Fatal(out.Refused)
+	if out := state.Apply(&proposal); out.Rejection != "" {
+		t.Fatal(out.Rejection)
 	}
-	record, _ := state.Newest()
+	record, _ := state.Latest()
 	proposal.Base = 7
 	observed := golden.Section("policy", golden.Quote(body)+"\n")
 	for _, part := range []struct {
@@ -30,7 +29,7 @@
 		encode func() ([]byte, error)
 	}{
 		{"proposal", func() ([]byte, error) { return msgpack.Marshal(&proposal) }},
-		{"outcome", func() ([]byte, error) { return json.Marshal(Outcome{Version: 7, Again: true, Refused: "why"}) }},
+		{"outcome", func() ([]byte, error) { return json.Marshal(Outcome{Version: 7, Duplicate: true, Rejection: "why"}) }},
 		{"record", func() ([]byte, error) { return EncodeRecord(&record) }},
 		{"snapshot", state.Encode},
 	} {
--- a/internal/cluster/policysync/golden_test.go
+++ b/internal/cluster/policysync/golden_test.go
@@ -3,40 +3,45 @@
 import (
 	"encoding/json"
 	"net/http/httptest"
-	"testing"
-
-	"github.com/vmihailenco/msgpack/v5"
-
 	"ottershed/internal/cluster/policy"
 	"ottershed/internal/cluster/raftlog"
 	"ottershed/internal/golden"
+	"testing"
+
+	"github.com/vmihailenco/msgpack/v5"
 )
 
-func goldenMarshal(name string) Marshal {
-	return Marshal{Name: name, Role: "watcher", Version: 7, Sum: "fedcba98", Open: true, Failed: "can't be run",
-		Missing: "no answer", At: 1764700000123.5}
+func goldenMarshal(name string) MemberStatus {
+	return MemberStatus{
+		Name: name, Role: "watcher", Version: 7, Sum: "fedcba98", TrialsAdmitted: true, Failure: "can't be run",
+		Unreachable: "no answer", ReportedAt: 1764700000123.5,
+	}
 }
 
 // answered is what a server answers a call with.
 func answered(value any) ([]byte, error) {
 	recorder := httptest.NewRecorder()
-	raftlog.Answer(recorder, value)
+	raftlog.WriteJSON(recorder, value)
 	return recorder.Body.Bytes(), nil
 }
 
 // Watchers and servers exchange versions.
 func TestSinceOnTheWire(t *testing.T) {
-	ask := since{Self: goldenMarshal("marshal-a"), Version: 6, Confirm: true}
+	ask := sinceRequest{Self: goldenMarshal("marshal-a"), Version: 6, Confirm: true}
 	golden.RoundTrip(t, "since.msgpack", ask, msgpack.Marshal, msgpack.Unmarshal)
-	answer := sinceAnswer{Records: []policy.Record{{Version: 7, ID: "an-id", By: "marshal-a", At: 1764700000123.5,
-		Body: []byte(`{"note":"a trial"}`), Sum: 0xfedcba9876543210}}, Newest: 7, Confirmed: true}
+	answer := sinceResponse{Records: []policy.Record{{
+		Version: 7, ID: "an-id", By: "marshal-a", At: 1764700000123.5,
+		Body: []byte(`{"note":"a trial"}`), Sum: 0xfedcba9876543210,
+	}}, Newest: 7, Confirmed: true}
 	golden.RoundTrip(t, "since_answer.msgpack", answer, msgpack.Marshal, msgpack.Unmarshal)
 }
 
 // An entry of the log begins with the kind of its command.
 func TestStoredEntry(t *testing.T) {
-	proposal := policy.Proposal{ID: "an-id", By: "marshal-a", At: 1764700000123.5, Based: true, Base: 6,
-		Body: []byte(`{"note":"a trial"}`)}
+	proposal := policy.Proposal{
+		ID: "an-id", By: "marshal-a", At: 1764700000123.5, Based: true, Base: 6,
+		Body: []byte(`{"note":"a trial"}`),
+	}
 	golden.RoundTrip(t, "entry.bin", proposal, func(value any) ([]byte, error) {
 		raw, err := msgpack.Marshal(value)
 		return append([]byte{Kind}, raw...), err
@@ -45,18 +50,20 @@
 
 // Servers ask each other for their status.
 func TestLocalOnTheWire(t *testing.T) {
-	status := local{Self: goldenMarshal("marshal-a"), Watchers: []Marshal{goldenMarshal("marshal-b")}}
+	status := localStatus{Self: goldenMarshal("marshal-a"), Watchers: []MemberStatus{goldenMarshal("marshal-b")}}
 	golden.RoundTrip(t, "local.json", status, answered, json.Unmarshal)
 }
 
 // Operators ask the admin address.
 func TestAdminOnTheWire(t *testing.T) {
 	base, policy := policy.Version(6), json.RawMessage(`{"note":"a trial"}`)
-	golden.RoundTrip(t, "ask.json", Ask{Policy: policy, ID: "an-id", Base: &base, WaitMS: 2500}, json.Marshal, json.Unmarshal)
-	golden.RoundTrip(t, "proposed.json", Proposed{ID: "an-id", Version: 7, Again: true}, json.Marshal, json.Unmarshal)
-	past := Past{Version: 7, ID: "an-id", By: "marshal-a", At: 1764700000123.5, Sum: "fedcba98", Policy: policy}
+	golden.RoundTrip(t, "ask.json", ProposeRequest{Policy: policy, ID: "an-id", Base: &base, WaitMS: 2500}, json.Marshal, json.Unmarshal)
+	golden.RoundTrip(t, "proposed.json", ProposeResult{ID: "an-id", Version: 7, Duplicate: true}, json.Marshal, json.Unmarshal)
+	past := HistoryEntry{Version: 7, ID: "an-id", Proposer: "marshal-a", At: 1764700000123.5, Sum: "fedcba98", Policy: policy}
 	golden.RoundTrip(t, "past.json", past, json.Marshal, json.Unmarshal)
-	status := StatusAnswer{Marshals: []Marshal{goldenMarshal("marshal-a")}, Stored: 4096,
-		Log: &raftlog.Status{Role: "leader", Leader: "a", Term: 3, Commit: 20, Applied: 19, Voters: []string{"a", "b"}}}
+	status := FleetStatus{
+		Members: []MemberStatus{goldenMarshal("marshal-a")}, StoredBytes: 4096,
+		Log: &raftlog.Status{Role: "leader", Leader: "a", Term: 3, Commit: 20, Applied: 19, Voters: []string{"a", "b"}},
+	}
 	golden.RoundTrip(t, "status.json", status, json.Marshal, json.Unmarshal)
 }
--- a/internal/cluster/policysync/node.go
+++ b/internal/cluster/policysync/node.go
@@ -9,6 +9,10 @@
 	"fmt"
 	"io"
 	"net/http"
+	"ottershed/internal/clock"
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/quorum"
+	"ottershed/internal/cluster/raftlog"
 	"slices"
 	"strconv"
 	"strings"
@@ -18,60 +22,55 @@
 	"github.com/google/uuid"
 	"github.com/sirupsen/logrus"
 	"github.com/vmihailenco/msgpack/v5"
-
-	"ottershed/internal/clock"
-	"ottershed/internal/cluster/policy"
-	"ottershed/internal/cluster/quorum"
-	"ottershed/internal/cluster/raftlog"
 )
 
 // Hooks are what the marshal does; both return at once.
 type Hooks struct {
-	Check func(body []byte) error // whether it could run a policy
-	Run   func(policy.Run) error  // runs it from now on; an error leaves all as it was
+	Check func(body []byte) error     // whether it could run a policy
+	Apply func(policy.Decision) error // runs it from now on; an error leaves all as it was
 }
 
 // Kind is that of policy's commands in the log.
 const Kind byte = 'p'
 
 const (
-	keptKey      = "policy"
-	longPoll     = 10 * time.Second
-	mostWatchers = 4096
-	watcherGone  = 6 * longPoll
-	askIn        = 2 * time.Second
-	proposeIn    = 15 * time.Second
-	longestText  = 128 << 10
+	appliedKey     = "policy"
+	longPoll       = 10 * time.Second
+	maxWatchers    = 4096
+	watcherTTL     = 6 * longPoll
+	requestTimeout = 2 * time.Second
+	proposeTimeout = 15 * time.Second
+	maxBodyBytes   = 128 << 10
 )
 
 // Marshal is one line of the fleet's status.
-type Marshal struct {
-	Name    string         `json:"name" msgpack:"Name"`
-	Role    string         `json:"role" msgpack:"Role"` // leader, follower, candidate, placing, watcher
-	Version policy.Version `json:"version" msgpack:"Version"`
-	Sum     string         `json:"sum" msgpack:"Sum"`
-	Open    bool           `json:"open" msgpack:"Open"`                 // takes trial traffic
-	Failed  string         `json:"failed,omitempty" msgpack:"Failed"`   // why it can't run the newest version
-	Missing string         `json:"missing,omitempty" msgpack:"Missing"` // why nothing is known of it
-	At      float64        `json:"at_ms,omitempty" msgpack:"At"`        // when it was last heard of, Unix
+type MemberStatus struct {
+	Name           string         `json:"name" msgpack:"Name"`
+	Role           string         `json:"role" msgpack:"Role"` // leader, follower, candidate, placing, watcher
+	Version        policy.Version `json:"version" msgpack:"Version"`
+	Sum            string         `json:"sum" msgpack:"Sum"`
+	TrialsAdmitted bool           `json:"open" msgpack:"Open"`                 // takes trial traffic
+	Failure        string         `json:"failed,omitempty" msgpack:"Failed"`   // why it can't run the newest version
+	Unreachable    string         `json:"missing,omitempty" msgpack:"Missing"` // why nothing is known of it
+	ReportedAt     float64        `json:"at_ms,omitempty" msgpack:"At"`        // when it was last heard of, Unix
 }
 
 // Node is a marshal's part.
 type Node struct {
-	cfg   raftlog.Config
-	hooks Hooks
-	clock *clock.Clock
-	log   logrus.FieldLogger
-	store *raftlog.Store
-	raft  *raftlog.Node // nil: a watcher
-	calls *http.Client
-	away  *raftlog.Client // the log, from a marshal that does not keep it, and for what is read
-
-	mu       sync.Mutex
-	state    policy.State
-	gate     policy.Gate
-	changed  chan struct{} // closed and made anew with each version
-	watchers map[string]Marshal
+	cfg        raftlog.Config
+	hooks      Hooks
+	clock      *clock.Clock
+	log        logrus.FieldLogger
+	store      *raftlog.Store
+	raft       *raftlog.Node // nil: a watcher
+	httpClient *http.Client
+	client     *raftlog.Client // the log, from a marshal that does not keep it, and for what is read
+
+	mu        sync.Mutex
+	state     policy.State
+	admission policy.TrialAdmission
+	changed   chan struct{} // closed and made anew with each version
+	watchers  map[string]MemberStatus
 }
 
 // Open opens the store and, at a server, the port. What the marshal ran last it runs again at once, closed to trials.
@@ -83,24 +82,26 @@
 	if aside != "" {
 		log.WithField("aside", aside).Error("policy: store was torn; set aside, to be taken from the others")
 	}
-	n := &Node{cfg: cfg, hooks: hooks, clock: c, log: log, store: store, calls: raftlog.Caller(cfg.Key),
-		changed: make(chan struct{}), watchers: map[string]Marshal{}}
+	n := &Node{
+		cfg: cfg, hooks: hooks, clock: c, log: log, store: store, httpClient: raftlog.NewHTTPClient(cfg.Key),
+		changed: make(chan struct{}), watchers: map[string]MemberStatus{},
+	}
 	servers := slices.Clone(cfg.Servers)
 	if i := slices.IndexFunc(servers, func(s raftlog.Server) bool { return s.Name == cfg.Name }); i > 0 {
 		servers[0], servers[i] = servers[i], servers[0]
 	}
-	n.away = &raftlog.Client{Servers: servers, Calls: n.calls, Elect: cfg.Elect, Clock: c}
-	if raw, err := store.Kept(keptKey); err != nil {
+	n.client = &raftlog.Client{Servers: servers, HTTP: n.httpClient, ElectionTimeout: cfg.ElectionTimeout, Clock: c}
+	if raw, err := store.GetUser(appliedKey); err != nil {
 		log.WithError(err).Error("policy: what was run last can't be read")
 	} else if raw != nil {
 		kept, err := policy.DecodeRecord(raw)
 		if err != nil {
 			log.WithError(err).Error("policy: what was run last can't be read")
 		}
-		n.gate.Restart(kept)
+		n.admission.Restore(kept)
 	}
-	if err := hooks.Run(n.gate.Run()); err != nil {
-		n.gate.Fails(err)
+	if err := hooks.Apply(n.admission.Current()); err != nil {
+		n.admission.Fail(err)
 		log.WithError(err).Error("policy: what was run last can't be run here any more")
 	}
 	if !cfg.IsServer() {
@@ -110,10 +111,10 @@
 		store.Close()
 		return nil, err
 	}
-	n.raft.Add(Kind, part{n})
-	n.raft.Handle("GET /policy/local", n.answerLocal)
-	n.raft.Handle("POST /policy/check", n.answerCheck)
-	n.raft.Handle("POST /policy/since", n.answerSince)
+	n.raft.Register(Kind, stateMachine{n})
+	n.raft.Handle("GET /policy/local", n.handleLocal)
+	n.raft.Handle("POST /policy/check", n.handleCheck)
+	n.raft.Handle("POST /policy/since", n.handleSince)
 	return n, nil
 }
 
@@ -136,7 +137,7 @@
 // catchUp opens the gate once this server holds what was committed after its start.
 func (n *Node) catchUp(ctx context.Context) {
 	for ctx.Err() == nil {
-		tryCtx, cancel := context.WithTimeout(ctx, 10*n.cfg.Elect)
+		tryCtx, cancel := context.WithTimeout(ctx, 10*n.cfg.ElectionTimeout)
 		err := n.raft.Barrier(tryCtx)
 		cancel()
 		if err == nil {
@@ -153,41 +154,41 @@
 
 // caughtUp runs the newest version and opens the gate, with the lock held.
 func (n *Node) caughtUp() {
-	if !n.gate.CaughtUp() {
+	if !n.admission.MarkCaughtUp() {
 		return
 	}
-	if n.newest(); n.gate.Run().Open {
-		if err := n.hooks.Run(n.gate.Run()); err != nil {
+	if n.applyLatest(); n.admission.Current().TrialsAdmitted {
+		if err := n.hooks.Apply(n.admission.Current()); err != nil {
 			n.log.WithError(err).Error("policy can't be run here")
-			n.gate.Fails(err)
+			n.admission.Fail(err)
 		}
 	}
-	run := n.gate.Run()
-	n.log.WithFields(logrus.Fields{"version": uint64(run.Record.Version), "open": run.Open}).Info("policy caught up")
+	run := n.admission.Current()
+	n.log.WithFields(logrus.Fields{"version": uint64(run.Record.Version), "open": run.TrialsAdmitted}).Info("policy caught up")
 }
 
 // newest runs the newest version that is held, with the lock held.
-func (n *Node) newest() {
-	r, any := n.state.Newest()
-	if !any || !n.gate.Committed(r) {
+func (n *Node) applyLatest() {
+	r, any := n.state.Latest()
+	if !any || !n.admission.ShouldApply(r) {
 		return
 	}
 	// Danger: run first and kept afterwards, a version would be unknown to a marshal that ends between, and the one before
 	// would be run again.
 	raw, err := policy.EncodeRecord(&r)
 	if err == nil {
-		err = n.store.Keep(keptKey, raw)
+		err = n.store.PutUser(appliedKey, raw)
 	}
 	if err != nil {
 		n.log.WithError(err).Error("policy: what is run can't be kept")
 	}
-	was := n.gate.Run()
-	n.gate.Ran(r)
-	fields := logrus.Fields{"version": uint64(r.Version), "was": uint64(was.Record.Version), "sum": sum(r.Sum)}
-	if err := n.hooks.Run(n.gate.Run()); err != nil {
-		n.gate.Fails(err)
+	previous := n.admission.Current()
+	n.admission.Applied(r)
+	fields := logrus.Fields{"version": uint64(r.Version), "was": uint64(previous.Record.Version), "sum": sum(r.Sum)}
+	if err := n.hooks.Apply(n.admission.Current()); err != nil {
+		n.admission.Fail(err)
 		n.log.WithFields(fields).WithError(err).Error("policy can't be run here: no part in trials")
-		if err := n.hooks.Run(policy.Run{Record: was.Record}); err != nil {
+		if err := n.hooks.Apply(policy.Decision{Record: previous.Record}); err != nil {
 			n.log.WithError(err).Error("policy: nor can the one before")
 		}
 	} else {
@@ -201,34 +202,34 @@
 func (n *Node) Retry() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	why := n.gate.Failed()
+	why := n.admission.Failure()
 	if why == "" {
 		return
 	}
-	n.gate.Mended()
-	run := n.gate.Run()
-	if err := n.hooks.Run(run); err != nil {
-		n.gate.Fails(err)
+	n.admission.ClearFailure()
+	run := n.admission.Current()
+	if err := n.hooks.Apply(run); err != nil {
+		n.admission.Fail(err)
 		n.log.WithError(err).Error("policy still can't be run here")
 		return
 	}
-	n.log.WithFields(logrus.Fields{"version": uint64(run.Record.Version), "open": run.Open}).Info("policy can be run here again")
+	n.log.WithFields(logrus.Fields{"version": uint64(run.Record.Version), "open": run.TrialsAdmitted}).Info("policy can be run here again")
 }
 
 func sum(s uint64) string { return strconv.FormatUint(s, 16) }
 
 // part is the policy's part of the log.
-type part struct{ *Node }
+type stateMachine struct{ *Node }
 
-func (p part) Apply(_ uint64, _ quorum.Millis, command []byte) []byte {
+func (p stateMachine) Apply(_ uint64, _ quorum.Millis, command []byte) []byte {
 	var proposal policy.Proposal
-	out := policy.Outcome{Refused: "not a proposal"}
+	out := policy.Outcome{Rejection: "not a proposal"}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := msgpack.Unmarshal(command, &proposal); err == nil {
 		out = p.state.Apply(&proposal)
 	}
-	p.newest()
+	p.applyLatest()
 	raw, err := json.Marshal(out)
 	if err != nil {
 		panic(err) // three plain fields
@@ -236,50 +237,50 @@
 	return raw
 }
 
-func (p part) Snapshot() ([]byte, error) {
+func (p stateMachine) Snapshot() ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.state.Encode()
 }
 
-func (p part) Restore(raw []byte) error {
+func (p stateMachine) Restore(raw []byte) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := p.state.Restore(raw); err != nil {
 		return err
 	}
-	p.newest()
+	p.applyLatest()
 	return nil
 }
 
 // since is what a watcher asks a server, and tells of itself. Its tags, as those of its parts and of the answer, stay whatever
 // the fields are called: marshals of different versions ask each other.
-type since struct {
-	Self    Marshal        `msgpack:"Self"`
+type sinceRequest struct {
+	Self    MemberStatus   `msgpack:"Self"`
 	Version policy.Version `msgpack:"Version"`
 	Confirm bool           `msgpack:"Confirm"` // the answer has to hold all that is committed now
 }
 
-type sinceAnswer struct {
+type sinceResponse struct {
 	Records   []policy.Record `msgpack:"Records"`
 	Newest    policy.Version  `msgpack:"Newest"`
 	Confirmed bool            `msgpack:"Confirmed"`
 }
 
-func (n *Node) answerSince(w http.ResponseWriter, r *http.Request) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, longestText))
-	var ask since
+func (n *Node) handleSince(w http.ResponseWriter, r *http.Request) {
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
+	var request sinceRequest
 	if err == nil {
-		err = msgpack.Unmarshal(raw, &ask)
+		err = msgpack.Unmarshal(raw, &request)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	n.note(ask.Self)
-	a := sinceAnswer{}
-	if ask.Confirm {
-		ctx, cancel := context.WithTimeout(r.Context(), 4*n.cfg.Elect)
+	n.recordWatcher(request.Self)
+	a := sinceResponse{}
+	if request.Confirm {
+		ctx, cancel := context.WithTimeout(r.Context(), 4*n.cfg.ElectionTimeout)
 		a.Confirmed = n.raft.Barrier(ctx) == nil
 		cancel()
 	}
@@ -287,10 +288,10 @@
 	defer over.Stop()
 	for {
 		n.mu.Lock()
-		a.Records, a.Newest = n.state.Since(ask.Version), n.state.Version()
+		a.Records, a.Newest = n.state.Since(request.Version), n.state.Version()
 		changed := n.changed
 		n.mu.Unlock()
-		if len(a.Records) > 0 || ask.Confirm {
+		if len(a.Records) > 0 || request.Confirm {
 			break
 		}
 		select {
@@ -310,17 +311,17 @@
 }
 
 // note keeps what a watcher told of itself, for the status.
-func (n *Node) note(m Marshal) {
+func (n *Node) recordWatcher(m MemberStatus) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	m.At = n.clock.Now()
-	if _, known := n.watchers[m.Name]; !known && len(n.watchers) >= mostWatchers {
+	m.ReportedAt = n.clock.Now()
+	if _, known := n.watchers[m.Name]; !known && len(n.watchers) >= maxWatchers {
 		for name, old := range n.watchers {
-			if m.At-old.At > float64(watcherGone/time.Millisecond) {
+			if m.ReportedAt-old.ReportedAt > float64(watcherTTL/time.Millisecond) {
 				delete(n.watchers, name)
 			}
 		}
-		if len(n.watchers) >= mostWatchers {
+		if len(n.watchers) >= maxWatchers {
 			return
 		}
 	}
@@ -331,57 +332,59 @@
 func (n *Node) follow(ctx context.Context) {
 	for at := 0; ctx.Err() == nil; {
 		server := n.cfg.Servers[at%len(n.cfg.Servers)]
-		if err := n.pull(ctx, server.Address); err != nil && ctx.Err() == nil {
+		if err := n.poll(ctx, server.Address); err != nil && ctx.Err() == nil {
 			at++
 			n.log.WithError(err).WithField("server", server.Name).Debug("policy: not followed")
 			select {
 			case <-ctx.Done():
-			case <-time.After(n.cfg.Elect / 4):
+			case <-time.After(n.cfg.ElectionTimeout / 4):
 			}
 		}
 	}
 }
 
-func (n *Node) pull(ctx context.Context, address string) error {
+func (n *Node) poll(ctx context.Context, address string) error {
 	n.mu.Lock()
-	ask := since{Self: n.self(), Version: n.state.Version(), Confirm: !n.gate.Run().Open}
+	request := sinceRequest{Self: n.self(), Version: n.state.Version(), Confirm: !n.admission.Current().TrialsAdmitted}
 	n.mu.Unlock()
-	raw, err := msgpack.Marshal(&ask)
+	raw, err := msgpack.Marshal(&request)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, longPoll+4*n.cfg.Elect+askIn)
+	ctx, cancel := context.WithTimeout(ctx, longPoll+4*n.cfg.ElectionTimeout+requestTimeout)
 	defer cancel()
 	var got []byte
-	if err := raftlog.Call(ctx, n.calls, address, http.MethodPost, "/policy/since", raw, &got); err != nil {
+	if err := raftlog.Call(ctx, n.httpClient, address, http.MethodPost, "/policy/since", raw, &got); err != nil {
 		return err
 	}
-	var a sinceAnswer
+	var a sinceResponse
 	if err := msgpack.Unmarshal(got, &a); err != nil {
 		return fmt.Errorf("%s: %w", address, err)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	news, err := n.state.Follow(a.Records)
-	if news {
-		n.newest()
+	changed, err := n.state.Append(a.Records)
+	if changed {
+		n.applyLatest()
 	}
 	if err != nil {
 		return err
 	}
 	if a.Confirmed {
 		n.caughtUp()
-	} else if ask.Confirm {
+	} else if request.Confirm {
 		return errors.New("the server could not confirm that it holds all")
 	}
 	return nil
 }
 
 // self is this marshal's own line, with the lock held.
-func (n *Node) self() Marshal {
-	run := n.gate.Run()
-	m := Marshal{Name: n.cfg.Name, Role: "watcher", Version: run.Record.Version, Sum: sum(run.Record.Sum), Open: run.Open,
-		Failed: n.gate.Failed(), At: n.clock.Now()}
+func (n *Node) self() MemberStatus {
+	run := n.admission.Current()
+	m := MemberStatus{
+		Name: n.cfg.Name, Role: "watcher", Version: run.Record.Version, Sum: sum(run.Record.Sum), TrialsAdmitted: run.TrialsAdmitted,
+		Failure: n.admission.Failure(), ReportedAt: n.clock.Now(),
+	}
 	if n.raft != nil {
 		m.Role = n.raft.Status().Role
 	}
@@ -389,50 +392,50 @@
 }
 
 // Self is this marshal's own line.
-func (n *Node) Self() Marshal {
+func (n *Node) Self() MemberStatus {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.self()
 }
 
-type local struct {
-	Self     Marshal   `json:"self"`
-	Watchers []Marshal `json:"watchers"`
+type localStatus struct {
+	Self     MemberStatus   `json:"self"`
+	Watchers []MemberStatus `json:"watchers"`
 }
 
-func (n *Node) local() local {
+func (n *Node) local() localStatus {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := local{Self: n.self()}
+	l := localStatus{Self: n.self()}
 	for _, m := range n.watchers {
 		l.Watchers = append(l.Watchers, m)
 	}
 	return l
 }
 
-func (n *Node) answerLocal(w http.ResponseWriter, _ *http.Request) { raftlog.Answer(w, n.local()) }
+func (n *Node) handleLocal(w http.ResponseWriter, _ *http.Request) { raftlog.WriteJSON(w, n.local()) }
 
 // Status is what the fleet runs, as far as this marshal can learn it now, by name.
-func (n *Node) Status(ctx context.Context) []Marshal {
-	ctx, cancel := context.WithTimeout(ctx, askIn)
+func (n *Node) Status(ctx context.Context) []MemberStatus {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	all := make([]local, len(n.cfg.Servers))
-	var asking sync.WaitGroup
+	all := make([]localStatus, len(n.cfg.Servers))
+	var requests sync.WaitGroup
 	for i, s := range n.cfg.Servers {
-		asking.Go(func() {
+		requests.Go(func() {
 			if s.Name == n.cfg.Name {
 				all[i] = n.local()
-			} else if err := raftlog.Call(ctx, n.calls, s.Address, http.MethodGet, "/policy/local", nil, &all[i]); err != nil {
-				all[i] = local{Self: Marshal{Name: s.Name, Missing: err.Error()}}
+			} else if err := raftlog.Call(ctx, n.httpClient, s.Address, http.MethodGet, "/policy/local", nil, &all[i]); err != nil {
+				all[i] = localStatus{Self: MemberStatus{Name: s.Name, Unreachable: err.Error()}}
 			}
 		})
 	}
-	asking.Wait()
-	newest := map[string]Marshal{}
+	requests.Wait()
+	newest := map[string]MemberStatus{}
 	for _, l := range all {
 		newest[l.Self.Name] = l.Self
 		for _, m := range l.Watchers {
-			if was, known := newest[m.Name]; !known || was.At < m.At {
+			if was, known := newest[m.Name]; !known || was.ReportedAt < m.ReportedAt {
 				newest[m.Name] = m
 			}
 		}
@@ -440,16 +443,16 @@
 	if n.raft == nil {
 		newest[n.cfg.Name] = n.Self()
 	}
-	var out []Marshal
+	var out []MemberStatus
 	for _, m := range newest {
 		out = append(out, m)
 	}
-	slices.SortFunc(out, func(a, b Marshal) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b MemberStatus) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
 
 // Ask is what an operator proposes.
-type Ask struct {
+type ProposeRequest struct {
 	Policy json.RawMessage `json:"policy"`
 	ID     string          `json:"id,omitempty"`      // of an earlier try whose end is not known
 	Base   *policy.Version `json:"base,omitempty"`    // only if this version holds
@@ -457,28 +460,28 @@
 }
 
 // Proposed is what became of it.
-type Proposed struct {
-	ID      string         `json:"id"`
-	Version policy.Version `json:"version"`
-	Again   bool           `json:"again,omitempty"`
+type ProposeResult struct {
+	ID        string         `json:"id"`
+	Version   policy.Version `json:"version"`
+	Duplicate bool           `json:"again,omitempty"`
 }
 
 // Propose checks a policy here and at all servers that can be reached, and puts it into the log. An error that says so
 // aside, nothing has changed and nothing will.
 func (n *Node) Propose(ctx context.Context, body []byte) (any, error) {
-	var ask Ask
-	if err := json.Unmarshal(body, &ask); err != nil {
+	var request ProposeRequest
+	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, fmt.Errorf("proposal: %w", err)
 	}
 	// Danger: what a cut holds up comes when it is healed; by then its proposer must still be waiting. So the
 	// wait counts from here, the time for the checks included.
-	wait := proposeIn
-	if ms := time.Duration(ask.WaitMS) * time.Millisecond; ms > 0 {
+	wait := proposeTimeout
+	if ms := time.Duration(request.WaitMS) * time.Millisecond; ms > 0 {
 		wait = min(wait, ms)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	_, parsed, err := policy.Parse(ask.Policy)
+	_, parsed, err := policy.Parse(request.Policy)
 	if err != nil {
 		return nil, err
 	}
@@ -488,30 +491,30 @@
 	if err := n.checkAll(ctx, parsed); err != nil {
 		return nil, err
 	}
-	p := policy.Proposal{ID: ask.ID, By: n.cfg.Name, At: n.clock.Now(), Body: parsed}
+	p := policy.Proposal{ID: request.ID, By: n.cfg.Name, At: n.clock.Now(), Body: parsed}
 	if p.ID == "" {
 		p.ID = uuid.NewString()
 	}
-	if ask.Base != nil {
-		p.Based, p.Base = true, *ask.Base
+	if request.Base != nil {
+		p.Based, p.Base = true, *request.Base
 	}
 	raw, err := msgpack.Marshal(&p)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := n.Command(ctx, Kind, raw)
+	reply, err := n.Command(ctx, Kind, raw)
 	var out policy.Outcome
 	if err == nil {
-		err = json.Unmarshal(answer, &out)
+		err = json.Unmarshal(reply, &out)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("whether it was committed is not known; propose it again with --id %s: %w", p.ID, err)
 	}
-	if out.Refused != "" {
-		return nil, errors.New(out.Refused)
+	if out.Rejection != "" {
+		return nil, errors.New(out.Rejection)
 	}
-	n.log.WithFields(logrus.Fields{"version": uint64(out.Version), "id": p.ID, "again": out.Again}).Info("policy proposed")
-	return Proposed{ID: p.ID, Version: out.Version, Again: out.Again}, nil
+	n.log.WithFields(logrus.Fields{"version": uint64(out.Version), "id": p.ID, "again": out.Duplicate}).Info("policy proposed")
+	return ProposeResult{ID: p.ID, Version: out.Version, Duplicate: out.Duplicate}, nil
 }
 
 // Command puts a command of any kind into the log and returns its part's answer.
@@ -519,82 +522,82 @@
 	if n.raft != nil {
 		return n.raft.Propose(ctx, kind, command)
 	}
-	return n.away.Propose(ctx, kind, command)
+	return n.client.Propose(ctx, kind, command)
 }
 
 // Get asks a server, this one first where it is one, for what it holds.
 func (n *Node) Get(ctx context.Context, path string, to any) error {
-	return n.away.Get(ctx, path, to)
+	return n.client.Get(ctx, path, to)
 }
 
 // checkAll asks the other servers whether they could run a policy. One that can't be reached has no say: if it can't
 // run it, it takes no part in trials from then on, and says so.
 func (n *Node) checkAll(ctx context.Context, body []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, askIn)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	faults := make([]string, len(n.cfg.Servers))
-	var asking sync.WaitGroup
+	var requests sync.WaitGroup
 	for i, s := range n.cfg.Servers {
 		if s.Name == n.cfg.Name {
 			continue
 		}
-		asking.Go(func() {
+		requests.Go(func() {
 			var fault string
-			if raftlog.Call(ctx, n.calls, s.Address, http.MethodPost, "/policy/check", body, &fault) == nil && fault != "" {
+			if raftlog.Call(ctx, n.httpClient, s.Address, http.MethodPost, "/policy/check", body, &fault) == nil && fault != "" {
 				faults[i] = s.Name + ": " + fault
 			}
 		})
 	}
-	asking.Wait()
+	requests.Wait()
 	if faults = slices.DeleteFunc(faults, func(f string) bool { return f == "" }); len(faults) > 0 {
 		return errors.New(strings.Join(faults, "; "))
 	}
 	return nil
 }
 
-func (n *Node) answerCheck(w http.ResponseWriter, r *http.Request) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, longestText))
+func (n *Node) handleCheck(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
 		err = n.hooks.Check(body)
 	}
 	if err != nil {
-		raftlog.Answer(w, err.Error())
+		raftlog.WriteJSON(w, err.Error())
 		return
 	}
-	raftlog.Answer(w, "")
+	raftlog.WriteJSON(w, "")
 }
 
 // Past is one version as the history tells it.
-type Past struct {
-	Version policy.Version  `json:"version"`
-	ID      string          `json:"id"`
-	By      string          `json:"by"`
-	At      float64         `json:"at_ms"`
-	Sum     string          `json:"sum"`
-	Policy  json.RawMessage `json:"policy"`
+type HistoryEntry struct {
+	Version  policy.Version  `json:"version"`
+	ID       string          `json:"id"`
+	Proposer string          `json:"by"`
+	At       float64         `json:"at_ms"`
+	Sum      string          `json:"sum"`
+	Policy   json.RawMessage `json:"policy"`
 }
 
 // History are the versions that this marshal keeps, oldest first.
-func (n *Node) History() []Past {
+func (n *Node) History() []HistoryEntry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out := []Past{}
+	out := []HistoryEntry{}
 	for _, r := range n.state.Since(0) {
-		out = append(out, Past{Version: r.Version, ID: r.ID, By: r.By, At: r.At, Sum: sum(r.Sum), Policy: r.Body})
+		out = append(out, HistoryEntry{Version: r.Version, ID: r.ID, Proposer: r.By, At: r.At, Sum: sum(r.Sum), Policy: r.Body})
 	}
 	return out
 }
 
 // StatusAnswer is what `ottershed policy status` asks for.
-type StatusAnswer struct {
-	Marshals []Marshal       `json:"marshals"`
-	Log      *raftlog.Status `json:"log,omitempty"`
-	Stored   int64           `json:"stored_bytes"`
+type FleetStatus struct {
+	Members     []MemberStatus  `json:"marshals"`
+	Log         *raftlog.Status `json:"log,omitempty"`
+	StoredBytes int64           `json:"stored_bytes"`
 }
 
 // Answer is the status of the fleet and of this marshal's log.
-func (n *Node) Answer(ctx context.Context) StatusAnswer {
-	a := StatusAnswer{Marshals: n.Status(ctx), Stored: n.store.Bytes()}
+func (n *Node) FleetStatus(ctx context.Context) FleetStatus {
+	a := FleetStatus{Members: n.Status(ctx), StoredBytes: n.store.Bytes()}
 	if n.raft != nil {
 		s := n.raft.Status()
 		a.Log = &s
--- a/internal/cluster/quorum/clock_test.go
+++ b/internal/cluster/quorum/clock_test.go
@@ -22,11 +22,11 @@
 		{Stamp{1, 6000}, 450},
 		{Stamp{3, 0}, 450},
 	} {
-		if got := c.Pass(s.stamp); math.Abs(got-s.want) > 1e-6 {
+		if got := c.Advance(s.stamp); math.Abs(got-s.want) > 1e-6 {
 			t.Errorf("%d: %v, want %v", i, got, s.want)
 		}
 	}
-	if got := c.Old(1.8e12); got != 1.8e12 || c.Pass(Stamp{3, 10}) != 1.8e12+10 {
+	if got := c.AdvanceTo(1.8e12); got != 1.8e12 || c.Advance(Stamp{3, 10}) != 1.8e12+10 {
 		t.Errorf("after an old entry: %v", c)
 	}
 }
@@ -54,7 +54,7 @@
 				}
 			}
 			was := c.Now
-			got := c.Pass(Stamp{uint64(lead + 1), leaders[lead].offset + at*leaders[lead].rate})
+			got := c.Advance(Stamp{uint64(lead + 1), leaders[lead].offset + at*leaders[lead].rate})
 			passed := at - begun
 			if got < was || got > 1.1*passed+1e-3 || got < 0.9*(passed-between)-1e-3 {
 				t.Fatalf("seed %d: %v by the log, %v passed, %v of it between leaders", seed, got, passed, between)
@@ -64,15 +64,15 @@
 	}
 }
 
-func TestTicket(t *testing.T) {
-	k := Ticket{Stamp{7, 500}, 100_000}
-	if got, ok := k.Until(101_000, 104_000); !ok || got != 4500 {
+func TestLeaderReading(t *testing.T) {
+	k := LeaderReading{Stamp{7, 500}, 100_000}
+	if got, ok := k.Deadline(101_000, 104_000); !ok || got != 4500 {
 		t.Errorf("%v, %v", got, ok)
 	}
-	if _, ok := k.Until(110_001, 120_000); ok {
+	if _, ok := k.Deadline(110_001, 120_000); ok {
 		t.Error("an old ticket is gone by")
 	}
-	if _, ok := (&Ticket{}).Until(0, 1); ok {
+	if _, ok := (&LeaderReading{}).Deadline(0, 1); ok {
 		t.Error("no ticket is gone by")
 	}
 }
--- a/internal/cluster/quorum/golden_test.go
+++ b/internal/cluster/quorum/golden_test.go
@@ -1,15 +1,14 @@
 package quorum
 
 import (
+	"ottershed/internal/golden"
 	"testing"
 
 	"github.com/vmihailenco/msgpack/v5"
-
-	"ottershed/internal/golden"
 )
 
 // The log's clock is stored in snapshots.
 func TestStoredClock(t *testing.T) {
-	clock := Clock{Now: 12345.5, Last: Stamp{Process: 0xfedcba9876543210, Ran: 678.25}}
+	clock := Clock{Now: 12345.5, Last: Stamp{Process: 0xfedcba9876543210, Uptime: 678.25}}
 	golden.RoundTrip(t, "clock.msgpack", clock, msgpack.Marshal, msgpack.Unmarshal)
 }
--- a/internal/cluster/quorum/quorum.go
+++ b/internal/cluster/quorum/quorum.go
@@ -3,7 +3,7 @@
 package quorum
 
 // Answer is what one server said of itself.
-type Answer struct {
+type PeerState struct {
 	Reached     bool
 	Established bool // it holds a log
 }
@@ -12,15 +12,15 @@
 type Start int
 
 const (
-	Wait   Start = iota // too few have answered
-	Found               // begin a new log together with the others
-	Rejoin              // there is a log: be taken in again
+	Wait      Start = iota // too few have answered
+	Bootstrap              // begin a new log together with the others
+	Rejoin                 // there is a log: be taken in again
 )
 
 // Begin decides that by what the others said; others is how many there are besides this server.
-func Begin(others int, answers []Answer) Start {
+func DecideStart(others int, peers []PeerState) Start {
 	fresh := 1 // this one
-	for _, a := range answers {
+	for _, a := range peers {
 		if a.Reached && a.Established {
 			// Danger: a server that has lost its store has lost whom it voted for. Voting again in the same term, it could
 			// give a term two leaders; so it comes back as one that has no vote, until it holds all that is committed.
@@ -31,16 +31,16 @@
 		}
 	}
 	if fresh > (others+1)/2 { // a log that is established is held by a majority, so one of these would know
-		return Found
+		return Bootstrap
 	}
 	return Wait
 }
 
 // Seat is a server's place in the log's configuration, as its leader has it.
-type Seat int
+type Membership int
 
 const (
-	Absent Seat = iota
+	Absent Membership = iota
 	Learner
 	Voter
 )
@@ -49,26 +49,26 @@
 type Step int
 
 const (
-	Nothing   Step = iota
-	Remove         // its vote is from before
-	AddToo         // as a learner
-	LetItCome      // it is a learner and may start; it has not caught up
+	NoStep     Step = iota
+	Remove          // its vote is from before
+	AddLearner      // as a learner
+	CatchUp         // it is a learner and may start; it has not caught up
 	Promote
-	Settled // it is a voter that has caught up
+	Done // it is a voter that has caught up
 )
 
 // Readmit decides the next step. empty: the server holds nothing yet and has not started; has and needs are indices of
 // the log, of what it holds and of what was committed when it asked.
-func Readmit(seat Seat, empty bool, has, needs uint64) Step {
+func Readmit(membership Membership, empty bool, applied, committed uint64) Step {
 	switch {
-	case seat == Voter && empty:
+	case membership == Voter && empty:
 		return Remove
-	case seat == Absent:
-		return AddToo
-	case seat == Learner && (empty || has < needs):
-		return LetItCome
-	case seat == Learner:
+	case membership == Absent:
+		return AddLearner
+	case membership == Learner && (empty || applied < committed):
+		return CatchUp
+	case membership == Learner:
 		return Promote
 	}
-	return Settled
+	return Done
 }
--- a/internal/cluster/quorum/quorum_test.go
+++ b/internal/cluster/quorum/quorum_test.go
@@ -2,24 +2,24 @@
 
 import "testing"
 
-func TestBegin(t *testing.T) {
-	fresh, old, gone := Answer{Reached: true}, Answer{Reached: true, Established: true}, Answer{}
+func TestDecideStart(t *testing.T) {
+	fresh, old, unreachable := PeerState{Reached: true}, PeerState{Reached: true, Established: true}, PeerState{}
 	for _, c := range []struct {
 		others  int
-		answers []Answer
+		answers []PeerState
 		want    Start
 	}{
-		{0, nil, Found},
-		{2, []Answer{gone, gone}, Wait},
-		{2, []Answer{fresh, gone}, Found},
-		{2, []Answer{old, gone}, Rejoin},
-		{2, []Answer{fresh, old}, Rejoin},
-		{4, []Answer{fresh, gone, gone, gone}, Wait},
-		{4, []Answer{fresh, fresh, gone, gone}, Found},
-		{4, []Answer{fresh, fresh, fresh, old}, Rejoin},
-		{1, []Answer{gone}, Wait},
+		{0, nil, Bootstrap},
+		{2, []PeerState{unreachable, unreachable}, Wait},
+		{2, []PeerState{fresh, unreachable}, Bootstrap},
+		{2, []PeerState{old, unreachable}, Rejoin},
+		{2, []PeerState{fresh, old}, Rejoin},
+		{4, []PeerState{fresh, unreachable, unreachable, unreachable}, Wait},
+		{4, []PeerState{fresh, fresh, unreachable, unreachable}, Bootstrap},
+		{4, []PeerState{fresh, fresh, fresh, old}, Rejoin},
+		{1, []PeerState{unreachable}, Wait},
 	} {
-		if got := Begin(c.others, c.answers); got != c.want {
+		if got := DecideStart(c.others, c.answers); got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
@@ -36,9 +36,9 @@
 		switch step {
 		case Remove:
 			seat = Absent
-		case AddToo:
+		case AddLearner:
 			seat = Learner
-		case LetItCome:
+		case CatchUp:
 			empty, has = false, has+20
 		case Promote:
 			if empty || has < 40 {
@@ -46,11 +46,11 @@
 			}
 			seat = Voter
 		}
-		if step == Settled {
+		if step == Done {
 			break
 		}
 	}
-	want := []Step{Remove, AddToo, LetItCome, LetItCome, Promote, Settled}
+	want := []Step{Remove, AddLearner, CatchUp, CatchUp, Promote, Done}
 	if len(steps) != len(want) {
 		t.Fatalf("%v, want %v", steps, want)
 	}
--- a/internal/cluster/raftlog/golden_test.go
+++ b/internal/cluster/raftlog/golden_test.go
@@ -9,6 +9,10 @@
 	"maps"
 	"net/http/httptest"
 	"os"
+	"ottershed/internal/cluster/lease"
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/quorum"
+	"ottershed/internal/golden"
 	"path/filepath"
 	"slices"
 	"testing"
@@ -17,11 +21,6 @@
 	"github.com/hashicorp/raft"
 	"github.com/vmihailenco/msgpack/v5"
 	"go.etcd.io/bbolt"
-
-	"ottershed/internal/cluster/lease"
-	"ottershed/internal/cluster/policy"
-	"ottershed/internal/cluster/quorum"
-	"ottershed/internal/golden"
 )
 
 // Kinds of the log's commands. Danger: internal/cluster/policysync and internal/cluster/failover define them and import this package, so they
@@ -39,27 +38,27 @@
 	if err := msgpack.Unmarshal(command, &proposal); err != nil {
 		return []byte(err.Error())
 	}
-	return []byte(p.State.Apply(&proposal).Refused)
+	return []byte(p.State.Apply(&proposal).Rejection)
 }
 
 func (p *policyPart) Snapshot() ([]byte, error) { return p.Encode() }
 
-type leasePart struct{ lease.Book }
+type leasePart struct{ lease.Table }
 
 func (p *leasePart) Apply(_ uint64, at quorum.Millis, raw []byte) []byte {
 	var command lease.Command
 	if err := msgpack.Unmarshal(raw, &command); err != nil {
 		return []byte(err.Error())
 	}
-	return []byte(p.Book.Apply(&command, at).Refused)
+	return []byte(p.Table.Apply(&command, at).Rejection)
 }
 
 func (p *leasePart) Snapshot() ([]byte, error) { return p.Encode() }
 
 // goldenMachine is a state machine with the parts that a server has.
-func goldenMachine() (*machine, *policyPart, *leasePart) {
-	policy, leases := &policyPart{}, &leasePart{Book: *lease.NewBook()}
-	return &machine{parts: map[byte]Part{policyKind: policy, leaseKind: leases}}, policy, leases
+func goldenMachine() (*fsm, *policyPart, *leasePart) {
+	policy, leases := &policyPart{}, &leasePart{Table: *lease.NewTable()}
+	return &fsm{machines: map[byte]StateMachine{policyKind: policy, leaseKind: leases}}, policy, leases
 }
 
 // namedCommand is a command of the log with the name of its fixture.
@@ -71,32 +70,38 @@
 // goldenCommands are commands of each kind, in an order in which all of them succeed. They leave a lease and a piece that
 // was ended, with no field empty.
 func goldenCommands() []namedCommand {
-	a, b := lease.Holder{Name: "a", Run: 5}, lease.Holder{Name: "b", Run: 6}
-	claim := func(work lease.Work, by lease.Holder) lease.Command {
-		return lease.Command{Verb: lease.Claim, Work: work, By: by, Span: 60000}
+	a, b := lease.Holder{Name: "a", Incarnation: 5}, lease.Holder{Name: "b", Incarnation: 6}
+	claim := func(work lease.ID, by lease.Holder) lease.Command {
+		return lease.Command{Operation: lease.Acquire, ID: work, Holder: by, TTL: 60000}
 	}
-	release := func(work lease.Work, token lease.Token) lease.Command {
-		return lease.Command{Verb: lease.Release, Work: work, By: b, Token: token}
+	release := func(work lease.ID, token lease.Token) lease.Command {
+		return lease.Command{Operation: lease.Release, ID: work, Holder: b, Token: token}
 	}
-	take := func(work lease.Work) lease.Command {
-		return lease.Command{Verb: lease.Take, Work: work, By: a, Span: 60000}
+	take := func(work lease.ID) lease.Command {
+		return lease.Command{Operation: lease.TakeOver, ID: work, Holder: a, TTL: 60000}
 	}
 	return []namedCommand{
 		{"proposal", policy.Proposal{ID: "first", By: "a", At: 1764700000123.5, Body: []byte(`{"note":"a trial"}`)}},
-		{"proposal_based", policy.Proposal{ID: "second", By: "b", At: 1764700001123.5, Based: true, Base: 1,
-			Body: []byte(`{"note":"another"}`)}},
+		{"proposal_based", policy.Proposal{
+			ID: "second", By: "b", At: 1764700001123.5, Based: true, Base: 1,
+			Body: []byte(`{"note":"another"}`),
+		}},
 		{"claim_a", claim("trial/a", a)},
 		{"claim_b", claim("trial/b", b)},
 		{"claim_c", claim("trial/c", b)},
-		{"keep_a", lease.Command{Verb: lease.Keep, Work: "trial/a", By: a, Token: 1, Span: 60000,
-			Checkpoint: []byte("seen"), Seq: 3}},
+		{"keep_a", lease.Command{
+			Operation: lease.Renew, ID: "trial/a", Holder: a, Token: 1, TTL: 60000,
+			Checkpoint: []byte("seen"), CheckpointSeq: 3,
+		}},
 		{"release_b", release("trial/b", 2)},
 		{"release_c", release("trial/c", 3)},
 		{"take_b", take("trial/b")},
 		{"take_c", take("trial/c")},
-		{"merge_b", lease.Command{Verb: lease.Merge, Work: "trial/b", By: a, Token: 4, Span: 60000,
-			Checkpoint: []byte("both"), Into: "trial/a", IntoToken: 1, Seq: 4}},
-		{"end_c", lease.Command{Verb: lease.End, Work: "trial/c", By: a, Token: 5, Why: "can't be read"}},
+		{"merge_b", lease.Command{
+			Operation: lease.Merge, ID: "trial/b", Holder: a, Token: 4, TTL: 60000,
+			Checkpoint: []byte("both"), Into: "trial/a", IntoToken: 1, CheckpointSeq: 4,
+		}},
+		{"end_c", lease.Command{Operation: lease.Abandon, ID: "trial/c", Holder: a, Token: 5, Reason: "can't be read"}},
 	}
 }
 
@@ -112,16 +117,18 @@
 		if _, ok := c.command.(policy.Proposal); ok {
 			kind = policyKind
 		}
-		stamp := quorum.Stamp{Process: 0xfedcba9876543210, Ran: 1000.5 + 10*float64(i)}
-		entries = append(entries, &raft.Log{Index: uint64(i) + 4, Term: 2, Type: raft.LogCommand,
-			Data: sealStamp(stamp, append([]byte{kind}, raw...)), Extensions: []byte("extension"),
-			AppendedAt: time.Date(2026, 12, 3, 8, 0, i, 123456789, time.UTC)})
+		stamp := quorum.Stamp{Process: 0xfedcba9876543210, Uptime: 1000.5 + 10*float64(i)}
+		entries = append(entries, &raft.Log{
+			Index: uint64(i) + 4, Term: 2, Type: raft.LogCommand,
+			Data: prependStamp(stamp, append([]byte{kind}, raw...)), Extensions: []byte("extension"),
+			AppendedAt: time.Date(2026, 12, 3, 8, 0, i, 123456789, time.UTC),
+		})
 	}
 	return entries
 }
 
 // applied is a machine that has taken all entries.
-func applied(t *testing.T) *machine {
+func applied(t *testing.T) *fsm {
 	t.Helper()
 	m, policy, leases := goldenMachine()
 	for _, entry := range goldenEntries(t) {
@@ -129,11 +136,11 @@
 			t.Fatalf("entry %d: %s", entry.Index, answer)
 		}
 	}
-	golden.Filled(t, "clock", m.clock)
+	golden.Filled(t, "clock", m.logClock)
 	golden.Filled(t, "records", policy.Since(0))
-	lease, _ := leases.Find("trial/a")
+	lease, _ := leases.Get("trial/a")
 	golden.Filled(t, "lease", lease)
-	golden.Filled(t, "list of leases", leases.List().Ended)
+	golden.Filled(t, "list of leases", leases.List().Abandoned)
 	return m
 }
 
@@ -159,7 +166,7 @@
 func (*buffer) Cancel() error { return nil }
 func (*buffer) Close() error  { return nil }
 
-func persisted(t *testing.T, m *machine) []byte {
+func persisted(t *testing.T, m *fsm) []byte {
 	t.Helper()
 	taken, err := m.Snapshot()
 	if err != nil {
@@ -176,7 +183,7 @@
 // next. Each part stays byte by byte as it is, and the sum over all is checked.
 func canonical(t *testing.T, raw []byte) []byte {
 	t.Helper()
-	plain, err := unseal(raw)
+	plain, err := verifyChecksum(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,16 +218,18 @@
 	if err := got.Restore(io.NopCloser(bytes.NewReader(golden.Read(t, name)))); err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, name, got.clock, want.clock)
-	golden.Equal(t, name, got.last.Load(), want.last.Load())
-	golden.Equal(t, name, got.parts, want.parts)
+	golden.Equal(t, name, got.logClock, want.logClock)
+	golden.Equal(t, name, got.lastApplied.Load(), want.lastApplied.Load())
+	golden.Equal(t, name, got.machines, want.machines)
 }
 
 // goldenKept is what policy keeps of the version that was run last.
 func goldenKept(t *testing.T) []byte {
 	t.Helper()
-	raw, err := policy.EncodeRecord(&policy.Record{Version: 2, ID: "second", By: "b", At: 1764700001123.5,
-		Body: []byte(`{"note":"another"}`), Sum: 0xfedcba9876543210})
+	raw, err := policy.EncodeRecord(&policy.Record{
+		Version: 2, ID: "second", By: "b", At: 1764700001123.5,
+		Body: []byte(`{"note":"another"}`), Sum: 0xfedcba9876543210,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -246,8 +255,10 @@
 	t.Helper()
 	store := opened(t, dir)
 	defer store.Close()
-	for _, err := range []error{store.StoreLogs(goldenStored(t)), store.SetUint64([]byte("CurrentTerm"), 2),
-		store.Set([]byte("LastVoteCand"), []byte("a")), store.Keep("policy", goldenKept(t))} {
+	for _, err := range []error{
+		store.StoreLogs(goldenStored(t)), store.SetUint64([]byte("CurrentTerm"), 2),
+		store.Set([]byte("LastVoteCand"), []byte("a")), store.PutUser("policy", goldenKept(t)),
+	} {
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -324,7 +335,7 @@
 	}
 	term, terr := store.GetUint64([]byte("CurrentTerm"))
 	vote, verr := store.Get([]byte("LastVoteCand"))
-	kept, kerr := store.Kept("policy")
+	kept, kerr := store.GetUser("policy")
 	if terr != nil || verr != nil || kerr != nil || term != 2 || string(vote) != "a" || !bytes.Equal(kept, goldenKept(t)) {
 		t.Errorf("term %d, vote %q, kept %q; %v, %v, %v", term, vote, kept, terr, verr, kerr)
 	}
@@ -333,16 +344,18 @@
 // answered is what a server answers a call with.
 func answered(value any) ([]byte, error) {
 	recorder := httptest.NewRecorder()
-	Answer(recorder, value)
+	WriteJSON(recorder, value)
 	return recorder.Body.Bytes(), nil
 }
 
 // Servers ask each other for their state and for their place.
 func TestCallsOnTheWire(t *testing.T) {
-	golden.RoundTrip(t, "state.json", state{Established: true}, answered, json.Unmarshal)
-	golden.RoundTrip(t, "readmission.json", readmission{Name: "b", Empty: true, Has: 7}, json.Marshal, json.Unmarshal)
-	golden.RoundTrip(t, "status.json", Status{Role: "leader", Leader: "a", Term: 3, Commit: 20, Applied: 19,
-		Voters: []string{"a", "b"}}, json.Marshal, json.Unmarshal)
-	steps := []quorum.Step{quorum.Nothing, quorum.Remove, quorum.AddToo, quorum.LetItCome, quorum.Promote, quorum.Settled}
+	golden.RoundTrip(t, "state.json", serverState{Established: true}, answered, json.Unmarshal)
+	golden.RoundTrip(t, "readmission.json", readmitRequest{Name: "b", Empty: true, Applied: 7}, json.Marshal, json.Unmarshal)
+	golden.RoundTrip(t, "status.json", Status{
+		Role: "leader", Leader: "a", Term: 3, Commit: 20, Applied: 19,
+		Voters: []string{"a", "b"},
+	}, json.Marshal, json.Unmarshal)
+	steps := []quorum.Step{quorum.NoStep, quorum.Remove, quorum.AddLearner, quorum.CatchUp, quorum.Promote, quorum.Done}
 	golden.RoundTrip(t, "steps.json", steps, answered, json.Unmarshal)
 }
--- a/internal/cluster/raftlog/mux.go
+++ b/internal/cluster/raftlog/mux.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	nonceBytes = 16
-	greetIn    = 5 * time.Second
-	mostGreets = 64 // connections that have not said yet what they are for
+	nonceBytes       = 16
+	handshakeTimeout = 5 * time.Second
+	maxHandshakes    = 64 // connections that have not said yet what they are for
 )
 
 // mux shares one listener between raft and HTTP. Where there is a key, each side proves to the other that it has it.
@@ -44,7 +44,7 @@
 }
 
 func (m *mux) accept() {
-	greets := make(chan struct{}, mostGreets)
+	greets := make(chan struct{}, maxHandshakes)
 	for {
 		c, err := m.Listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -61,7 +61,7 @@
 			continue
 		}
 		go func() {
-			kind, err := m.greeted(c)
+			kind, err := m.acceptHandshake(c)
 			<-greets
 			to := m.http
 			if kind == raftKind {
@@ -98,8 +98,8 @@
 }
 
 // greeted reads what a connection is for, on the side that took it.
-func (m *mux) greeted(c net.Conn) (byte, error) {
-	c.SetDeadline(time.Now().Add(greetIn))
+func (m *mux) acceptHandshake(c net.Conn) (byte, error) {
+	c.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer c.SetDeadline(time.Time{})
 	hello := make([]byte, 1+nonceBytes)
 	if _, err := io.ReadFull(c, hello); err != nil {
@@ -136,15 +136,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := greet(ctx, c, kind, key); err != nil {
+	if err := handshake(ctx, c, kind, key); err != nil {
 		c.Close()
 		return nil, fmt.Errorf("%s: %w", address, err)
 	}
 	return c, nil
 }
 
-func greet(ctx context.Context, c net.Conn, kind byte, key []byte) error {
-	until := time.Now().Add(greetIn)
+func handshake(ctx context.Context, c net.Conn, kind byte, key []byte) error {
+	until := time.Now().Add(handshakeTimeout)
 	if end, ok := ctx.Deadline(); ok && end.Before(until) {
 		until = end
 	}
@@ -173,10 +173,10 @@
 // httpListener is the mux's part for HTTP.
 type httpListener struct{ *mux }
 
-func (l httpListener) Accept() (net.Conn, error) { return accepted(l.mux, l.mux.http) }
+func (l httpListener) Accept() (net.Conn, error) { return acceptFrom(l.mux, l.mux.http) }
 func (l httpListener) Close() error              { l.mux.close(); return nil }
 
-func accepted(m *mux, from chan net.Conn) (net.Conn, error) {
+func acceptFrom(m *mux, from chan net.Conn) (net.Conn, error) {
 	select {
 	case c := <-from:
 		return c, nil
@@ -187,17 +187,17 @@
 
 // stream is the mux's part for raft. In raft's configuration a server's address is its name; each server finds the
 // address of a name in its own operator's file.
-type stream struct {
+type streamLayer struct {
 	*mux
 	name    string
 	address func(name string) (string, error)
 }
 
-func (s stream) Accept() (net.Conn, error) { return accepted(s.mux, s.mux.raft) }
-func (s stream) Close() error              { s.mux.close(); return nil }
-func (s stream) Addr() net.Addr            { return named(s.name) }
+func (s streamLayer) Accept() (net.Conn, error) { return acceptFrom(s.mux, s.mux.raft) }
+func (s streamLayer) Close() error              { s.mux.close(); return nil }
+func (s streamLayer) Addr() net.Addr            { return serverAddr(s.name) }
 
-func (s stream) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (s streamLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	address, err := s.address(string(to))
 	if err != nil {
 		return nil, err
@@ -208,7 +208,7 @@
 }
 
 // named is a name in the place of an address.
-type named string
+type serverAddr string
 
-func (n named) Network() string { return "name" }
-func (n named) String() string  { return string(n) }
+func (a serverAddr) Network() string { return "name" }
+func (a serverAddr) String() string  { return string(a) }
--- a/internal/cluster/raftlog/propose_test.go
+++ b/internal/cluster/raftlog/propose_test.go
@@ -7,52 +7,51 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"ottershed/internal/clock"
+	"ottershed/internal/cluster/quorum"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/hashicorp/raft"
-
-	"ottershed/internal/clock"
-	"ottershed/internal/cluster/quorum"
 )
 
 // timesPart notes the log's time of each command.
-type timesPart struct {
-	at   []quorum.Millis
-	time quorum.Millis
+type timesMachine struct {
+	times []quorum.Millis
+	time  quorum.Millis
 }
 
-func (p *timesPart) Apply(_ uint64, at quorum.Millis, command []byte) []byte {
-	p.at, p.time = append(p.at, at), at
+func (p *timesMachine) Apply(_ uint64, at quorum.Millis, command []byte) []byte {
+	p.times, p.time = append(p.times, at), at
 	return command
 }
-func (p *timesPart) Snapshot() ([]byte, error) { return []byte("s"), nil }
-func (p *timesPart) Restore([]byte) error      { return nil }
-func (p *timesPart) LogTime() quorum.Millis    { return p.time }
+func (p *timesMachine) Snapshot() ([]byte, error) { return []byte("s"), nil }
+func (p *timesMachine) Restore([]byte) error      { return nil }
+func (p *timesMachine) LogTime() quorum.Millis    { return p.time }
 
-func entry(m *machine, data []byte, at time.Time) any {
+func entry(m *fsm, data []byte, at time.Time) any {
 	return m.Apply(&raft.Log{Type: raft.LogCommand, Data: data, AppendedAt: at})
 }
 
 // The time of a stamped entry is what its leader measured since its last one, whatever the wall clock on the entry says. An
 // entry from before there were stamps counts by its wall clock, so that what it granted lapses when it was meant to.
 func TestStampedEntries(t *testing.T) {
-	p := &timesPart{}
-	m := &machine{parts: map[byte]Part{'x': p}}
+	p := &timesMachine{}
+	m := &fsm{machines: map[byte]StateMachine{'x': p}}
 	day := time.Unix(1_700_000_000, 0)
 	entry(m, []byte("xold"), day)
-	for i, s := range []quorum.Stamp{{Process: 5, Ran: 100}, {Process: 5, Ran: 350}, {Process: 6, Ran: 9e6}} {
-		if got := entry(m, sealStamp(s, []byte("xnew")), day.Add(time.Duration(i)*time.Hour)); string(got.([]byte)) != "new" {
+	for i, s := range []quorum.Stamp{{Process: 5, Uptime: 100}, {Process: 5, Uptime: 350}, {Process: 6, Uptime: 9e6}} {
+		if got := entry(m, prependStamp(s, []byte("xnew")), day.Add(time.Duration(i)*time.Hour)); string(got.([]byte)) != "new" {
 			t.Errorf("the part got %q", got)
 		}
 	}
 	base := 1.7e12
-	if want := []quorum.Millis{base, base, base + 250, base + 250}; fmt.Sprint(p.at) != fmt.Sprint(want) {
-		t.Errorf("at %v, want %v", p.at, want)
+	if want := []quorum.Millis{base, base, base + 250, base + 250}; fmt.Sprint(p.times) != fmt.Sprint(want) {
+		t.Errorf("at %v, want %v", p.times, want)
 	}
 	for _, torn := range []string{"t", "t12345678", "t12345678\x7f\xf8\x00\x00\x00\x00\x00\x01x"} {
-		if got := entry(m, []byte(torn), day); len(got.([]byte)) != 0 || len(p.at) != 4 {
+		if got := entry(m, []byte(torn), day); len(got.([]byte)) != 0 || len(p.times) != 4 {
 			t.Errorf("%q: taken as %q", torn, got)
 		}
 	}
@@ -60,26 +59,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := &machine{parts: map[byte]Part{'x': &timesPart{}}}
-	if err := back.Restore(io.NopCloser(bytes.NewReader(snap.(snapshot)))); err != nil || back.clock != m.clock {
-		t.Errorf("%v: clock %+v, want %+v", err, back.clock, m.clock)
+	back := &fsm{machines: map[byte]StateMachine{'x': &timesMachine{}}}
+	if err := back.Restore(io.NopCloser(bytes.NewReader(snap.(snapshot)))); err != nil || back.logClock != m.logClock {
+		t.Errorf("%v: clock %+v, want %+v", err, back.logClock, m.logClock)
 	}
 }
 
 // A snapshot from before there were stamps has no clock: what its parts kept goes on.
 func TestOldSnapshot(t *testing.T) {
-	raw := snapshot(seal([]byte{0x80})) // no part and no clock
-	m := &machine{parts: map[byte]Part{'x': &timesPart{time: 1.7e12}}}
-	if err := m.Restore(io.NopCloser(bytes.NewReader(raw))); err != nil || m.clock.Now != 1.7e12 {
-		t.Errorf("%v: %+v", err, m.clock)
+	raw := snapshot(appendChecksum([]byte{0x80})) // no part and no clock
+	m := &fsm{machines: map[byte]StateMachine{'x': &timesMachine{time: 1.7e12}}}
+	if err := m.Restore(io.NopCloser(bytes.NewReader(raw))); err != nil || m.logClock.Now != 1.7e12 {
+		t.Errorf("%v: %+v", err, m.logClock)
 	}
 }
 
 // A proposer goes to whom the asked one names, at once; one that only claims to know, or is gone, costs a turn.
 func TestProposer(t *testing.T) {
-	n := &Node{self: 9, clock: clock.New()}
-	serve := func(answer func(http.ResponseWriter, *http.Request)) string {
-		s := httptest.NewServer(http.HandlerFunc(answer))
+	n := &Node{processID: 9, clock: clock.New()}
+	serve := func(reply func(http.ResponseWriter, *http.Request)) string {
+		s := httptest.NewServer(http.HandlerFunc(reply))
 		t.Cleanup(s.Close)
 		return strings.TrimPrefix(s.URL, "http://")
 	}
@@ -94,8 +93,8 @@
 	leads := func(w http.ResponseWriter, r *http.Request) {
 		asked["c"]++
 		s := n.stamp()
-		w.Header().Set(clockHeader, fmt.Sprintf("%x:%.3f", s.Process, s.Ran))
-		late, known := n.tooLate(r.URL.Query().Get("process"), r.URL.Query().Get("until"))
+		w.Header().Set(clockHeader, fmt.Sprintf("%x:%.3f", s.Process, s.Uptime))
+		late, known := n.expired(r.URL.Query().Get("process"), r.URL.Query().Get("until"))
 		switch {
 		case !known:
 			http.Error(w, "by whose clock?", http.StatusConflict)
@@ -115,16 +114,20 @@
 		{"it names nobody", "", "map[a:1 b:1 c:2]"},
 	} {
 		clear(asked)
-		servers := []Server{{"a", serve(follower("a", tc.named))}, {"b", serve(follower("b", "c"))}, {"c", serve(leads)},
-			{"d", "127.0.0.1:1"}}
-		p := Client{Servers: servers, Calls: &http.Client{}, Elect: 50 * time.Millisecond, Clock: clock.New()}
+		servers := []Server{
+			{"a", serve(follower("a", tc.named))},
+			{"b", serve(follower("b", "c"))},
+			{"c", serve(leads)},
+			{"d", "127.0.0.1:1"},
+		}
+		p := Client{Servers: servers, HTTP: &http.Client{}, ElectionTimeout: 50 * time.Millisecond, Clock: clock.New()}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
-		answer, err := p.propose(ctx, "", []byte("x"))
-		if err != nil || string(answer) != "done" || fmt.Sprint(asked) != tc.asks || p.heard.led() != "c" {
-			t.Errorf("%s: %q, %v, asked %v", tc.name, answer, err, asked)
+		reply, err := p.propose(ctx, "", []byte("x"))
+		if err != nil || string(reply) != "done" || fmt.Sprint(asked) != tc.asks || p.readings.lastLeader() != "c" {
+			t.Errorf("%s: %q, %v, asked %v", tc.name, reply, err, asked)
 		}
 		clear(asked)
-		if _, err = p.propose(ctx, p.heard.led(), []byte("x")); err != nil || fmt.Sprint(asked) != "map[c:1]" {
+		if _, err = p.propose(ctx, p.readings.lastLeader(), []byte("x")); err != nil || fmt.Sprint(asked) != "map[c:1]" {
 			t.Errorf("%s, again: %v, asked %v", tc.name, err, asked)
 		}
 		cancel()
@@ -133,8 +136,8 @@
 
 // A proposal that a cut held up comes too late by the leader's own clock; no wall clock has a say.
 func TestTooLate(t *testing.T) {
-	n := &Node{self: 9, clock: clock.New()}
-	now := n.clock.Ran()
+	n := &Node{processID: 9, clock: clock.New()}
+	now := n.clock.Uptime()
 	for _, tc := range []struct {
 		process, until string
 		late, known    bool
@@ -146,7 +149,7 @@
 		{"0", "0", false, false},
 		{"9", "soon", false, false},
 	} {
-		if late, known := n.tooLate(tc.process, tc.until); late != tc.late || known != tc.known {
+		if late, known := n.expired(tc.process, tc.until); late != tc.late || known != tc.known {
 			t.Errorf("%+v: late %v, known %v", tc, late, known)
 		}
 	}
--- a/internal/cluster/raftlog/store.go
+++ b/internal/cluster/raftlog/store.go
@@ -20,12 +20,12 @@
 var (
 	logsBucket   = []byte("logs")
 	stableBucket = []byte("stable")
-	keptBucket   = []byte("kept")
-	allBuckets   = [][]byte{logsBucket, stableBucket, keptBucket}
+	userBucket   = []byte("kept")
+	allBuckets   = [][]byte{logsBucket, stableBucket, userBucket}
 )
 
 // ErrTorn is a store in which something was not written whole.
-var ErrTorn = errors.New("store: torn")
+var ErrCorrupt = errors.New("store: torn")
 
 // errNotFound has the text by which raft knows that a key was never set.
 var errNotFound = errors.New("not found")
@@ -48,7 +48,7 @@
 		return nil, "", fmt.Errorf("store: %w", err)
 	}
 	path := filepath.Join(dir, storeFile)
-	if err := verify(path); errors.Is(err, ErrTorn) {
+	if err := verify(path); errors.Is(err, ErrCorrupt) {
 		if aside, err = setAside(dir, err); err != nil {
 			return nil, "", err
 		}
@@ -101,7 +101,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("%w: %s: %v", ErrTorn, path, p)
+			err = fmt.Errorf("%w: %s: %v", ErrCorrupt, path, p)
 		}
 	}()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWait, ReadOnly: true})
@@ -112,7 +112,7 @@
 		if err.Error() == "timeout" {
 			return fmt.Errorf("store %s: another process has it: %w", path, err)
 		}
-		return fmt.Errorf("%w: %s: %w", ErrTorn, path, err)
+		return fmt.Errorf("%w: %s: %w", ErrCorrupt, path, err)
 	}
 	defer db.Close()
 	snapped, err := verifySnapshots(filepath.Dir(path))
@@ -121,7 +121,7 @@
 	}
 	return db.View(func(tx *bbolt.Tx) error {
 		if tx.Size() > info.Size() {
-			return fmt.Errorf("%w: %s: %d bytes of %d", ErrTorn, path, info.Size(), tx.Size())
+			return fmt.Errorf("%w: %s: %d bytes of %d", ErrCorrupt, path, info.Size(), tx.Size())
 		}
 		for _, name := range allBuckets {
 			b := tx.Bucket(name)
@@ -130,13 +130,13 @@
 			}
 			next, first := uint64(0), true
 			if err := b.ForEach(func(k, v []byte) error {
-				if _, err := unseal(v); err != nil {
-					return fmt.Errorf("%w: %s: %s %x", ErrTorn, path, name, k)
+				if _, err := verifyChecksum(v); err != nil {
+					return fmt.Errorf("%w: %s: %s %x", ErrCorrupt, path, name, k)
 				}
 				if string(name) == string(logsBucket) {
 					index := binary.BigEndian.Uint64(k)
 					if first && index > snapped+1 || !first && index != next {
-						return fmt.Errorf("%w: %s: logs before %d are missing", ErrTorn, path, index)
+						return fmt.Errorf("%w: %s: logs before %d are missing", ErrCorrupt, path, index)
 					}
 					next, first = index+1, false
 				}
@@ -154,7 +154,7 @@
 	if _, err := os.Stat(filepath.Join(dir, snapshotsDir)); errors.Is(err, os.ErrNotExist) {
 		return 0, nil
 	}
-	snaps, err := raft.NewFileSnapshotStore(dir, keptSnapshots, io.Discard)
+	snaps, err := raft.NewFileSnapshotStore(dir, snapshotsRetained, io.Discard)
 	if err != nil {
 		return 0, fmt.Errorf("store: %w", err)
 	}
@@ -165,7 +165,7 @@
 	for _, meta := range all {
 		_, r, err := snaps.Open(meta.ID)
 		if err != nil {
-			return 0, fmt.Errorf("%w: snapshot %s: %w", ErrTorn, meta.ID, err)
+			return 0, fmt.Errorf("%w: snapshot %s: %w", ErrCorrupt, meta.ID, err)
 		}
 		r.Close()
 		index = max(index, meta.Index)
@@ -174,14 +174,14 @@
 }
 
 // seal adds a sum to a value.
-func seal(v []byte) []byte {
+func appendChecksum(v []byte) []byte {
 	return binary.BigEndian.AppendUint64(append(make([]byte, 0, len(v)+8), v...), xxhash.Sum64(v))
 }
 
-func unseal(v []byte) ([]byte, error) {
+func verifyChecksum(v []byte) ([]byte, error) {
 	cut := len(v) - 8
 	if cut < 0 || xxhash.Sum64(v[:cut]) != binary.BigEndian.Uint64(v[cut:]) {
-		return nil, ErrTorn
+		return nil, ErrCorrupt
 	}
 	return append([]byte(nil), v[:cut]...), nil
 }
@@ -202,7 +202,7 @@
 }
 
 func (s *Store) put(bucket, key, value []byte) error {
-	if err := s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(key, seal(value)) }); err != nil {
+	if err := s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(key, appendChecksum(value)) }); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	return nil
@@ -214,18 +214,18 @@
 		if raw == nil {
 			return errNotFound
 		}
-		value, err = unseal(raw)
+		value, err = verifyChecksum(raw)
 		return err
 	})
 	return value, err
 }
 
 // Keep keeps a value of the store's user, over restarts.
-func (s *Store) Keep(key string, value []byte) error { return s.put(keptBucket, []byte(key), value) }
+func (s *Store) PutUser(key string, value []byte) error { return s.put(userBucket, []byte(key), value) }
 
 // Kept is what Keep kept; nil where there is none.
-func (s *Store) Kept(key string) ([]byte, error) {
-	v, err := s.get(keptBucket, []byte(key))
+func (s *Store) GetUser(key string) ([]byte, error) {
+	v, err := s.get(userBucket, []byte(key))
 	if errors.Is(err, errNotFound) {
 		return nil, nil
 	}
@@ -234,19 +234,19 @@
 
 // What follows is raft.LogStore and raft.StableStore.
 
-func key(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 // FirstIndex is that of the oldest entry; 0: none.
 func (s *Store) FirstIndex() (uint64, error) {
-	return s.edge(func(c *bbolt.Cursor) ([]byte, []byte) { return c.First() })
+	return s.boundaryIndex(func(c *bbolt.Cursor) ([]byte, []byte) { return c.First() })
 }
 
 // LastIndex is that of the newest entry; 0: none.
 func (s *Store) LastIndex() (uint64, error) {
-	return s.edge(func(c *bbolt.Cursor) ([]byte, []byte) { return c.Last() })
+	return s.boundaryIndex(func(c *bbolt.Cursor) ([]byte, []byte) { return c.Last() })
 }
 
-func (s *Store) edge(of func(*bbolt.Cursor) ([]byte, []byte)) (index uint64, err error) {
+func (s *Store) boundaryIndex(of func(*bbolt.Cursor) ([]byte, []byte)) (index uint64, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		if k, _ := of(tx.Bucket(logsBucket).Cursor()); k != nil {
 			index = binary.BigEndian.Uint64(k)
@@ -258,7 +258,7 @@
 
 // GetLog reads an entry.
 func (s *Store) GetLog(index uint64, to *raft.Log) error {
-	raw, err := s.get(logsBucket, key(index))
+	raw, err := s.get(logsBucket, indexKey(index))
 	if errors.Is(err, errNotFound) {
 		return raft.ErrLogNotFound
 	}
@@ -279,7 +279,7 @@
 			if err != nil {
 				return err
 			}
-			if err := tx.Bucket(logsBucket).Put(key(l.Index), seal(raw)); err != nil {
+			if err := tx.Bucket(logsBucket).Put(indexKey(l.Index), appendChecksum(raw)); err != nil {
 				return err
 			}
 		}
@@ -295,7 +295,7 @@
 func (s *Store) DeleteRange(from, to uint64) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		c := tx.Bucket(logsBucket).Cursor()
-		for k, _ := c.Seek(key(from)); k != nil && binary.BigEndian.Uint64(k) <= to; k, _ = c.Seek(key(from)) {
+		for k, _ := c.Seek(indexKey(from)); k != nil && binary.BigEndian.Uint64(k) <= to; k, _ = c.Seek(indexKey(from)) {
 			if err := c.Delete(); err != nil {
 				return err
 			}
@@ -309,7 +309,7 @@
 
 func (s *Store) Get(k []byte) ([]byte, error) { return s.get(stableBucket, k) }
 
-func (s *Store) SetUint64(k []byte, v uint64) error { return s.Set(k, key(v)) }
+func (s *Store) SetUint64(k []byte, v uint64) error { return s.Set(k, indexKey(v)) }
 
 func (s *Store) GetUint64(k []byte) (uint64, error) {
 	raw, err := s.Get(k)
@@ -317,7 +317,7 @@
 		return 0, err
 	}
 	if len(raw) != 8 {
-		return 0, ErrTorn
+		return 0, ErrCorrupt
 	}
 	return binary.BigEndian.Uint64(raw), nil
 }
--- a/internal/cluster/raftlog/store_test.go
+++ b/internal/cluster/raftlog/store_test.go
@@ -29,7 +29,7 @@
 	for i := range uint64(10) {
 		logs = append(logs, &raft.Log{Index: i + 1, Term: 2, Type: raft.LogCommand, Data: []byte{byte(i)}})
 	}
-	if err := errors.Join(s.StoreLogs(logs), s.SetUint64([]byte("term"), 7), s.Keep("k", []byte("v")),
+	if err := errors.Join(s.StoreLogs(logs), s.SetUint64([]byte("term"), 7), s.PutUser("k", []byte("v")),
 		s.DeleteRange(9, 10)); err != nil {
 		t.Fatal(err)
 	}
@@ -41,18 +41,18 @@
 	first, _ := s.FirstIndex()
 	last, _ := s.LastIndex()
 	term, err := s.GetUint64([]byte("term"))
-	kept, _ := s.Kept("k")
+	kept, _ := s.GetUser("k")
 	var l raft.Log
 	if gerr := s.GetLog(8, &l); gerr != nil || err != nil || first != 1 || last != 8 || term != 7 || string(kept) != "v" || l.Data[0] != 7 {
 		t.Errorf("%d to %d, term %d, kept %q, %+v, %v %v", first, last, term, kept, l, gerr, err)
 	}
-	if none, err := s.Kept("other"); none != nil || err != nil {
+	if none, err := s.GetUser("other"); none != nil || err != nil {
 		t.Errorf("%q, %v", none, err)
 	}
 }
 
 // A torn store is set aside whole, whatever is torn; a sound one is opened.
-func TestTorn(t *testing.T) {
+func TestCorruptStore(t *testing.T) {
 	for name, tear := range map[string]func(t *testing.T, dir string, s *Store){
 		"a log is missing": func(t *testing.T, _ string, s *Store) {
 			if err := s.DeleteRange(3, 3); err != nil {
@@ -65,7 +65,7 @@
 			}
 		},
 		"a snapshot is cut": func(t *testing.T, dir string, _ *Store) {
-			snaps, err := raft.NewFileSnapshotStore(dir, keptSnapshots, os.Stderr)
+			snaps, err := raft.NewFileSnapshotStore(dir, snapshotsRetained, os.Stderr)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -107,7 +107,7 @@
 }
 
 // A connection passes only between sides that have the same key, and only for what it says it is for.
-func TestGreeting(t *testing.T) {
+func TestHandshake(t *testing.T) {
 	for name, tc := range map[string]struct {
 		kind         byte
 		theirs, ours string
--- a/internal/cluster/raftlog/wire_golden_test.go
+++ b/internal/cluster/raftlog/wire_golden_test.go
@@ -3,13 +3,12 @@
 import (
 	"encoding/json"
 	"maps"
+	"ottershed/internal/cluster/quorum"
+	"ottershed/internal/golden"
 	"slices"
 	"testing"
 
 	"github.com/vmihailenco/msgpack/v5"
-
-	"ottershed/internal/cluster/quorum"
-	"ottershed/internal/golden"
 )
 
 // onePart is a part of the log that holds a fixed text.
@@ -22,14 +21,14 @@
 // What servers of the log ask each other, a stamped entry, and a snapshot's clock, are those of the golden file. A snapshot is a
 // table in no order, so its parts are listed by name.
 func TestGoldenMessages(t *testing.T) {
-	stamp := quorum.Stamp{Process: 1 << 63, Ran: 1234.5}
-	observed := golden.Section("a stamped entry", golden.Quote(sealStamp(stamp, []byte("xcommand")))+"\n")
+	stamp := quorum.Stamp{Process: 1 << 63, Uptime: 1234.5}
+	observed := golden.Section("a stamped entry", golden.Quote(prependStamp(stamp, []byte("xcommand")))+"\n")
 	for _, message := range []struct {
 		title string
 		value any
 	}{
-		{"state", state{Established: true}},
-		{"readmission", readmission{Name: "n0", Empty: true, Has: 7}},
+		{"state", serverState{Established: true}},
+		{"readmission", readmitRequest{Name: "n0", Empty: true, Applied: 7}},
 		{"status", Status{Role: "leader", Leader: "n0", Term: 2, Commit: 3, Applied: 4, Voters: []string{"n0"}}},
 	} {
 		raw, err := json.Marshal(message.value)
@@ -47,13 +46,13 @@
 // snapshotParts lists what a snapshot holds.
 func snapshotParts(t *testing.T, stamp quorum.Stamp) string {
 	t.Helper()
-	m := &machine{parts: map[byte]Part{'x': onePart{}}, clock: quorum.Clock{Now: 2000.5, Last: stamp}}
-	m.last.Store(7)
+	m := &fsm{machines: map[byte]StateMachine{'x': onePart{}}, logClock: quorum.Clock{Now: 2000.5, Last: stamp}}
+	m.lastApplied.Store(7)
 	taken, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := unseal(taken.(snapshot))
+	raw, err := verifyChecksum(taken.(snapshot))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -11,18 +11,17 @@
 	"io"
 	"net"
 	"os"
-	"reflect"
-	"slices"
-	"strconv"
-	"strings"
-	"time"
-
 	"ottershed/decision"
 	"ottershed/internal/cluster/policy"
 	"ottershed/internal/discovery"
 	"ottershed/internal/engine"
 	"ottershed/internal/rollout"
 	"ottershed/internal/settings"
+	"reflect"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
 )
 
 // Config is what holds for this start.
@@ -35,11 +34,11 @@
 	Limits    Limits
 	Settings  decision.Settings
 	Network   settings.Network
-	Figures   map[string]string   // all settings by their names, as they came
-	Known     *engine.List        // the nodes as last held; nil: none
-	News      *decision.StageNews // the newest build; nil: none
-	Warnings  []string            // what is odd but does no harm
-	Operator  *Operator           // the operator's own file; nil: none
+	Values    map[string]string      // all settings by their names, as they came
+	Endpoints *engine.EndpointUpdate // the nodes as last held; nil: none
+	Stage     *decision.StageUpdate  // the newest build; nil: none
+	Warnings  []string               // what is odd but does no harm
+	Operator  *Operator              // the operator's own file; nil: none
 }
 
 // Limits are what the machine gives.
@@ -50,14 +49,14 @@
 }
 
 const (
-	own      = 32       // descriptors that are neither a client's nor a node's
-	hitBytes = 64 << 10 // of a request's or an answer's body, at most
+	reservedDescriptors = 32       // descriptors that are neither a client's nor a node's
+	maxBodyBytes        = 64 << 10 // of a request's or an answer's body, at most
 )
 
 // Connections is how many to clients, and as many to nodes, the limits allow: each open hit may need one of both,
 // and half of the memory holds the bodies.
 func (l Limits) Connections() int {
-	return max(1, min((l.Sockets-own)/2, int(l.MemoryMB*(1<<20)/2)/(3*hitBytes)))
+	return max(1, min((l.Sockets-reservedDescriptors)/2, int(l.MemoryMB*(1<<20)/2)/(3*maxBodyBytes)))
 }
 
 // MemoryLimit is what the garbage collector keeps below, in bytes.
@@ -65,25 +64,36 @@
 
 // String tells what holds, defaults and what follows from the limits included.
 func (c *Config) String() string {
-	known, news := "none", "none"
-	if c.Known != nil {
-		known = fmt.Sprintf("%d nodes, index %d", len(c.Known.Entries), c.Known.Stamp)
+	known, stage := "none", "none"
+	if c.Endpoints != nil {
+		known = fmt.Sprintf("%d nodes, index %d", len(c.Endpoints.Endpoints), c.Endpoints.Version)
 	}
-	if c.News != nil {
-		news = fmt.Sprintf("build %d, stage %d, cap %g", c.News.Build, c.News.Stage, c.News.Cap)
+	if c.Stage != nil {
+		stage = fmt.Sprintf("build %d, stage %d, cap %g", c.Stage.Build, c.Stage.Stage, c.Stage.ExposureCap)
 	}
-	groups := make([]string, len(c.Settings.Groups))
-	for i, g := range c.Settings.Groups {
-		groups[i] = fmt.Sprintf("%s (target %g ms)", g.Name, g.Target)
+	groups := make([]string, len(c.Settings.Classes))
+	for i, g := range c.Settings.Classes {
+		groups[i] = fmt.Sprintf("%s (target %g ms)", g.Name, g.LatencyObjective)
 	}
 	var b strings.Builder
-	for _, line := range [][2]any{{"name", c.Name}, {"listen", c.Listen}, {"discovery", c.Discovery}, {"seed", fmt.Sprintf("%016x", c.Seed)},
-		{"limits.cores", c.Limits.Cores}, {"limits.memory_mb", c.Limits.MemoryMB}, {"limits.sockets", c.Limits.Sockets},
-		{"platform.address", c.Platform}, {"platform.news", news}, {"known", known},
-		{"settings", fmt.Sprintf("%d marshals, zone %q, stages %v, caps %v", c.Settings.Marshals, c.Settings.Zone, c.Settings.Stages, c.Settings.Caps)},
-		{"path groups", strings.Join(groups, ", ")}, {"longest client timeout", fmt.Sprintf("%g ms", c.Network.LongestTimeout)},
-		{"connections to clients", c.Limits.Connections()}, {"connections to nodes", c.Limits.Connections()},
-		{"memory limit", fmt.Sprintf("%d MB", c.Limits.MemoryLimit()>>20)}} {
+	for _, line := range [][2]any{
+		{"name", c.Name},
+		{"listen", c.Listen},
+		{"discovery", c.Discovery},
+		{"seed", fmt.Sprintf("%016x", c.Seed)},
+		{"limits.cores", c.Limits.Cores},
+		{"limits.memory_mb", c.Limits.MemoryMB},
+		{"limits.sockets", c.Limits.Sockets},
+		{"platform.address", c.Platform},
+		{"platform.news", stage},
+		{"known", known},
+		{"settings", fmt.Sprintf("%d marshals, zone %q, stages %v, caps %v", c.Settings.Instances, c.Settings.Zone, c.Settings.Stages, c.Settings.ExposureCaps)},
+		{"path groups", strings.Join(groups, ", ")},
+		{"longest client timeout", fmt.Sprintf("%g ms", c.Network.LongestTimeout)},
+		{"connections to clients", c.Limits.Connections()},
+		{"connections to nodes", c.Limits.Connections()},
+		{"memory limit", fmt.Sprintf("%d MB", c.Limits.MemoryLimit()>>20)},
+	} {
 		fmt.Fprintf(&b, "%-23s %v\n", line[0], line[1])
 	}
 	return b.String()
@@ -126,12 +136,16 @@
 }
 
 // Fixed names the keys that differ in next and hold from a start on only. A new seed is nothing to tell of.
-func (c *Config) Fixed(next *Config) (keys []string) {
+func (c *Config) RestartOnly(updated *Config) (keys []string) {
 	for _, k := range []struct {
 		key  string
 		same bool
-	}{{"name", c.Name == next.Name}, {"listen", c.Listen == next.Listen}, {"limits", c.Limits == next.Limits},
-		{"settings", c.Switchable(next)}} {
+	}{
+		{"name", c.Name == updated.Name},
+		{"listen", c.Listen == updated.Listen},
+		{"limits", c.Limits == updated.Limits},
+		{"settings", c.Switchable(updated)},
+	} {
 		if !k.same {
 			keys = append(keys, k.key)
 		}
@@ -143,16 +157,16 @@
 // granularity and the figures of the sockets.
 func (c *Config) Switchable(next *Config) bool {
 	a, b := c.Settings, next.Settings
-	return reflect.DeepEqual(a.Groups, b.Groups) && reflect.DeepEqual(a.Tenants, b.Tenants) &&
-		a.Granularity == b.Granularity && c.Network == next.Network
+	return reflect.DeepEqual(a.Classes, b.Classes) && reflect.DeepEqual(a.Tenants, b.Tenants) &&
+		a.ClockGranularity == b.ClockGranularity && c.Network == next.Network
 }
 
 // Under are the module's settings under a policy of the fleet. An error names the key.
-func (c *Config) Under(p *policy.Policy) (decision.Settings, error) {
-	set, figures := c.Settings, c.Figures
+func (c *Config) WithPolicy(p *policy.Policy) (decision.Settings, error) {
+	set, figures := c.Settings, c.Values
 	var err error
 	if len(p.Settings) > 0 {
-		if figures, err = settings.Overlay(c.Figures, p.Settings); err != nil {
+		if figures, err = settings.Overlay(c.Values, p.Settings); err != nil {
 			return set, err
 		}
 		if set, err = settings.ForModule(figures); err != nil {
@@ -160,29 +174,29 @@
 		}
 	}
 	if set.Halt = p.Halt; p.TrialShare != nil {
-		set.Withheld = 1 - *p.TrialShare
+		set.WithheldShare = 1 - *p.TrialShare
 	}
 	return set, nil
 }
 
 // rewriting is how long a file that ends too soon is read again: whoever writes it may not be done. Danger: a marshal that
 // starts in that moment would not come up, and one that runs would stay where it was told to leave.
-const rewriting = 500 * time.Millisecond
+const rewriteTimeout = 500 * time.Millisecond
 
 // contents are those of the file at path, whole; of the embedded default where there is none.
 func contents(path string) (raw []byte, err error) {
 	if path == "" {
 		return embedded, nil
 	}
-	for end := time.Now().Add(rewriting); ; time.Sleep(rewriting / 50) {
-		if raw, err = os.ReadFile(path); err != nil || !cutShort(raw) || time.Now().After(end) {
+	for end := time.Now().Add(rewriteTimeout); ; time.Sleep(rewriteTimeout / 50) {
+		if raw, err = os.ReadFile(path); err != nil || !truncated(raw) || time.Now().After(end) {
 			return raw, err
 		}
 	}
 }
 
 // cutShort tells whether a text is the beginning of JSON and no more.
-func cutShort(raw []byte) bool {
+func truncated(raw []byte) bool {
 	err := json.NewDecoder(bytes.NewReader(raw)).Decode(new(json.RawMessage))
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
@@ -208,14 +222,18 @@
 			*to = v
 		}
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Platform: f.Platform.Address,
-		Limits: f.Limits}
+	c := &Config{
+		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Platform: f.Platform.Address,
+		Limits: f.Limits,
+	}
 	if path == "" {
 		c.Warnings = append(c.Warnings, "config: none is given, the embedded default holds")
 	}
 	c.warn("", given, reflect.TypeFor[file]())
-	for key, in := range map[string]reflect.Type{"limits": reflect.TypeFor[Limits](),
-		"platform": reflect.TypeFor[platform]()} {
+	for key, in := range map[string]reflect.Type{
+		"limits":   reflect.TypeFor[Limits](),
+		"platform": reflect.TypeFor[platform](),
+	} {
 		var part map[string]json.RawMessage
 		if json.Unmarshal(given[key], &part) == nil {
 			c.warn(key+".", part, in)
@@ -259,7 +277,8 @@
 		return errors.New("name: missing")
 	}
 	for _, a := range []struct{ key, address string }{
-		{"listen", c.Listen}, {"discovery", c.Discovery}, {"platform.address", c.Platform}} {
+		{"listen", c.Listen}, {"discovery", c.Discovery}, {"platform.address", c.Platform},
+	} {
 		host, port, err := net.SplitHostPort(a.address)
 		if n, perr := strconv.ParseUint(port, 10, 16); err != nil || perr != nil || host == "" || n == 0 {
 			return fmt.Errorf("%s: want host:port, got %q", a.key, a.address)
@@ -274,7 +293,7 @@
 	}{
 		{"limits.cores", c.Limits.Cores, 0.01, 1024},
 		{"limits.memory_mb", c.Limits.MemoryMB, 16, 1 << 20},
-		{"limits.sockets", float64(c.Limits.Sockets), 2 * own, 1 << 20},
+		{"limits.sockets", float64(c.Limits.Sockets), 2 * reservedDescriptors, 1 << 20},
 	} {
 		if l.v < l.low || l.v > l.high {
 			return fmt.Errorf("%s: want %v to %.0f, got %v", l.key, l.low, l.high, l.v)
@@ -292,7 +311,7 @@
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	c.Figures = values
+	c.Values = values
 	if c.Settings, err = settings.ForModule(values); err != nil {
 		return err
 	}
@@ -304,15 +323,15 @@
 		if err != nil {
 			return fmt.Errorf("known: %w", err)
 		}
-		known.How = decision.Remembered
-		c.Known = &known
+		known.Kind = decision.CachedSnapshot
+		c.Endpoints = &known
 	}
 	if present(f.Platform.News) {
 		news, err := rollout.DecodeStage(f.Platform.News)
 		if err != nil {
 			return fmt.Errorf("platform.news: %w", err)
 		}
-		c.News = &news
+		c.Stage = &news
 	}
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -31,8 +31,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := fmt.Sprint(c.Name, c.Listen, c.Discovery, c.Platform, c.Seed, c.Limits, c.Network, len(c.Settings.Groups),
-		c.Known.How, c.Known.Stamp, len(c.Known.Entries), c.News.Build, c.News.Age, c.Warnings)
+	got := fmt.Sprint(c.Name, c.Listen, c.Discovery, c.Platform, c.Seed, c.Limits, c.Network, len(c.Settings.Classes),
+		c.Endpoints.Kind, c.Endpoints.Version, len(c.Endpoints.Endpoints), c.Stage.Build, c.Stage.Age, c.Warnings)
 	want := fmt.Sprint("n4", "127.0.0.5:1", "127.2.0.1:8500", "127.2.0.2:6400", uint64(0x8c1f30d27a5be964), Limits{1, 192, 1024},
 		c.Network, 1, 2, 41, 1, 42, 310.0, []string(nil))
 	if got != want {
@@ -71,7 +71,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if fixed := strings.Join(first.Fixed(next), ","); next.Discovery != tc.discovery || fixed != tc.fixed {
+		if fixed := strings.Join(first.RestartOnly(next), ","); next.Discovery != tc.discovery || fixed != tc.fixed {
 			t.Errorf("%s: discovery %s, fixed %q", tc.new, next.Discovery, fixed)
 		}
 	}
