--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -7,16 +7,15 @@
 	"fmt"
 	"net/netip"
 	"os"
+	"ottershed/internal/admin"
+	"ottershed/internal/cluster/gossip"
+	"ottershed/internal/cluster/membership"
+	"ottershed/internal/cluster/raftlog"
 	"path/filepath"
 	"strings"
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
-
-	"ottershed/internal/admin"
-	"ottershed/internal/cluster/gossip"
-	"ottershed/internal/cluster/membership"
-	"ottershed/internal/cluster/raftlog"
 )
 
 // Operator is what the operator's own file says, beside what the platform hands over. Nothing in it is on by itself.
@@ -24,11 +23,11 @@
 	Admin      string          // ip:port of loopback; empty: none
 	Membership *gossip.Config  // nil: off
 	Policy     *raftlog.Config // nil: off
-	Lease      time.Duration   // of work in hand; 0: takeover is off
+	LeaseTTL   time.Duration   // of work in hand; 0: takeover is off
 }
 
 // spanOf reads a length of time, "4s" or "250ms", in milliseconds. Danger: a plain number could be taken for any unit.
-func spanOf(key, text string) (float64, error) {
+func parseMillis(key, text string) (float64, error) {
 	d, err := time.ParseDuration(text)
 	if err != nil {
 		return 0, fmt.Errorf("%s: want a time like 4s or 250ms, got %q", key, text)
@@ -111,51 +110,51 @@
 }
 
 // leastLease is how often the log may elect a leader within a lease: an election must not cost anybody his work.
-const leastLease = 3
+const minElectionsPerLease = 3
 
 func (o *Operator) takeover(lease string) error {
 	if o.Membership == nil || o.Policy == nil {
 		return errors.New("takeover.enabled: needs membership.enabled and policy.enabled")
 	}
-	span, err := spanOf("takeover.lease", lease)
+	span, err := parseMillis("takeover.lease", lease)
 	if err != nil {
 		return err
 	}
-	if o.Lease = time.Duration(span * float64(time.Millisecond)); o.Lease < leastLease*o.Policy.Elect {
-		return fmt.Errorf("takeover.lease: want %d times policy.elect-within or more, %v, got %v", leastLease,
-			leastLease*o.Policy.Elect, o.Lease)
+	if o.LeaseTTL = time.Duration(span * float64(time.Millisecond)); o.LeaseTTL < minElectionsPerLease*o.Policy.ElectionTimeout {
+		return fmt.Errorf("takeover.lease: want %d times policy.elect-within or more, %v, got %v", minElectionsPerLease,
+			minElectionsPerLease*o.Policy.ElectionTimeout, o.LeaseTTL)
 	}
 	return nil
 }
 
 // beside is a path in the file, which is relative to the file.
-func beside(path, of string) string {
+func relativeTo(path, of string) string {
 	if filepath.IsAbs(of) {
 		return of
 	}
 	return filepath.Join(filepath.Dir(path), of)
 }
 
-const leastKey = 16 // bytes
+const minKeyBytes = 16 // bytes
 
 // readKey reads a key file; none is no key.
 func readKey(path, key, file string) ([]byte, error) {
 	if file == "" {
 		return nil, nil
 	}
-	raw, err := os.ReadFile(beside(path, file))
+	raw, err := os.ReadFile(relativeTo(path, file))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", key, err)
 	}
-	if raw = bytes.TrimSpace(raw); len(raw) < leastKey {
-		return nil, fmt.Errorf("%s: want a key of %d bytes or more, got %d", key, leastKey, len(raw))
+	if raw = bytes.TrimSpace(raw); len(raw) < minKeyBytes {
+		return nil, fmt.Errorf("%s: want a key of %d bytes or more, got %d", key, minKeyBytes, len(raw))
 	}
 	return raw, nil
 }
 
 const (
-	leastElect  = 50 * time.Millisecond
-	mostServers = 9
+	minElectionTimeout = 50 * time.Millisecond
+	maxServers         = 9
 )
 
 func (f *operatorFile) policy(path, name string) (*raftlog.Config, error) {
@@ -164,20 +163,20 @@
 	if c.Dir == "" {
 		return nil, errors.New("policy.dir: missing; it has to last over restarts")
 	}
-	c.Dir = beside(path, c.Dir)
+	c.Dir = relativeTo(path, c.Dir)
 	var err error
 	if c.Key, err = readKey(path, "policy.key-file", p.KeyFile); err != nil {
 		return nil, err
 	}
-	elect, err := spanOf("policy.elect-within", cmp.Or(p.ElectWithin, "1s"))
+	elect, err := parseMillis("policy.elect-within", cmp.Or(p.ElectWithin, "1s"))
 	if err != nil {
 		return nil, err
 	}
-	if c.Elect = time.Duration(elect * float64(time.Millisecond)); c.Elect < leastElect {
-		return nil, fmt.Errorf("policy.elect-within: want %v or more, got %v", leastElect, c.Elect)
+	if c.ElectionTimeout = time.Duration(elect * float64(time.Millisecond)); c.ElectionTimeout < minElectionTimeout {
+		return nil, fmt.Errorf("policy.elect-within: want %v or more, got %v", minElectionTimeout, c.ElectionTimeout)
 	}
-	if len(p.Servers) == 0 || len(p.Servers) > mostServers {
-		return nil, fmt.Errorf("policy.servers: want 1 to %d, got %d; all other marshals follow them", mostServers, len(p.Servers))
+	if len(p.Servers) == 0 || len(p.Servers) > maxServers {
+		return nil, fmt.Errorf("policy.servers: want 1 to %d, got %d; all other marshals follow them", maxServers, len(p.Servers))
 	}
 	names := map[string]bool{}
 	for i, s := range p.Servers {
@@ -232,14 +231,18 @@
 	if advertise == "" {
 		return nil, fmt.Errorf("membership.bind: missing, and membership.seeds names no %q", name)
 	}
-	c := &gossip.Config{Bind: cmp.Or(m.Bind, advertise), Codec: membership.Codec{Cluster: m.Cluster},
-		Membership: membership.Settings{Name: membership.Name(name), Address: advertise, Seeds: seeds,
-			MostMembers: m.MostMembers}}
+	c := &gossip.Config{
+		Bind: cmp.Or(m.Bind, advertise), Codec: membership.Codec{Cluster: m.Cluster},
+		Membership: membership.Settings{
+			Name: membership.Name(name), Address: advertise, Seeds: seeds,
+			MaxMembers: m.MostMembers,
+		},
+	}
 	var err error
-	if c.Membership.BearPause, err = spanOf("membership.bear-pause", m.BearPause); err != nil {
+	if c.Membership.ToleratedPause, err = parseMillis("membership.bear-pause", m.BearPause); err != nil {
 		return nil, err
 	}
-	if c.Membership.DetectWithin, err = spanOf("membership.detect-within", m.DetectWithin); err != nil {
+	if c.Membership.DetectionTimeout, err = parseMillis("membership.detect-within", m.DetectWithin); err != nil {
 		return nil, err
 	}
 	if c.Codec.Key, err = readKey(path, "membership.key-file", m.KeyFile); err != nil {
@@ -259,17 +262,21 @@
 
 // String tells what holds of the operator's file.
 func (o *Operator) String() string {
-	lines := [][2]string{{"admin.listen", cmp.Or(o.Admin, "none")}, {"membership", "off"}, {"policy", "off"},
-		{"takeover", "off"}}
-	if o.Lease > 0 {
-		lines[3][1] = fmt.Sprintf("leases of %v", o.Lease)
+	lines := [][2]string{
+		{"admin.listen", cmp.Or(o.Admin, "none")},
+		{"membership", "off"},
+		{"policy", "off"},
+		{"takeover", "off"},
+	}
+	if o.LeaseTTL > 0 {
+		lines[3][1] = fmt.Sprintf("leases of %v", o.LeaseTTL)
 	}
 	if c := o.Policy; c != nil {
 		role := "a server"
 		if !c.IsServer() {
 			role = "follows"
 		}
-		lines[2][1] = fmt.Sprintf("%s, %d servers, %v to elect, store in %s", role, len(c.Servers), c.Elect, c.Dir)
+		lines[2][1] = fmt.Sprintf("%s, %d servers, %v to elect, store in %s", role, len(c.Servers), c.ElectionTimeout, c.Dir)
 	}
 	if c := o.Membership; c != nil {
 		sealed := "packets not sealed"
@@ -277,9 +284,12 @@
 			sealed = "packets sealed"
 		}
 		lines[1][1] = fmt.Sprintf("cluster %q, %s, %d seeds", c.Codec.Cluster, sealed, len(c.Membership.Seeds))
-		lines = append(lines, [][2]string{{"membership.bind", c.Bind}, {"membership.advertise", c.Membership.Address},
-			{"membership.bear-pause", fmt.Sprintf("%g ms", c.Membership.BearPause)},
-			{"membership.detect-within", fmt.Sprintf("%g ms", c.Membership.DetectWithin)}}...)
+		lines = append(lines, [][2]string{
+			{"membership.bind", c.Bind},
+			{"membership.advertise", c.Membership.Address},
+			{"membership.bear-pause", fmt.Sprintf("%g ms", c.Membership.ToleratedPause)},
+			{"membership.detect-within", fmt.Sprintf("%g ms", c.Membership.DetectionTimeout)},
+		}...)
 	}
 	var b strings.Builder
 	for _, l := range lines {
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -44,8 +44,10 @@
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
 			path := filepath.Join(dir, "operator.toml")
-			for file, text := range map[string]string{"operator.toml": strings.Replace(good, tc.old, tc.new, 1),
-				"key": "0123456789abcdef\n", "short": "0123", "empty": "\n"} {
+			for file, text := range map[string]string{
+				"operator.toml": strings.Replace(good, tc.old, tc.new, 1),
+				"key":           "0123456789abcdef\n", "short": "0123", "empty": "\n",
+			} {
 				if err := os.WriteFile(filepath.Join(dir, file), []byte(text), 0o600); err != nil {
 					t.Fatal(err)
 				}
@@ -61,7 +63,7 @@
 			case name == "off" && o.Membership != nil || name != "off" && o.Membership == nil:
 				t.Errorf("%+v", o)
 			case o.Membership != nil && (o.Membership.Bind != "127.0.0.1:7946" || len(o.Membership.Codec.Key) != 16 ||
-				o.Membership.Membership.BearPause != 3000 || !strings.Contains(o.String(), "packets sealed, 2 seeds")):
+				o.Membership.Membership.ToleratedPause != 3000 || !strings.Contains(o.String(), "packets sealed, 2 seeds")):
 				t.Errorf("%+v\n%s", o.Membership, o)
 			}
 		})
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -7,6 +7,9 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
+	"ottershed/decision"
+	"ottershed/internal/engine"
+	"ottershed/internal/settings"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -15,32 +18,28 @@
 	"time"
 
 	"github.com/sirupsen/logrus"
-
-	"ottershed/decision"
-	"ottershed/internal/engine"
-	"ottershed/internal/settings"
 )
 
 const entry = `{"name":"s-1","address":"10.1.0.18:8080","zone":"a","type":"m2","group":3,"status":"%s","weight":1.5,"since_ms":7000,"image_id":41}`
 
-func list(index int, whole bool, statuses ...string) string {
+func list(index int, snapshot bool, statuses ...string) string {
 	var entries []string
 	for _, s := range statuses {
 		entries = append(entries, fmt.Sprintf(entry, s))
 	}
-	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, whole, strings.Join(entries, ","))
+	return fmt.Sprintf(`{"index":%d,"snapshot":%v,"endpoints":[%s]}`, index, snapshot, strings.Join(entries, ","))
 }
 
 func TestDecode(t *testing.T) {
 	for name, tc := range map[string]struct {
 		text  string
-		how   decision.ListKind
-		state decision.NodeState
+		how   decision.SnapshotKind
+		state decision.EndpointState
 		fault string
 	}{
-		"ready":       {list(41, true, "Ready"), decision.Whole, decision.Up, ""},
-		"terminating": {list(42, false, "Terminating"), decision.Changes, decision.Draining, ""},
-		"gone":        {list(42, false, "Gone"), decision.Changes, decision.Removed, ""},
+		"ready":       {list(41, true, "Ready"), decision.FullSnapshot, decision.Serving, ""},
+		"terminating": {list(42, false, "Terminating"), decision.Delta, decision.Draining, ""},
+		"gone":        {list(42, false, "Gone"), decision.Delta, decision.Removed, ""},
 		"no JSON":     {`{"index":4`, 0, 0, "list:"},
 		"no index":    {`{}`, 0, 0, "no index"},
 		"odd status":  {list(1, true, "Lost"), 0, 0, `"Lost"`},
@@ -54,9 +53,11 @@
 				}
 				return
 			}
-			want := engine.Entry{Address: "10.1.0.18:8080", Node: decision.Node{ID: "s-1", Cell: 3, Started: 7000, Zone: "a",
-				Build: 41, Kind: "m2", State: tc.state, Units: 1.5}}
-			if err != nil || got.How != tc.how || len(got.Entries) != 1 || got.Entries[0] != want {
+			want := engine.Endpoint{Address: "10.1.0.18:8080", Endpoint: decision.Endpoint{
+				ID: "s-1", Cell: 3, Started: 7000, Zone: "a",
+				Build: 41, MachineType: "m2", State: tc.state, Capacity: 1.5,
+			}}
+			if err != nil || got.Kind != tc.how || len(got.Endpoints) != 1 || got.Endpoints[0] != want {
 				t.Errorf("got %+v, %v", got, err)
 			}
 		})
@@ -64,9 +65,9 @@
 }
 
 // The whole list comes first, then watches from its index on; what fails or hangs costs a call for the whole list.
-func TestFollow(t *testing.T) {
+func TestWatch(t *testing.T) {
 	const whole, watch = "/discovery/hosts", "/discovery/hosts?since=%d&timeout_ms=50"
-	type step struct{ call, answer string }
+	type step struct{ call, response string }
 	for name, steps := range map[string][]step{
 		"watches":          {{whole, list(41, true, "Ready")}, {fmt.Sprintf(watch, 41), list(43, false, "Terminating")}, {fmt.Sprintf(watch, 43), list(43, false)}, {fmt.Sprintf(watch, 43), ""}},
 		"unreadable":       {{whole, list(41, true, "Ready")}, {fmt.Sprintf(watch, 41), "what?"}, {whole, list(44, true)}, {fmt.Sprintf(watch, 44), ""}},
@@ -75,35 +76,35 @@
 		"the index is old": {{whole, list(41, true)}, {fmt.Sprintf(watch, 41), list(2, true, "Ready")}, {fmt.Sprintf(watch, 2), ""}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			calls, told := make(chan string, 100), make(chan engine.List, 100)
+			calls, updates := make(chan string, 100), make(chan engine.EndpointUpdate, 100)
 			var mu sync.Mutex // calls may come beside each other
 			n := 0
-			next := func(call string) (answer string) {
+			next := func(call string) (response string) {
 				mu.Lock()
 				defer mu.Unlock()
 				if n < len(steps) {
-					answer = steps[n].answer
+					response = steps[n].response
 					calls <- call
 				}
 				n++
-				return answer
+				return response
 			}
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				switch answer := next(r.URL.String()); answer {
+				switch response := next(r.URL.String()); response {
 				case "500":
 					w.WriteHeader(500)
 				case "", "hang":
 					<-r.Context().Done()
 				default:
-					io.WriteString(w, answer)
+					io.WriteString(w, response)
 				}
 			}))
 			defer s.Close()
 			log := logrus.New()
 			log.SetOutput(io.Discard)
-			f := New(strings.TrimPrefix(s.URL, "http://"), nil, settings.Network{}, func(l engine.List) { told <- l }, log)
+			f := New(strings.TrimPrefix(s.URL, "http://"), nil, settings.Network{}, func(l engine.EndpointUpdate) { updates <- l }, log)
 			// The answers here are due at once. Limits of a second keep a busy machine from adding a call beside one of them.
-			f.wait, f.answer, f.hasten, f.pause = 50*time.Millisecond, time.Second, time.Second, time.Millisecond
+			f.watchTimeout, f.responseTimeout, f.hedgeAfter, f.retryDelay = 50*time.Millisecond, time.Second, time.Second, time.Millisecond
 			ctx, cancel := context.WithCancel(t.Context())
 			ended := make(chan struct{})
 			go func() { f.Run(ctx); close(ended) }()
@@ -112,19 +113,19 @@
 				if got := receive(t, calls); got != step.call {
 					t.Errorf("call %d: %s, want %s", i, got, step.call)
 				}
-				if step.answer == list(43, false) {
+				if step.response == list(43, false) {
 					continue // no change, nothing to tell
 				}
-				if want, err := Decode([]byte(step.answer)); err == nil {
-					if lists++; fmt.Sprint(receive(t, told)) != fmt.Sprint(want) {
+				if want, err := Decode([]byte(step.response)); err == nil {
+					if lists++; fmt.Sprint(receive(t, updates)) != fmt.Sprint(want) {
 						t.Errorf("step %d told something else", i)
 					}
 				}
 			}
 			cancel()
 			<-ended
-			if lists == 0 || len(told) != 0 {
-				t.Errorf("%d lists told, %d too many", lists, len(told))
+			if lists == 0 || len(updates) != 0 {
+				t.Errorf("%d lists told, %d too many", lists, len(updates))
 			}
 		})
 	}
@@ -144,15 +145,15 @@
 
 // Moved, the list is asked for whole at the next address; until that answers the first one is watched on, and not heard
 // any more then. A part of an answer holds nothing up.
-func TestMove(t *testing.T) {
-	told := make(chan engine.List, 100)
-	agent := func(first string) (s *httptest.Server, calls, answers chan string) {
-		calls, answers = make(chan string, 100), make(chan string, 100)
-		answers <- first
+func TestSetAddress(t *testing.T) {
+	updates := make(chan engine.EndpointUpdate, 100)
+	agent := func(first string) (s *httptest.Server, calls, responses chan string) {
+		calls, responses = make(chan string, 100), make(chan string, 100)
+		responses <- first
 		s = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			calls <- r.URL.RawQuery
 			select {
-			case a := <-answers:
+			case a := <-responses:
 				if a == "part" {
 					w.Header().Set("Content-Length", "100")
 					io.WriteString(w, `{"index":`)
@@ -165,14 +166,14 @@
 			}
 		}))
 		t.Cleanup(s.Close)
-		return s, calls, answers
+		return s, calls, responses
 	}
-	one, oneCalls, oneAnswers := agent(list(41, true, "Ready"))
-	two, twoCalls, twoAnswers := agent("part")
+	one, oneCalls, oneResponses := agent(list(41, true, "Ready"))
+	two, twoCalls, twoResponses := agent("part")
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := New(one.Listener.Addr().String(), nil, settings.Network{}, func(l engine.List) { told <- l }, log)
-	f.rest = 20 * time.Millisecond
+	f := New(one.Listener.Addr().String(), nil, settings.Network{}, func(l engine.EndpointUpdate) { updates <- l }, log)
+	f.stallTimeout = 20 * time.Millisecond
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
@@ -180,9 +181,9 @@
 	expect := func(stamp int64) {
 		t.Helper()
 		select {
-		case l := <-told:
-			if l.Stamp != stamp {
-				t.Errorf("list %d told, want %d", l.Stamp, stamp)
+		case l := <-updates:
+			if l.Version != stamp {
+				t.Errorf("list %d told, want %d", l.Version, stamp)
 			}
 		case <-time.After(5 * time.Second):
 			t.Fatalf("list %d not told", stamp)
@@ -190,15 +191,15 @@
 	}
 	expect(41)
 	<-oneCalls
-	f.Move(ctx, "127.0.0.1:1") // nothing there
-	f.Move(ctx, two.Listener.Addr().String())
+	f.SetAddress(ctx, "127.0.0.1:1") // nothing there
+	f.SetAddress(ctx, two.Listener.Addr().String())
 	<-twoCalls
-	oneAnswers <- list(42, false, "Terminating")
+	oneResponses <- list(42, false, "Terminating")
 	expect(42)
 	if got := <-twoCalls; got != "" { // after the part of an answer
 		t.Errorf("asked the next agent for %q first", got)
 	}
-	twoAnswers <- list(7, true, "Ready")
+	twoResponses <- list(7, true, "Ready")
 	expect(7)
 	if got := <-twoCalls; !strings.HasPrefix(got, "since=7&") {
 		t.Errorf("then for %q", got)
@@ -209,12 +210,12 @@
 
 // Where the list is asked of a service with a queue, a marshal follows on what it holds, never asks for the whole list
 // again, and lets the module say when a call that was refused, or failed twice, goes out; one that was cut goes out at once.
-func TestAskedList(t *testing.T) {
-	calls, told := make(chan string, 100), make(chan engine.List, 100)
-	answers := make(chan string, 100)
+func TestPolledEndpoints(t *testing.T) {
+	calls, updates := make(chan string, 100), make(chan engine.EndpointUpdate, 100)
+	responses := make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.RawQuery
-		switch a := <-answers; a {
+		switch a := <-responses; a {
 		case "503", "429":
 			w.WriteHeader(map[string]int{"503": 503, "429": 429}[a])
 		case "cut": // after its head; before it, the client's transport would ask once more by itself
@@ -227,40 +228,40 @@
 		}
 	}))
 	defer s.Close()
-	defer close(answers)
+	defer close(responses)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := New(strings.TrimPrefix(s.URL, "http://"), &engine.List{Stamp: 41}, settings.Network{AskList: true, AskWithin: 10000},
-		func(l engine.List) { told <- l }, log)
-	f.wait, f.pause = 50*time.Millisecond, time.Millisecond
-	if f.answer != 2500*time.Millisecond {
-		t.Errorf("a call that waits its turn is given up after %v", f.answer)
+	f := New(strings.TrimPrefix(s.URL, "http://"), &engine.EndpointUpdate{Version: 41}, settings.Network{PollEndpoints: true, PollWithin: 10000},
+		func(l engine.EndpointUpdate) { updates <- l }, log)
+	f.watchTimeout, f.retryDelay = 50*time.Millisecond, time.Millisecond
+	if f.responseTimeout != 2500*time.Millisecond {
+		t.Errorf("a call that waits its turn is given up after %v", f.responseTimeout)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
 	for i, step := range []struct {
-		turn   bool // the module has to say so first
-		since  int
-		answer string
-		told   decision.ListKind
+		turn     bool // the module has to say so first
+		since    int
+		response string
+		updates  decision.SnapshotKind
 	}{
-		{true, 41, "503", decision.ListRefused},
-		{true, 41, "429", decision.ListRefused},
-		{true, 41, list(43, false, "Ready"), decision.Changes},
+		{true, 41, "503", decision.PollRejected},
+		{true, 41, "429", decision.PollRejected},
+		{true, 41, list(43, false, "Ready"), decision.Delta},
 		{false, 43, "cut", -1},
-		{false, 43, list(43, false), decision.Changes}, // without entries: the call was taken
+		{false, 43, list(43, false), decision.Delta}, // without entries: the call was taken
 		{false, 43, "what?", -1},
-		{false, 43, "cut", decision.ListRefused},
-		{true, 43, list(44, true, "Ready"), decision.Whole},
-		{false, 44, "503", decision.ListRefused},
+		{false, 43, "cut", decision.PollRejected},
+		{true, 43, list(44, true, "Ready"), decision.FullSnapshot},
+		{false, 44, "503", decision.PollRejected},
 	} {
 		if step.turn {
 			select {
 			case got := <-calls:
 				t.Fatalf("step %d: asked %q before its turn", i, got)
 			case <-time.After(5 * time.Millisecond):
-				f.Watch()
+				f.ResumeWatch()
 			}
 		}
 		var got string
@@ -272,10 +273,10 @@
 		if want := fmt.Sprintf("since=%d&timeout_ms=50", step.since); got != want {
 			t.Errorf("step %d: asked %q, want %q", i, got, want)
 		}
-		answers <- step.answer
-		if step.told >= 0 {
-			if got := <-told; got.How != step.told {
-				t.Errorf("step %d: told %d, want %d", i, got.How, step.told)
+		responses <- step.response
+		if step.updates >= 0 {
+			if got := <-updates; got.Kind != step.updates {
+				t.Errorf("step %d: told %d, want %d", i, got.Kind, step.updates)
 			}
 		}
 	}
@@ -309,19 +310,19 @@
 			defer s.Close()
 			log := logrus.New()
 			log.SetOutput(io.Discard)
-			told := make(chan engine.List, 10)
-			f := New(strings.TrimPrefix(s.URL, "http://"), nil, settings.Network{DrainGrace: 40}, func(l engine.List) { told <- l }, log)
-			if f.hasten != 10*time.Millisecond || f.pause > f.hasten {
-				t.Errorf("another call after %v, after a failure after %v", f.hasten, f.pause)
+			updates := make(chan engine.EndpointUpdate, 10)
+			f := New(strings.TrimPrefix(s.URL, "http://"), nil, settings.Network{DrainGrace: 40}, func(l engine.EndpointUpdate) { updates <- l }, log)
+			if f.hedgeAfter != 10*time.Millisecond || f.retryDelay > f.hedgeAfter {
+				t.Errorf("another call after %v, after a failure after %v", f.hedgeAfter, f.retryDelay)
 			}
-			f.answer = 100 * time.Millisecond // ten calls at most are open; forty are lost in some four such times
+			f.responseTimeout = 100 * time.Millisecond // ten calls at most are open; forty are lost in some four such times
 			ctx, cancel := context.WithCancel(t.Context())
 			ended := make(chan struct{})
 			go func() { f.Run(ctx); close(ended) }()
 			select {
-			case l := <-told:
-				if l.Stamp != 41 || int(calls.Load()) < tc.lost+1 {
-					t.Errorf("list %d after %d calls", l.Stamp, calls.Load())
+			case l := <-updates:
+				if l.Version != 41 || int(calls.Load()) < tc.lost+1 {
+					t.Errorf("list %d after %d calls", l.Version, calls.Load())
 				}
 			case <-time.After(10 * time.Second):
 				t.Error("the list was not told")
@@ -336,9 +337,9 @@
 }
 
 // agent is a stand-in for which the test says what each call gets: the answer, or "" for none.
-func agent(t *testing.T, answer func(r *http.Request) string) string {
+func fakeAgent(t *testing.T, respond func(r *http.Request) string) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if a := answer(r); a != "" {
+		if a := respond(r); a != "" {
 			io.WriteString(w, a)
 		} else {
 			<-r.Context().Done()
@@ -349,7 +350,7 @@
 }
 
 // follow runs a follower until the test ends.
-func follow(t *testing.T, f *Follower) context.Context {
+func follow(t *testing.T, f *Watcher) context.Context {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
@@ -364,12 +365,12 @@
 }
 
 // expect waits for the list of this number.
-func expect(t *testing.T, told <-chan engine.List, stamp int64) {
+func expect(t *testing.T, updates <-chan engine.EndpointUpdate, stamp int64) {
 	t.Helper()
 	select {
-	case l := <-told:
-		if l.Stamp != stamp {
-			t.Errorf("list %d told, want %d", l.Stamp, stamp)
+	case l := <-updates:
+		if l.Version != stamp {
+			t.Errorf("list %d told, want %d", l.Version, stamp)
 		}
 	case <-time.After(10 * time.Second):
 		t.Fatalf("list %d not told", stamp)
@@ -379,9 +380,9 @@
 // An agent is silent only for as long as it takes to lose the open watch; what it holds then is heard within the grace.
 func TestShortSilence(t *testing.T) {
 	const grace = 2000
-	told, lost := make(chan engine.List, 10), make(chan time.Time, 1)
+	updates, lost := make(chan engine.EndpointUpdate, 10), make(chan time.Time, 1)
 	var calls atomic.Int64
-	f := New(agent(t, func(r *http.Request) string {
+	f := New(fakeAgent(t, func(r *http.Request) string {
 		switch calls.Add(1) {
 		case 1:
 			return list(41, true, "Ready")
@@ -391,12 +392,12 @@
 			return list(42, true, "Terminating")
 		}
 		return ""
-	}), nil, settings.Network{DrainGrace: grace}, func(l engine.List) { told <- l }, quiet())
+	}), nil, settings.Network{DrainGrace: grace}, func(l engine.EndpointUpdate) { updates <- l }, quiet())
 	follow(t, f)
-	expect(t, told, 41)
-	<-f.Heard()
+	expect(t, updates, 41)
+	<-f.Received()
 	back := <-lost
-	expect(t, told, 42)
+	expect(t, updates, 42)
 	if took := time.Since(back); took > grace*time.Millisecond {
 		t.Errorf("heard %v after the agent was back", took)
 	}
@@ -404,16 +405,16 @@
 
 // A move that comes when the next agent has told its list, and before that is known, ends neither watch: what that
 // agent tells afterwards is heard, while the address after it is silent.
-func TestMoveAsTheNextSpeaks(t *testing.T) {
-	told, more := make(chan engine.List, 10), make(chan string, 1)
+func TestSetAddressDuringFirstUpdate(t *testing.T) {
+	updates, more := make(chan engine.EndpointUpdate, 10), make(chan string, 1)
 	hold := func(r *http.Request) string { return "" }
-	one := agent(t, func(r *http.Request) string {
+	one := fakeAgent(t, func(r *http.Request) string {
 		if r.URL.RawQuery == "" {
 			return list(41, true, "Ready")
 		}
 		return ""
 	})
-	two := agent(t, func(r *http.Request) string {
+	two := fakeAgent(t, func(r *http.Request) string {
 		if r.URL.RawQuery == "" {
 			return list(7, true, "Ready")
 		}
@@ -424,27 +425,27 @@
 			return ""
 		}
 	})
-	silent := agent(t, hold)
-	var f *Follower
+	silent := fakeAgent(t, hold)
+	var f *Watcher
 	var ctx context.Context
-	f = New(one, nil, settings.Network{DrainGrace: 4000}, func(l engine.List) {
-		if l.Stamp == 7 {
-			f.Move(ctx, silent) // taken by Run while this watch has told and not yet said so
+	f = New(one, nil, settings.Network{DrainGrace: 4000}, func(l engine.EndpointUpdate) {
+		if l.Version == 7 {
+			f.SetAddress(ctx, silent) // taken by Run while this watch has told and not yet said so
 		}
-		told <- l
+		updates <- l
 	}, quiet())
 	ctx = follow(t, f)
-	expect(t, told, 41)
-	f.Move(ctx, two)
-	expect(t, told, 7)
+	expect(t, updates, 41)
+	f.SetAddress(ctx, two)
+	expect(t, updates, 7)
 	more <- list(8, false, "Terminating")
-	expect(t, told, 8)
+	expect(t, updates, 8)
 }
 
 // However short the grace, a silent agent has few calls open, for each takes a descriptor; and the first of them is heard
 // when it is answered at last.
 func TestFewCalls(t *testing.T) {
-	told, first := make(chan engine.List, 10), make(chan struct{})
+	updates, first := make(chan engine.EndpointUpdate, 10), make(chan struct{})
 	var calls, open, most atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n := calls.Add(1)
@@ -456,35 +457,35 @@
 			io.WriteString(w, list(41, true, "Ready"))
 			return
 		}
-		if n == 4*beside {
+		if n == 4*maxOpenCalls {
 			close(first)
 		}
 		<-r.Context().Done()
 	}))
 	defer s.Close()
-	f := New(s.Listener.Addr().String(), nil, settings.Network{DrainGrace: 8}, func(l engine.List) { told <- l }, quiet())
-	f.answer = 10 * time.Second
+	f := New(s.Listener.Addr().String(), nil, settings.Network{DrainGrace: 8}, func(l engine.EndpointUpdate) { updates <- l }, quiet())
+	f.responseTimeout = 10 * time.Second
 	follow(t, f)
-	expect(t, told, 41)
+	expect(t, updates, 41)
 	// The stand-in sees the end of a call a moment late.
-	if most.Load() > 2*beside {
-		t.Errorf("%d calls open at once, want %d or hardly more", most.Load(), beside)
+	if most.Load() > 2*maxOpenCalls {
+		t.Errorf("%d calls open at once, want %d or hardly more", most.Load(), maxOpenCalls)
 	}
 }
 
 // Of two calls beside each other the first answer counts, and what the other would tell is never heard: an older list does
 // not come after a newer one.
-func TestTwoAnswers(t *testing.T) {
-	told, second := make(chan engine.List, 10), make(chan struct{})
+func TestTwoResponses(t *testing.T) {
+	updates, second := make(chan engine.EndpointUpdate, 10), make(chan struct{})
 	var calls atomic.Int64
-	gone := make(chan struct{})
-	f := New(agent(t, func(r *http.Request) string {
+	canceled := make(chan struct{})
+	f := New(fakeAgent(t, func(r *http.Request) string {
 		switch calls.Add(1) {
 		case 1: // slow, and older
 			<-second
 			select {
 			case <-r.Context().Done():
-				close(gone)
+				close(canceled)
 			case <-time.After(10 * time.Second):
 			}
 			return list(41, true, "Ready")
@@ -492,15 +493,15 @@
 			close(second)
 			return list(42, true, "Terminating")
 		case 3:
-			<-gone
+			<-canceled
 			return list(43, false, "Gone")
 		}
 		return ""
-	}), nil, settings.Network{DrainGrace: 100}, func(l engine.List) { told <- l }, quiet())
-	f.answer, f.wait = 20*time.Second, 20*time.Second
+	}), nil, settings.Network{DrainGrace: 100}, func(l engine.EndpointUpdate) { updates <- l }, quiet())
+	f.responseTimeout, f.watchTimeout = 20*time.Second, 20*time.Second
 	follow(t, f)
-	expect(t, told, 42)
-	expect(t, told, 43)
+	expect(t, updates, 42)
+	expect(t, updates, 43)
 }
 
 // piece is a part of an answer, and how long it comes after the one before; the first after the call.
@@ -513,9 +514,9 @@
 var never = piece{after: time.Hour}
 
 // evenly cuts an answer into so many pieces that come so long after each other.
-func evenly(after time.Duration, answer string, count int) (pieces []piece) {
+func evenly(after time.Duration, body string, count int) (pieces []piece) {
 	for i := range count {
-		pieces = append(pieces, piece{after, answer[i*len(answer)/count : (i+1)*len(answer)/count]})
+		pieces = append(pieces, piece{after, body[i*len(body)/count : (i+1)*len(body)/count]})
 	}
 	return pieces
 }
@@ -547,10 +548,10 @@
 
 // slowAgent is an agent in the time of synctest: for each call, numbered from 1, it says in which pieces the answer comes.
 type slowAgent struct {
-	answer func(call int, since string) []piece
-	mu     sync.Mutex
-	calls  []context.Context
-	most   int // calls that were open at once
+	respond func(call int, since string) []piece
+	mu      sync.Mutex
+	calls   []context.Context
+	most    int // calls that were open at once
 }
 
 // open is how many calls are; mu must be held.
@@ -571,7 +572,7 @@
 	number := len(a.calls)
 	a.most = max(a.most, a.open())
 	a.mu.Unlock()
-	pieces := a.answer(number, r.URL.Query().Get("since"))
+	pieces := a.respond(number, r.URL.Query().Get("since"))
 	if len(pieces) == 0 {
 		return nil, errBroken
 	}
@@ -585,10 +586,12 @@
 }
 
 // slowWatch makes a watch on the agent at a grace for drains of 40 ms, so that calls follow each other every 10 ms.
-func slowWatch(a *slowAgent, told func(engine.List)) *watch {
-	f := New("agent", nil, settings.Network{DrainGrace: 40}, told, quiet())
-	return &watch{Follower: f, number: 1, at: -1, base: "http://agent/discovery/hosts", client: &http.Client{Transport: a},
-		speaks: make(chan int, 1)}
+func slowWatch(a *slowAgent, updates func(engine.EndpointUpdate)) *watch {
+	f := New("agent", nil, settings.Network{DrainGrace: 40}, updates, quiet())
+	return &watch{
+		Watcher: f, number: 1, version: -1, url: "http://agent/discovery/hosts", client: &http.Client{Transport: a},
+		updates: make(chan int, 1),
+	}
 }
 
 // An agent that answers late, or slowly, is heard all the same within the time in which the operators count a change as told;
@@ -597,74 +600,80 @@
 	const hasten = 10 * time.Millisecond // between calls
 	older, newer := list(41, true, "Ready"), list(42, true, "Terminating")
 	for name, tc := range map[string]struct {
-		answer   func(call int) []piece
+		response func(call int) []piece
 		stamp    int64
 		at       time.Duration // when the list is told
 		calls    int           // until then; 0: any
 		decoding time.Duration // how long each list takes
 	}{
-		"each answer three seconds late": {answer: func(int) []piece { return []piece{{3 * time.Second, older}} },
-			stamp: 41, at: 3 * time.Second},
-		"an outage, then half a second late": {answer: func(call int) []piece {
+		"each answer three seconds late": {
+			response: func(int) []piece { return []piece{{3 * time.Second, older}} },
+			stamp:    41, at: 3 * time.Second,
+		},
+		"an outage, then half a second late": {response: func(call int) []piece {
 			if call < 250 { // 2.5 s
 				return []piece{never}
 			}
 			return []piece{{500 * time.Millisecond, older}}
 		}, stamp: 41, at: 3500 * time.Millisecond},
-		"only the second that stays open is answered": {answer: func(call int) []piece {
+		"only the second that stays open is answered": {response: func(call int) []piece {
 			if call == 101 {
 				return []piece{{3500 * time.Millisecond, older}} // when the first has been given up
 			}
 			return []piece{never}
 		}, stamp: 41, at: 4500 * time.Millisecond},
-		"in pieces for three seconds": {answer: func(int) []piece { return evenly(300*time.Millisecond, older, 10) },
-			stamp: 41, at: 3 * time.Second},
-		"steadily, longer than calls follow": {answer: func(call int) []piece {
+		"in pieces for three seconds": {
+			response: func(int) []piece { return evenly(300*time.Millisecond, older, 10) },
+			stamp:    41, at: 3 * time.Second,
+		},
+		"steadily, longer than calls follow": {response: func(call int) []piece {
 			if call == 1 {
 				return append([]piece{{after: 5 * time.Millisecond}}, evenly(100*time.Millisecond, older, 10)...)
 			}
 			return []piece{{0, newer}}
 		}, stamp: 41, at: 1005 * time.Millisecond, calls: 1},
-		"steadily, and too long": {answer: func(call int) []piece {
+		"steadily, and too long": {response: func(call int) []piece {
 			if call == 1 {
 				return append([]piece{{after: 5 * time.Millisecond}}, evenly(150*time.Millisecond, older, 30)...)
 			}
 			return []piece{{0, newer}}
-		}, stamp: 42, at: patience, calls: 2},
-		"only a part": {answer: func(call int) []piece {
+		}, stamp: 42, at: snapshotTimeout, calls: 2},
+		"only a part": {response: func(call int) []piece {
 			if call == 1 {
 				return []piece{{5 * time.Millisecond, older[:20]}, never}
 			}
 			return []piece{{0, newer}}
-		}, stamp: 42, at: rest + hasten, calls: 2},
-		"a part, and the rest when another answer has come": {answer: func(call int) []piece {
+		}, stamp: 42, at: stallTimeout + hasten, calls: 2},
+		"a part, and the rest when another answer has come": {response: func(call int) []piece {
 			if call == 1 {
-				return []piece{{5 * time.Millisecond, older[:20]}, {rest + hasten, older[20:]}}
+				return []piece{{5 * time.Millisecond, older[:20]}, {stallTimeout + hasten, older[20:]}}
 			}
 			return []piece{{0, newer}}
-		}, stamp: 42, at: rest + hasten, calls: 2},
-		"long to decode": {answer: func(call int) []piece { return []piece{{5 * time.Millisecond, older}} },
-			stamp: 41, at: 1005 * time.Millisecond, calls: 1, decoding: time.Second},
-		"slow to read and long to decode": {answer: func(call int) []piece {
+		}, stamp: 42, at: stallTimeout + hasten, calls: 2},
+		"long to decode": {
+			response: func(call int) []piece { return []piece{{5 * time.Millisecond, older}} },
+			stamp:    41, at: 1005 * time.Millisecond, calls: 1, decoding: time.Second,
+		},
+		"slow to read and long to decode": {response: func(call int) []piece {
 			return append([]piece{{after: 5 * time.Millisecond}}, evenly(390*time.Millisecond, older, 10)...)
 		}, stamp: 41, at: 4905 * time.Millisecond, decoding: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				told := make(chan engine.List, 10)
-				a := &slowAgent{answer: func(call int, since string) []piece {
+				updates := make(chan engine.EndpointUpdate, 10)
+				a := &slowAgent{respond: func(call int, since string) []piece {
 					if since != "" {
 						return []piece{never}
 					}
-					return tc.answer(call)
+					return tc.response(call)
 				}}
-				f := slowWatch(a, func(l engine.List) {
+				f := slowWatch(a, func(l engine.EndpointUpdate) {
 					select {
-					case told <- l:
+					case updates <- l:
 					default:
 					}
 				})
-				f.decode = func(raw []byte) (engine.List, error) {
+				f.decode = func(raw []byte) (engine.EndpointUpdate, error) {
 					time.Sleep(tc.decoding)
 					return Decode(raw)
 				}
@@ -674,25 +683,25 @@
 				defer time.Sleep(tc.decoding + time.Millisecond) // what is being decoded goes on to its end
 				defer cancel()
 				select {
-				case l := <-told:
+				case l := <-updates:
 					a.mu.Lock()
 					calls, most := len(a.calls), a.most
 					a.mu.Unlock()
-					if took := time.Since(began); l.Stamp != tc.stamp || took < tc.at || took > tc.at+hasten {
-						t.Errorf("list %d told after %v, want %d after %v", l.Stamp, took, tc.stamp, tc.at)
+					if took := time.Since(began); l.Version != tc.stamp || took < tc.at || took > tc.at+hasten {
+						t.Errorf("list %d told after %v, want %d after %v", l.Version, took, tc.stamp, tc.at)
 					}
 					if tc.calls > 0 && calls > tc.calls+1 { // the next watch may be out
 						t.Errorf("%d calls, want %d", calls, tc.calls)
 					}
-					if most > beside {
-						t.Errorf("%d calls open at once, want %d at most", most, beside)
+					if most > maxOpenCalls {
+						t.Errorf("%d calls open at once, want %d at most", most, maxOpenCalls)
 					}
 				case <-time.After(20 * time.Second):
 					t.Fatal("no list was told")
 				}
 				time.Sleep(5 * time.Millisecond)
-				if len(told) > 0 {
-					t.Errorf("then list %d was told", (<-told).Stamp)
+				if len(updates) > 0 {
+					t.Errorf("then list %d was told", (<-updates).Version)
 				}
 			})
 		})
@@ -703,13 +712,13 @@
 // second; one that breaks the connection is not waited for.
 func TestLongSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := &slowAgent{answer: func(call int, _ string) []piece {
+		a := &slowAgent{respond: func(call int, _ string) []piece {
 			if call == 2000 { // after 20 s
 				return nil
 			}
 			return []piece{never}
 		}}
-		f := slowWatch(a, func(engine.List) { t.Error("a list was told") })
+		f := slowWatch(a, func(engine.EndpointUpdate) { t.Error("a list was told") })
 		began := time.Now()
 		var warned atomic.Int64
 		f.log = warnings{f.log, func() { warned.CompareAndSwap(0, int64(time.Since(began))) }}
@@ -717,12 +726,12 @@
 		if took := time.Since(began); !errors.Is(err, errBroken) || took < 19*time.Second || took > 21*time.Second {
 			t.Errorf("after %v: %v, want %v", took, err, errBroken)
 		}
-		if at := time.Duration(warned.Load()); at < answer || at > answer+20*time.Millisecond {
-			t.Errorf("said to be silent after %v, want %v", at, answer)
+		if at := time.Duration(warned.Load()); at < responseTimeout || at > responseTimeout+20*time.Millisecond {
+			t.Errorf("said to be silent after %v, want %v", at, responseTimeout)
 		}
 		synctest.Wait()
-		if open := a.open(); a.most > beside || open > 0 {
-			t.Errorf("%d calls open at once, %d in the end, want %d and none", a.most, open, beside)
+		if open := a.open(); a.most > maxOpenCalls || open > 0 {
+			t.Errorf("%d calls open at once, %d in the end, want %d and none", a.most, open, maxOpenCalls)
 		}
 	})
 }
@@ -747,14 +756,14 @@
 		at    time.Duration
 	}{
 		"steadily":    {evenly(100*time.Millisecond, list(42, false, "Terminating"), 10), 42, time.Second},
-		"only a part": {part, 43, rest},
-		"for ever":    {evenly(100*time.Millisecond, list(42, false, "Terminating"), 60), 43, patience + 30*time.Millisecond},
+		"only a part": {part, 43, stallTimeout},
+		"for ever":    {evenly(100*time.Millisecond, list(42, false, "Terminating"), 60), 43, snapshotTimeout + 30*time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				told := make(chan engine.List, 10)
+				updates := make(chan engine.EndpointUpdate, 10)
 				watches := 0
-				a := &slowAgent{answer: func(call int, since string) []piece {
+				a := &slowAgent{respond: func(call int, since string) []piece {
 					if since == "" {
 						return []piece{{0, list(43, true, "Gone")}}
 					}
@@ -765,21 +774,21 @@
 					pieces[0].after = 0
 					return pieces
 				}}
-				f := slowWatch(a, func(l engine.List) {
+				f := slowWatch(a, func(l engine.EndpointUpdate) {
 					select {
-					case told <- l:
+					case updates <- l:
 					default:
 					}
 				})
-				f.at = 41
+				f.version = 41
 				ctx, cancel := context.WithCancel(t.Context())
 				began := time.Now()
 				go f.run(ctx)
 				defer synctest.Wait()
 				defer cancel()
-				l := <-told
-				if took := time.Since(began); l.Stamp != tc.stamp || took < tc.at-100*time.Millisecond || took > tc.at+10*time.Millisecond {
-					t.Errorf("list %d told after %v, want %d after %v", l.Stamp, took, tc.stamp, tc.at)
+				l := <-updates
+				if took := time.Since(began); l.Version != tc.stamp || took < tc.at-100*time.Millisecond || took > tc.at+10*time.Millisecond {
+					t.Errorf("list %d told after %v, want %d after %v", l.Version, took, tc.stamp, tc.at)
 				}
 			})
 		})
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -8,32 +8,31 @@
 	"io"
 	"net"
 	"net/http"
+	"ottershed/internal/engine"
+	"ottershed/internal/golden"
+	"ottershed/internal/settings"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/sirupsen/logrus"
-
-	"ottershed/internal/engine"
-	"ottershed/internal/golden"
-	"ottershed/internal/settings"
 )
 
 // The request line and the headers of each kind of call are those of the golden file: for the whole list and for changes,
 // where the list is pushed and where it must be asked for. The address of the agent is volatile and stands there as ADDRESS.
 func TestGoldenCalls(t *testing.T) {
-	held := &engine.List{Stamp: 7}
+	held := &engine.EndpointUpdate{Version: 7}
 	var observed strings.Builder
 	for _, c := range []struct {
 		title   string
 		network settings.Network
-		known   *engine.List
+		known   *engine.EndpointUpdate
 		kinds   int // of calls
 	}{
 		{"pushed, with a grace for drains", settings.Network{DrainGrace: 5000}, nil, 2},
 		{"pushed, without a grace", settings.Network{}, held, 2},
-		{"asked for, no list held", settings.Network{AskList: true, AskWithin: 4000}, nil, 2},
-		{"asked for, a list held", settings.Network{AskList: true, AskWithin: 4000}, held, 1},
+		{"asked for, no list held", settings.Network{PollEndpoints: true, PollWithin: 4000}, nil, 2},
+		{"asked for, a list held", settings.Network{PollEndpoints: true, PollWithin: 4000}, held, 1},
 	} {
 		heads := callsOf(t, c.network, c.known, c.kinds)
 		observed.WriteString(golden.Section(c.title, strings.Join(heads, "")))
@@ -45,7 +44,7 @@
 
 // callsOf are the first calls of so many kinds that a follower makes, each kind once: a call that is late gets another
 // beside it, with the same bytes.
-func callsOf(t *testing.T, n settings.Network, known *engine.List, kinds int) (heads []string) {
+func callsOf(t *testing.T, n settings.Network, known *engine.EndpointUpdate, kinds int) (heads []string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -60,8 +59,8 @@
 	}()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := New(l.Addr().String(), known, n, func(engine.List) {}, log)
-	f.Watch() // has the first call go out where a list is held
+	f := New(l.Addr().String(), known, n, func(engine.EndpointUpdate) {}, log)
+	f.ResumeWatch() // has the first call go out where a list is held
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
--- a/internal/discovery/wire.go
+++ b/internal/discovery/wire.go
@@ -4,15 +4,14 @@
 import (
 	"encoding/json"
 	"fmt"
-
 	"ottershed/decision"
 	"ottershed/internal/engine"
 )
 
-var states = map[string]decision.NodeState{"Ready": decision.Up, "Terminating": decision.Draining, "Gone": decision.Removed}
+var states = map[string]decision.EndpointState{"Ready": decision.Serving, "Terminating": decision.Draining, "Gone": decision.Removed}
 
 // Decode reads a list in discovery's form.
-func Decode(raw []byte) (engine.List, error) {
+func Decode(raw []byte) (engine.EndpointUpdate, error) {
 	var in struct {
 		Index     *int64 `json:"index"`
 		Snapshot  bool   `json:"snapshot"`
@@ -29,23 +28,24 @@
 		} `json:"endpoints"`
 	}
 	if err := json.Unmarshal(raw, &in); err != nil {
-		return engine.List{}, fmt.Errorf("list: %w", err)
+		return engine.EndpointUpdate{}, fmt.Errorf("list: %w", err)
 	}
 	if in.Index == nil {
-		return engine.List{}, fmt.Errorf("list: no index")
+		return engine.EndpointUpdate{}, fmt.Errorf("list: no index")
 	}
-	list := engine.List{How: decision.Changes, Stamp: *in.Index}
+	list := engine.EndpointUpdate{Kind: decision.Delta, Version: *in.Index}
 	if in.Snapshot {
-		list.How = decision.Whole
+		list.Kind = decision.FullSnapshot
 	}
 	for _, e := range in.Endpoints {
 		state, ok := states[e.Status]
 		if e.Name == "" || !ok {
-			return engine.List{}, fmt.Errorf("list: entry %q: status %q is not known", e.Name, e.Status)
+			return engine.EndpointUpdate{}, fmt.Errorf("list: entry %q: status %q is not known", e.Name, e.Status)
 		}
-		list.Entries = append(list.Entries, engine.Entry{Address: e.Address, Node: decision.Node{
-			ID: decision.NodeID(e.Name), Cell: decision.Cell(e.Group), Started: e.Since, Zone: decision.Zone(e.Zone),
-			Build: decision.Build(e.Image), Kind: decision.Kind(e.Type), State: state, Units: e.Weight}})
+		list.Endpoints = append(list.Endpoints, engine.Endpoint{Address: e.Address, Endpoint: decision.Endpoint{
+			ID: decision.EndpointID(e.Name), Cell: decision.Cell(e.Group), Started: e.Since, Zone: decision.Zone(e.Zone),
+			Build: decision.Build(e.Image), MachineType: decision.MachineType(e.Type), State: state, Capacity: e.Weight,
+		}})
 	}
 	return list, nil
 }
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -6,33 +6,33 @@
 // get other names.
 func eventName(event decision.Event) string {
 	switch event.(type) {
-	case decision.NodesChanged:
+	case decision.EndpointsChanged:
 		return "logic.NodesChanged"
-	case decision.HitTaken:
+	case decision.RequestReceived:
 		return "logic.HitTaken"
-	case decision.AnswerStarted:
+	case decision.ResponseStarted:
 		return "logic.AnswerStarted"
-	case decision.ForwardEnded:
+	case decision.AttemptEnded:
 		return "logic.ForwardEnded"
-	case decision.HitGone:
+	case decision.ClientDisconnected:
 		return "logic.HitGone"
-	case decision.TimerDue:
+	case decision.TimerFired:
 		return "logic.TimerDue"
-	case decision.ProbeEnded:
+	case decision.HealthCheckEnded:
 		return "logic.ProbeEnded"
-	case decision.PeerSaid:
+	case decision.PeerMessage:
 		return "logic.PeerSaid"
-	case decision.StageNews:
+	case decision.StageUpdate:
 		return "logic.StageNews"
 	case decision.SettingsChanged:
 		return "logic.SettingsChanged"
-	case decision.Adopted:
+	case decision.EvidenceAcquired:
 		return "logic.Adopted"
-	case decision.Disowned:
+	case decision.EvidenceRevoked:
 		return "logic.Disowned"
-	case decision.Tally:
+	case decision.ControllerCounts:
 		return "logic.Tally"
-	case decision.Flagged:
+	case decision.ResponseFlagged:
 		return "logic.Flagged"
 	}
 	return "unknown"
--- a/internal/engine/figures.go
+++ b/internal/engine/figures.go
@@ -2,73 +2,72 @@
 
 import (
 	"context"
-
 	"ottershed/decision"
 )
 
 // Figures are what an owner has counted since its start, and how things stand for the module.
-type Figures struct {
-	Taken, Forwarded, Delivered, Bounced, Errored int64
-	Gone, Cancelled, Probes, Votes                int64 // clients that left before the answer; forwards called off
-	Full, Unreachable, Broken, TimedOut, Failed   int64 // endings of forwards that were not delivered
-	Missed                                        int64 // hits delivered after their path group's target latency
-	Sight                                         decision.Sight
+type Stats struct {
+	Requests, Attempts, RequestsSucceeded, RequestsRejected, RequestsFailed                 int64
+	ClientsDisconnected, AttemptsCanceled, HealthChecks, Votes                              int64 // clients that left before the answer; forwards called off
+	AttemptsRejected, AttemptsUnreachable, AttemptsBroken, AttemptsTimedOut, AttemptsFailed int64 // endings of forwards that were not delivered
+	ObjectivesMissed                                                                        int64 // hits delivered after their path group's target latency
+	Status                                                                                  decision.Status
 }
 
-type figuresAsked struct{ reply chan<- Figures } // it has room
+type statsRequested struct{ reply chan<- Stats } // it has room
 
-func (figuresAsked) message() {}
+func (statsRequested) message() {}
 
 // Figures are those of now; false where ctx ends before.
-func (m *Marshal) Figures(ctx context.Context) (Figures, bool) {
-	reply := make(chan Figures, 1)
-	m.post(figuresAsked{reply})
+func (m *Engine) Stats(ctx context.Context) (Stats, bool) {
+	stats := make(chan Stats, 1)
+	m.post(statsRequested{stats})
 	select {
-	case f := <-reply:
+	case f := <-stats:
 		return f, true
 	case <-ctx.Done():
-		return Figures{}, false
+		return Stats{}, false
 	}
 }
 
 // figures are what was counted, with the module's sight where it has one.
-func (c *core) figures() Figures {
-	f := c.counts
-	if s, ok := c.module.(interface{ Sight() decision.Sight }); ok {
-		f.Sight = s.Sight()
+func (c *core) stats() Stats {
+	f := c.counters
+	if s, ok := c.module.(interface{ Sight() decision.Status }); ok {
+		f.Status = s.Sight()
 	}
 	return f
 }
 
 // answered counts a final answer.
-func (f *Figures) answered(a Answer, late bool) {
-	switch a.Kind {
-	case Delivered:
-		f.Delivered++
+func (f *Stats) countResult(result Result, late bool) {
+	switch result.Kind {
+	case Succeeded:
+		f.RequestsSucceeded++
 		if late {
-			f.Missed++
+			f.ObjectivesMissed++
 		}
-	case Bounced:
-		f.Bounced++
-	case Errored:
-		f.Errored++
+	case Rejected:
+		f.RequestsRejected++
+	case Failed:
+		f.RequestsFailed++
 	}
 }
 
 // ended counts the ending of a forward.
-func (f *Figures) ended(e decision.Ending) {
-	switch e {
-	case decision.NodeFull:
-		f.Full++
+func (f *Stats) countOutcome(outcome decision.Outcome) {
+	switch outcome {
+	case decision.EndpointRejected:
+		f.AttemptsRejected++
 	case decision.Unreachable:
-		f.Unreachable++
-	case decision.Broken:
-		f.Broken++
+		f.AttemptsUnreachable++
+	case decision.ConnectionBroken:
+		f.AttemptsBroken++
 	case decision.TimedOut:
-		f.TimedOut++
-	case decision.Recalled:
-		f.Cancelled++
-	case decision.NodeError, decision.Spoilt:
-		f.Failed++
+		f.AttemptsTimedOut++
+	case decision.Canceled:
+		f.AttemptsCanceled++
+	case decision.EndpointFailed, decision.MalformedResponse:
+		f.AttemptsFailed++
 	}
 }
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -3,12 +3,11 @@
 import (
 	"fmt"
 	"io"
+	"ottershed/decision"
+	"ottershed/internal/golden"
 	"testing"
 
 	"github.com/sirupsen/logrus"
-
-	"ottershed/decision"
-	"ottershed/internal/golden"
 )
 
 // logged keeps the lines of a log.
@@ -25,16 +24,29 @@
 // reads logs looks for the event by this name. The stack in its text is volatile and left out.
 func TestGoldenPanics(t *testing.T) {
 	observed := ""
-	for _, event := range []decision.Event{decision.NodesChanged{}, decision.HitTaken{}, decision.AnswerStarted{}, decision.ForwardEnded{}, decision.HitGone{},
-		decision.TimerDue{}, decision.ProbeEnded{}, decision.PeerSaid{}, decision.StageNews{}, decision.SettingsChanged{}, decision.Adopted{},
-		decision.Disowned{}, decision.Tally{}, decision.Flagged{}} {
-		r, lines := newRig(), &logged{}
+	for _, event := range []decision.Event{
+		decision.EndpointsChanged{},
+		decision.RequestReceived{},
+		decision.ResponseStarted{},
+		decision.AttemptEnded{},
+		decision.ClientDisconnected{},
+		decision.TimerFired{},
+		decision.HealthCheckEnded{},
+		decision.PeerMessage{},
+		decision.StageUpdate{},
+		decision.SettingsChanged{},
+		decision.EvidenceAcquired{},
+		decision.EvidenceRevoked{},
+		decision.ControllerCounts{},
+		decision.ResponseFlagged{},
+	} {
+		r, lines := newHarness(), &logged{}
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		log.AddHook(lines)
 		r.core.log = log
-		r.module.panic = true
-		r.core.ask(r.now, event)
+		r.module.panicNext = true
+		r.core.callModule(r.now, event)
 		if len(lines.lines) == 0 {
 			t.Fatal("nothing was logged")
 		}
--- a/internal/engine/messages.go
+++ b/internal/engine/messages.go
@@ -10,90 +10,90 @@
 }
 
 // Reply is a node's whole answer.
-type Reply struct {
+type Response struct {
 	Fields map[string][]string
 	Body   []byte
 }
 
 // Hit is a client's request with what the module is told of it.
-type Hit struct {
-	Group   decision.GroupName
-	Tenant  decision.TenantID
-	Key     decision.Key
-	Left    decision.Millis // until the client gives up, from Taken on
-	Taken   decision.Millis
-	Hint    decision.Millis
-	Retried bool
-	Request *Request
-	Answer  func(Answer) // called once at most, by the owner; it doesn't block
+type ClientRequest struct {
+	Class      decision.ClassName
+	Tenant     decision.TenantID
+	Key        decision.Key
+	Remaining  decision.Millis // until the client gives up, from Taken on
+	ReceivedAt decision.Millis
+	Hint       decision.Millis
+	Retried    bool
+	Request    *Request
+	Respond    func(Result) // called once at most, by the owner; it doesn't block
 
-	id decision.HitID // the owner's
+	id decision.RequestID // the owner's
 }
 
 // AnswerKind is how a hit ended.
-type AnswerKind int
+type ResultKind int
 
 const (
-	Delivered AnswerKind = iota
-	Bounced
-	Errored
+	Succeeded ResultKind = iota
+	Rejected
+	Failed
 )
 
 // Answer is the final answer to a hit.
-type Answer struct {
-	Kind     AnswerKind
-	ComeBack decision.Millis // of a bounce; 0: no advice
-	Reply    *Reply          // of a delivery
+type Result struct {
+	Kind       ResultKind
+	RetryAfter decision.Millis // of a bounce; 0: no advice
+	Response   *Response       // of a delivery
 }
 
 // Forward is one sending of a request to a node.
-type Forward struct {
-	Node    decision.NodeID
-	Address string
-	Request *Request
-	SendBy  decision.Millis // not sent from then on; 0: sent as long as Until
-	Until   decision.Millis // no answer by then: timed out
-	Ended   func(End)       // called exactly once, from any goroutine; the connection is given back before
+type Attempt struct {
+	Endpoint decision.EndpointID
+	Address  string
+	Request  *Request
+	SendBy   decision.Millis     // not sent from then on; 0: sent as long as Until
+	Deadline decision.Millis     // no answer by then: timed out
+	OnEnd    func(AttemptResult) // called exactly once, from any goroutine; the connection is given back before
 }
 
 // End is how a forward ended.
-type End struct {
-	Ending decision.Ending
-	At     decision.Millis
-	Reply  *Reply
-	Load   *decision.Load
+type AttemptResult struct {
+	Outcome  decision.Outcome
+	EndedAt  decision.Millis
+	Response *Response
+	Load     *decision.Load
 }
 
 // Entry is a node with the address at which this marshal reaches it.
-type Entry struct {
-	decision.Node
+type Endpoint struct {
+	decision.Endpoint
 	Address string
 }
 
 // List is what discovery tells.
-type List struct {
-	How     decision.ListKind
-	Stamp   int64
-	Entries []Entry
+type EndpointUpdate struct {
+	Kind      decision.SnapshotKind
+	Version   int64
+	Endpoints []Endpoint
 }
 
 // Nodes carries forwards. Its methods don't block.
-type Nodes interface {
+type Upstream interface {
 	// Forward starts a forward; what it returns calls it off.
-	Forward(Forward) (recall func())
+	StartAttempt(Attempt) (recall func())
 	// Moved says that another machine is this node now and has this address, or none has if it is empty.
-	Moved(id decision.NodeID, address string)
+	SetAddress(id decision.EndpointID, address string)
 	// Unsend has forwards to a node end that are not yet sent.
-	Unsend(decision.NodeID)
-	CloseIdle(decision.NodeID)
+	CancelUnsent(decision.EndpointID)
+	CloseIdle(decision.EndpointID)
 }
 
 // Desk takes votes; the fate of each comes back as news. It doesn't block.
-type Desk interface{ Vote(decision.Vote) }
+type Controller interface{ Vote(decision.Vote) }
 
 // Discovery asks for the list. Its methods don't block.
 type Discovery interface {
-	Lookup()
+	Resolve()
 	// Watch has a call that was refused go out again; what isn't refused is watched without.
-	Watch()
+	ResumeWatch()
 }
--- a/internal/golden/text_test.go
+++ b/internal/golden/text_test.go
@@ -18,8 +18,10 @@
 	if err := os.WriteFile(path, []byte("one\ntwo\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for observed, same := range map[string]bool{"one\ntwo\n": true, "one\ntwo": false, "one\nTwo\n": false,
-		"one\ntwo\n\n": false, "": false} {
+	for observed, same := range map[string]bool{
+		"one\ntwo\n": true, "one\ntwo": false, "one\nTwo\n": false,
+		"one\ntwo\n\n": false, "": false,
+	} {
 		if err := Check(path, []byte(observed)); (err == nil) != same {
 			t.Errorf("%q: %v", observed, err)
 		}
--- a/internal/ingress/floods_test.go
+++ b/internal/ingress/floods_test.go
@@ -4,30 +4,29 @@
 	"io"
 	"net"
 	"net/http"
+	"ottershed/internal/sockopt"
 	"runtime"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"ottershed/internal/sockopt"
 )
 
 // peak is the most of each that was held at once.
 type peak struct {
-	mu                sync.Mutex
-	connections, hits int
+	mu                    sync.Mutex
+	connections, requests int
 }
 
 // startWatched starts a front of which peak is taken at each step of a connection.
-func startWatched(t *testing.T, most int) (*Front, fake, string, *peak) {
+func startWatched(t *testing.T, maxConnections int) (*Server, fakeEngine, string, *peak) {
 	l, p := listen(t), &peak{}
-	f, m := serve(t, l, most, func(f *Front) {
-		watch(f, func(net.Conn, http.ConnState) {
+	f, m := serve(t, l, maxConnections, func(f *Server) {
+		observeStates(f, func(net.Conn, http.ConnState) {
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			p.connections, p.hits = max(p.connections, f.gate.count()), max(p.hits, f.open())
+			p.connections, p.requests = max(p.connections, f.limiter.count()), max(p.requests, f.open())
 		})
 	})
 	return f, m, l.Addr().String(), p
@@ -35,11 +34,11 @@
 
 // check fails if more connections were held, more hits than connections, or more goroutines are left than serve them: two
 // for each, and some for the test, beside those that were there before.
-func (p *peak) check(t *testing.T, f *Front, connections, before int) {
+func (p *peak) check(t *testing.T, f *Server, connections, before int) {
 	t.Helper()
 	p.mu.Lock()
-	if p.connections > connections || p.hits > connections {
-		t.Errorf("%d connections, %d hits; want %d at most", p.connections, p.hits, connections)
+	if p.connections > connections || p.requests > connections {
+		t.Errorf("%d connections, %d hits; want %d at most", p.connections, p.requests, connections)
 	}
 	p.mu.Unlock()
 	waitFor(t, "the end of all hits", func() bool { return f.open() == 0 })
@@ -51,7 +50,7 @@
 	c.t.Helper()
 	began := time.Now()
 	c.send("GET /read/other", "X-Time-Left: 1\r\n", "")
-	if c.wantAnswer(); time.Since(began) > owed {
+	if c.wantResponse(); time.Since(began) > responseDue {
 		c.t.Errorf("answered after %v", time.Since(began))
 	}
 }
@@ -69,20 +68,20 @@
 			before := runtime.NumGoroutine()
 			f, m, address, p := startWatched(t, most)
 			if !tc.slow {
-				answerHits(t, m, errored)
+				respondToRequests(t, m, failed)
 			}
 			var asking sync.WaitGroup
-			var answered atomic.Int64
+			var responded atomic.Int64
 			for range flood {
 				c := dial(t, address)
 				if !tc.silent {
 					c.send("GET /read/flood", "X-Time-Left: 2\r\n", "")
-					asking.Go(func() { c.wantAnswer(); answered.Add(1) })
+					asking.Go(func() { c.wantResponse(); responded.Add(1) })
 				}
 			}
 			if tc.slow {
-				waitFor(t, "the answers that need no marshal", func() bool { return len(m.hits)+int(answered.Load()) == flood })
-				answerHits(t, m, errored)
+				waitFor(t, "the answers that need no marshal", func() bool { return len(m.requests)+int(responded.Load()) == flood })
+				respondToRequests(t, m, failed)
 			}
 			for range 3 {
 				dial(t, address).ask()
@@ -100,7 +99,7 @@
 		t.Run(name, func(t *testing.T) {
 			before := runtime.NumGoroutine()
 			f, m, address, p := startWatched(t, 16)
-			answerHits(t, m, errored)
+			respondToRequests(t, m, failed)
 			c, other, done := dial(t, address), dial(t, address), make(chan bool, 1)
 			go func() {
 				for range flood / batch {
@@ -108,7 +107,7 @@
 						c.send("GET /read/flood", "X-Time-Left: 2\r\n", "")
 					}
 					for range batch {
-						c.wantAnswer()
+						c.wantResponse()
 					}
 				}
 				done <- true
@@ -144,10 +143,10 @@
 					io.WriteString(c, ("GET /read/1 HTTP/1.1\r\nX-Filler: " + strings.Repeat("x", 2000))[i:i+1])
 					time.Sleep(5 * time.Millisecond)
 				}
-				if err, took := <-ended, time.Since(began); err == nil || took > 2*inTime {
-					t.Errorf("%v after %v, want a close after %v", err, took, inTime)
+				if err, took := <-ended, time.Since(began); err == nil || took > 2*readTimeout {
+					t.Errorf("%v after %v, want a close after %v", err, took, readTimeout)
 				}
-				if len(m.hits) != 0 {
+				if len(m.requests) != 0 {
 					t.Error("it reached the marshal")
 				}
 			})
@@ -160,10 +159,10 @@
 func TestSlowReader(t *testing.T) {
 	const requests = 8 // with answers that don't fit into the buffers of both sides
 	l := listen(t)
-	f, m := serve(t, l, 10, func(f *Front) {
-		watch(f, func(connection net.Conn, _ http.ConnState) { connection.(*sockopt.Conn).SetWriteBuffer(4 << 10) })
+	f, m := serve(t, l, 10, func(f *Server) {
+		observeStates(f, func(connection net.Conn, _ http.ConnState) { connection.(*sockopt.Conn).SetWriteBuffer(4 << 10) })
 	})
-	answerHits(t, m, delivered(longestBody))
+	respondToRequests(t, m, succeeded(maxBody))
 	c, other := dial(t, l.Addr().String()), dial(t, l.Addr().String())
 	c.Conn.(*net.TCPConn).SetReadBuffer(32 << 10)
 	for range requests {
@@ -176,15 +175,15 @@
 		}
 		if i%10 == 0 {
 			other.send("GET /read/other", "X-Time-Left: 1\r\n", "")
-			if response, body := other.answer(); response.StatusCode != http.StatusOK || len(body) != longestBody {
+			if response, body := other.readResponse(); response.StatusCode != http.StatusOK || len(body) != maxBody {
 				t.Errorf("another client: status %d, %d bytes", response.StatusCode, len(body))
 			}
 		}
 	}
-	waitFor(t, "the other client's rest", func() bool { return f.gate.resting() == 1 }) // and none of the slow one
+	waitFor(t, "the other client's rest", func() bool { return f.limiter.resting() == 1 }) // and none of the slow one
 	c.r.Reset(io.MultiReader(strings.NewReader(string(read)), c.Conn))
 	for range requests {
-		if response, body := c.answer(); response.StatusCode != http.StatusOK || len(body) != longestBody {
+		if response, body := c.readResponse(); response.StatusCode != http.StatusOK || len(body) != maxBody {
 			t.Errorf("status %d, %d bytes", response.StatusCode, len(body))
 		}
 	}
--- a/internal/ingress/front_test.go
+++ b/internal/ingress/front_test.go
@@ -7,31 +7,30 @@
 	"io"
 	"net"
 	"net/http"
+	"ottershed/decision"
+	"ottershed/internal/clock"
+	"ottershed/internal/engine"
+	"ottershed/internal/settings"
+	"ottershed/internal/sockopt"
 	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
 
 	"github.com/sirupsen/logrus"
-
-	"ottershed/decision"
-	"ottershed/internal/clock"
-	"ottershed/internal/engine"
-	"ottershed/internal/settings"
-	"ottershed/internal/sockopt"
 )
 
 // fake takes hits in place of the marshal.
-type fake struct {
-	hits, gone chan *engine.Hit
+type fakeEngine struct {
+	requests, disconnected chan *engine.ClientRequest
 }
 
-func (f fake) Hit(h *engine.Hit)  { f.hits <- h }
-func (f fake) Gone(h *engine.Hit) { f.gone <- h }
+func (f fakeEngine) ReceiveRequest(h *engine.ClientRequest)     { f.requests <- h }
+func (f fakeEngine) ClientDisconnected(h *engine.ClientRequest) { f.disconnected <- h }
 
-func start(t *testing.T, most int) (*Front, fake, string) {
+func start(t *testing.T, maxConnections int) (*Server, fakeEngine, string) {
 	l := listen(t)
-	f, m := serve(t, l, most, nil)
+	f, m := serve(t, l, maxConnections, nil)
 	return f, m, l.Addr().String()
 }
 
@@ -44,12 +43,15 @@
 }
 
 // serve starts a front on l, prepared by the test.
-func serve(t *testing.T, l net.Listener, most int, prepare func(*Front)) (*Front, fake) {
+func serve(t *testing.T, l net.Listener, maxConnections int, prepare func(*Server)) (*Server, fakeEngine) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	m := fake{make(chan *engine.Hit, 100), make(chan *engine.Hit, 100)}
-	f := New(m, clock.New(), decision.Settings{MaxComeBack: 500, Groups: []decision.PathGroup{{Name: "read", Effect: decision.Repeatable},
-		{Name: "mark", Effect: decision.Tagged}, {Name: "pay"}}, Tenants: []decision.TenantID{"", "acme"}}, settings.Network{LongestTimeout: 2000, AnswerSlack: 20}, most, log)
+	m := fakeEngine{make(chan *engine.ClientRequest, 100), make(chan *engine.ClientRequest, 100)}
+	f := New(m, clock.New(), decision.Settings{MaxRetryAfter: 500, Classes: []decision.RequestClass{
+		{Name: "read", Idempotency: decision.Idempotent},
+		{Name: "mark", Idempotency: decision.IdempotentWithKey},
+		{Name: "pay"},
+	}, Tenants: []decision.TenantID{"", "acme"}}, settings.Network{LongestTimeout: 2000, ResponseSlack: 20}, maxConnections, log)
 	if prepare != nil {
 		prepare(f)
 	}
@@ -92,7 +94,7 @@
 var ids atomic.Int64
 
 // answer reads an answer; the status is 0 if the connection ends.
-func (c *client) answer() (*http.Response, string) {
+func (c *client) readResponse() (*http.Response, string) {
 	res, err := http.ReadResponse(c.r, nil)
 	if err != nil {
 		return &http.Response{}, ""
@@ -104,8 +106,8 @@
 	return res, string(body)
 }
 
-func TestBadHits(t *testing.T) {
-	long := strings.Repeat("x", longestBody+1)
+func TestMalformedRequests(t *testing.T) {
+	long := strings.Repeat("x", maxBody+1)
 	for name, tc := range map[string]struct {
 		line, headers, body string
 		status              int // 0: the connection is closed
@@ -127,8 +129,10 @@
 		"length huge":       {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 99999999999999999999\r\n", "", 400},
 		"two lengths":       {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 4\r\nContent-Length: 5\r\n", "five5", 400},
 		"chunked":           {"POST /pay/1", "X-Time-Left: 1\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n", 411},
-		"a hidden request": {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n",
-			"0\r\n\r\nGET /read/1 HTTP/1.1\r\nHost: a\r\nX-Time-Left: 1\r\nX-Correlation-Id: hidden\r\n\r\n", 411},
+		"a hidden request": {
+			"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n",
+			"0\r\n\r\nGET /read/1 HTTP/1.1\r\nHost: a\r\nX-Time-Left: 1\r\nX-Correlation-Id: hidden\r\n\r\n", 411,
+		},
 		"GET with a body": {"GET /read/1", "X-Time-Left: 1\r\nContent-Length: 2\r\n", "hi", 400},
 		"no id":           {"GET /read/1", "X-Time-Left: 1\r\nX-Correlation-Id:\r\n", "", 400},
 		"two ids":         {"GET /read/1", "X-Time-Left: 1\r\nX-Correlation-Id: a\r\nX-Correlation-Id: b\r\n", "", 400},
@@ -144,29 +148,29 @@
 			_, m, address := start(t, 10)
 			c := dial(t, address)
 			c.send(tc.line, tc.headers, tc.body)
-			if res, _ := c.answer(); res.StatusCode != tc.status {
+			if res, _ := c.readResponse(); res.StatusCode != tc.status {
 				t.Errorf("status %d, want %d", res.StatusCode, tc.status)
 			}
-			if len(m.hits) != 0 {
+			if len(m.requests) != 0 {
 				t.Error("it reached the marshal")
 			}
 		})
 	}
 }
 
-func TestAnswers(t *testing.T) {
-	reply := &engine.Reply{Body: []byte("hi"), Fields: map[string][]string{"Content-Type": {"text/odd"}, "Connection": {"x"}}}
+func TestResponses(t *testing.T) {
+	response := &engine.Response{Body: []byte("hi"), Fields: map[string][]string{"Content-Type": {"text/odd"}, "Connection": {"x"}}}
 	for name, tc := range map[string]struct {
-		answer  engine.Answer
+		result  engine.Result
 		status  int
 		retry   string
 		body    string
 		content string
 	}{
-		"delivered":          {engine.Answer{Reply: reply}, 200, "", "hi", "text/odd"},
-		"bounced":            {engine.Answer{Kind: engine.Bounced}, 503, "", "", ""},
-		"bounced, come back": {engine.Answer{Kind: engine.Bounced, ComeBack: 125}, 503, "0.125", "", ""},
-		"errored":            {engine.Answer{Kind: engine.Errored}, 500, "", "", ""},
+		"delivered":          {engine.Result{Response: response}, 200, "", "hi", "text/odd"},
+		"bounced":            {engine.Result{Kind: engine.Rejected}, 503, "", "", ""},
+		"bounced, come back": {engine.Result{Kind: engine.Rejected, RetryAfter: 125}, 503, "0.125", "", ""},
+		"errored":            {engine.Result{Kind: engine.Failed}, 500, "", "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, m, address := start(t, 10)
@@ -174,14 +178,14 @@
 			for range 2 { // on one connection
 				c.send("POST /mark/a%2fb?q=1;2", "X-Time-Left: 0.5\r\nX-Account: acme\r\nX-Repeat: 1\r\nX-Correlation-Id: c1\r\n"+
 					"X-Facts: what?\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n", "body")
-				h := <-m.hits
-				got := fmt.Sprint(h.Group, h.Tenant, h.Left, h.Retried, h.Request.Method, h.Request.URI, h.Request.Host,
+				h := <-m.requests
+				got := fmt.Sprint(h.Class, h.Tenant, h.Remaining, h.Retried, h.Request.Method, h.Request.URI, h.Request.Host,
 					h.Request.Fields["X-Correlation-Id"], h.Request.Fields["Idempotency-Key"], string(h.Request.Body))
 				if want := "markacme500 truePOST/mark/a%2fb?q=1;2app.svc[c1] [k]body"; got != want {
 					t.Errorf("hit %s, want %s", got, want)
 				}
-				h.Answer(tc.answer)
-				res, body := c.answer()
+				h.Respond(tc.result)
+				res, body := c.readResponse()
 				if res.StatusCode != tc.status || res.Header.Get("Retry-After") != tc.retry || body != tc.body || res.Close ||
 					res.Header.Get("Content-Type") != tc.content {
 					t.Errorf("status %d, headers %v, body %q", res.StatusCode, res.Header, body)
@@ -195,15 +199,17 @@
 func TestKey(t *testing.T) {
 	_, m, address := start(t, 10)
 	c := dial(t, address)
-	for uri, want := range map[string]decision.Key{"/read/1": "", "/read?key=0001059dfba1f517": "0001059dfba1f517", "/read?a=1&key=b&key=c": "b",
-		"/read?key": "", "/read?monkey=x&key=%2f+y": "/ y", "/read?key=a;b": "a;b", "/read?key=%zz": "%zz"} {
+	for uri, want := range map[string]decision.Key{
+		"/read/1": "", "/read?key=0001059dfba1f517": "0001059dfba1f517", "/read?a=1&key=b&key=c": "b",
+		"/read?key": "", "/read?monkey=x&key=%2f+y": "/ y", "/read?key=a;b": "a;b", "/read?key=%zz": "%zz",
+	} {
 		c.send("GET "+uri, "X-Time-Left: 0.5\r\nX-Correlation-Id: c1\r\n", "")
-		h := <-m.hits
+		h := <-m.requests
 		if h.Key != want || h.Request.URI != uri {
 			t.Errorf("%s: key %q, want %q; passed on as %s", uri, h.Key, want, h.Request.URI)
 		}
-		h.Answer(engine.Answer{Kind: engine.Bounced})
-		c.answer()
+		h.Respond(engine.Result{Kind: engine.Rejected})
+		c.readResponse()
 	}
 }
 
@@ -216,17 +222,17 @@
 		c.send("GET /read/1", "X-Time-Left: 1\r\nX-Correlation-Id: same\r\n", "")
 		switch status {
 		case 0:
-			<-m.hits
+			<-m.requests
 			continue
 		case 200:
-			(<-m.hits).Answer(engine.Answer{Kind: engine.Delivered, Reply: &engine.Reply{Fields: map[string][]string{}}})
+			(<-m.requests).Respond(engine.Result{Kind: engine.Succeeded, Response: &engine.Response{Fields: map[string][]string{}}})
 		}
-		if res, _ := c.answer(); res.StatusCode != status {
+		if res, _ := c.readResponse(); res.StatusCode != status {
 			t.Errorf("status %d, want %d", res.StatusCode, status)
 		}
 		if status == 409 {
 			clients[0].Close()
-			<-m.gone
+			<-m.disconnected
 			for f.open() > 0 {
 				time.Sleep(time.Millisecond)
 			}
@@ -234,24 +240,26 @@
 	}
 }
 
-func (f *Front) open() int {
+func (f *Server) open() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.ids)
+	return len(f.openIDs)
 }
 
 // Silence, half a head and half a body end in a close long before one is owed.
 func TestSlowClients(t *testing.T) {
-	for name, sent := range map[string]string{"nothing": "", "half a line": "GET /re", "half a head": "GET /read/1 HTTP/1.1\r\nHost: a\r\n",
-		"half a body": "POST /pay/1 HTTP/1.1\r\nHost: a\r\nX-Time-Left: 2\r\nX-Correlation-Id: half\r\nContent-Length: 5\r\n\r\nfour"} {
+	for name, sent := range map[string]string{
+		"nothing": "", "half a line": "GET /re", "half a head": "GET /read/1 HTTP/1.1\r\nHost: a\r\n",
+		"half a body": "POST /pay/1 HTTP/1.1\r\nHost: a\r\nX-Time-Left: 2\r\nX-Correlation-Id: half\r\nContent-Length: 5\r\n\r\nfour",
+	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			_, m, address := start(t, 10)
 			c := dial(t, address)
 			io.WriteString(c, sent)
-			c.SetReadDeadline(time.Now().Add(owed))
-			if _, err := io.ReadAll(c); err != nil || len(m.hits) > 0 {
-				t.Errorf("%v, %d hits", err, len(m.hits))
+			c.SetReadDeadline(time.Now().Add(responseDue))
+			if _, err := io.ReadAll(c); err != nil || len(m.requests) > 0 {
+				t.Errorf("%v, %d hits", err, len(m.requests))
 			}
 		})
 	}
@@ -262,14 +270,14 @@
 	_, m, address := start(t, 10)
 	c := dial(t, address)
 	c.send("GET /read/1", "X-Time-Left: 0.02\r\n", "")
-	h := <-m.hits
-	if res, _ := c.answer(); res.StatusCode != 500 || <-m.gone != h {
+	h := <-m.requests
+	if res, _ := c.readResponse(); res.StatusCode != 500 || <-m.disconnected != h {
 		t.Errorf("status %d", res.StatusCode)
 	}
 }
 
-func TestClientGone(t *testing.T) {
-	for name, leave := range map[string]func(*client){
+func TestClientDisconnected(t *testing.T) {
+	for name, disconnect := range map[string]func(*client){
 		"closes": func(c *client) { c.Close() },
 		"resets": func(c *client) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
 	} {
@@ -277,8 +285,8 @@
 			_, m, address := start(t, 10)
 			c := dial(t, address)
 			c.send("GET /read/1", "X-Time-Left: 1\r\n", "")
-			h := <-m.hits
-			if leave(c); <-m.gone != h {
+			h := <-m.requests
+			if disconnect(c); <-m.disconnected != h {
 				t.Error("another hit is gone")
 			}
 		})
@@ -287,11 +295,11 @@
 
 // A marshal that leaves says so, goes on taking hits for its grace, closes connections after their answers, and
 // ends when all is answered.
-func TestLeave(t *testing.T) {
+func TestDrain(t *testing.T) {
 	f, m, address := start(t, 10)
 	up := func(c *client) int {
 		c.send("GET /up", "", "")
-		res, _ := c.answer()
+		res, _ := c.readResponse()
 		return res.StatusCode
 	}
 	watcher, idle, busy := dial(t, address), dial(t, address), dial(t, address)
@@ -299,10 +307,10 @@
 		t.Error("not up")
 	}
 	busy.send("GET /read/1", "X-Time-Left: 1\r\n", "")
-	first := <-m.hits
-	left := make(chan error)
-	go func() { left <- f.Leave(200 * time.Millisecond) }()
-	for !f.leaving.Load() {
+	first := <-m.requests
+	drained := make(chan error)
+	go func() { drained <- f.Drain(200 * time.Millisecond) }()
+	for !f.draining.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	if status := up(watcher); status != 503 {
@@ -310,18 +318,18 @@
 	}
 	late := dial(t, address)
 	late.send("GET /read/2", "X-Time-Left: 1\r\n", "")
-	for i, h := range []*engine.Hit{first, <-m.hits} {
+	for i, h := range []*engine.ClientRequest{first, <-m.requests} {
 		select {
-		case <-left:
+		case <-drained:
 			t.Error("left with a hit open")
 		default:
 		}
-		h.Answer(engine.Answer{Kind: engine.Errored})
-		if res, _ := []*client{busy, late}[i].answer(); res.StatusCode != 500 || !res.Close {
+		h.Respond(engine.Result{Kind: engine.Failed})
+		if res, _ := []*client{busy, late}[i].readResponse(); res.StatusCode != 500 || !res.Close {
 			t.Errorf("status %d, closes %v", res.StatusCode, res.Close)
 		}
 	}
-	if err := <-left; err != nil {
+	if err := <-drained; err != nil {
 		t.Error(err)
 	}
 	if _, err := net.Dial("tcp", address); err == nil {
@@ -336,22 +344,22 @@
 		t.Helper()
 		c.send("GET /read/1", "X-Time-Left: 1\r\n", "")
 		select {
-		case h := <-m.hits:
-			h.Answer(engine.Answer{Kind: engine.Errored})
-		case <-time.After(owed):
+		case h := <-m.requests:
+			h.Respond(engine.Result{Kind: engine.Failed})
+		case <-time.After(responseDue):
 			t.Fatal("no hit came")
 		}
-		if res, _ := c.answer(); res.StatusCode != 500 {
+		if res, _ := c.readResponse(); res.StatusCode != 500 {
 			t.Errorf("status %d", res.StatusCode)
 		}
 	}
 	for range 10 {
 		dial(t, address)
 	}
-	for f.gate.count() < 10 {
+	for f.limiter.count() < 10 {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(silence) // they are past their moment
+	time.Sleep(newConnectionGrace) // they are past their moment
 	usual := []*client{dial(t, address), dial(t, address), dial(t, address), dial(t, address)}
 	for _, c := range usual {
 		ask(c)
@@ -366,7 +374,7 @@
 		dial(t, address)
 	}
 	began := time.Now()
-	if ask(dial(t, address)); time.Since(began) > inTime {
+	if ask(dial(t, address)); time.Since(began) > readTimeout {
 		t.Errorf("served after %v", time.Since(began))
 	}
 }
@@ -377,50 +385,50 @@
 	clients := []*client{dial(t, address), dial(t, address)}
 	for i, c := range clients { // one after the other: a client has its answer before its connection counts as idle
 		c.send("GET /up", "", "")
-		for c.answer(); f.gate.resting() <= i; {
+		for c.readResponse(); f.limiter.resting() <= i; {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	clients = append(clients, dial(t, address))
 	clients[2].send("GET /read/1", "X-Time-Left: 1\r\n", "")
-	h := <-m.hits
-	if res, _ := clients[0].answer(); res.StatusCode != 0 {
+	h := <-m.requests
+	if res, _ := clients[0].readResponse(); res.StatusCode != 0 {
 		t.Error("the longest idle one is still there")
 	}
 	clients[1].send("GET /read/2", "X-Time-Left: 1\r\n", "")
-	h2 := <-m.hits
+	h2 := <-m.requests
 	over := dial(t, address)
-	for f.gate.count() < 3 {
+	for f.limiter.count() < 3 {
 		time.Sleep(time.Millisecond)
 	}
 	over.send("GET /read/3", "X-Time-Left: 1\r\n", "")
-	if res, _ := over.answer(); res.StatusCode != 503 || !res.Close || res.Header.Get("Retry-After") != "0.500" {
+	if res, _ := over.readResponse(); res.StatusCode != 503 || !res.Close || res.Header.Get("Retry-After") != "0.500" {
 		t.Errorf("beyond: status %d, %v", res.StatusCode, res.Header)
 	}
-	for _, h := range []*engine.Hit{h, h2} {
-		h.Answer(engine.Answer{Kind: engine.Bounced})
+	for _, h := range []*engine.ClientRequest{h, h2} {
+		h.Respond(engine.Result{Kind: engine.Rejected})
 	}
 	for _, c := range clients[1:] {
-		if res, _ := c.answer(); res.StatusCode != 503 {
+		if res, _ := c.readResponse(); res.StatusCode != 503 {
 			t.Errorf("status %d", res.StatusCode)
 		}
 		c.Close()
 	}
-	for f.gate.count() > 0 {
+	for f.limiter.count() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if f.gate.idle.Len() != 0 {
+	if f.limiter.idle.Len() != 0 {
 		t.Error("idle connections are left")
 	}
 }
 
-func (g *gate) resting() int {
+func (g *connLimiter) resting() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.idle.Len()
 }
 
-func (g *gate) count() int {
+func (g *connLimiter) count() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.conns)
@@ -438,22 +446,22 @@
 }
 
 // A front that owes nothing leaves without an error, however late its server sees that the listener is closed.
-func TestLeaveAtOnce(t *testing.T) {
+func TestDrainAtOnce(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := New(fake{}, clock.New(), decision.Settings{}, settings.Network{LongestTimeout: 2000, AnswerSlack: 20}, 10, log)
+	f := New(fakeEngine{}, clock.New(), decision.Settings{}, settings.Network{LongestTimeout: 2000, ResponseSlack: 20}, 10, log)
 	served := make(chan error, 1)
 	go func() { served <- f.Serve(slow{l}) }()
 	c := dial(t, l.Addr().String())
 	c.send("GET /up", "Connection: close\r\n", "")
-	for c.answer(); f.gate.clear() > 0; {
+	for c.readResponse(); f.limiter.closeQuiet() > 0; {
 		time.Sleep(time.Millisecond)
 	}
-	if err := f.Leave(0); err != nil {
+	if err := f.Drain(0); err != nil {
 		t.Error(err)
 	}
 	if err := <-served; err != nil {
@@ -473,40 +481,40 @@
 }
 
 // leave has the front leave at once, and waits until it accepts nothing more or has begun to.
-func leave(f *Front) chan error {
-	left := make(chan error, 1)
-	go func() { left <- f.Leave(0) }()
-	for !f.gate.isShut() {
+func drain(f *Server) chan error {
+	drained := make(chan error, 1)
+	go func() { drained <- f.Drain(0) }()
+	for !f.limiter.isClosed() {
 		time.Sleep(time.Millisecond)
 	}
-	return left
+	return drained
 }
 
 // A hit on a connection that still waits in the system's queue when the marshal ends accepting gets its answer.
-func TestLeaveWithQueue(t *testing.T) {
+func TestDrainWithQueue(t *testing.T) {
 	l := gated{listen(t), make(chan struct{})}
 	f, _ := serve(t, l, 10, nil)
 	clients := []*client{dial(t, l.Addr().String()), dial(t, l.Addr().String()), dial(t, l.Addr().String())}
 	for _, c := range clients {
 		c.send("GET /read/1", "X-Time-Left: 1\r\n", "")
 	}
-	left := leave(f)
+	drained := drain(f)
 	close(l.let)
 	for _, c := range clients {
-		if res, _ := c.answer(); res.StatusCode != 503 || !res.Close || res.Header.Get("Retry-After") == "" {
+		if res, _ := c.readResponse(); res.StatusCode != 503 || !res.Close || res.Header.Get("Retry-After") == "" {
 			t.Errorf("status %d, closes %v", res.StatusCode, res.Close)
 		}
 	}
-	if err := <-left; err != nil {
+	if err := <-drained; err != nil {
 		t.Error(err)
 	}
 }
 
 // A marshal doesn't end between accepting a connection and the server's count of it.
-func TestLeaveBeforeCounted(t *testing.T) {
+func TestDrainBeforeCounted(t *testing.T) {
 	came, let := make(chan struct{}), make(chan struct{})
 	l := listen(t)
-	f, _ := serve(t, l, 10, func(f *Front) {
+	f, _ := serve(t, l, 10, func(f *Server) {
 		f.server.ConnContext = func(ctx context.Context, _ net.Conn) context.Context { // the server's last step before
 			close(came)
 			<-let
@@ -516,53 +524,53 @@
 	c := dial(t, l.Addr().String())
 	c.send("GET /read/1", "X-Time-Left: 1\r\n", "")
 	<-came
-	left := leave(f)
-	if n := f.gate.count(); n != 1 {
+	drained := drain(f)
+	if n := f.limiter.count(); n != 1 {
 		t.Errorf("%d connections counted, want the one that was accepted", n)
 	}
 	close(let)
-	if res, _ := c.answer(); res.StatusCode != 503 {
+	if res, _ := c.readResponse(); res.StatusCode != 503 {
 		t.Errorf("status %d", res.StatusCode)
 	}
-	if err := <-left; err != nil {
+	if err := <-drained; err != nil {
 		t.Error(err)
 	}
 }
 
 // What comes while the marshal ends: the rest of a hit is answered at once; a client that has connected and not asked yet
 // has its moment; one whose time is long gets its answer.
-func TestLeaveHalfway(t *testing.T) {
+func TestDrainHalfway(t *testing.T) {
 	l := listen(t)
 	f, m := serve(t, l, 10, nil)
 	half, long := dial(t, l.Addr().String()), dial(t, l.Addr().String())
 	long.send("GET /read/1", "X-Time-Left: 2\r\n", "")
-	hit := <-m.hits
+	request := <-m.requests
 	io.WriteString(half, "GET /read/1 HTTP/1.1\r\nX-Time-Le")
-	for f.gate.asked() < 2 {
+	for f.limiter.requestPending() < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	new := dial(t, l.Addr().String())
-	for f.gate.count() < 3 {
+	for f.limiter.count() < 3 {
 		time.Sleep(time.Millisecond)
 	}
-	left := leave(f)
+	drained := drain(f)
 	new.send("GET /read/1", "X-Time-Left: 1\r\n", "")
 	io.WriteString(half, "ft: 1\r\nHost: h\r\nX-Correlation-Id: half\r\n\r\n")
 	for name, c := range map[string]*client{"half a hit": half, "a new connection": new} {
-		if res, _ := c.answer(); res.StatusCode != 503 || !res.Close {
+		if res, _ := c.readResponse(); res.StatusCode != 503 || !res.Close {
 			t.Errorf("%s: status %d, closes %v", name, res.StatusCode, res.Close)
 		}
 	}
 	select {
-	case <-left:
+	case <-drained:
 		t.Error("left with a hit open")
 	default:
 	}
-	hit.Answer(engine.Answer{Kind: engine.Delivered, Reply: &engine.Reply{Fields: map[string][]string{}, Body: []byte("hi")}})
-	if res, body := long.answer(); res.StatusCode != 200 || body != "hi" {
+	request.Respond(engine.Result{Kind: engine.Succeeded, Response: &engine.Response{Fields: map[string][]string{}, Body: []byte("hi")}})
+	if res, body := long.readResponse(); res.StatusCode != 200 || body != "hi" {
 		t.Errorf("the long hit: status %d, %q", res.StatusCode, body)
 	}
-	if err := <-left; err != nil {
+	if err := <-drained; err != nil {
 		t.Error(err)
 	}
 }
@@ -572,31 +580,31 @@
 	l := listen(t)
 	f, _ := serve(t, l, 10, nil)
 	dial(t, l.Addr().String())
-	for f.gate.count() < 1 {
+	for f.limiter.count() < 1 {
 		time.Sleep(time.Millisecond)
 	}
 	for _, tc := range []struct {
 		age  time.Duration
 		left int
-	}{{-time.Hour, 1}, {silence, 0}} {
-		f.gate.mu.Lock()
-		for c, p := range f.gate.conns {
+	}{{-time.Hour, 1}, {newConnectionGrace, 0}} {
+		f.limiter.mu.Lock()
+		for c, p := range f.limiter.conns {
 			p.since = time.Now().Add(-tc.age)
-			f.gate.conns[c] = p
+			f.limiter.conns[c] = p
 		}
-		f.gate.mu.Unlock()
-		if n := f.gate.clear(); n != tc.left {
+		f.limiter.mu.Unlock()
+		if n := f.limiter.closeQuiet(); n != tc.left {
 			t.Errorf("%v after it came: %d left, want %d", tc.age, n, tc.left)
 		}
 	}
 }
 
 // asked is how many connections have something unanswered on them.
-func (g *gate) asked() (n int) {
+func (g *connLimiter) requestPending() (n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for c := range g.conns {
-		if c.(*sockopt.Conn).Asked() {
+		if c.(*sockopt.Conn).RequestPending() {
 			n++
 		}
 	}
@@ -604,11 +612,11 @@
 }
 
 // A marshal that is told to leave before it serves ends in good order and takes nothing.
-func TestLeaveBeforeServing(t *testing.T) {
+func TestDrainBeforeServing(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := New(fake{}, clock.New(), decision.Settings{}, settings.Network{LongestTimeout: 2000, AnswerSlack: 20}, 10, log)
-	if err := f.Leave(0); err != nil {
+	f := New(fakeEngine{}, clock.New(), decision.Settings{}, settings.Network{LongestTimeout: 2000, ResponseSlack: 20}, 10, log)
+	if err := f.Drain(0); err != nil {
 		t.Error(err)
 	}
 	l := listen(t)
@@ -622,13 +630,13 @@
 }
 
 // Until it is ready a marshal says no and bounces hits, with when to come back; none reaches the module.
-func TestHold(t *testing.T) {
+func TestNotReady(t *testing.T) {
 	l := listen(t)
-	f, m := serve(t, l, 10, (*Front).Hold)
+	f, m := serve(t, l, 10, (*Server).SetNotReady)
 	ask := func(line string) *http.Response {
 		c := dial(t, l.Addr().String())
 		c.send(line, "X-Time-Left: 1\r\n", "")
-		res, _ := c.answer()
+		res, _ := c.readResponse()
 		return res
 	}
 	if res := ask("GET /up"); res.StatusCode != 503 {
@@ -637,7 +645,7 @@
 	if res := ask("GET /read/1"); res.StatusCode != 503 || res.Header.Get("Retry-After") != "0.500" {
 		t.Errorf("a hit: %d, %v", res.StatusCode, res.Header)
 	}
-	if f.Ready(); len(m.hits) != 0 {
+	if f.SetReady(); len(m.requests) != 0 {
 		t.Error("a hit reached the module")
 	}
 	if res := ask("GET /up"); res.StatusCode != 200 {
--- a/internal/ingress/golden_test.go
+++ b/internal/ingress/golden_test.go
@@ -6,13 +6,12 @@
 	"fmt"
 	"io"
 	"net/http"
-	"regexp"
-	"strings"
-	"testing"
-
 	"ottershed/internal/cluster/lease"
 	"ottershed/internal/engine"
 	"ottershed/internal/golden"
+	"regexp"
+	"strings"
+	"testing"
 )
 
 // date is the header whose value depends on when the test runs.
@@ -25,9 +24,9 @@
 type exchange struct {
 	title   string
 	request string
-	answer  *engine.Answer // of the marshal; nil: it hears nothing of the request
-	prepare func(*Front)   // before the front serves; may be nil
-	serving func(*Front)   // while it serves; may be nil
+	answer  *engine.Result // of the marshal; nil: it hears nothing of the request
+	prepare func(*Server)  // before the front serves; may be nil
+	serving func(*Server)  // while it serves; may be nil
 }
 
 // head is a request of this line with these headers, beside those that every request needs.
@@ -37,22 +36,28 @@
 
 // finalAnswers are the outcomes of requests that are passed on, or turned away with an answer of the same kind.
 func finalAnswers() []exchange {
-	reply := &engine.Reply{Body: []byte("ok\n"), Fields: map[string][]string{"Content-Type": {"text/odd"}, "X-Image": {"42"},
+	reply := &engine.Response{Body: []byte("ok\n"), Fields: map[string][]string{
+		"Content-Type": {"text/odd"}, "X-Image": {"42"},
 		"Set-Cookie": {"a=1", "b=2"}, "Retry-After": {"9"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}, "Keep-Alive": {"2"},
-		"Transfer-Encoding": {"chunked"}, "Content-Length": {"77"}, "X-Backend-Load": {"util=0.5"}}}
+		"Transfer-Encoding": {"chunked"}, "Content-Length": {"77"}, "X-Backend-Load": {"util=0.5"},
+	}}
 	return []exchange{
-		{title: "success passed through", request: goldenRead, answer: &engine.Answer{Reply: reply}},
-		{title: "success without a body", request: goldenRead, answer: &engine.Answer{Reply: &engine.Reply{Fields: http.Header{}}}},
-		{title: "rejected, with Retry-After", request: goldenRead, answer: &engine.Answer{Kind: engine.Bounced, ComeBack: 125.4}},
-		{title: "rejected, without advice", request: goldenRead, answer: &engine.Answer{Kind: engine.Bounced}},
-		{title: "failed", request: goldenRead, answer: &engine.Answer{Kind: engine.Errored}},
-		{title: "failed, the marshal leaves", request: goldenRead, answer: &engine.Answer{Kind: engine.Errored}, serving: leaving},
-		{title: "rejected before the list is known", request: goldenRead, prepare: (*Front).Hold},
-		{title: "rejected for want of room", request: goldenRead, prepare: func(f *Front) { f.gate.most = 0 }},
-		{title: "brought again, may have run", request: head("POST /pay/1", "X-Time-Left: 1\r\nX-Resume: 1\r\nContent-Length: 0\r\n"),
-			prepare: func(f *Front) { f.Resume(lease.Resumed) }},
-		{title: "an HTTP/1.0 client", request: strings.Replace(goldenRead, "HTTP/1.1", "HTTP/1.0", 1),
-			answer: &engine.Answer{Reply: &engine.Reply{Fields: http.Header{}, Body: []byte("ok")}}},
+		{title: "success passed through", request: goldenRead, answer: &engine.Result{Response: reply}},
+		{title: "success without a body", request: goldenRead, answer: &engine.Result{Response: &engine.Response{Fields: http.Header{}}}},
+		{title: "rejected, with Retry-After", request: goldenRead, answer: &engine.Result{Kind: engine.Rejected, RetryAfter: 125.4}},
+		{title: "rejected, without advice", request: goldenRead, answer: &engine.Result{Kind: engine.Rejected}},
+		{title: "failed", request: goldenRead, answer: &engine.Result{Kind: engine.Failed}},
+		{title: "failed, the marshal leaves", request: goldenRead, answer: &engine.Result{Kind: engine.Failed}, serving: leaving},
+		{title: "rejected before the list is known", request: goldenRead, prepare: (*Server).SetNotReady},
+		{title: "rejected for want of room", request: goldenRead, prepare: func(f *Server) { f.limiter.maxConnections = 0 }},
+		{
+			title: "brought again, may have run", request: head("POST /pay/1", "X-Time-Left: 1\r\nX-Resume: 1\r\nContent-Length: 0\r\n"),
+			prepare: func(f *Server) { f.HandleResumed(lease.DecideResume) },
+		},
+		{
+			title: "an HTTP/1.0 client", request: strings.Replace(goldenRead, "HTTP/1.1", "HTTP/1.0", 1),
+			answer: &engine.Result{Response: &engine.Response{Fields: http.Header{}, Body: []byte("ok")}},
+		},
 	}
 }
 
@@ -74,8 +79,8 @@
 		{title: "405 takes GET", request: head("POST /read/1", left+"Content-Length: 0\r\n")},
 		{title: "405 takes POST", request: head("GET /pay/1", left)},
 		{title: "411 a transfer coding", request: head("POST /pay/1", left+"Transfer-Encoding: chunked\r\n") + "0\r\n\r\n"},
-		{title: "413 the body is too long", request: head("POST /pay/1", left+fmt.Sprintf("Content-Length: %d\r\n", longestBody+1))},
-		{title: "431 the head is too long", request: head("GET /read/1", "X-Filler: "+strings.Repeat("x", 3*longestHead)+"\r\n")},
+		{title: "413 the body is too long", request: head("POST /pay/1", left+fmt.Sprintf("Content-Length: %d\r\n", maxBody+1))},
+		{title: "431 the head is too long", request: head("GET /read/1", "X-Filler: "+strings.Repeat("x", 3*maxHead)+"\r\n")},
 		{title: "a body that stays a part: closed", request: head("POST /pay/1", "X-Time-Left: 0.05\r\nContent-Length: 5\r\n") + "four"},
 		{title: "a head that stays a part: closed", request: "GET /read/1 HTTP/1.1\r\nHost: a\r\n"},
 	}
@@ -86,14 +91,14 @@
 	const up = "GET /up HTTP/1.1\r\nHost: app.svc\r\n\r\n"
 	return []exchange{
 		{title: "up: ready", request: up},
-		{title: "up: held, the list is not known yet", request: up, prepare: (*Front).Hold},
-		{title: "up: ready after it was held", request: up, prepare: (*Front).Hold, serving: (*Front).Ready},
+		{title: "up: held, the list is not known yet", request: up, prepare: (*Server).SetNotReady},
+		{title: "up: ready after it was held", request: up, prepare: (*Server).SetNotReady, serving: (*Server).SetReady},
 		{title: "up: leaving", request: up, serving: leaving},
 	}
 }
 
 // leaving puts a front into the state of one that is leaving, without the end that follows.
-func leaving(f *Front) { f.leaving.Store(true) }
+func leaving(f *Server) { f.draining.Store(true) }
 
 // The bytes of the answer to each request are those of the golden file. The value of Date is volatile and stands there as DATE.
 func TestGoldenAnswers(t *testing.T) {
@@ -115,10 +120,10 @@
 	_, m, address := start(t, 10)
 	first, second := dial(t, address), dial(t, address)
 	io.WriteString(first, goldenRead)
-	request := <-m.hits
+	request := <-m.requests
 	io.WriteString(second, goldenRead)
 	refused := finalAnswer(t, second)
-	request.Answer(engine.Answer{Kind: engine.Errored})
+	request.Respond(engine.Result{Kind: engine.Failed})
 	observed := golden.Section("409 the id is open", golden.Quote(refused)) +
 		golden.Section("the open one", golden.Quote(finalAnswer(t, first)))
 	if err := golden.Check("testdata/conflict.golden", []byte(observed)); err != nil {
@@ -139,10 +144,10 @@
 		t.Fatal(err)
 	}
 	if e.answer != nil {
-		(<-m.hits).Answer(*e.answer)
+		(<-m.requests).Respond(*e.answer)
 	}
 	raw := finalAnswer(t, c)
-	if len(m.hits) > 0 {
+	if len(m.requests) > 0 {
 		t.Errorf("%s: it reached the marshal", e.title)
 	}
 	return raw
--- a/internal/ingress/instants_test.go
+++ b/internal/ingress/instants_test.go
@@ -6,12 +6,11 @@
 	"net"
 	"net/http"
 	"os"
+	"ottershed/internal/engine"
+	"ottershed/internal/sockopt"
 	"sync"
 	"testing"
 	"time"
-
-	"ottershed/internal/engine"
-	"ottershed/internal/sockopt"
 )
 
 const (
@@ -23,11 +22,16 @@
 var requestParts = map[string]int{"one byte": 1, "half the head": len(nextRequest) / 2, "the whole request": len(nextRequest)}
 
 // eachInstant runs a test for every way to close connections and every part of a request.
-func eachInstant(t *testing.T, run func(t *testing.T, closing func(*Front), part, rest string)) {
-	for name, closing := range map[string]func(*Front){
-		"the grace begins": func(f *Front) { f.leaving.Store(true) },
-		"the gate is shut": func(f *Front) { f.leaving.Store(true); f.gate.shutdown(); f.gate.pastMoment(); f.gate.clear() },
-		"room is made":     func(f *Front) { f.gate.pastMoment(); f.gate.makeAllRoom() },
+func eachInstant(t *testing.T, run func(t *testing.T, closing func(*Server), part, rest string)) {
+	for name, closing := range map[string]func(*Server){
+		"the grace begins": func(f *Server) { f.draining.Store(true) },
+		"the gate is shut": func(f *Server) {
+			f.draining.Store(true)
+			f.limiter.shutdown()
+			f.limiter.pastMoment()
+			f.limiter.closeQuiet()
+		},
+		"room is made": func(f *Server) { f.limiter.pastMoment(); f.limiter.evictAll() },
 	} {
 		for part, length := range requestParts {
 			t.Run(name+" after "+part, func(t *testing.T) { run(t, closing, nextRequest[:length], nextRequest[length:]) })
@@ -36,38 +40,38 @@
 }
 
 // pastMoment has every connection have stood for longer than a new one's moment.
-func (g *gate) pastMoment() {
+func (g *connLimiter) pastMoment() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for connection, place := range g.conns {
-		place.since = place.since.Add(-silence)
+		place.since = place.since.Add(-newConnectionGrace)
 		g.conns[connection] = place
 	}
 }
 
 // makeAllRoom closes whatever the gate would close for want of room.
-func (g *gate) makeAllRoom() {
+func (g *connLimiter) evictAll() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for g.makeRoom() {
+	for g.evictOne() {
 	}
 }
 
 // unread tells whether bytes wait in the socket of a connection.
-func (g *gate) unread() (yes bool) {
+func (g *connLimiter) unread() (yes bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for connection := range g.conns {
-		yes = yes || !sockopt.Quiet(connection.(*sockopt.Conn))
+		yes = yes || !sockopt.IsIdle(connection.(*sockopt.Conn))
 	}
 	return yes
 }
 
 // watch has look called after each step of a connection, before the server goes on with it.
-func watch(f *Front, look func(net.Conn, http.ConnState)) {
+func observeStates(f *Server, inspect func(net.Conn, http.ConnState)) {
 	f.server.ConnState = func(connection net.Conn, state http.ConnState) {
-		f.gate.state(connection, state)
-		look(connection, state)
+		f.limiter.state(connection, state)
+		inspect(connection, state)
 	}
 }
 
@@ -82,26 +86,26 @@
 }
 
 // errored is the answer that wantAnswer takes for one of the marshal.
-func errored() engine.Answer { return engine.Answer{Kind: engine.Errored} }
+func failed() engine.Result { return engine.Result{Kind: engine.Failed} }
 
 // delivered makes answers of so many bytes.
-func delivered(size int) func() engine.Answer {
-	return func() engine.Answer {
-		reply := &engine.Reply{Fields: http.Header{}, Body: make([]byte, size)}
-		return engine.Answer{Kind: engine.Delivered, Reply: reply}
+func succeeded(size int) func() engine.Result {
+	return func() engine.Result {
+		response := &engine.Response{Fields: http.Header{}, Body: make([]byte, size)}
+		return engine.Result{Kind: engine.Succeeded, Response: response}
 	}
 }
 
 // answerHits has all hits answered at once from now on.
-func answerHits(t *testing.T, m fake, answer func() engine.Answer) {
+func respondToRequests(t *testing.T, m fakeEngine, result func() engine.Result) {
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
 	go func() {
 		for {
 			select {
-			case hit := <-m.hits:
-				hit.Answer(answer())
-			case <-m.gone:
+			case request := <-m.requests:
+				request.Respond(result())
+			case <-m.disconnected:
 			case <-done:
 				return
 			}
@@ -110,21 +114,21 @@
 }
 
 // wantAnswer reads an answer, 500 for errored or 503 with the time to come back; it tells if that is said to be the last.
-func (c *client) wantAnswer() bool {
+func (c *client) wantResponse() bool {
 	c.t.Helper()
-	response, _ := c.answer()
-	bounced := response.StatusCode == http.StatusServiceUnavailable && response.Header.Get("Retry-After") != "" && response.Close
-	if response.StatusCode != http.StatusInternalServerError && !bounced {
+	response, _ := c.readResponse()
+	rejected := response.StatusCode == http.StatusServiceUnavailable && response.Header.Get("Retry-After") != "" && response.Close
+	if response.StatusCode != http.StatusInternalServerError && !rejected {
 		c.t.Errorf("status %d (0: closed without an answer), %v", response.StatusCode, response.Header)
 	}
 	return response.Close
 }
 
 // keep has the connection carry a request and come to rest.
-func (c *client) keep(f *Front) {
+func (c *client) keep(f *Server) {
 	c.send("GET /up", "", "")
-	c.answer()
-	waitFor(c.t, "a kept connection", func() bool { return f.gate.resting() == 1 })
+	c.readResponse()
+	waitFor(c.t, "a kept connection", func() bool { return f.limiter.resting() == 1 })
 }
 
 // Guards against a connection that is closed as silent or idle, or by a leaving front, although the server has read a part
@@ -132,18 +136,18 @@
 func TestRequestMeetsClosing(t *testing.T) {
 	for name, kept := range map[string]bool{"on a new connection": false, "on a kept connection": true} {
 		t.Run(name, func(t *testing.T) {
-			eachInstant(t, func(t *testing.T, closing func(*Front), part, rest string) {
+			eachInstant(t, func(t *testing.T, closing func(*Server), part, rest string) {
 				f, m, address := start(t, 10)
 				c := dial(t, address)
 				if kept {
 					c.keep(f)
 				}
 				io.WriteString(c, part)
-				waitFor(t, "the server's read", func() bool { return f.gate.asked() == 1 })
+				waitFor(t, "the server's read", func() bool { return f.limiter.requestPending() == 1 })
 				closing(f)
 				io.WriteString(c, rest)
-				answerHits(t, m, errored)
-				if last := c.wantAnswer(); f.leaving.Load() && !last {
+				respondToRequests(t, m, failed)
+				if last := c.wantResponse(); f.draining.Load() && !last {
 					t.Error("a leaving front doesn't say that it closes")
 				}
 			})
@@ -165,40 +169,40 @@
 		"by itself, after the answer":       {true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			eachInstant(t, func(t *testing.T, closing func(*Front), part, rest string) {
+			eachInstant(t, func(t *testing.T, closing func(*Server), part, rest string) {
 				l, closed := listen(t), make(chan struct{})
 				var close1 func()
-				f, m := serve(t, l, 10, func(f *Front) {
+				f, m := serve(t, l, 10, func(f *Server) {
 					close1 = sync.OnceFunc(func() { closing(f); close(closed) })
-					watch(f, func(_ net.Conn, state http.ConnState) {
+					observeStates(f, func(_ net.Conn, state http.ConnState) {
 						if state == http.StateIdle {
 							close1()
 						}
 					})
 				})
 				c := dial(t, l.Addr().String())
-				var hit *engine.Hit
+				var request *engine.ClientRequest
 				if tc.apart {
 					io.WriteString(c, firstRequest)
-					hit = <-m.hits
+					request = <-m.requests
 					io.WriteString(c, part)
 					// Of several bytes the server takes one ahead, the others wait in the socket.
-					waitFor(t, "the server's read", func() bool { return len(part) > 1 || !f.gate.unread() })
+					waitFor(t, "the server's read", func() bool { return len(part) > 1 || !f.limiter.unread() })
 				} else {
 					io.WriteString(c, firstRequest+part)
-					hit = <-m.hits
+					request = <-m.requests
 				}
 				if tc.early {
 					close1()
 				}
-				hit.Answer(errored())
-				if c.wantAnswer() {
+				request.Respond(failed())
+				if c.wantResponse() {
 					return
 				}
 				<-closed
 				io.WriteString(c, rest)
-				answerHits(t, m, errored)
-				c.wantAnswer()
+				respondToRequests(t, m, failed)
+				c.wantResponse()
 			})
 		})
 	}
@@ -211,19 +215,19 @@
 		t.Run(part, func(t *testing.T) {
 			t.Parallel()
 			l := listen(t)
-			f, m := serve(t, l, 10, func(f *Front) { f.server.IdleTimeout = inTime / 2 })
+			f, m := serve(t, l, 10, func(f *Server) { f.server.IdleTimeout = readTimeout / 2 })
 			c := dial(t, l.Addr().String())
 			c.keep(f)
 			io.WriteString(c, nextRequest[:length])
-			waitFor(t, "the server's read", func() bool { return f.gate.asked() == 1 })
-			c.SetReadDeadline(time.Now().Add(inTime * 3 / 4)) // the idle time is over, that of a head is not
+			waitFor(t, "the server's read", func() bool { return f.limiter.requestPending() == 1 })
+			c.SetReadDeadline(time.Now().Add(readTimeout * 3 / 4)) // the idle time is over, that of a head is not
 			if _, err := c.r.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Fatalf("not kept for the rest of the request: %v", err)
 			}
-			c.SetReadDeadline(time.Now().Add(owed))
+			c.SetReadDeadline(time.Now().Add(responseDue))
 			io.WriteString(c, nextRequest[length:])
-			answerHits(t, m, errored)
-			c.wantAnswer()
+			respondToRequests(t, m, failed)
+			c.wantResponse()
 		})
 	}
 }
@@ -231,30 +235,30 @@
 // Guards against a request that reaches the marshal although its connection's idle time was over before it was read.
 func TestRequestAfterIdleTimeout(t *testing.T) {
 	l := listen(t)
-	f, m := serve(t, l, 10, func(f *Front) { f.server.IdleTimeout = 1 }) // over as soon as it begins
+	f, m := serve(t, l, 10, func(f *Server) { f.server.IdleTimeout = 1 }) // over as soon as it begins
 	c := dial(t, l.Addr().String())
 	c.send("GET /up", "", "")
-	c.answer()
+	c.readResponse()
 	io.WriteString(c, nextRequest)
-	if response, _ := c.answer(); response.StatusCode != 0 {
+	if response, _ := c.readResponse(); response.StatusCode != 0 {
 		t.Errorf("status %d", response.StatusCode)
 	}
-	waitFor(t, "the connection's end", func() bool { return f.gate.count() == 0 })
-	if len(m.hits) != 0 {
+	waitFor(t, "the connection's end", func() bool { return f.limiter.count() == 0 })
+	if len(m.requests) != 0 {
 		t.Error("it reached the marshal")
 	}
 }
 
 // heldUp is an answer's writer that holds up the handler once the last byte is written.
-type heldUp struct {
+type blockedWriter struct {
 	http.ResponseWriter
 	left int
 	let  chan struct{}
 }
 
-func (h *heldUp) Unwrap() http.ResponseWriter { return h.ResponseWriter }
+func (h *blockedWriter) Unwrap() http.ResponseWriter { return h.ResponseWriter }
 
-func (h *heldUp) Write(p []byte) (int, error) {
+func (h *blockedWriter) Write(p []byte) (int, error) {
 	n, err := h.ResponseWriter.Write(p)
 	if h.left -= n; h.left == 0 {
 		<-h.let
@@ -264,22 +268,22 @@
 
 // Guards against "that of an open request" for a client that has read the last byte of its answer. The bytes of a short
 // answer go out once its handler has ended; those of a long one before, and there the handler is held up.
-func TestIDAgainAfterAnswer(t *testing.T) {
+func TestIDReusedAfterResponse(t *testing.T) {
 	for name, tc := range map[string]struct {
 		size int
 		same bool // connection
 	}{
 		"short, on the same connection": {2, true},
 		"short, on another connection":  {2, false},
-		"long, on the same connection":  {longestBody, true},
-		"long, on another connection":   {longestBody, false},
+		"long, on the same connection":  {maxBody, true},
+		"long, on another connection":   {maxBody, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l, let := listen(t), make(chan struct{})
-			_, m := serve(t, l, 10, func(f *Front) {
+			_, m := serve(t, l, 10, func(f *Server) {
 				handler := f.server.Handler
 				f.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-					handler.ServeHTTP(&heldUp{w, longestBody, let}, r)
+					handler.ServeHTTP(&blockedWriter{w, maxBody, let}, r)
 				})
 			})
 			free := sync.OnceFunc(func() { close(let) })
@@ -288,13 +292,13 @@
 			if tc.same {
 				clients[1] = clients[0]
 			}
-			answerHits(t, m, delivered(tc.size))
+			respondToRequests(t, m, succeeded(tc.size))
 			for i, c := range clients {
 				c.send("GET /read/1", "X-Time-Left: 1\r\nX-Correlation-Id: same\r\n", "")
 				if i == 1 && tc.same {
 					free()
 				}
-				if response, body := c.answer(); response.StatusCode != http.StatusOK || len(body) != tc.size {
+				if response, body := c.readResponse(); response.StatusCode != http.StatusOK || len(body) != tc.size {
 					t.Errorf("request %d: status %d, %d bytes", i+1, response.StatusCode, len(body))
 				}
 			}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -14,29 +14,31 @@
 	l := logrus.New()
 	l.SetOutput(to)
 	l.SetLevel(level)
-	l.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true,
-		TimestampFormat: "2006-01-02T15:04:05.000Z07:00"})
+	l.SetFormatter(&logrus.TextFormatter{
+		DisableColors: true, FullTimestamp: true,
+		TimestampFormat: "2006-01-02T15:04:05.000Z07:00",
+	})
 	return l
 }
 
-const again = 10 * time.Second
+const repeatInterval = 10 * time.Second
 
 // Causes lets each cause through once in a while. It holds one entry for each constant text that it is asked of.
-type Causes struct {
+type Limiter struct {
 	mu   sync.Mutex
 	last map[string]time.Time
 }
 
 // New tells whether this cause is worth a line now.
-func (c *Causes) New(cause string) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if at, known := c.last[cause]; known && time.Since(at) < again {
+func (l *Limiter) Allow(cause string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if at, known := l.last[cause]; known && time.Since(at) < repeatInterval {
 		return false
 	}
-	if c.last == nil {
-		c.last = map[string]time.Time{}
+	if l.last == nil {
+		l.last = map[string]time.Time{}
 	}
-	c.last[cause] = time.Now()
+	l.last[cause] = time.Now()
 	return true
 }
--- a/internal/rollout/desk.go
+++ b/internal/rollout/desk.go
@@ -5,52 +5,51 @@
 	"context"
 	"encoding/json"
 	"net"
+	"ottershed/decision"
+	"ottershed/internal/clock"
+	"ottershed/internal/logging"
 	"sync"
 	"time"
 
 	"github.com/sirupsen/logrus"
-
-	"ottershed/decision"
-	"ottershed/internal/clock"
-	"ottershed/internal/logging"
 )
 
 const (
-	longestLine = 8 << 10
-	lifeSign    = time.Second // the desk says so often that it is there
-	patience    = 2           // signs of life missed until another connection is opened beside
-	pause       = 4           // part of a sign of life: between two connections that fail
+	maxLine           = 8 << 10
+	heartbeatInterval = time.Second // the desk says so often that it is there
+	missedHeartbeats  = 2           // signs of life missed until another connection is opened beside
+	redialFraction    = 4           // part of a sign of life: between two connections that fail
 )
 
 // Desk keeps one followed connection, and a second one only while the first is silent. Votes go out on the one
 // that has spoken.
-type Desk struct {
-	address string // of Run; Move sends it another
-	moved   chan string
-	wait    time.Duration // for the answer to a vote
-	sign    time.Duration // between two signs of life
-	told    func(decision.Event)
-	log     logrus.FieldLogger
+type Client struct {
+	address     string // of Run; Move sends it another
+	moved       chan string
+	voteTimeout time.Duration // for the answer to a vote
+	heartbeat   time.Duration // between two signs of life
+	handle      func(decision.Event)
+	log         logrus.FieldLogger
 
-	mu     sync.Mutex
-	id     uint64 // of the last call
-	number int    // of the last link
-	line   *link  // the one that votes go to; nil while there is none
-	causes logging.Causes
-	silent bool // as last logged
+	mu             sync.Mutex
+	lastID         uint64      // of the last call
+	lastConnection int         // of the last link
+	active         *connection // the one that votes go to; nil while there is none
+	causes         logging.Limiter
+	unavailable    bool // as last logged
 }
 
 // New makes a desk at address; a vote's answer is waited for as long as wait.
-func New(address string, wait decision.Millis, told func(decision.Event), log logrus.FieldLogger) *Desk {
-	d := &Desk{address: address, moved: make(chan string), wait: clock.Span(wait), sign: lifeSign, told: told, log: log}
-	if d.wait <= 0 {
-		d.wait = lifeSign
+func New(address string, voteTimeout decision.Millis, handle func(decision.Event), log logrus.FieldLogger) *Client {
+	d := &Client{address: address, moved: make(chan string), voteTimeout: clock.Duration(voteTimeout), heartbeat: heartbeatInterval, handle: handle, log: log}
+	if d.voteTimeout <= 0 {
+		d.voteTimeout = heartbeatInterval
 	}
 	return d
 }
 
 // Move says that the desk is at another address from now on.
-func (d *Desk) Move(ctx context.Context, address string) {
+func (d *Client) SetAddress(ctx context.Context, address string) {
 	select {
 	case d.moved <- address:
 	case <-ctx.Done():
@@ -60,14 +59,14 @@
 // Run keeps the connection until ctx ends. Danger: what was told while no connection stood is not told again. So
 // a silent one, or one at an address that was left, is given up only once the next one speaks; never are there more
 // than two, but for one on which the fate of a vote is still out.
-func (d *Desk) Run(ctx context.Context) {
-	var now, next *link
+func (d *Client) Run(ctx context.Context) {
+	var now, next *connection
 	for ctx.Err() == nil {
-		wait := patience * d.sign
+		wait := missedHeartbeats * d.heartbeat
 		if next == nil && (now == nil || now.address != d.address) {
 			if next = d.dial(ctx); next == nil {
-				d.quiet(now == nil || d.silent)
-				wait = d.sign / pause
+				d.setUnavailable(now == nil || d.unavailable)
+				wait = d.heartbeat / redialFraction
 			}
 		}
 		over := time.NewTimer(wait)
@@ -76,25 +75,25 @@
 		case d.address = <-d.moved:
 			next.close()
 			next = nil
-		case <-now.spoken():
-			d.quiet(false)
+		case <-now.receivedChan():
+			d.setUnavailable(false)
 			if now.address == d.address { // else the next one is there for another reason than its silence
 				next.close()
 				next = nil
 			}
-		case <-next.spoken():
-			d.quiet(false)
+		case <-next.receivedChan():
+			d.setUnavailable(false)
 			now.retire()
 			now, next = next, nil
-		case <-now.gone():
-			now.rest(ctx)
+		case <-now.endedChan():
+			now.backOff(ctx)
 			now = nil
-		case <-next.gone():
-			next.rest(ctx)
+		case <-next.endedChan():
+			next.backOff(ctx)
 			next = nil
 		case <-over.C:
-			if wait == patience*d.sign {
-				d.quiet(true)
+			if wait == missedHeartbeats*d.heartbeat {
+				d.setUnavailable(true)
 				next.close()
 				next = d.dial(ctx)
 			}
@@ -106,14 +105,14 @@
 }
 
 // quiet logs that the desk has fallen silent or speaks again.
-func (d *Desk) quiet(silent bool) {
+func (d *Client) setUnavailable(unavailable bool) {
 	switch {
-	case silent && !d.silent:
+	case unavailable && !d.unavailable:
 		d.log.WithField("address", d.address).Warn("desk silent")
-	case !silent && d.silent:
+	case !unavailable && d.unavailable:
 		d.log.WithField("address", d.address).Info("desk speaks again")
 	}
-	d.silent = silent
+	d.unavailable = unavailable
 }
 
 func sleep(ctx context.Context, span time.Duration) {
@@ -123,27 +122,29 @@
 	}
 }
 
-func (d *Desk) nextID() uint64 {
+func (d *Client) nextID() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.id++
-	return d.id
+	d.lastID++
+	return d.lastID
 }
 
 // dial opens a connection and asks to follow; nil if it doesn't come up.
-func (d *Desk) dial(ctx context.Context) *link {
-	dialer := net.Dialer{Timeout: d.sign, KeepAlive: -1}
+func (d *Client) dial(ctx context.Context) *connection {
+	dialer := net.Dialer{Timeout: d.heartbeat, KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp", d.address)
 	if err != nil {
 		return nil
 	}
-	l := &link{desk: d, address: d.address, conn: conn, since: time.Now(), follow: d.nextID(), spoke: make(chan struct{}, 1),
-		ended: make(chan struct{}), open: map[uint64]*time.Timer{}}
+	l := &connection{
+		client: d, address: d.address, conn: conn, openedAt: time.Now(), followID: d.nextID(), received: make(chan struct{}, 1),
+		ended: make(chan struct{}), pendingVotes: map[uint64]*time.Timer{},
+	}
 	d.mu.Lock()
-	d.number++
-	l.number = d.number
+	d.lastConnection++
+	l.number = d.lastConnection
 	d.mu.Unlock()
-	if !l.write(encodeFollow(l.follow)) {
+	if !l.write(encodeFollow(l.followID)) {
 		conn.Close()
 		return nil
 	}
@@ -152,51 +153,51 @@
 }
 
 // Vote sends a vote. Its fate comes as news, once: never sent counts as an error.
-func (d *Desk) Vote(v decision.Vote) { d.VoteUnder(v, nil) }
+func (d *Client) Vote(v decision.Vote) { d.VoteFenced(v, nil) }
 
 // Fence names a piece of work that a vote goes by, and the token under which it is held. A desk that knows of fences
 // refuses a vote under a token below the highest that it has seen of that piece.
 type Fence struct {
-	Work  string `json:"work"`
+	Lease string `json:"work"`
 	Token uint64 `json:"token"`
 }
 
 // VoteUnder sends a vote with the fences that it goes by.
-func (d *Desk) VoteUnder(v decision.Vote, fences []Fence) {
+func (d *Client) VoteFenced(v decision.Vote, fences []Fence) {
 	go func() { // a write may block
 		d.mu.Lock()
-		l := d.line
+		l := d.active
 		d.mu.Unlock()
 		if l == nil || !l.vote(d.nextID(), v, fences) {
-			d.told(decision.StageNews{ToVote: true, VoteFate: decision.VoteError})
+			d.handle(decision.StageUpdate{IsVoteResult: true, VoteResult: decision.VoteFailed})
 		}
 	}()
 }
 
 // link is one connection; its reader owns it. All methods but read take a nil link as one that never speaks.
-type link struct {
-	desk    *Desk
-	address string
-	conn    net.Conn
-	number  int
-	since   time.Time
-	follow  uint64        // the call's id
-	spoke   chan struct{} // something came
-	ended   chan struct{} // closed when the reader has ended
+type connection struct {
+	client   *Client
+	address  string
+	conn     net.Conn
+	number   int
+	openedAt time.Time
+	followID uint64        // the call's id
+	received chan struct{} // something came
+	ended    chan struct{} // closed when the reader has ended
 
-	mu   sync.Mutex
-	open map[uint64]*time.Timer // votes without an answer; the answer, its timer or the end empties it
-	last bool                   // to be closed when none is open
+	mu           sync.Mutex
+	pendingVotes map[uint64]*time.Timer // votes without an answer; the answer, its timer or the end empties it
+	retiring     bool                   // to be closed when none is open
 }
 
-func (l *link) spoken() <-chan struct{} {
+func (l *connection) receivedChan() <-chan struct{} {
 	if l == nil {
 		return nil
 	}
-	return l.spoke
+	return l.received
 }
 
-func (l *link) gone() <-chan struct{} {
+func (l *connection) endedChan() <-chan struct{} {
 	if l == nil {
 		return nil
 	}
@@ -204,18 +205,18 @@
 }
 
 // close makes the reader end.
-func (l *link) close() {
+func (l *connection) close() {
 	if l != nil {
 		l.conn.Close()
 	}
 }
 
 // retire makes the reader end as soon as the fate of every vote is known.
-func (l *link) retire() {
+func (l *connection) retire() {
 	if l != nil {
 		l.mu.Lock()
-		l.last = true
-		if len(l.open) == 0 {
+		l.retiring = true
+		if len(l.pendingVotes) == 0 {
 			l.conn.Close()
 		}
 		l.mu.Unlock()
@@ -223,49 +224,49 @@
 }
 
 // rest waits after the end of a link that stood for less than a sign of life, so that ends don't follow at once.
-func (l *link) rest(ctx context.Context) {
-	if time.Since(l.since) < l.desk.sign {
-		sleep(ctx, l.desk.sign/pause)
+func (l *connection) backOff(ctx context.Context) {
+	if time.Since(l.openedAt) < l.client.heartbeat {
+		sleep(ctx, l.client.heartbeat/redialFraction)
 	}
 }
 
-func (l *link) write(line []byte) bool {
-	l.conn.SetWriteDeadline(time.Now().Add(l.desk.wait))
+func (l *connection) write(line []byte) bool {
+	l.conn.SetWriteDeadline(time.Now().Add(l.client.voteTimeout))
 	_, err := l.conn.Write(line)
 	return err == nil
 }
 
 // vote writes a vote; false: it was not sent.
-func (l *link) vote(id uint64, v decision.Vote, fences []Fence) bool {
+func (l *connection) vote(id uint64, v decision.Vote, fences []Fence) bool {
 	l.mu.Lock()
-	if l.open == nil {
+	if l.pendingVotes == nil {
 		l.mu.Unlock()
 		return false
 	}
-	l.open[id] = time.AfterFunc(l.desk.wait, func() { l.settle(id, decision.VoteTimeout) })
+	l.pendingVotes[id] = time.AfterFunc(l.client.voteTimeout, func() { l.resolveVote(id, decision.VoteTimedOut) })
 	l.mu.Unlock()
 	if !l.write(encodeVote(id, v, fences)) {
-		l.settle(id, decision.VoteError)
+		l.resolveVote(id, decision.VoteFailed)
 		l.close() // a part of a line may stand on it
 	}
 	return true
 }
 
 // settle tells the fate of a vote whose answer won't come, if it still waits for one.
-func (l *link) settle(id uint64, fate decision.VoteFate) {
-	if l.waits(id) {
-		l.desk.told(decision.StageNews{ToVote: true, VoteFate: fate})
+func (l *connection) resolveVote(id uint64, result decision.VoteResult) {
+	if l.takePending(id) {
+		l.client.handle(decision.StageUpdate{IsVoteResult: true, VoteResult: result})
 	}
 }
 
 // waits tells whether a vote waited for its answer; now it does no more.
-func (l *link) waits(id uint64) bool {
+func (l *connection) takePending(id uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	timer, waits := l.open[id]
+	timer, waits := l.pendingVotes[id]
 	if waits {
 		timer.Stop()
-		if delete(l.open, id); l.last && len(l.open) == 0 {
+		if delete(l.pendingVotes, id); l.retiring && len(l.pendingVotes) == 0 {
 			l.conn.Close()
 		}
 	}
@@ -273,79 +274,79 @@
 }
 
 // read hands on what comes until the connection ends; then what was open may have counted.
-func (l *link) read() {
+func (l *connection) read() {
 	lines := bufio.NewScanner(l.conn)
-	lines.Buffer(make([]byte, 0, longestLine), longestLine)
-	for lines.Scan() && l.take(lines.Bytes()) {
+	lines.Buffer(make([]byte, 0, maxLine), maxLine)
+	for lines.Scan() && l.handleLine(lines.Bytes()) {
 	}
 	l.conn.Close()
-	l.desk.mu.Lock()
-	if l.desk.line == l {
-		l.desk.line = nil
+	l.client.mu.Lock()
+	if l.client.active == l {
+		l.client.active = nil
 	}
-	l.desk.mu.Unlock()
+	l.client.mu.Unlock()
 	l.mu.Lock()
-	open := l.open
-	l.open = nil
+	open := l.pendingVotes
+	l.pendingVotes = nil
 	l.mu.Unlock()
 	for _, timer := range open {
 		if timer.Stop() {
-			l.desk.told(decision.StageNews{ToVote: true, VoteFate: decision.VoteTimeout})
+			l.client.handle(decision.StageUpdate{IsVoteResult: true, VoteResult: decision.VoteTimedOut})
 		}
 	}
 	close(l.ended)
 }
 
 // take hands on one line; false if the connection is no good any more.
-func (l *link) take(text []byte) bool {
-	var in line
+func (l *connection) handleLine(text []byte) bool {
+	var in message
 	if err := json.Unmarshal(text, &in); err != nil {
-		return l.legible(err)
+		return l.usable(err)
 	}
-	first := l.speaks()
+	first := l.activate()
 	select {
-	case l.spoke <- struct{}{}:
+	case l.received <- struct{}{}:
 	default:
 	}
 	switch {
 	case in.ID == nil:
-		event, err := in.notice()
+		event, err := in.event()
 		if event != nil && err == nil && first {
-			l.desk.told(event)
+			l.client.handle(event)
 		}
-		return l.legible(err)
-	case *in.ID == l.follow:
-		return l.legible(in.accepted())
+		return l.usable(err)
+	case *in.ID == l.followID:
+		return l.usable(in.checkFollowed())
 	}
-	fate, err := in.fate()
-	switch waits := l.waits(*in.ID); {
-	case waits && !first && fate.VoteFate == decision.VoteOK:
+	result, err := in.voteResult()
+	switch waits := l.takePending(*in.ID); {
+	case waits && !first && result.VoteResult == decision.VoteAccepted:
 		// Danger: it tells an older state than the newer line may have told. As it may have counted, it goes out again.
-		fate = decision.StageNews{ToVote: true, VoteFate: decision.VoteTimeout}
-	case !waits && first && fate.VoteFate == decision.VoteOK:
-		fate.ToVote = false // too late to be the fate, but what it tells counts as told
+		result = decision.StageUpdate{IsVoteResult: true, VoteResult: decision.VoteTimedOut}
+	case !waits && first && result.VoteResult == decision.VoteAccepted:
+		result.IsVoteResult = false // too late to be the fate, but what it tells counts as told
 	case !waits:
-		return l.legible(err)
+		return l.usable(err)
 	}
-	l.desk.told(fate)
-	return l.legible(err)
+	l.client.handle(result)
+	return l.usable(err)
 }
 
 // legible tells whether the connection is good for more.
-func (l *link) legible(err error) bool {
-	if err != nil && l.desk.causes.New("unreadable") {
-		l.desk.log.WithError(err).Warn("desk unreadable")
+func (l *connection) usable(err error) bool {
+	if err != nil && l.client.causes.Allow("unreadable") {
+		l.client.log.WithError(err).Warn("desk unreadable")
 	}
 	return err == nil
 }
 
 // speaks makes this link the one that votes go to, unless a newer one has spoken. Danger: told by both, older
 // news would come after newer.
-func (l *link) speaks() bool {
-	l.desk.mu.Lock()
-	defer l.desk.mu.Unlock()
-	if l.desk.line == nil || l.desk.line.number <= l.number {
-		l.desk.line = l
+func (l *connection) activate() bool {
+	l.client.mu.Lock()
+	defer l.client.mu.Unlock()
+	if l.client.active == nil || l.client.active.number <= l.number {
+		l.client.active = l
 	}
-	return l.desk.line == l
+	return l.client.active == l
 }
--- a/internal/rollout/wire.go
+++ b/internal/rollout/wire.go
@@ -5,12 +5,11 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-
 	"ottershed/decision"
 )
 
 // line is one JSON-RPC object from the desk.
-type line struct {
+type message struct {
 	ID     *uint64         `json:"id"`
 	Method string          `json:"method"`
 	Params json.RawMessage `json:"params"`
@@ -21,17 +20,23 @@
 }
 
 var (
-	phases = map[string]decision.Phase{"testing": decision.OnTrial, "recalling": decision.GoingBack,
-		"live": decision.Released, "recalled": decision.Withdrawn}
-	verdicts = map[decision.Verdict]string{decision.VoteNone: "none", decision.VoteOn: "on", decision.VoteHold: "hold",
-		decision.VoteBack: "back"}
+	phases = map[string]decision.Phase{
+		"testing": decision.InTrial, "recalling": decision.RollingBack,
+		"live": decision.Released, "recalled": decision.RolledBack,
+	}
+	verdicts = map[decision.Verdict]string{
+		decision.VoteNone: "none", decision.VoteAdvance: "on", decision.VoteHold: "hold",
+		decision.VoteRollback: "back",
+	}
 	// What was not carried out counts as an error where the module knows no word for it.
-	fates = map[string]decision.VoteFate{"Throttling": decision.VoteFull, "ConditionFailed": decision.VoteMoot,
-		"InternalFailure": decision.VoteError, "ValidationError": decision.VoteError}
+	voteResults = map[string]decision.VoteResult{
+		"Throttling": decision.VoteThrottled, "ConditionFailed": decision.VoteObsolete,
+		"InternalFailure": decision.VoteFailed, "ValidationError": decision.VoteFailed,
+	}
 )
 
 // DecodeStage reads where the newest build stands.
-func DecodeStage(raw []byte) (decision.StageNews, error) {
+func DecodeStage(raw []byte) (decision.StageUpdate, error) {
 	var in struct {
 		Image    *int     `json:"image"`
 		Ring     int      `json:"ring"`
@@ -40,30 +45,32 @@
 		Lag      float64  `json:"lag_ms"`
 	}
 	if err := json.Unmarshal(raw, &in); err != nil {
-		return decision.StageNews{}, fmt.Errorf("stage: %w", err)
+		return decision.StageUpdate{}, fmt.Errorf("stage: %w", err)
 	}
 	phase, ok := phases[in.Progress]
 	if !ok || in.Image == nil || in.Ceiling == nil || *in.Ceiling < 0 || *in.Ceiling > 1 || in.Lag < 0 || in.Ring < 0 {
-		return decision.StageNews{}, fmt.Errorf("stage: image, ceiling or progress %q missing or unknown, or a figure out of range", in.Progress)
+		return decision.StageUpdate{}, fmt.Errorf("stage: image, ceiling or progress %q missing or unknown, or a figure out of range", in.Progress)
 	}
-	return decision.StageNews{Age: in.Lag, Build: decision.Build(*in.Image), Phase: phase, Cap: *in.Ceiling,
-		Stage: in.Ring}, nil
+	return decision.StageUpdate{
+		Age: in.Lag, Build: decision.Build(*in.Image), Phase: phase, ExposureCap: *in.Ceiling,
+		Stage: in.Ring,
+	}, nil
 }
 
-func decodeFlag(raw []byte) (decision.Flagged, error) {
+func decodeFlag(raw []byte) (decision.ResponseFlagged, error) {
 	var in struct {
 		Host string  `json:"host"`
 		Type string  `json:"type"`
 		Lag  float64 `json:"lag_ms"`
 	}
 	if err := json.Unmarshal(raw, &in); err != nil {
-		return decision.Flagged{}, fmt.Errorf("flag: %w", err)
+		return decision.ResponseFlagged{}, fmt.Errorf("flag: %w", err)
 	}
-	return decision.Flagged{Node: decision.NodeID(in.Host), Group: decision.GroupName(in.Type), Age: in.Lag}, nil
+	return decision.ResponseFlagged{Endpoint: decision.EndpointID(in.Host), Class: decision.ClassName(in.Type), Age: in.Lag}, nil
 }
 
 // notice reads what the desk tells unasked; nil for a sign of life and for kinds that we don't know.
-func (l *line) notice() (decision.Event, error) {
+func (l *message) event() (decision.Event, error) {
 	switch l.Method {
 	case "":
 		return nil, errors.New("neither an answer nor a notice")
@@ -76,23 +83,23 @@
 }
 
 // fate reads the answer to a vote. What can't be read may have counted.
-func (l *line) fate() (decision.StageNews, error) {
+func (l *message) voteResult() (decision.StageUpdate, error) {
 	if l.Error != nil {
-		if fate, ok := fates[l.Error.Message]; ok {
-			return decision.StageNews{ToVote: true, VoteFate: fate}, nil
+		if result, ok := voteResults[l.Error.Message]; ok {
+			return decision.StageUpdate{IsVoteResult: true, VoteResult: result}, nil
 		}
-		return decision.StageNews{ToVote: true, VoteFate: decision.VoteTimeout}, fmt.Errorf("answer: error %q is not known", l.Error.Message)
+		return decision.StageUpdate{IsVoteResult: true, VoteResult: decision.VoteTimedOut}, fmt.Errorf("answer: error %q is not known", l.Error.Message)
 	}
-	news, err := DecodeStage(l.Result)
+	update, err := DecodeStage(l.Result)
 	if err != nil {
-		return decision.StageNews{ToVote: true, VoteFate: decision.VoteTimeout}, err
+		return decision.StageUpdate{IsVoteResult: true, VoteResult: decision.VoteTimedOut}, err
 	}
-	news.ToVote = true
-	return news, nil
+	update.IsVoteResult = true
+	return update, nil
 }
 
 // accepted reads the answer to the call that asks to follow.
-func (l *line) accepted() error {
+func (l *message) checkFollowed() error {
 	if string(l.Result) != "true" {
 		return errors.New("answer: the desk does not let us follow")
 	}
--- a/internal/rollout/wire_golden_test.go
+++ b/internal/rollout/wire_golden_test.go
@@ -6,15 +6,14 @@
 	"fmt"
 	"io"
 	"net"
+	"ottershed/decision"
+	"ottershed/internal/golden"
 	"regexp"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/sirupsen/logrus"
-
-	"ottershed/decision"
-	"ottershed/internal/golden"
 )
 
 // callID is the number of a call, which depends on how many connections were opened before.
@@ -31,13 +30,16 @@
 		under []Fence
 	}{
 		{"no opinion", decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteNone}, nil},
-		{"on", decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteOn}, nil},
+		{"on", decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteAdvance}, nil},
 		{"hold", decision.Vote{Build: 65535, Stage: 0, Verdict: decision.VoteHold}, nil},
-		{"back", decision.Vote{Build: 7, Stage: 3, Verdict: decision.VoteBack}, nil},
-		{"on, under fences", decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteOn},
-			[]Fence{{Work: "trial/n0", Token: 9}, {Work: "trial/n<1>", Token: 1 << 60}}},
+		{"back", decision.Vote{Build: 7, Stage: 3, Verdict: decision.VoteRollback}, nil},
+		{
+			"on, under fences",
+			decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteAdvance},
+			[]Fence{{Lease: "trial/n0", Token: 9}, {Lease: "trial/n<1>", Token: 1 << 60}},
+		},
 	} {
-		d.VoteUnder(v.vote, v.under)
+		d.VoteFenced(v.vote, v.under)
 		observed += golden.Section(v.title, receive(t, calls))
 		receive(t, settled)
 	}
@@ -48,7 +50,7 @@
 
 // goldenDesk runs a desk against a rollout controller that tells each line it reads, and that answers each. Votes may go out
 // once it has received the first one; settled tells when the fate of each is known.
-func goldenDesk(t *testing.T) (calls, settled chan string, d *Desk) {
+func goldenDesk(t *testing.T) (calls, settled chan string, d *Client) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -65,13 +67,13 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	d = New(l.Addr().String(), 5000, func(e decision.Event) {
-		if news, ok := e.(decision.StageNews); ok && news.ToVote {
+		if news, ok := e.(decision.StageUpdate); ok && news.IsVoteResult {
 			settled <- "settled"
 			return
 		}
 		speaks <- struct{}{}
 	}, log)
-	d.sign = 10 * time.Second // a controller that is slow here must not be taken for a silent one
+	d.heartbeat = 10 * time.Second // a controller that is slow here must not be taken for a silent one
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx); close(ended) }()
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"maps"
+	"ottershed/internal/golden"
 	"slices"
 	"strings"
 	"testing"
-
-	"ottershed/internal/golden"
 )
 
 // goldenFigures let every figure be read that there is: with no figure missing, one path group of each kind, and a tenant.
@@ -19,15 +18,15 @@
 // The names of the figures that the decision module and the sockets ask for are those of the golden file.
 func TestGoldenKeys(t *testing.T) {
 	figures := Pairs(strings.Fields(goldenFigures))
-	module := &pairs{v: figures, read: map[string]bool{}}
+	module := &values{texts: figures, requested: map[string]bool{}}
 	if _, err := forModule(module); err != nil {
 		t.Fatal(err)
 	}
-	network := &pairs{v: figures, read: map[string]bool{}}
+	network := &values{texts: figures, requested: map[string]bool{}}
 	if _, err := forNetwork(network); err != nil {
 		t.Fatal(err)
 	}
-	observed := golden.Section("decision module", names(module.read)) + golden.Section("sockets", names(network.read))
+	observed := golden.Section("decision module", names(module.requested)) + golden.Section("sockets", names(network.requested))
 	if err := golden.Check("testdata/keys.golden", []byte(observed)); err != nil {
 		t.Error(err)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -7,108 +7,107 @@
 	"fmt"
 	"maps"
 	"math"
+	"ottershed/decision"
 	"slices"
 	"strconv"
 	"strings"
-
-	"ottershed/decision"
 )
 
 // pairs holds the path=value settings of an instance; the first one missing or absurd stays in err.
-type pairs struct {
-	v    map[string]string
-	err  error
-	read map[string]bool // keys that were asked for; nil: not noted
+type values struct {
+	texts     map[string]string
+	err       error
+	requested map[string]bool // keys that were asked for; nil: not noted
 }
 
 // get is a key's text.
-func (p *pairs) get(key string) (string, bool) {
-	if p.read != nil {
-		p.read[key] = true
+func (vals *values) get(key string) (string, bool) {
+	if vals.requested != nil {
+		vals.requested[key] = true
 	}
-	s, ok := p.v[key]
+	s, ok := vals.texts[key]
 	return s, ok
 }
 
-func (p *pairs) text(key string) string {
-	s, _ := p.get(key)
+func (vals *values) text(key string) string {
+	s, _ := vals.get(key)
 	return s
 }
 
 // name reads a path group's name, which no other has.
-func (p *pairs) name(key string, taken map[string]bool) string {
-	s := p.text(key)
+func (vals *values) name(key string, taken map[string]bool) string {
+	s := vals.text(key)
 	switch {
 	case s == "":
-		p.fail(key, "missing")
+		vals.fail(key, "missing")
 	case taken[s]:
-		p.fail(key, fmt.Sprintf("%q is another's too", s))
+		vals.fail(key, fmt.Sprintf("%q is another's too", s))
 	}
 	taken[s] = true
 	return s
 }
 
-func (p *pairs) fail(key, why string) {
-	if p.err == nil {
-		p.err = fmt.Errorf("settings.%s: %s", key, why)
+func (vals *values) fail(key, why string) {
+	if vals.err == nil {
+		vals.err = fmt.Errorf("settings.%s: %s", key, why)
 	}
 }
 
-func (p *pairs) need(key string, low, high float64) float64 {
-	s, ok := p.get(key)
+func (vals *values) required(key string, low, high float64) float64 {
+	s, ok := vals.get(key)
 	if !ok {
-		p.fail(key, "missing")
+		vals.fail(key, "missing")
 		return low
 	}
-	return p.number(key, s, low, high)
+	return vals.number(key, s, low, high)
 }
 
-func (p *pairs) number(key, s string, low, high float64) float64 {
+func (vals *values) number(key, s string, low, high float64) float64 {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || math.IsNaN(v) || v < low || v > high {
-		p.fail(key, fmt.Sprintf("want a number %s, got %q", span(low, high), s))
+		vals.fail(key, fmt.Sprintf("want a number %s, got %q", rangeText(low, high), s))
 		return low
 	}
 	return v
 }
 
 // may reads a number that no rule depends on; absent, it is 0.
-func (p *pairs) may(key string) float64 {
-	if s, ok := p.get(key); ok {
-		return p.number(key, s, 0, most)
+func (vals *values) optional(key string) float64 {
+	if s, ok := vals.get(key); ok {
+		return vals.number(key, s, 0, maxNumber)
 	}
 	return 0
 }
 
 // span names a range in plain figures.
-func span(low, high float64) string {
+func rangeText(low, high float64) string {
 	plain := func(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
-	if high >= most {
+	if high >= maxNumber {
 		return "of " + plain(low) + " or more"
 	}
 	return "from " + plain(low) + " to " + plain(high)
 }
 
-func (p *pairs) list(key string) []float64 {
+func (vals *values) list(key string) []float64 {
 	var out []float64
-	for _, s := range strings.Split(p.text(key), ",") {
-		out = append(out, p.number(key, s, 0, 1))
+	for _, s := range strings.Split(vals.text(key), ",") {
+		out = append(out, vals.number(key, s, 0, 1))
 	}
 	return out
 }
 
-func (p *pairs) yes(key string) bool { return p.text(key) == "true" || p.text(key) == "1" }
+func (vals *values) flag(key string) bool { return vals.text(key) == "true" || vals.text(key) == "1" }
 
-const most = 1e12
+const maxNumber = 1e12
 
 // Network holds the figures that the sockets need and no decision reads.
 type Network struct {
 	IdleAfter      decision.Millis // a node closes an idle connection by then
 	ConnectTimeout decision.Millis
-	AnswerSlack    decision.Millis // past the client timeout, for the final answer
+	ResponseSlack  decision.Millis // past the client timeout, for the final answer
 	LongestTimeout decision.Millis // of a client
-	AskList        bool            // the list is asked of a service that may refuse
-	AskWithin      decision.Millis // by then a marshal must have asked
+	PollEndpoints  bool            // the list is asked of a service that may refuse
+	PollWithin     decision.Millis // by then a marshal must have asked
 	DrainGrace     decision.Millis // from when a drain is told until nothing new may go to its node; 0: not told
 }
 
@@ -163,79 +162,81 @@
 }
 
 // ForNetwork reads the figures of the sockets; the error names a setting that is missing or absurd.
-func ForNetwork(v map[string]string) (Network, error) { return forNetwork(&pairs{v: v}) }
+func ForNetwork(v map[string]string) (Network, error) { return forNetwork(&values{texts: v}) }
 
-func forNetwork(p *pairs) (Network, error) {
+func forNetwork(p *values) (Network, error) {
 	n := Network{
-		IdleAfter:      p.need("limits.conn-idle-ms", 1, most),
-		ConnectTimeout: p.need("limits.connect-timeout-ms", 1, most),
-		AnswerSlack:    p.need("rules.answer-slack-ms", 0, most),
-		AskList:        p.text("discovery") == "ask",
-		AskWithin:      p.may("rules.ask-within-ms"),
-		DrainGrace:     p.may("rules.drain-grace-ms"),
+		IdleAfter:      p.required("limits.conn-idle-ms", 1, maxNumber),
+		ConnectTimeout: p.required("limits.connect-timeout-ms", 1, maxNumber),
+		ResponseSlack:  p.required("rules.answer-slack-ms", 0, maxNumber),
+		PollEndpoints:  p.text("discovery") == "ask",
+		PollWithin:     p.optional("rules.ask-within-ms"),
+		DrainGrace:     p.optional("rules.drain-grace-ms"),
 	}
-	for i := 0; i < int(p.need("services.count", 1, 1e4)); i++ {
-		n.LongestTimeout = max(n.LongestTimeout, p.need(fmt.Sprintf("services.%d.give-up-ms", i), 1, most))
+	for i := 0; i < int(p.required("services.count", 1, 1e4)); i++ {
+		n.LongestTimeout = max(n.LongestTimeout, p.required(fmt.Sprintf("services.%d.give-up-ms", i), 1, maxNumber))
 	}
 	return n, p.err
 }
 
 // ForModule reads the figures of the decision module; the error names a setting that is missing or absurd.
-func ForModule(v map[string]string) (decision.Settings, error) { return forModule(&pairs{v: v}) }
+func ForModule(v map[string]string) (decision.Settings, error) { return forModule(&values{texts: v}) }
 
-func forModule(p *pairs) (decision.Settings, error) {
+func forModule(p *values) (decision.Settings, error) {
 	s := decision.Settings{
-		Marshals: int(p.need("n-instances", 1, 1e6)),
-		Zone:     decision.Zone(p.text("zone")), Granularity: p.may("granularity-ms"),
-		AskList: p.text("discovery") == "ask", AskWithin: p.may("rules.ask-within-ms"),
-		CrossPrice: p.may("charges.cross-zone"), ProbePrice: p.may("charges.probe"),
-		MayProbe:    p.yes("limits.probing"),
-		MayCancel:   p.yes("limits.cancel"),
-		MayCopy:     p.yes("limits.second-copies"),
-		MaxForwards: int(p.need("limits.most-tries", 1, 1e6)),
-		ColdFrom:    p.need("rules.cold-from", 0, 1), WarmAfter: p.need("rules.warm-after-ms", 0, most),
-		OverFactor: p.need("rules.overload-factor", 0, most), OverFor: p.need("rules.overload-for-ms", 0, most),
-		InPlace: p.text("domain.swap") == "rolling", Caps: p.list("domain.caps"), Stages: p.list("domain.waves"),
-		Free: p.need("domain.uncounted", 0, most), PerGroup: p.text("domain.per") == "per_lane",
-		Guarded: int(p.need("domain.guarded-stages", 0, 1e6)), KeysStay: p.text("domain.keys-stay") != "false",
-		FlagShare: p.may("domain.reported-share"),
-		VoteLife:  p.may("domain.vote-ttl-ms"), VoteWait: p.may("domain.vote-wait-ms"),
-		OnVotes: int(p.may("domain.on-votes")), BackVotes: int(p.may("domain.votes-to-revert")),
-		HoldVotes:  int(p.may("domain.to-pause")),
-		TallyEvery: p.may("domain.tally-every-ms"),
+		Instances: int(p.required("n-instances", 1, 1e6)),
+		Zone:      decision.Zone(p.text("zone")), ClockGranularity: p.optional("granularity-ms"),
+		PollEndpoints: p.text("discovery") == "ask", PollWithin: p.optional("rules.ask-within-ms"),
+		CrossZonePrice: p.optional("charges.cross-zone"), HealthCheckPrice: p.optional("charges.probe"),
+		HealthChecksAllowed: p.flag("limits.probing"),
+		CancelAllowed:       p.flag("limits.cancel"),
+		HedgingAllowed:      p.flag("limits.second-copies"),
+		MaxAttempts:         int(p.required("limits.most-tries", 1, 1e6)),
+		SlowStartFloor:      p.required("rules.cold-from", 0, 1), SlowStartWindow: p.required("rules.warm-after-ms", 0, maxNumber),
+		OverloadFactor: p.required("rules.overload-factor", 0, maxNumber), OverloadWindow: p.required("rules.overload-for-ms", 0, maxNumber),
+		InPlace: p.text("domain.swap") == "rolling", ExposureCaps: p.list("domain.caps"), Stages: p.list("domain.waves"),
+		FreeAttempts: p.required("domain.uncounted", 0, maxNumber), ExposurePerClass: p.text("domain.per") == "per_lane",
+		GuardedStages: int(p.required("domain.guarded-stages", 0, 1e6)), StickyKeys: p.text("domain.keys-stay") != "false",
+		FlagShare: p.optional("domain.reported-share"),
+		VoteTTL:   p.optional("domain.vote-ttl-ms"), VoteWait: p.optional("domain.vote-wait-ms"),
+		AdvanceQuorum: int(p.optional("domain.on-votes")), RollbackQuorum: int(p.optional("domain.votes-to-revert")),
+		HoldQuorum:    int(p.optional("domain.to-pause")),
+		CountInterval: p.optional("domain.tally-every-ms"),
 	}
-	if p.yes("limits.retry-after") {
-		s.MaxComeBack = p.may("limits.max-retry-after-ms")
+	if p.flag("limits.retry-after") {
+		s.MaxRetryAfter = p.optional("limits.max-retry-after-ms")
 	}
 	if p.text("domain.vote-mode") == "clocked" {
 		s.Control = decision.ByClock
 	}
-	if len(s.Caps) != len(s.Stages) {
+	if len(s.ExposureCaps) != len(s.Stages) {
 		p.fail("domain.caps", "its length differs from that of domain.waves")
 	}
-	effects := map[string]decision.Effect{"safe": decision.Repeatable, "keyed": decision.Tagged, "unsafe": decision.Mutating}
-	scopes := map[string]decision.Scope{"all": decision.ScopeAll, "zone": decision.ScopeZone, "cell": decision.ScopeCell}
+	effects := map[string]decision.Idempotency{"safe": decision.Idempotent, "keyed": decision.IdempotentWithKey, "unsafe": decision.NonIdempotent}
+	scopes := map[string]decision.RetryScope{"all": decision.ScopeAll, "zone": decision.ScopeZone, "cell": decision.ScopeCell}
 	names := map[string]bool{}
-	for i := 0; i < int(p.need("services.count", 0, 1e4)); i++ {
+	for i := 0; i < int(p.required("services.count", 0, 1e4)); i++ {
 		at := fmt.Sprintf("services.%d.", i)
 		effect, ok := effects[p.text(at+"idempotency")]
 		if !ok {
 			p.fail(at+"idempotency", "missing or unknown")
 		}
 		scope, ok := scopes[p.text(at+"group")]
-		if !ok && effect == decision.Tagged {
+		if !ok && effect == decision.IdempotentWithKey {
 			p.fail(at+"group", "missing or unknown")
 		}
-		g := decision.PathGroup{Name: decision.GroupName(p.name(at+"name", names)), Target: p.need(at+"aim-ms", 0, most),
-			Effect: effect, Scope: scope}
-		if effect == decision.Tagged {
-			g.Remember = p.need(at+"window-ms", 0, most)
+		g := decision.RequestClass{
+			Name: decision.ClassName(p.name(at+"name", names)), LatencyObjective: p.required(at+"aim-ms", 0, maxNumber),
+			Idempotency: effect, RetryScope: scope,
+		}
+		if effect == decision.IdempotentWithKey {
+			g.DedupWindow = p.required(at+"window-ms", 0, maxNumber)
 		}
-		s.Groups = append(s.Groups, g)
+		s.Classes = append(s.Classes, g)
 	}
 	tenants := 0.0
 	if _, ok := p.get("tenants.count"); ok {
-		tenants = p.need("tenants.count", 0, 1e6)
+		tenants = p.required("tenants.count", 0, 1e6)
 	}
 	for i := 0; i < int(tenants); i++ {
 		s.Tenants = append(s.Tenants, decision.TenantID(p.text(fmt.Sprintf("tenants.%d.name", i))))
@@ -252,7 +253,7 @@
 	}
 	merged := maps.Clone(base)
 	maps.Copy(merged, figures)
-	module, network := &pairs{v: merged, read: map[string]bool{}}, &pairs{v: base, read: map[string]bool{}}
+	module, network := &values{texts: merged, requested: map[string]bool{}}, &values{texts: base, requested: map[string]bool{}}
 	if _, err := forModule(module); err != nil {
 		return nil, err
 	}
@@ -261,10 +262,10 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(figures)) {
 		switch {
-		case strings.HasPrefix(key, "services.") || strings.HasPrefix(key, "tenants.") || network.read[key] ||
+		case strings.HasPrefix(key, "services.") || strings.HasPrefix(key, "tenants.") || network.requested[key] ||
 			key == "granularity-ms" || key == "zone":
 			return nil, fmt.Errorf("settings.%s: can't change while marshals run", key)
-		case !module.read[key]:
+		case !module.requested[key]:
 			return nil, fmt.Errorf("settings.%s: not a figure that the marshals read", key)
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -4,12 +4,11 @@
 	"encoding/json"
 	"fmt"
 	"maps"
+	"ottershed/decision"
 	"reflect"
 	"slices"
 	"strings"
 	"testing"
-
-	"ottershed/decision"
 )
 
 const nested = `{"n-instances":3,"zone":"oulu","granularity-ms":5.0,"discovery":"push","charges":{"cross-zone":0.02,"probe":0},
@@ -39,14 +38,16 @@
 	if err != nil || err2 != nil || !reflect.DeepEqual(a, b) {
 		t.Errorf("%+v, %v; %+v, %v", a, err, b, err2)
 	}
-	want := []decision.PathGroup{{Name: "read", Target: 400, Effect: decision.Repeatable},
-		{Name: "mark", Target: 500, Effect: decision.Tagged, Scope: decision.ScopeZone, Remember: 1200}}
-	if !reflect.DeepEqual(a.Groups, want) || !slices.Equal(a.Caps, []float64{0.112, 0.35, 1}) || a.KeysStay || !a.MayCancel ||
-		a.Marshals != 3 || a.MaxComeBack != 500 || !a.InPlace || a.Granularity != 5 || a.Zone != "oulu" {
+	want := []decision.RequestClass{
+		{Name: "read", LatencyObjective: 400, Idempotency: decision.Idempotent},
+		{Name: "mark", LatencyObjective: 500, Idempotency: decision.IdempotentWithKey, RetryScope: decision.ScopeZone, DedupWindow: 1200},
+	}
+	if !reflect.DeepEqual(a.Classes, want) || !slices.Equal(a.ExposureCaps, []float64{0.112, 0.35, 1}) || a.StickyKeys || !a.CancelAllowed ||
+		a.Instances != 3 || a.MaxRetryAfter != 500 || !a.InPlace || a.ClockGranularity != 5 || a.Zone != "oulu" {
 		t.Errorf("%+v", a)
 	}
 	n, err := ForNetwork(flat(t))
-	if want := (Network{IdleAfter: 30000, ConnectTimeout: 250, AnswerSlack: 20, LongestTimeout: 2000}); err != nil || n != want {
+	if want := (Network{IdleAfter: 30000, ConnectTimeout: 250, ResponseSlack: 20, LongestTimeout: 2000}); err != nil || n != want {
 		t.Errorf("%+v, %v", n, err)
 	}
 }
@@ -54,12 +55,27 @@
 // A setting that is missing or absurd is named.
 func TestFaults(t *testing.T) {
 	for _, tc := range []struct{ key, value string }{
-		{"n-instances", ""}, {"limits.most-tries", "0"}, {"rules.cold-from", "1.5"}, {"rules.warm-after-ms", "x"},
-		{"domain.caps", "0.1"}, {"domain.caps", "2,1,1"}, {"services.count", ""}, {"services.0.idempotency", "odd"},
-		{"services.1.group", ""}, {"services.1.window-ms", ""}, {"services.1.aim-ms", "-1"}, {"limits.conn-idle-ms", ""},
-		{"limits.connect-timeout-ms", "0"}, {"services.1.give-up-ms", "NaN"}, {"charges.probe", "-1"},
-		{"services.0.name", ""}, {"services.1.name", "read"}, {"tenants.count", "1e9"}, {"rules.drain-grace-ms", "1e300"},
-		{"domain.on-votes", "1e300"}, {"domain.vote-wait-ms", "+Inf"},
+		{"n-instances", ""},
+		{"limits.most-tries", "0"},
+		{"rules.cold-from", "1.5"},
+		{"rules.warm-after-ms", "x"},
+		{"domain.caps", "0.1"},
+		{"domain.caps", "2,1,1"},
+		{"services.count", ""},
+		{"services.0.idempotency", "odd"},
+		{"services.1.group", ""},
+		{"services.1.window-ms", ""},
+		{"services.1.aim-ms", "-1"},
+		{"limits.conn-idle-ms", ""},
+		{"limits.connect-timeout-ms", "0"},
+		{"services.1.give-up-ms", "NaN"},
+		{"charges.probe", "-1"},
+		{"services.0.name", ""},
+		{"services.1.name", "read"},
+		{"tenants.count", "1e9"},
+		{"rules.drain-grace-ms", "1e300"},
+		{"domain.on-votes", "1e300"},
+		{"domain.vote-wait-ms", "+Inf"},
 	} {
 		t.Run(tc.key+"="+tc.value, func(t *testing.T) {
 			v := maps.Clone(flat(t))
--- a/internal/simwire/benchwire_test.go
+++ b/internal/simwire/benchwire_test.go
@@ -2,10 +2,9 @@
 
 import (
 	"fmt"
+	"ottershed/decision"
 	"strings"
 	"testing"
-
-	"ottershed/decision"
 )
 
 // Each line becomes one event with every field in its place.
@@ -15,30 +14,36 @@
 		line string
 		want decision.Event
 	}{
-		{"req\t3\t7\tread\tacme\tk1\t480\t12.5\t3", decision.HitTaken{Hit: 7, Group: "read", Tenant: "acme", Key: "k1", TTL: 480,
-			Hint: 12.5, Retried: true}},
-		{"req\t3\t7\tread\t-\t-\t480\t12.5\t0", decision.HitTaken{Hit: 7, Group: "read", TTL: 480}},
-		{"flowing\t3\t7\t1\tn1\t4.5", decision.AnswerStarted{Hit: 7, Forward: 1, Node: "n1", After: 4.5}},
-		{"verdict\t3\t7\tcompleted\tn1\t1\t4.5\t1\t-", decision.ForwardEnded{Hit: 7, Ending: decision.Delivered, Node: "n1",
-			Forward: 1, After: 4.5, HitEnded: true}},
-		{"aborted\t3\t7", decision.HitGone{Hit: 7}},
-		{"tick_due\t3\t9", decision.TimerDue{Token: 9}},
-		{"message\t3\t2\t6869", decision.PeerSaid{From: 2, Data: []byte("hi")}},
-		{"stage\t3\t310\t42\t-\t0\t0.28\t1\tcompleted", decision.StageNews{Age: 310, Build: 42, Cap: 0.28, Stage: 1}},
-		{"stage\t3\t-\t42\t1\t1\t-\t-\tsaturated", decision.StageNews{Build: 42, Phase: decision.GoingBack, ToVote: true,
-			VoteFate: decision.VoteFull}},
-		{"metrics\t3\t42\tread\t20\t2\t31.5\t900", decision.Tally{Build: 42, Group: "read", Count: 20, Failed: 2, Mean: 31.5, Age: 900}},
-		{"reported_wrong\t3\tn1\tread\t1200", decision.Flagged{Node: "n1", Group: "read", Age: 1200}},
-		{"backends_changed\t3\trefused\t5\t-", decision.NodesChanged{How: decision.ListRefused, Stamp: 5}},
+		{"req\t3\t7\tread\tacme\tk1\t480\t12.5\t3", decision.RequestReceived{
+			Request: 7, Class: "read", Tenant: "acme", Key: "k1", TTL: 480,
+			Hint: 12.5, Retried: true,
+		}},
+		{"req\t3\t7\tread\t-\t-\t480\t12.5\t0", decision.RequestReceived{Request: 7, Class: "read", TTL: 480}},
+		{"flowing\t3\t7\t1\tn1\t4.5", decision.ResponseStarted{Request: 7, Attempt: 1, Endpoint: "n1", After: 4.5}},
+		{"verdict\t3\t7\tcompleted\tn1\t1\t4.5\t1\t-", decision.AttemptEnded{
+			Request: 7, Outcome: decision.Succeeded, Endpoint: "n1",
+			Attempt: 1, After: 4.5, RequestEnded: true,
+		}},
+		{"aborted\t3\t7", decision.ClientDisconnected{Request: 7}},
+		{"tick_due\t3\t9", decision.TimerFired{Token: 9}},
+		{"message\t3\t2\t6869", decision.PeerMessage{From: 2, Data: []byte("hi")}},
+		{"stage\t3\t310\t42\t-\t0\t0.28\t1\tcompleted", decision.StageUpdate{Age: 310, Build: 42, ExposureCap: 0.28, Stage: 1}},
+		{"stage\t3\t-\t42\t1\t1\t-\t-\tsaturated", decision.StageUpdate{
+			Build: 42, Phase: decision.RollingBack, IsVoteResult: true,
+			VoteResult: decision.VoteThrottled,
+		}},
+		{"metrics\t3\t42\tread\t20\t2\t31.5\t900", decision.ControllerCounts{Build: 42, Class: "read", Count: 20, Failed: 2, Mean: 31.5, Age: 900}},
+		{"reported_wrong\t3\tn1\tread\t1200", decision.ResponseFlagged{Endpoint: "n1", Class: "read", Age: 1200}},
+		{"backends_changed\t3\trefused\t5\t-", decision.EndpointsChanged{Kind: decision.PollRejected, Version: 5}},
 	} {
 		var d Decoder
 		in, err := d.Line(tc.line)
-		if err != nil || in.Who != 3 || fmt.Sprintf("%#v", in.Event) != fmt.Sprintf("%#v", tc.want) {
+		if err != nil || in.Instance != 3 || fmt.Sprintf("%#v", in.Event) != fmt.Sprintf("%#v", tc.want) {
 			t.Errorf("%q: %+v, %v, want %+v", tc.line, in, err, tc.want)
 		}
 	}
 	in, err := new(Decoder).Line("ping_result\t3\tn1\toverdue\t250\tcpu:0.5,waiting:3")
-	if got, ok := in.Event.(decision.ProbeEnded); err != nil || !ok || got.Ending != decision.TimedOut || *got.Load != *load {
+	if got, ok := in.Event.(decision.HealthCheckEnded); err != nil || !ok || got.Outcome != decision.TimedOut || *got.Load != *load {
 		t.Errorf("probe: %+v, %v", in, err)
 	}
 }
@@ -52,8 +57,10 @@
 		}
 	}
 	in, err := d.Line("backends_changed\t3\tall\t5\t1")
-	want := decision.NodesChanged{How: decision.Whole, Stamp: 5, Nodes: []decision.Node{{ID: "n1", Cell: 2, Started: 7000, Zone: "a",
-		Build: 42, Kind: "k", State: decision.Draining, Units: 1.5}}}
+	want := decision.EndpointsChanged{Kind: decision.FullSnapshot, Version: 5, Endpoints: []decision.Endpoint{{
+		ID: "n1", Cell: 2, Started: 7000, Zone: "a",
+		Build: 42, MachineType: "k", State: decision.Draining, Capacity: 1.5,
+	}}}
 	if err != nil || fmt.Sprint(in.Event) != fmt.Sprint(want) {
 		t.Errorf("got %+v, %v, want %+v", in, err, want)
 	}
@@ -83,19 +90,19 @@
 		action decision.Action
 		want   string
 	}{
-		{decision.Forward{Hit: 7, Node: "n1", Timeout: 1.5}, "assign\t3\t7\tn1\t1.500\n"},
-		{decision.Bounce{Hit: 7, ComeBack: 125}, "busy\t3\t7\t125.000\n"},
-		{decision.Fail{Hit: 7}, "respond_error\t3\t7\n"},
-		{decision.Cancel{Hit: 7, Forward: 1}, "cancel\t3\t7\t1\n"},
+		{decision.StartAttempt{Request: 7, Endpoint: "n1", Timeout: 1.5}, "assign\t3\t7\tn1\t1.500\n"},
+		{decision.Reject{Request: 7, RetryAfter: 125}, "busy\t3\t7\t125.000\n"},
+		{decision.Fail{Request: 7}, "respond_error\t3\t7\n"},
+		{decision.Cancel{Request: 7, Attempt: 1}, "cancel\t3\t7\t1\n"},
 		{decision.WakeAt{Token: 9, At: 20.25}, "wake_me\t3\t9\t20.250\n"},
-		{decision.Probe{Node: "n1"}, "sound_out\t3\tn1\n"},
-		{decision.CloseIdle{Node: "n1"}, "shut_idle\t3\tn1\n"},
-		{decision.Tell{All: true, Data: []byte("hi")}, "say\t3\t*\t6869\n"},
-		{decision.Tell{To: 2}, "say\t3\t2\t-\n"},
+		{decision.StartHealthCheck{Endpoint: "n1"}, "sound_out\t3\tn1\n"},
+		{decision.CloseIdle{Endpoint: "n1"}, "shut_idle\t3\tn1\n"},
+		{decision.SendToPeer{All: true, Data: []byte("hi")}, "say\t3\t*\t6869\n"},
+		{decision.SendToPeer{To: 2}, "say\t3\t2\t-\n"},
 		{decision.Log{Text: "a\tb\nc"}, "remark\t3\ta b c\n"},
-		{decision.Watch{On: true}, "observe\t3\t1\n"},
-		{decision.Lookup{}, "lookup\t3\n"},
-		{decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteBack}, "cast_vote\t3\t42\t1\t3\n"},
+		{decision.WatchEndpoints{On: true}, "observe\t3\t1\n"},
+		{decision.ResolveEndpoints{}, "lookup\t3\n"},
+		{decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteRollback}, "cast_vote\t3\t42\t1\t3\n"},
 	} {
 		if got := string(Append(nil, 3, tc.action)); got != tc.want {
 			t.Errorf("%#v: %q, want %q", tc.action, got, tc.want)
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"fmt"
-	"strings"
-	"testing"
-
 	"ottershed/decision"
 	"ottershed/internal/golden"
+	"strings"
+	"testing"
 )
 
 // bornLine starts an instance with every figure that the module reads.
@@ -24,8 +23,10 @@
 
 // goldenLines are lines of every kind, with every word that the wire has for a field.
 func goldenLines() []string {
-	lines := []string{bornLine, "born\t3\t7", "down\t3", "sheet\t1\t3", "node\t2\t7000.5\toulu\t42\tthree-core\tup\t1.5\t10.0.0.1:80",
-		"node\t-\t-\t-\t41\t-\tdraining\t-\t10.0.0.2:80", "node\t3\t1\ta\t40\tk\tremoved\t2\t10.0.0.3:80"}
+	lines := []string{
+		bornLine, "born\t3\t7", "down\t3", "sheet\t1\t3", "node\t2\t7000.5\toulu\t42\tthree-core\tup\t1.5\t10.0.0.1:80",
+		"node\t-\t-\t-\t41\t-\tdraining\t-\t10.0.0.2:80", "node\t3\t1\ta\t40\tk\tremoved\t2\t10.0.0.3:80",
+	}
 	for _, how := range []string{"changes", "all", "remembered"} {
 		lines = append(lines, "backends_changed\t3\t"+how+"\t5\t1")
 	}
@@ -70,23 +71,23 @@
 func TestGoldenActions(t *testing.T) {
 	var lines []byte
 	for _, action := range []decision.Action{
-		decision.Forward{Hit: 4294967295, Node: "10.0.0.1:80", Timeout: 80.1234, SendBy: 99},
-		decision.Bounce{Hit: 7, ComeBack: 125.5},
-		decision.Fail{Hit: 7},
-		decision.Cancel{Hit: 7, Forward: 2},
+		decision.StartAttempt{Request: 4294967295, Endpoint: "10.0.0.1:80", Timeout: 80.1234, SendBy: 99},
+		decision.Reject{Request: 7, RetryAfter: 125.5},
+		decision.Fail{Request: 7},
+		decision.Cancel{Request: 7, Attempt: 2},
 		decision.WakeAt{Token: 1 << 63, At: 8912.25},
-		decision.Probe{Node: "10.0.0.1:80"},
-		decision.CloseIdle{Node: "10.0.0.1:80"},
-		decision.Tell{All: true, To: 2, Data: []byte{0, 0xff}},
-		decision.Tell{To: 2, Data: []byte("hi")},
+		decision.StartHealthCheck{Endpoint: "10.0.0.1:80"},
+		decision.CloseIdle{Endpoint: "10.0.0.1:80"},
+		decision.SendToPeer{All: true, To: 2, Data: []byte{0, 0xff}},
+		decision.SendToPeer{To: 2, Data: []byte("hi")},
 		decision.Log{Text: "a\tb\nc\rd ä"},
-		decision.Watch{On: true},
-		decision.Watch{},
-		decision.Lookup{},
+		decision.WatchEndpoints{On: true},
+		decision.WatchEndpoints{},
+		decision.ResolveEndpoints{},
 		decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteNone},
-		decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteOn},
+		decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteAdvance},
 		decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteHold},
-		decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteBack},
+		decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteRollback},
 	} {
 		lines = Append(lines, 3, action)
 	}
@@ -101,47 +102,47 @@
 	switch {
 	case in == nil:
 		return "adds to a list"
-	case in.Born != nil:
-		return fmt.Sprintf("instance %d starts: seed %d, fault %v\n%s", in.Who, in.Born.Seed, in.Born.Err, describeSettings(&in.Born.Settings))
-	case in.Down:
-		return fmt.Sprintf("instance %d ends", in.Who)
+	case in.Start != nil:
+		return fmt.Sprintf("instance %d starts: seed %d, fault %v\n%s", in.Instance, in.Start.Seed, in.Start.Err, describeSettings(&in.Start.Settings))
+	case in.Stop:
+		return fmt.Sprintf("instance %d ends", in.Instance)
 	}
-	return fmt.Sprintf("instance %d: %s", in.Who, describeEvent(in.Event))
+	return fmt.Sprintf("instance %d: %s", in.Instance, describeEvent(in.Event))
 }
 
 func describeEvent(event decision.Event) string {
 	switch e := event.(type) {
-	case decision.NodesChanged:
-		text := fmt.Sprintf("list: kind %d, number %d", int(e.How), e.Stamp)
-		for _, n := range e.Nodes {
+	case decision.EndpointsChanged:
+		text := fmt.Sprintf("list: kind %d, number %d", int(e.Kind), e.Version)
+		for _, n := range e.Endpoints {
 			text += fmt.Sprintf("; endpoint %q cell %d started %g zone %q build %d kind %q state %d units %g", string(n.ID),
-				int(n.Cell), n.Started, string(n.Zone), int(n.Build), string(n.Kind), int(n.State), n.Units)
+				int(n.Cell), n.Started, string(n.Zone), int(n.Build), string(n.MachineType), int(n.State), n.Capacity)
 		}
 		return text
-	case decision.HitTaken:
-		return fmt.Sprintf("request %d: class %q tenant %q key %q left %g hint %g repeated %t", uint64(e.Hit), string(e.Group),
+	case decision.RequestReceived:
+		return fmt.Sprintf("request %d: class %q tenant %q key %q left %g hint %g repeated %t", uint64(e.Request), string(e.Class),
 			string(e.Tenant), string(e.Key), e.TTL, e.Hint, e.Retried)
-	case decision.AnswerStarted:
-		return fmt.Sprintf("answer begins: request %d attempt %d endpoint %q after %g", uint64(e.Hit), e.Forward, string(e.Node), e.After)
-	case decision.ForwardEnded:
+	case decision.ResponseStarted:
+		return fmt.Sprintf("answer begins: request %d attempt %d endpoint %q after %g", uint64(e.Request), e.Attempt, string(e.Endpoint), e.After)
+	case decision.AttemptEnded:
 		return fmt.Sprintf("attempt ended: request %d ending %d endpoint %q attempt %d after %g request ended %t load %s",
-			uint64(e.Hit), int(e.Ending), string(e.Node), e.Forward, e.After, e.HitEnded, describeLoad(e.Load))
-	case decision.HitGone:
-		return fmt.Sprintf("request gone: %d", uint64(e.Hit))
-	case decision.TimerDue:
+			uint64(e.Request), int(e.Outcome), string(e.Endpoint), e.Attempt, e.After, e.RequestEnded, describeLoad(e.Load))
+	case decision.ClientDisconnected:
+		return fmt.Sprintf("request gone: %d", uint64(e.Request))
+	case decision.TimerFired:
 		return fmt.Sprintf("timer due: %d", uint64(e.Token))
-	case decision.ProbeEnded:
-		return fmt.Sprintf("probe ended: endpoint %q ending %d after %g load %s", string(e.Node), int(e.Ending), e.After, describeLoad(e.Load))
-	case decision.PeerSaid:
+	case decision.HealthCheckEnded:
+		return fmt.Sprintf("probe ended: endpoint %q ending %d after %g load %s", string(e.Endpoint), int(e.Outcome), e.After, describeLoad(e.Load))
+	case decision.PeerMessage:
 		return fmt.Sprintf("peer %d said %q", int(e.From), e.Data)
-	case decision.StageNews:
+	case decision.StageUpdate:
 		return fmt.Sprintf("stage: age %g build %d phase %d to a vote %t cap %g stage %d fate %d", e.Age, int(e.Build), int(e.Phase),
-			e.ToVote, e.Cap, e.Stage, int(e.VoteFate))
-	case decision.Tally:
-		return fmt.Sprintf("tally: build %d class %q count %d failed %d mean %g age %g", int(e.Build), string(e.Group), e.Count,
+			e.IsVoteResult, e.ExposureCap, e.Stage, int(e.VoteResult))
+	case decision.ControllerCounts:
+		return fmt.Sprintf("tally: build %d class %q count %d failed %d mean %g age %g", int(e.Build), string(e.Class), e.Count,
 			e.Failed, e.Mean, e.Age)
-	case decision.Flagged:
-		return fmt.Sprintf("reported wrong: endpoint %q class %q age %g", string(e.Node), string(e.Group), e.Age)
+	case decision.ResponseFlagged:
+		return fmt.Sprintf("reported wrong: endpoint %q class %q age %g", string(e.Endpoint), string(e.Class), e.Age)
 	}
 	return "an event that this test does not know"
 }
@@ -155,18 +156,18 @@
 
 func describeSettings(s *decision.Settings) string {
 	lines := []string{
-		fmt.Sprintf("instances %d zone %q granularity %g asks %t within %g", s.Marshals, string(s.Zone), s.Granularity, s.AskList, s.AskWithin),
-		fmt.Sprintf("prices: cross %g probe %g; may cancel %t copy %t probe %t", s.CrossPrice, s.ProbePrice, s.MayCancel, s.MayCopy, s.MayProbe),
-		fmt.Sprintf("come back %g attempts %d cold %g over %g warm %g over for %g", s.MaxComeBack, s.MaxForwards, s.ColdFrom, s.OverFactor,
-			s.WarmAfter, s.OverFor),
+		fmt.Sprintf("instances %d zone %q granularity %g asks %t within %g", s.Instances, string(s.Zone), s.ClockGranularity, s.PollEndpoints, s.PollWithin),
+		fmt.Sprintf("prices: cross %g probe %g; may cancel %t copy %t probe %t", s.CrossZonePrice, s.HealthCheckPrice, s.CancelAllowed, s.HedgingAllowed, s.HealthChecksAllowed),
+		fmt.Sprintf("come back %g attempts %d cold %g over %g warm %g over for %g", s.MaxRetryAfter, s.MaxAttempts, s.SlowStartFloor, s.OverloadFactor,
+			s.SlowStartWindow, s.OverloadWindow),
 		fmt.Sprintf("control %d in place %t caps %v stages %v free %g per class %t guarded %d keys stay %t reported %g", int(s.Control), s.InPlace,
-			s.Caps, s.Stages, s.Free, s.PerGroup, s.Guarded, s.KeysStay, s.FlagShare),
-		fmt.Sprintf("votes: life %g wait %g on %d back %d hold %d; tally every %g", s.VoteLife, s.VoteWait, s.OnVotes, s.BackVotes, s.HoldVotes,
-			s.TallyEvery),
+			s.ExposureCaps, s.Stages, s.FreeAttempts, s.ExposurePerClass, s.GuardedStages, s.StickyKeys, s.FlagShare),
+		fmt.Sprintf("votes: life %g wait %g on %d back %d hold %d; tally every %g", s.VoteTTL, s.VoteWait, s.AdvanceQuorum, s.RollbackQuorum, s.HoldQuorum,
+			s.CountInterval),
 	}
-	for _, g := range s.Groups {
-		lines = append(lines, fmt.Sprintf("class %q target %g effect %d scope %d remembered %g", string(g.Name), g.Target, int(g.Effect),
-			int(g.Scope), g.Remember))
+	for _, g := range s.Classes {
+		lines = append(lines, fmt.Sprintf("class %q target %g effect %d scope %d remembered %g", string(g.Name), g.LatencyObjective, int(g.Idempotency),
+			int(g.RetryScope), g.DedupWindow))
 	}
 	for _, tenant := range s.Tenants {
 		lines = append(lines, fmt.Sprintf("tenant %q", string(tenant)))
--- a/internal/sockopt/socket_test.go
+++ b/internal/sockopt/socket_test.go
@@ -42,7 +42,7 @@
 		"end":     {func(c *net.TCPConn, _ *Conn) { c.Close() }, io.EOF, ""},
 		"late":    {func(_ *net.TCPConn, s *Conn) { s.SetReadDeadline(time.Now().Add(time.Millisecond)) }, os.ErrDeadlineExceeded, ""},
 		"closed":  {func(_ *net.TCPConn, s *Conn) { s.Close() }, net.ErrClosed, ""},
-		"unasked": {func(_ *net.TCPConn, s *Conn) { s.CloseUnasked() }, net.ErrClosed, ""},
+		"unasked": {func(_ *net.TCPConn, s *Conn) { s.CloseIfIdle() }, net.ErrClosed, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, s := pair(t)
@@ -59,17 +59,17 @@
 func TestCloseUnasked(t *testing.T) {
 	c, s := pair(t)
 	c.Write([]byte("hit"))
-	for Quiet(s) {
+	for IsIdle(s) {
 	}
-	if s.CloseUnasked() {
+	if s.CloseIfIdle() {
 		t.Error("closed with a hit that waits")
 	}
 	b := make([]byte, 10)
 	s.Read(b)
-	if s.CloseUnasked() {
+	if s.CloseIfIdle() {
 		t.Error("closed with a hit that was read")
 	}
-	if s.Answered(); s.CloseUnasked() {
+	if s.MarkResponded(); s.CloseIfIdle() {
 		t.Error("closed before its reader waits again, who may hold a further hit")
 	}
 	read := make(chan error)
@@ -77,7 +77,7 @@
 		_, err := s.Read(b)
 		read <- err
 	}()
-	for !s.CloseUnasked() {
+	for !s.CloseIfIdle() {
 		runtime.Gosched()
 	}
 	if err := <-read; !errors.Is(err, net.ErrClosed) {
@@ -99,7 +99,7 @@
 		for range i % 20 {
 			runtime.Gosched()
 		}
-		closed := s.CloseUnasked()
+		closed := s.CloseIfIdle()
 		if !closed {
 			both[1]++
 		} else {
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -42,7 +42,7 @@
 type Count struct{ Good, Bad float64 }
 
 // N is their sum.
-func (c Count) N() float64 { return c.Good + c.Bad }
+func (c Count) Total() float64 { return c.Good + c.Bad }
 
 // Add adds another count so many times.
 func (c *Count) Add(t Count, times float64) {
@@ -52,11 +52,11 @@
 
 // KruskalWallisCounts is the same statistic where outcomes are only good or bad.
 func KruskalWallisCounts(a, b Count) float64 {
-	if a.N() == 0 || b.N() == 0 || a.Good+b.Good == 0 || a.Bad+b.Bad == 0 {
+	if a.Total() == 0 || b.Total() == 0 || a.Good+b.Good == 0 || a.Bad+b.Bad == 0 {
 		return 0
 	}
 	d := a.Bad*b.Good - b.Bad*a.Good
-	return (a.N() + b.N() - 1) * d * d / (a.N() * b.N() * (a.Good + b.Good) * (a.Bad + b.Bad))
+	return (a.Total() + b.Total() - 1) * d * d / (a.Total() * b.Total() * (a.Good + b.Good) * (a.Bad + b.Bad))
 }
 
 // ExceededBy is the value that either statistic exceeds by this chance when there is no difference.
@@ -72,8 +72,8 @@
 }
 
 // AtMost is the same count scaled down to a sum of at most n.
-func (c Count) AtMost(n float64) Count {
-	k := min(1, n/max(c.N(), 1))
+func (c Count) ScaledTo(n float64) Count {
+	k := min(1, n/max(c.Total(), 1))
 	return Count{c.Good * k, c.Bad * k}
 }
 
@@ -99,18 +99,18 @@
 func (g *Groups) Close() { g.Fill, g.Last, g.Before = nil, g.Fill, g.Last }
 
 // Mean is a running mean, exact over the first values and smoothed over as many as memory after them.
-type Mean struct{ Value, n float64 }
+type Mean struct{ Value, count float64 }
 
 // Add takes a value in and returns the mean.
 func (m *Mean) Add(v, memory float64) float64 {
-	m.n = min(m.n+1, memory)
-	m.Value += (v - m.Value) / m.n
+	m.count = min(m.count+1, memory)
+	m.Value += (v - m.Value) / m.count
 	return m.Value
 }
 
 // Or returns the mean, or another value before the first Add.
-func (m *Mean) Or(other float64) float64 {
-	if m.n == 0 {
+func (m *Mean) ValueOr(other float64) float64 {
+	if m.count == 0 {
 		return other
 	}
 	return m.Value
@@ -119,24 +119,24 @@
 // Chance draws numbers from 0 to 1 from a seed and a counter. The counter is scattered, for sums of
 // neighbouring counters are too much alike; so is the sum, for two sums over one seed differ by the same bits
 // whatever the seed: at all instances a draw told much about the next.
-type Chance struct{ Seed, drawn uint64 }
+type Random struct{ Seed, drawn uint64 }
 
 // Next draws one number.
-func (c *Chance) Next() float64 {
-	c.drawn++
+func (r *Random) Next() float64 {
+	r.drawn++
 	var b [16]byte
-	binary.LittleEndian.PutUint64(b[:8], c.Seed)
-	binary.LittleEndian.PutUint64(b[8:], c.drawn*0x9e3779b97f4a7c15)
+	binary.LittleEndian.PutUint64(b[:8], r.Seed)
+	binary.LittleEndian.PutUint64(b[8:], r.drawn*0x9e3779b97f4a7c15)
 	return float64(crc32.ChecksumIEEE(b[:])*0x9e3779b1) / (1 << 32)
 }
 
 // Draw draws an index with a chance in proportion to its weight.
-func (c *Chance) Draw(weights []float64) int {
+func (r *Random) Draw(weights []float64) int {
 	total := 0.0
 	for _, w := range weights {
 		total += w
 	}
-	at := c.Next() * total
+	at := r.Next() * total
 	for i, w := range weights {
 		if at -= w; at < 0 {
 			return i
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -29,7 +29,7 @@
 }
 
 func TestChance(t *testing.T) {
-	c, sum, pairs := Chance{Seed: 3}, 0.0, 0.0
+	c, sum, pairs := Random{Seed: 3}, 0.0, 0.0
 	for range 4000 {
 		a, b := c.Next(), c.Next()
 		sum += a + b
@@ -42,7 +42,7 @@
 	for gap := range 9 {
 		alike := 0
 		for seed := range 2000 {
-			c := Chance{Seed: uint64(seed+1) * 0x9e3779b97f4a7c15, drawn: 70}
+			c := Random{Seed: uint64(seed+1) * 0x9e3779b97f4a7c15, drawn: 70}
 			a, b := c.Next(), c.Next()
 			for range gap {
 				b = c.Next()
--- a/internal/testbed/chart.go
+++ b/internal/testbed/chart.go
@@ -17,10 +17,10 @@
 }
 
 // mostPoints keeps a chart's file small.
-const mostPoints = 200
+const maxPoints = 200
 
 // Shares draws, for each line, which share of its figures is no more than each; to a file, by its ending SVG or PNG.
-func Shares(path, title, unit string, lines []Line) error {
+func Distribution(path, title, unit string, lines []Line) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, unit, "share"
 	p.Legend.Top, p.Legend.Left = true, true
@@ -30,7 +30,7 @@
 		v := slices.Clone(l.Figures)
 		slices.Sort(v)
 		points := plotter.XYs{}
-		step := max(1, len(v)/mostPoints)
+		step := max(1, len(v)/maxPoints)
 		for i := 0; i < len(v); i += step {
 			points = append(points, plotter.XY{X: v[i], Y: float64(i+1) / float64(len(v))})
 		}
@@ -49,7 +49,7 @@
 }
 
 // Course draws each line's figures in their order, one a unit along; to a file, by its ending SVG or PNG.
-func Course(path, title, along, unit string, lines []Line) error {
+func TimeSeries(path, title, along, unit string, lines []Line) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, along, unit
 	p.Legend.Top = true
--- a/internal/testbed/days.go
+++ b/internal/testbed/days.go
@@ -22,34 +22,36 @@
 
 // columns of a day, by the fields of a summary line: what was done since the line before, then how things stand.
 var (
-	flows = []string{"taken", "forwarded", "delivered", "missed", "bounced", "errored", "gone", "cancelled", "full",
-		"unreachable", "broken", "timedout", "failed", "opened", "refused", "probes", "lists", "votes"}
+	flows = []string{
+		"taken", "forwarded", "delivered", "missed", "bounced", "errored", "gone", "cancelled", "full",
+		"unreachable", "broken", "timedout", "failed", "opened", "refused", "probes", "lists", "votes",
+	}
 	levels = []string{"held", "nodes", "cold", "away", "out", "waiting"}
 )
 
 const (
-	longestLogLine = 1 << 20
-	mostSeconds    = 1 << 17 // of a day
-	mostVerdicts   = 4
+	maxLogLineBytes = 1 << 20
+	maxSeconds      = 1 << 17 // of a day
+	verdictCount    = 4
 )
 
 // Second is what all marshals did in one second of a day, and how things stood for them at its end.
 type Second struct {
-	Marshals int                // that wrote a summary
-	Flow     map[string]float64 // over all of them, by the names of flows
-	Level    map[string]float64 // the mean of a marshal, by the names of levels
-	Build    int                // the newest that any of them knows
-	Stage    int                // of that build, the highest
-	Verdicts [mostVerdicts]int  // marshals that stand for none, on, hold, back on that build
-	Starts   int                // marshals that began to serve
-	Lines    map[string]int     // other lines of info and above, by what they say without their figures
+	Instances int                // that wrote a summary
+	Flow      map[string]float64 // over all of them, by the names of flows
+	Level     map[string]float64 // the mean of a marshal, by the names of levels
+	Build     int                // the newest that any of them knows
+	Stage     int                // of that build, the highest
+	Verdicts  [verdictCount]int  // marshals that stand for none, on, hold, back on that build
+	Starts    int                // marshals that began to serve
+	Lines     map[string]int     // other lines of info and above, by what they say without their figures
 }
 
 // Day is a played day, second by second.
 type Day struct {
-	Marshals int
-	Skipped  int // lines that could not be read
-	Seconds  []Second
+	Instances int
+	Skipped   int // lines that could not be read
+	Seconds   []Second
 }
 
 // line is one line of a log: when in the day, and its fields.
@@ -72,7 +74,7 @@
 		return nil, fmt.Errorf("day: no .log file in %s", dir)
 	}
 	slices.Sort(files)
-	d := &Day{Marshals: len(files)}
+	d := &Day{Instances: len(files)}
 	logs, first := make([][]line, 0, len(files)), time.Time{}
 	for _, name := range files {
 		lines, skipped, begun, err := readLog(name)
@@ -105,7 +107,7 @@
 	if summaries == 0 {
 		return nil, fmt.Errorf("day: no summary in %s: marshals write them with serve --summary 1s", dir)
 	}
-	d.settle()
+	d.averageLevels()
 	return d, nil
 }
 
@@ -117,7 +119,7 @@
 	}
 	defer f.Close()
 	in := bufio.NewScanner(f)
-	in.Buffer(nil, longestLogLine)
+	in.Buffer(nil, maxLogLineBytes)
 	for in.Scan() {
 		l, ok := parseLine(in.Text())
 		if !ok {
@@ -157,12 +159,12 @@
 	stood := -1 // the second of the newest summary; a marshal stands in a second as its last one there says
 	stand := func() {
 		if stood >= 0 {
-			d.stand(stood, last)
+			d.recordLevels(stood, last)
 		}
 	}
 	defer stand()
 	for _, l := range lines {
-		if l.at < 0 || l.at >= mostSeconds {
+		if l.at < 0 || l.at >= maxSeconds {
 			d.Skipped++
 			continue
 		}
@@ -175,7 +177,7 @@
 			last, at = map[string]float64{}, l.at
 		case msg != "summary":
 			if l.fields["level"] != "debug" {
-				s.Lines[plain(msg)]++
+				s.Lines[withoutFigures(msg)]++
 			}
 		default:
 			now, err := numbers(l.fields)
@@ -183,7 +185,7 @@
 				return summaries, fmt.Errorf("day: summary at %.3f s: %w", l.at, err)
 			}
 			summaries++
-			d.flow(last, now, at, l.at)
+			d.recordFlows(last, now, at, l.at)
 			if stood != int(l.at) {
 				stand()
 			}
@@ -207,7 +209,7 @@
 }
 
 // flow spreads what was done between two summaries.
-func (d *Day) flow(last, now map[string]float64, from, to float64) {
+func (d *Day) recordFlows(last, now map[string]float64, from, to float64) {
 	for _, key := range flows {
 		done := now[key] - last[key]
 		if last[key] > now[key] {
@@ -232,30 +234,30 @@
 }
 
 // stand takes how things stood for a marshal in a second.
-func (d *Day) stand(second int, now map[string]float64) {
+func (d *Day) recordLevels(second int, now map[string]float64) {
 	s := &d.Seconds[second]
-	s.Marshals++
+	s.Instances++
 	for _, key := range levels {
 		s.Level[key] += now[key]
 	}
 	build, stage := int(now["build"]), int(now["stage"])
 	if build > s.Build {
-		s.Build, s.Stage, s.Verdicts = build, stage, [mostVerdicts]int{}
+		s.Build, s.Stage, s.Verdicts = build, stage, [verdictCount]int{}
 	}
 	if build == s.Build {
 		s.Stage = max(s.Stage, stage)
-		if v := int(now["verdict"]); v >= 0 && v < mostVerdicts {
+		if v := int(now["verdict"]); v >= 0 && v < verdictCount {
 			s.Verdicts[v]++
 		}
 	}
 }
 
 // settle makes means of the sums that second collected.
-func (d *Day) settle() {
+func (d *Day) averageLevels() {
 	for i := range d.Seconds {
 		s := &d.Seconds[i]
 		for key := range s.Level {
-			s.Level[key] /= float64(max(1, s.Marshals))
+			s.Level[key] /= float64(max(1, s.Instances))
 		}
 	}
 }
@@ -269,7 +271,7 @@
 }
 
 // plain is a text without its figures, so that lines that say the same count as one.
-func plain(text string) string {
+func withoutFigures(text string) string {
 	var b strings.Builder
 	figure := false
 	for _, r := range text {
@@ -296,13 +298,15 @@
 		end, starts, wrote := &part[len(part)-1], 0, 0
 		for i := range part {
 			starts += part[i].Starts
-			wrote = max(wrote, part[i].Marshals)
-			if part[i].Marshals > 0 {
+			wrote = max(wrote, part[i].Instances)
+			if part[i].Instances > 0 {
 				end = &part[i]
 			}
 		}
-		row := []string{strconv.Itoa(from), strconv.Itoa(wrote), strconv.Itoa(starts),
-			fmt.Sprintf("%d/%d", end.Build, end.Stage), strconv.Itoa(end.Verdicts[1]), strconv.Itoa(end.Verdicts[3])}
+		row := []string{
+			strconv.Itoa(from), strconv.Itoa(wrote), strconv.Itoa(starts),
+			fmt.Sprintf("%d/%d", end.Build, end.Stage), strconv.Itoa(end.Verdicts[1]), strconv.Itoa(end.Verdicts[3]),
+		}
 		for _, key := range flows {
 			sum := 0.0
 			for _, s := range part {
@@ -375,5 +379,5 @@
 		}
 		lines = append(lines, l)
 	}
-	return Course(path, fmt.Sprintf("%d marshals", d.Marshals), "second of the day", "a second, over the fleet; or the mean of a marshal", lines)
+	return TimeSeries(path, fmt.Sprintf("%d marshals", d.Instances), "second of the day", "a second, over the fleet; or the mean of a marshal", lines)
 }
--- a/internal/testbed/faultinject/faultnet_test.go
+++ b/internal/testbed/faultinject/faultnet_test.go
@@ -21,7 +21,7 @@
 				r.Next(Link{"b", "a"})
 			}
 			if i == 200 {
-				r.All(Rule{Drop: 0.2, Twice: 0.1, Delay: time.Millisecond, Jitter: time.Millisecond})
+				r.SetDefault(Rule{Drop: 0.2, Duplicate: 0.1, Delay: time.Millisecond, Jitter: time.Millisecond})
 			}
 			out = append(out, r.Next(ab))
 		}
@@ -70,14 +70,16 @@
 9s restart n0
 10s heal all`
 	s, err := ParseScript(text)
-	if err != nil || len(s) != 11 || s[0].Do != CutLink || !s[2].Both || s[3].Share != 0.2 {
+	if err != nil || len(s) != 11 || s[0].Verb != Cut || !s[2].Both || s[3].Share != 0.2 {
 		t.Fatalf("%v, %v", s, err)
 	}
 	if again, err := ParseScript(s.String()); err != nil || again.String() != s.String() {
 		t.Errorf("%v\n%v", again, err)
 	}
-	for _, odd := range []string{"soon stall n1", "1s", "1s stall", "1s wreck n1", "1s cut n0 n1", "1s cut n0 = n1", "1s loss much",
-		"1s loss 120%", "1s delay 10ms", "1s delay a b", "-1s stall n1", "1s stall n1 n2"} {
+	for _, odd := range []string{
+		"soon stall n1", "1s", "1s stall", "1s wreck n1", "1s cut n0 n1", "1s cut n0 = n1", "1s loss much",
+		"1s loss 120%", "1s delay 10ms", "1s delay a b", "-1s stall n1", "1s stall n1 n2",
+	} {
 		if _, err := ParseScript("# first\n" + odd); err == nil || !strings.Contains(err.Error(), "line 2") {
 			t.Errorf("%q: %v", odd, err)
 		}
@@ -97,26 +99,26 @@
 		}
 		down := map[string]Verb{}
 		for _, step := range s {
-			switch back, isDown := down[step.A]; step.Do {
+			switch back, isDown := down[step.Target]; step.Verb {
 			case Stall, Kill:
-				if down[step.A] = step.Do; isDown || len(down) > 2 {
+				if down[step.Target] = step.Verb; isDown || len(down) > 2 {
 					t.Errorf("seed %d: %v while down: %v", seed, step, down)
 				}
 			case Resume, Start:
-				if !isDown || (back == Stall) != (step.Do == Resume) {
+				if !isDown || (back == Stall) != (step.Verb == Resume) {
 					t.Errorf("seed %d: %v after %q", seed, step, back)
 				}
-				delete(down, step.A)
+				delete(down, step.Target)
 			}
 		}
-		if len(down) > 0 || s[len(s)-1-countDown(s)].Do != HealIt {
+		if len(down) > 0 || s[len(s)-1-countDown(s)].Verb != Heal {
 			t.Errorf("seed %d: left %v", seed, down)
 		}
 	}
 }
 
 func countDown(s Script) (n int) {
-	for i := len(s) - 1; s[i].Do != HealIt; i-- {
+	for i := len(s) - 1; s[i].Verb != Heal; i-- {
 		n++
 	}
 	return n
@@ -136,19 +138,19 @@
 		return c
 	}
 	a, b, c := hears(), hears(), hears()
-	front, err := relay.Front("a", a.LocalAddr().String())
+	relayAddress, err := relay.AddRelay("a", a.LocalAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for name, conn := range map[string]*net.UDPConn{"b": b, "c": c} {
-		if _, err := relay.Front(name, conn.LocalAddr().String()); err != nil {
+		if _, err := relay.AddRelay(name, conn.LocalAddr().String()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := relay.Front("x", "192.0.2.1:1"); err == nil {
+	if _, err := relay.AddRelay("x", "192.0.2.1:1"); err == nil {
 		t.Error("a front for what is not on loopback")
 	}
-	to, err := net.ResolveUDPAddr("udp", front)
+	to, err := net.ResolveUDPAddr("udp", relayAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,7 +164,7 @@
 		return string(raw[:n])
 	}
 	rules.Cut(Link{"b", "a"}, true)
-	rules.Set(Link{"c", "a"}, Rule{Delay: 20 * time.Millisecond, Twice: 1})
+	rules.Set(Link{"c", "a"}, Rule{Delay: 20 * time.Millisecond, Duplicate: 1})
 	began := time.Now()
 	b.WriteToUDP([]byte("from b"), to)
 	c.WriteToUDP([]byte("from c"), to)
@@ -177,12 +179,14 @@
 
 // A process is started, stalled, killed and started again; what is asked at the wrong time is an error.
 func TestProcess(t *testing.T) {
-	p := &Process{Name: "p", Path: "/bin/sh", Args: []string{"-c", `trap 'echo left; exit 0' TERM; echo run; while :; do sleep 0.01; done`},
-		Log: filepath.Join(t.TempDir(), "log")}
+	p := &Process{
+		Name: "p", Path: "/bin/sh", Args: []string{"-c", `trap 'echo left; exit 0' TERM; echo run; while :; do sleep 0.01; done`},
+		Log: filepath.Join(t.TempDir(), "log"),
+	}
 	if p.Stall() == nil || p.Kill() == nil {
 		t.Error("done to one that does not run")
 	}
-	scene := &Scene{Rules: NewRules(1), Processes: map[string]*Process{"p": p}}
+	scene := &Environment{Rules: NewRules(1), Processes: map[string]*Process{"p": p}}
 	script, err := ParseScript("0s start p\n20ms stall p\n30ms restart p\n40ms cut p > q\n50ms loss 10%")
 	if err != nil {
 		t.Fatal(err)
@@ -190,18 +194,18 @@
 	if err := scene.Play(t.Context(), script); err != nil {
 		t.Fatal(err)
 	}
-	if p.Start() == nil || p.Runs() != 2 || p.PID() == 0 || !scene.Rules.Of(Link{"p", "q"}).Cut || scene.Rules.Of(Link{"p", "q"}).Drop != 0.1 {
-		t.Errorf("%d runs, %+v", p.Runs(), scene.Rules.Of(Link{"p", "q"}))
+	if p.Start() == nil || p.Runs() != 2 || p.PID() == 0 || !scene.Rules.RuleFor(Link{"p", "q"}).Cut || scene.Rules.RuleFor(Link{"p", "q"}).Drop != 0.1 {
+		t.Errorf("%d runs, %+v", p.Runs(), scene.Rules.RuleFor(Link{"p", "q"}))
 	}
 	for end := time.Now().Add(5 * time.Second); strings.Count(p.Output(), "run") < 2 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	if err := p.Leave(ctx); err != nil || p.Running() || !strings.HasSuffix(p.Output(), "left\n") {
+	if err := p.Terminate(ctx); err != nil || p.Running() || !strings.HasSuffix(p.Output(), "left\n") {
 		t.Errorf("%v, %q", err, p.Output())
 	}
-	if err := scene.Play(ctx, Script{{Do: Kill, A: "nobody"}}); err == nil {
+	if err := scene.Play(ctx, Script{{Verb: Kill, Target: "nobody"}}); err == nil {
 		t.Error("a process that is not there")
 	}
 	if p.Path = filepath.Join(t.TempDir(), "none"); p.Start() == nil {
@@ -223,14 +227,14 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	front, err := relay.Front("a", "b", l.Addr().String())
+	relayAddress, err := relay.AddRelay("a", "b", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := relay.Front("a", "b", "192.0.2.1:1"); err == nil {
+	if _, err := relay.AddRelay("a", "b", "192.0.2.1:1"); err == nil {
 		t.Error("a front for what is not on loopback")
 	}
-	a, err := net.Dial("tcp", front)
+	a, err := net.Dial("tcp", relayAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -259,9 +263,9 @@
 	if n, err := b.Read(raw); err != nil || string(raw[:n]) != "held" {
 		t.Errorf("what was held: %q, %v", raw[:n], err)
 	}
-	rules.All(Rule{Drop: 1})
+	rules.SetDefault(Rule{Drop: 1})
 	began := time.Now()
-	if !passes(a, b, "late", 5*time.Second) || time.Since(began) < sendAgain {
+	if !passes(a, b, "late", 5*time.Second) || time.Since(began) < retransmitDelay {
 		t.Errorf("what is lost comes again after %v", time.Since(began))
 	}
 	rules.Heal()
@@ -271,7 +275,7 @@
 		t.Errorf("the end does not pass: %v", err)
 	}
 	l.Close()
-	if c, err := net.Dial("tcp", front); err == nil {
+	if c, err := net.Dial("tcp", relayAddress); err == nil {
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || os.IsTimeout(err) {
 			t.Errorf("nobody listens, and %v", err)
--- a/internal/testbed/faultinject/packets.go
+++ b/internal/testbed/faultinject/packets.go
@@ -11,22 +11,22 @@
 )
 
 // mostLate is how many packets may be held back at once; beyond, they are lost.
-const mostLate = 1 << 14
+const maxDelayed = 1 << 14
 
 // Packets relays UDP: it stands in front of each process, which hears at one address and is told to others by the
 // relay's. A sender is known by the address that it sends from, which has to be the one that it hears at.
 type Packets struct {
-	rules *Rules
-	late  atomic.Int64
+	rules   *Rules
+	delayed atomic.Int64
 
-	mu     sync.Mutex
-	names  map[netip.AddrPort]string // by where a process hears
-	fronts map[string]*front
-	closed bool
-	wait   sync.WaitGroup
+	mu      sync.Mutex
+	senders map[netip.AddrPort]string // by where a process hears
+	relays  map[string]*relay
+	closed  bool
+	wait    sync.WaitGroup
 }
 
-type front struct {
+type relay struct {
 	name string
 	real netip.AddrPort
 	conn *net.UDPConn
@@ -34,11 +34,11 @@
 
 // NewPackets makes a relay under these rules.
 func NewPackets(rules *Rules) *Packets {
-	return &Packets{rules: rules, names: map[netip.AddrPort]string{}, fronts: map[string]*front{}}
+	return &Packets{rules: rules, senders: map[netip.AddrPort]string{}, relays: map[string]*relay{}}
 }
 
 // Front puts a relay in front of a process that hears at real, and returns the address that others are to know.
-func (p *Packets) Front(name string, real string) (string, error) {
+func (p *Packets) AddRelay(name string, real string) (string, error) {
 	at, err := netip.ParseAddrPort(real)
 	if err != nil {
 		return "", fmt.Errorf("front of %s: %w", name, err)
@@ -50,16 +50,16 @@
 	if err != nil {
 		return "", fmt.Errorf("front of %s: %w", name, err)
 	}
-	f := &front{name: name, real: at, conn: conn}
+	f := &relay{name: name, real: at, conn: conn}
 	p.mu.Lock()
-	p.names[at], p.fronts[name] = name, f
+	p.senders[at], p.relays[name] = name, f
 	p.mu.Unlock()
 	p.wait.Go(func() { p.relay(f) })
 	return conn.LocalAddr().String(), nil
 }
 
 // relay passes on what comes for one process. Packets of senders that are not known pass as from "".
-func (p *Packets) relay(f *front) {
+func (p *Packets) relay(f *relay) {
 	raw := make([]byte, 1<<16)
 	for {
 		n, from, err := f.conn.ReadFromUDPAddrPort(raw)
@@ -70,7 +70,7 @@
 			continue // what was sent on before found nobody
 		}
 		p.mu.Lock()
-		sender := p.names[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		sender := p.senders[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		p.mu.Unlock()
 		fate := p.rules.Next(Link{sender, f.name})
 		for range fate.Copies {
@@ -78,13 +78,13 @@
 				f.conn.WriteToUDPAddrPort(raw[:n], f.real)
 				continue
 			}
-			if p.late.Add(1) > mostLate {
-				p.late.Add(-1)
+			if p.delayed.Add(1) > maxDelayed {
+				p.delayed.Add(-1)
 				continue
 			}
 			held := append([]byte(nil), raw[:n]...)
 			time.AfterFunc(fate.Delay, func() {
-				defer p.late.Add(-1)
+				defer p.delayed.Add(-1)
 				f.conn.WriteToUDPAddrPort(held, f.real)
 			})
 		}
@@ -94,7 +94,7 @@
 // Close ends all relays.
 func (p *Packets) Close() {
 	p.mu.Lock()
-	for _, f := range p.fronts {
+	for _, f := range p.relays {
 		f.conn.Close()
 	}
 	p.mu.Unlock()
--- a/internal/testbed/faultinject/process.go
+++ b/internal/testbed/faultinject/process.go
@@ -19,11 +19,11 @@
 	Env  []string // added to this process's
 	Log  string   // path of the file
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	ended chan struct{} // closed at the end of the present run
-	err   error
-	runs  int
+	mu     sync.Mutex
+	cmd    *exec.Cmd
+	exited chan struct{} // closed at the end of the present run
+	err    error
+	runs   int
 }
 
 // Start starts it; one that runs already is an error.
@@ -46,7 +46,7 @@
 		return fmt.Errorf("start %s: %w", p.Name, err)
 	}
 	ended := make(chan struct{})
-	p.cmd, p.ended, p.runs = cmd, ended, p.runs+1
+	p.cmd, p.exited, p.runs = cmd, ended, p.runs+1
 	go func() {
 		err := cmd.Wait()
 		p.mu.Lock()
@@ -61,11 +61,11 @@
 
 // running holds with the lock held.
 func (p *Process) running() bool {
-	if p.ended == nil {
+	if p.exited == nil {
 		return false
 	}
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return false
 	default:
 		return true
@@ -105,7 +105,7 @@
 	if err := p.cmd.Process.Signal(s); err != nil {
 		return nil, fmt.Errorf("%s: %v: %w", p.Name, s, err)
 	}
-	return p.ended, nil
+	return p.exited, nil
 }
 
 // Stall stops its clock; Resume lets it go on.
@@ -126,10 +126,10 @@
 }
 
 // errLate is a process that does not end when it is asked to.
-var errLate = errors.New("it has not ended in time")
+var errTimeout = errors.New("it has not ended in time")
 
 // Leave asks it to end and waits for that; the error is that of its exit code, or that it took too long.
-func (p *Process) Leave(ctx context.Context) error {
+func (p *Process) Terminate(ctx context.Context) error {
 	ended, err := p.signal(syscall.SIGTERM)
 	if err != nil {
 		return err
@@ -137,7 +137,7 @@
 	select {
 	case <-ended:
 	case <-ctx.Done():
-		return fmt.Errorf("%s: %w", p.Name, errLate)
+		return fmt.Errorf("%s: %w", p.Name, errTimeout)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testbed/faultinject/rules.go
+++ b/internal/testbed/faultinject/rules.go
@@ -5,10 +5,9 @@
 
 import (
 	"hash/crc32"
+	"ottershed/internal/stats"
 	"sync"
 	"time"
-
-	"ottershed/internal/stats"
 )
 
 // Link is one direction between two processes, by their names.
@@ -16,11 +15,11 @@
 
 // Rule is what befalls packets of a link.
 type Rule struct {
-	Cut    bool    // nothing passes
-	Drop   float64 // share that is lost
-	Twice  float64 // share that comes twice
-	Delay  time.Duration
-	Jitter time.Duration // added, drawn evenly; packets may pass each other
+	Cut       bool    // nothing passes
+	Drop      float64 // share that is lost
+	Duplicate float64 // share that comes twice
+	Delay     time.Duration
+	Jitter    time.Duration // added, drawn evenly; packets may pass each other
 }
 
 // Fate is what becomes of one packet.
@@ -33,69 +32,69 @@
 type Rules struct {
 	seed uint64
 
-	mu    sync.Mutex
-	all   Rule
-	links map[Link]*link
+	mu          sync.Mutex
+	defaultRule Rule
+	links       map[Link]*link
 }
 
 type link struct {
 	rule   *Rule // nil: that of all
 	cut    bool
-	chance stats.Chance
+	chance stats.Random
 }
 
 // NewRules makes rules under which all passes.
 func NewRules(seed uint64) *Rules { return &Rules{seed: seed, links: map[Link]*link{}} }
 
-func (r *Rules) at(l Link) *link {
+func (r *Rules) linkState(l Link) *link {
 	at := r.links[l]
 	if at == nil {
-		at = &link{chance: stats.Chance{Seed: r.seed<<32 ^ uint64(crc32.ChecksumIEEE([]byte(l.From+"\x00"+l.To)))}}
+		at = &link{chance: stats.Random{Seed: r.seed<<32 ^ uint64(crc32.ChecksumIEEE([]byte(l.From+"\x00"+l.To)))}}
 		r.links[l] = at
 	}
 	return at
 }
 
 // All sets the rule of links that have none of their own.
-func (r *Rules) All(rule Rule) {
+func (r *Rules) SetDefault(rule Rule) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all = rule
+	r.defaultRule = rule
 }
 
 // Set gives a link a rule of its own.
 func (r *Rules) Set(l Link, rule Rule) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.at(l).rule = &rule
+	r.linkState(l).rule = &rule
 }
 
 // Cut has nothing pass on a link, or lets it pass again by its rule.
 func (r *Rules) Cut(l Link, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.at(l).cut = on
+	r.linkState(l).cut = on
 }
 
 // Heal takes all rules and cuts away.
 func (r *Rules) Heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.all = Rule{}
+	r.defaultRule = Rule{}
 	for _, l := range r.links {
 		l.rule, l.cut = nil, false
 	}
 }
 
 // Of is the rule that holds for a link now.
-func (r *Rules) Of(l Link) Rule {
+func (r *Rules) RuleFor(l Link) Rule {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.of(r.at(l))
+	return r.effectiveRule(r.linkState(l))
 }
 
-func (r *Rules) of(l *link) Rule {
-	rule := r.all
+func (r *Rules) effectiveRule(l *link) Rule {
+	rule := r.defaultRule
 	if l.rule != nil {
 		rule = *l.rule
 	}
@@ -107,15 +106,15 @@
 func (r *Rules) Next(l Link) Fate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := r.at(l)
-	rule := r.of(at)
+	at := r.linkState(l)
+	rule := r.effectiveRule(at)
 	// Danger: drawn only where a rule asks for it, a packet's fate would hang on what held for those before it.
 	lost, twice, late := at.chance.Next(), at.chance.Next(), at.chance.Next()
 	if rule.Cut || lost < rule.Drop {
 		return Fate{}
 	}
 	f := Fate{Copies: 1, Delay: rule.Delay + time.Duration(late*float64(rule.Jitter))}
-	if twice < rule.Twice {
+	if twice < rule.Duplicate {
 		f.Copies = 2
 	}
 	return f
