--- a/internal/testbed/faultinject/script.go
+++ b/internal/testbed/faultinject/script.go
@@ -6,21 +6,20 @@
 	"context"
 	"errors"
 	"fmt"
+	"ottershed/internal/stats"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
-
-	"ottershed/internal/stats"
 )
 
 // Verb is what a step does.
 type Verb string
 
 const (
-	CutLink Verb = "cut"     // cut A > B, or cut A - B for both ways
-	HealIt  Verb = "heal"    // heal A > B, heal A - B, or heal all
-	Lose    Verb = "loss"    // loss 20%
+	Cut     Verb = "cut"     // cut A > B, or cut A - B for both ways
+	Heal    Verb = "heal"    // heal A > B, heal A - B, or heal all
+	Loss    Verb = "loss"    // loss 20%
 	Delay   Verb = "delay"   // delay 10ms 5ms
 	Stall   Verb = "stall"   // stall A
 	Resume  Verb = "resume"  // resume A
@@ -31,34 +30,34 @@
 
 // Step is one thing that happens, at a time from the script's start.
 type Step struct {
-	At     time.Duration
-	Do     Verb
-	A, B   string // names; B of a link only
-	Both   bool   // the link in both directions
-	Share  float64
-	Delay  time.Duration
-	Jitter time.Duration
+	At           time.Duration
+	Verb         Verb
+	Target, Peer string // names; B of a link only
+	Both         bool   // the link in both directions
+	Share        float64
+	Delay        time.Duration
+	Jitter       time.Duration
 }
 
 // String writes a step as ParseScript reads it.
 func (s Step) String() string {
-	text := fmt.Sprintf("%v %s", s.At, s.Do)
-	switch s.Do {
-	case CutLink, HealIt:
-		if s.A == "" {
+	text := fmt.Sprintf("%v %s", s.At, s.Verb)
+	switch s.Verb {
+	case Cut, Heal:
+		if s.Target == "" {
 			return text + " all"
 		}
 		arrow := ">"
 		if s.Both {
 			arrow = "-"
 		}
-		return fmt.Sprintf("%s %s %s %s", text, s.A, arrow, s.B)
-	case Lose:
+		return fmt.Sprintf("%s %s %s %s", text, s.Target, arrow, s.Peer)
+	case Loss:
 		return fmt.Sprintf("%s %g%%", text, 100*s.Share)
 	case Delay:
 		return fmt.Sprintf("%s %v %v", text, s.Delay, s.Jitter)
 	}
-	return text + " " + s.A
+	return text + " " + s.Target
 }
 
 // Script is what happens, in order.
@@ -99,21 +98,21 @@
 	if len(words) < 3 {
 		return s, errors.New("want a time, what to do, and to whom")
 	}
-	s.Do = Verb(words[1])
+	s.Verb = Verb(words[1])
 	rest := words[2:]
 	want := 1
-	switch s.Do {
-	case CutLink, HealIt:
-		if s.Do == HealIt && rest[0] == "all" {
+	switch s.Verb {
+	case Cut, Heal:
+		if s.Verb == Heal && rest[0] == "all" {
 			break
 		}
 		if want = 3; len(rest) == want {
 			if rest[1] != ">" && rest[1] != "-" {
 				return s, fmt.Errorf("want > or - between two names, got %q", rest[1])
 			}
-			s.A, s.Both, s.B = rest[0], rest[1] == "-", rest[2]
+			s.Target, s.Both, s.Peer = rest[0], rest[1] == "-", rest[2]
 		}
-	case Lose:
+	case Loss:
 		if s.Share, err = strconv.ParseFloat(strings.TrimSuffix(rest[0], "%"), 64); err != nil || s.Share < 0 || s.Share > 100 {
 			return s, fmt.Errorf("want a share like 20%%, got %q", rest[0])
 		}
@@ -128,25 +127,25 @@
 			}
 		}
 	case Stall, Resume, Kill, Start, Restart:
-		s.A = rest[0]
+		s.Target = rest[0]
 	default:
-		return s, fmt.Errorf("nothing is called %q", s.Do)
+		return s, fmt.Errorf("nothing is called %q", s.Verb)
 	}
 	if len(rest) != want {
-		return s, fmt.Errorf("%s takes %d words, got %d", s.Do, want, len(rest))
+		return s, fmt.Errorf("%s takes %d words, got %d", s.Verb, want, len(rest))
 	}
 	return s, nil
 }
 
 // Scene is what a script plays on.
-type Scene struct {
+type Environment struct {
 	Rules     *Rules
 	Processes map[string]*Process
-	Did       func(Step) // called after each step; may be nil
+	OnStep    func(Step) // called after each step; may be nil
 }
 
 // Play carries a script out in real time, from now on. It ends at the first step that fails, or with ctx.
-func (s *Scene) Play(ctx context.Context, script Script) error {
+func (e *Environment) Play(ctx context.Context, script Script) error {
 	began := time.Now()
 	for _, step := range script {
 		wait := time.NewTimer(time.Until(began.Add(step.At)))
@@ -156,40 +155,40 @@
 			return ctx.Err()
 		case <-wait.C:
 		}
-		if err := s.do(step); err != nil {
+		if err := e.apply(step); err != nil {
 			return fmt.Errorf("%v: %w", step, err)
 		}
-		if s.Did != nil {
-			s.Did(step)
+		if e.OnStep != nil {
+			e.OnStep(step)
 		}
 	}
 	return nil
 }
 
-func (s *Scene) do(step Step) error {
-	switch step.Do {
-	case CutLink, HealIt:
-		if step.A == "" {
-			s.Rules.Heal()
+func (e *Environment) apply(step Step) error {
+	switch step.Verb {
+	case Cut, Heal:
+		if step.Target == "" {
+			e.Rules.Heal()
 			return nil
 		}
-		s.Rules.Cut(Link{step.A, step.B}, step.Do == CutLink)
+		e.Rules.Cut(Link{step.Target, step.Peer}, step.Verb == Cut)
 		if step.Both {
-			s.Rules.Cut(Link{step.B, step.A}, step.Do == CutLink)
+			e.Rules.Cut(Link{step.Peer, step.Target}, step.Verb == Cut)
 		}
 		return nil
-	case Lose:
-		s.Rules.All(Rule{Drop: step.Share})
+	case Loss:
+		e.Rules.SetDefault(Rule{Drop: step.Share})
 		return nil
 	case Delay:
-		s.Rules.All(Rule{Delay: step.Delay, Jitter: step.Jitter})
+		e.Rules.SetDefault(Rule{Delay: step.Delay, Jitter: step.Jitter})
 		return nil
 	}
-	p := s.Processes[step.A]
+	p := e.Processes[step.Target]
 	if p == nil {
-		return fmt.Errorf("no process %q", step.A)
+		return fmt.Errorf("no process %q", step.Target)
 	}
-	switch step.Do {
+	switch step.Verb {
 	case Stall:
 		return p.Stall()
 	case Resume:
@@ -205,38 +204,38 @@
 // Random draws a script over a span: faults that overlap, all of them healed at its end, all processes running then. At
 // most so many processes are down or stalled at once. The same seed gives the same script.
 func Random(seed uint64, names []string, span time.Duration, steps, mostDown int) Script {
-	chance := stats.Chance{Seed: seed}
-	pick := func(n int) int { return int(chance.Next() * float64(n)) }
+	random := stats.Random{Seed: seed}
+	pick := func(n int) int { return int(random.Next() * float64(n)) }
 	var out Script
 	down := map[string]Verb{} // to what brings it back
 	for i := range steps {
-		s := Step{At: span * time.Duration(i+1) / time.Duration(steps+1), A: names[pick(len(names))]}
+		s := Step{At: span * time.Duration(i+1) / time.Duration(steps+1), Target: names[pick(len(names))]}
 		b := names[pick(len(names)-1)]
-		if b == s.A {
+		if b == s.Target {
 			b = names[len(names)-1]
 		}
-		back, isDown := down[s.A]
+		back, isDown := down[s.Target]
 		switch what := pick(8); {
 		case what < 4 && isDown:
-			s.Do = back
-			delete(down, s.A)
+			s.Verb = back
+			delete(down, s.Target)
 		case what < 2 && len(down) < mostDown:
-			s.Do, down[s.A] = Stall, Resume
+			s.Verb, down[s.Target] = Stall, Resume
 		case what < 4 && len(down) < mostDown:
-			s.Do, down[s.A] = Kill, Start
+			s.Verb, down[s.Target] = Kill, Start
 		case what == 4:
-			s.Do, s.B = HealIt, b
+			s.Verb, s.Peer = Heal, b
 		case what == 5:
-			s.Do, s.A, s.Share = Lose, "", 0.3*chance.Next()
+			s.Verb, s.Target, s.Share = Loss, "", 0.3*random.Next()
 		default:
-			s.Do, s.B, s.Both = CutLink, b, what == 7
+			s.Verb, s.Peer, s.Both = Cut, b, what == 7
 		}
 		out = append(out, s)
 	}
-	out = append(out, Step{At: span, Do: HealIt})
+	out = append(out, Step{At: span, Verb: Heal})
 	for _, name := range names {
 		if back, isDown := down[name]; isDown {
-			out = append(out, Step{At: span, Do: back, A: name})
+			out = append(out, Step{At: span, Verb: back, Target: name})
 		}
 	}
 	return out
--- a/internal/testbed/faultinject/streams.go
+++ b/internal/testbed/faultinject/streams.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	lookAgain  = 5 * time.Millisecond   // at whether a cut link is healed
-	sendAgain  = 200 * time.Millisecond // what TCP waits before it sends a lost segment again
-	chunkBytes = 16 << 10
+	cutPollInterval = 5 * time.Millisecond   // at whether a cut link is healed
+	retransmitDelay = 200 * time.Millisecond // what TCP waits before it sends a lost segment again
+	chunkBytes      = 16 << 10
 )
 
 // Streams relays TCP: a relay for each two processes and direction of opening, by which a connection's two ends are known.
@@ -34,7 +34,7 @@
 
 // Front puts a relay on the way from one process to another, which listens at real, and returns the address that the
 // first one is to know.
-func (s *Streams) Front(from, to, real string) (string, error) {
+func (s *Streams) AddRelay(from, to, real string) (string, error) {
 	at, err := netip.ParseAddrPort(real)
 	if err != nil {
 		return "", fmt.Errorf("front of %s: %w", to, err)
@@ -63,19 +63,19 @@
 
 // relay joins a connection to one that it opens.
 func (s *Streams) relay(c net.Conn, l Link, real string) {
-	if !s.own(c) {
+	if !s.track(c) {
 		return
 	}
-	defer s.disown(c)
+	defer s.untrack(c)
 	if !s.passable(l) {
 		return
 	}
 	out, err := net.Dial("tcp", real)
-	if err != nil || !s.own(out) {
+	if err != nil || !s.track(out) {
 		reset(c)
 		return
 	}
-	defer s.disown(out)
+	defer s.untrack(out)
 	var both sync.WaitGroup
 	both.Go(func() { s.copy(out, c, l) })
 	both.Go(func() { s.copy(c, out, Link{l.To, l.From}) })
@@ -84,8 +84,8 @@
 
 // passable waits until a link is not cut; false at the end of all.
 func (s *Streams) passable(l Link) bool {
-	for s.rules.Of(l).Cut {
-		if !s.sleep(lookAgain) {
+	for s.rules.RuleFor(l).Cut {
+		if !s.sleep(cutPollInterval) {
 			return false
 		}
 	}
@@ -114,7 +114,7 @@
 		if n > 0 {
 			fate := s.rules.Next(l)
 			if fate.Copies == 0 {
-				fate.Delay += sendAgain
+				fate.Delay += retransmitDelay
 			}
 			if fate.Delay > 0 && !s.sleep(fate.Delay) || !s.passable(l) {
 				return
@@ -141,7 +141,7 @@
 	c.Close()
 }
 
-func (s *Streams) own(c net.Conn) bool {
+func (s *Streams) track(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
@@ -154,7 +154,7 @@
 	return true
 }
 
-func (s *Streams) disown(c net.Conn) {
+func (s *Streams) untrack(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
--- a/internal/testbed/golden_test.go
+++ b/internal/testbed/golden_test.go
@@ -2,12 +2,11 @@
 
 import (
 	"fmt"
-	"testing"
-
 	"ottershed/internal/golden"
+	"testing"
 )
 
-var goldenLoadResult = LoadResult{Hits: 1, Delivered: 2, Bounced: 3, Errored: 4, Resumed: 5, Refused: 6, Lost: 7, Wrong: 8}
+var goldenLoadResult = LoadResult{Requests: 1, Succeeded: 2, Rejected: 3, Failed: 4, Resumed: 5, ResumesRejected: 6, Lost: 7, Wrong: 8}
 
 // What otterlab prints of a load, each figure set, is that of the golden file.
 func TestGoldenLoadResult(t *testing.T) {
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -26,20 +26,20 @@
 
 // LoadResult is how hits ended.
 type LoadResult struct {
-	Hits      int
-	Delivered int
-	Bounced   int
-	Errored   int
-	Resumed   int // brought again, for their marshal was lost
-	Refused   int // of those: mutating ones, never forwarded again
-	Lost      int // without a final answer at any marshal
-	Wrong     int // with an answer that was not theirs
+	Requests        int
+	Succeeded       int
+	Rejected        int
+	Failed          int
+	Resumed         int // brought again, for their marshal was lost
+	ResumesRejected int // of those: mutating ones, never forwarded again
+	Lost            int // without a final answer at any marshal
+	Wrong           int // with an answer that was not theirs
 }
 
 // String tells all figures. Their names are fixed here: otterlab prints them.
 func (r LoadResult) String() string {
-	return fmt.Sprintf("{Hits:%d Delivered:%d Bounced:%d Errored:%d Resumed:%d Refused:%d Lost:%d Wrong:%d}", r.Hits, r.Delivered,
-		r.Bounced, r.Errored, r.Resumed, r.Refused, r.Lost, r.Wrong)
+	return fmt.Sprintf("{Hits:%d Delivered:%d Bounced:%d Errored:%d Resumed:%d Refused:%d Lost:%d Wrong:%d}", r.Requests, r.Succeeded,
+		r.Rejected, r.Failed, r.Resumed, r.ResumesRejected, r.Lost, r.Wrong)
 }
 
 // resumeWithin is how long a client looks for a marshal that takes its hit.
@@ -68,42 +68,42 @@
 }
 
 func (l *Load) client(ctx context.Context, no int) {
-	chance := rand.New(rand.NewPCG(l.seed, uint64(no)+1))
+	random := rand.New(rand.NewPCG(l.seed, uint64(no)+1))
 	clients := NewClients()
 	defer clients.Close()
 	for n := 0; ctx.Err() == nil; n++ {
-		group := "read"
-		if chance.IntN(3) == 0 {
-			group = "send-text"
+		class := "read"
+		if random.IntN(3) == 0 {
+			class = "send-text"
 		}
-		l.hit(clients, chance, group, fmt.Sprintf("c%d-%d", no, n))
-		time.Sleep(time.Duration(chance.IntN(20)) * time.Millisecond)
+		l.sendUntilDone(clients, random, class, fmt.Sprintf("c%d-%d", no, n))
+		time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
 	}
 }
 
 // hit sends one hit and follows it to its end.
-func (l *Load) hit(clients *Clients, chance *rand.Rand, group, id string) {
-	at := chance.IntN(len(l.fleet.names))
+func (l *Load) sendUntilDone(clients *Clients, random *rand.Rand, class, id string) {
+	at := random.IntN(len(l.fleet.names))
 	// Danger: a hit that is cut off as the load ends would count as lost; so each has a time of its own.
 	ctx, cancel := context.WithTimeout(context.Background(), resumeWithin)
 	defer cancel()
-	again := false
+	resumed := false
 	for {
-		e, err := clients.hit(ctx, l.fleet.Listen(at), group, id, again)
+		e, err := clients.send(ctx, l.fleet.Listen(at), class, id, resumed)
 		if err == nil {
-			l.ended(e, group, again)
+			l.record(e, class, resumed)
 			return
 		}
 		if e.Status == http.StatusOK {
-			l.count(func(s *LoadResult) { s.Hits, s.Wrong = s.Hits+1, s.Wrong+1 })
+			l.count(func(s *LoadResult) { s.Requests, s.Wrong = s.Requests+1, s.Wrong+1 })
 			return
 		}
 		if ctx.Err() != nil {
-			l.count(func(s *LoadResult) { s.Hits, s.Lost = s.Hits+1, s.Lost+1 })
+			l.count(func(s *LoadResult) { s.Requests, s.Lost = s.Requests+1, s.Lost+1 })
 			return
 		}
 		// What came to a marshal may be at a node; what found none there has not begun.
-		again = again || !refusedDial(err)
+		resumed = resumed || !neverConnected(err)
 		at = (at + 1) % len(l.fleet.names)
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -115,28 +115,28 @@
 	add(&l.sum)
 }
 
-func (l *Load) ended(e Ended, group string, again bool) {
+func (l *Load) record(e Result, class string, resumed bool) {
 	l.count(func(s *LoadResult) {
-		s.Hits++
-		if again {
+		s.Requests++
+		if resumed {
 			s.Resumed++
-			if group == "send-text" {
-				s.Refused++
+			if class == "send-text" {
+				s.ResumesRejected++
 			}
 		}
 		switch e.Status {
 		case http.StatusOK:
-			s.Delivered++
+			s.Succeeded++
 		case http.StatusServiceUnavailable:
-			s.Bounced++
+			s.Rejected++
 		default:
-			s.Errored++
+			s.Failed++
 		}
 	})
 }
 
 // refusedDial tells whether no connection came up at all.
-func refusedDial(err error) bool {
+func neverConnected(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/internal/testbed/measure.go
+++ b/internal/testbed/measure.go
@@ -4,13 +4,12 @@
 	"context"
 	"fmt"
 	"math"
-	"slices"
-	"strings"
-	"time"
-
 	"ottershed/internal/cluster/membership"
 	"ottershed/internal/cluster/membership/sim"
 	"ottershed/internal/testbed/faultinject"
+	"slices"
+	"strings"
+	"time"
 )
 
 // MembersResult is what a membership experiment measured; times in milliseconds, rates for each member.
@@ -51,27 +50,27 @@
 // loss for a span.
 func MeasureProcesses(ctx context.Context, set Settings, rounds int, loss float64, watch time.Duration) (*MembersResult, error) {
 	began := time.Now()
-	f, err := Started(set)
+	f, err := Start(set)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	bound := set.DetectWithin
+	bound := set.DetectionTimeout
 	agree := func() error {
 		ctx, cancel := context.WithTimeout(ctx, 6*bound)
 		defer cancel()
-		return Until(ctx, func() error { return f.Agree(ctx) })
+		return Poll(ctx, func() error { return f.Agree(ctx) })
 	}
 	if err := agree(); err != nil {
 		return nil, err
 	}
-	r := &MembersResult{Kind: "processes", Members: set.Marshals, Loss: loss, Bound: Millis(bound.Milliseconds())}
+	r := &MembersResult{Kind: "processes", Members: set.Instances, Loss: loss, Bound: Millis(bound.Milliseconds())}
 	if r.BytesOut, r.PacketsOut, err = f.rates(ctx, 10*time.Second); err != nil {
 		return nil, err
 	}
 	var first, all []float64
 	for round := range rounds {
-		victim := (round*7 + 1) % set.Marshals
+		victim := (round*7 + 1) % set.Instances
 		killed := Millis(time.Now().UnixMicro()) / 1000
 		if err := f.Process(victim).Kill(); err != nil {
 			return nil, err
@@ -102,13 +101,13 @@
 	}
 	r.First, r.All = SpreadOf(first), SpreadOf(all)
 	before := f.deadLines()
-	f.Rules.All(faultinject.Rule{Drop: loss})
+	f.Rules.SetDefault(faultinject.Rule{Drop: loss})
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	case <-time.After(watch):
 	}
-	r.FalseDead, r.Watched = f.deadLines()-before, Millis(set.Marshals)*Millis(watch.Milliseconds())
+	r.FalseDead, r.Watched = f.deadLines()-before, Millis(set.Instances)*Millis(watch.Milliseconds())
 	r.Took = time.Since(began)
 	return r, nil
 }
@@ -152,13 +151,13 @@
 // killed at once, and all is watched for a span under loss.
 func MeasureSimulated(set sim.Settings, kills int, watch Millis) (*MembersResult, error) {
 	began := time.Now()
-	set.Acquainted = true
+	set.Prejoined = true
 	f, err := sim.New(set)
 	if err != nil {
 		return nil, err
 	}
-	r := &MembersResult{Kind: "simulated", Members: set.Members, Loss: set.Loss, Bound: set.DetectWithin}
-	f.Run(set.DetectWithin / 2) // the first probes
+	r := &MembersResult{Kind: "simulated", Members: set.Members, Loss: set.Loss, Bound: set.DetectionTimeout}
+	f.Run(set.DetectionTimeout / 2) // the first probes
 	b, p := f.Bytes, f.Packets
 	f.Run(watch)
 	per := watch / 1000 * Millis(set.Members)
@@ -166,7 +165,7 @@
 	killed, victims := f.Now(), map[membership.Name]int{}
 	first, last := make([]float64, kills), make([]float64, kills)
 	declared := make([]int, kills)
-	f.Changed = func(h sim.Heard) {
+	f.OnChange = func(h sim.Observation) {
 		if h.State != membership.Dead || h.New {
 			return
 		}
@@ -192,12 +191,12 @@
 		victims[f.Member(victim).Name] = i
 		f.Kill(victim)
 	}
-	f.Run(2 * set.DetectWithin)
+	f.Run(2 * set.DetectionTimeout)
 	r.Deaths, r.First, r.All = kills, SpreadOf(first), SpreadOf(last)
 	for _, n := range declared {
 		r.Undeclared += set.Members - kills - n
 	}
-	r.Watched = (watch + 2*set.DetectWithin) * Millis(set.Members)
+	r.Watched = (watch + 2*set.DetectionTimeout) * Millis(set.Members)
 	r.Took = time.Since(began)
 	return r, nil
 }
--- a/internal/testbed/measure_policy.go
+++ b/internal/testbed/measure_policy.go
@@ -4,18 +4,17 @@
 	"context"
 	"fmt"
 	"os"
+	"ottershed/internal/cluster/policy"
 	"path/filepath"
 	"regexp"
 	"strconv"
 	"strings"
 	"time"
-
-	"ottershed/internal/cluster/policy"
 )
 
 // PolicyResult is what a policy experiment measured; times in milliseconds.
 type PolicyResult struct {
-	Marshals  int
+	Instances int
 	Versions  int
 	Committed Spread    // from the proposal until its proposer heard of it
 	Applied   Spread    // until the last marshal ran it
@@ -28,8 +27,8 @@
 
 // logged finds the time of a log line.
 var (
-	runsLine   = regexp.MustCompile(`time="([^"]+)".* msg="policy runs".* version=(\d+) `)
-	caughtLine = regexp.MustCompile(`time="([^"]+)".* msg="policy caught up"`)
+	runsLine     = regexp.MustCompile(`time="([^"]+)".* msg="policy runs".* version=(\d+) `)
+	caughtUpLine = regexp.MustCompile(`time="([^"]+)".* msg="policy caught up"`)
 )
 
 // ranAt are the times at which a marshal ran each version, by its log.
@@ -50,8 +49,8 @@
 // MeasurePolicy starts a fleet in which all marshals keep the log and proposes versions one after another; then it restarts
 // marshals, and kills leaders.
 func MeasurePolicy(ctx context.Context, set Settings, versions, rounds int) (*PolicyResult, error) {
-	set.Servers = set.Marshals
-	f, err := Started(set)
+	set.Servers = set.Instances
+	f, err := Start(set)
 	if err != nil {
 		return nil, err
 	}
@@ -59,7 +58,7 @@
 	settled := func(v policy.Version) error {
 		ctx, cancel := context.WithTimeout(ctx, time.Minute)
 		defer cancel()
-		return Until(ctx, func() error {
+		return Poll(ctx, func() error {
 			for i := range f.names {
 				if err := f.Runs(ctx, i, v); err != nil {
 					return err
@@ -73,22 +72,22 @@
 	}
 	stored := func() (int64, error) {
 		s, err := f.PolicyStatus(ctx, 0)
-		return s.Stored, err
+		return s.StoredBytes, err
 	}
 	before, err := stored()
 	if err != nil {
 		return nil, err
 	}
-	r := &PolicyResult{Marshals: set.Marshals, Versions: versions}
+	r := &PolicyResult{Instances: set.Instances, Versions: versions}
 	var committed []float64
 	began := make([]time.Time, versions+1)
 	for v := 1; v <= versions; v++ {
 		began[v] = time.Now()
 		text := fmt.Sprintf(`{"note":"version %d","trial-share":0.5,"settings":{"domain":{"vote-ttl-ms":4000}}}`, v)
-		if _, err := f.Propose(ctx, v%set.Marshals, text, ""); err != nil {
+		if _, err := f.Propose(ctx, v%set.Instances, text, ""); err != nil {
 			return nil, err
 		}
-		committed = append(committed, ms(time.Since(began[v])))
+		committed = append(committed, millis(time.Since(began[v])))
 		if err := settled(policy.Version(v)); err != nil {
 			return nil, err
 		}
@@ -102,7 +101,7 @@
 		}
 	}
 	for v := 1; v <= versions; v++ {
-		r.Each = append(r.Each, max(0, ms(last[v].Sub(began[v]))))
+		r.Each = append(r.Each, max(0, millis(last[v].Sub(began[v]))))
 	}
 	r.Committed, r.Applied = SpreadOf(committed), SpreadOf(append([]float64(nil), r.Each...))
 	after, err := stored()
@@ -116,11 +115,11 @@
 	var restart, leader []float64
 	now := policy.Version(versions)
 	for round := range rounds {
-		i := round % set.Marshals
+		i := round % set.Instances
 		if err := f.Process(i).Kill(); err != nil {
 			return nil, err
 		}
-		seen := len(caughtLine.FindAllString(f.Process(i).Output(), -1))
+		seen := len(caughtUpLine.FindAllString(f.Process(i).Output(), -1))
 		began := time.Now()
 		if err := f.Process(i).Start(); err != nil {
 			return nil, err
@@ -128,7 +127,7 @@
 		if err := settled(now); err != nil {
 			return nil, err
 		}
-		all := caughtLine.FindAllStringSubmatch(f.Process(i).Output(), -1)
+		all := caughtUpLine.FindAllStringSubmatch(f.Process(i).Output(), -1)
 		if len(all) <= seen {
 			return nil, fmt.Errorf("%s has not said that it caught up", f.names[i])
 		}
@@ -136,8 +135,8 @@
 		if err != nil {
 			return nil, err
 		}
-		restart = append(restart, ms(at.Sub(began)))
-		s, err := f.PolicyStatus(ctx, (i+1)%set.Marshals)
+		restart = append(restart, millis(at.Sub(began)))
+		s, err := f.PolicyStatus(ctx, (i+1)%set.Instances)
 		if err != nil {
 			return nil, err
 		}
@@ -149,10 +148,10 @@
 			return nil, err
 		}
 		began = time.Now()
-		if _, err := f.Propose(ctx, (lead+1)%set.Marshals, `{"note":"after the leader's death"}`, ""); err != nil {
+		if _, err := f.Propose(ctx, (lead+1)%set.Instances, `{"note":"after the leader's death"}`, ""); err != nil {
 			return nil, err
 		}
-		leader = append(leader, ms(time.Since(began)))
+		leader = append(leader, millis(time.Since(began)))
 		now++
 		if err := f.Process(lead).Start(); err != nil {
 			return nil, err
@@ -165,7 +164,7 @@
 	return r, nil
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // PolicyTable writes results as a table.
 func PolicyTable(results []*PolicyResult) string {
@@ -174,7 +173,7 @@
 		"caught up after a restart, median (most) | committed after a leader's death, median (most) |\n")
 	b.WriteString("| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |\n")
 	for _, r := range results {
-		fmt.Fprintf(&b, "| %d | %d | %.0f ms (%.0f) | %.0f ms (%.0f) | %.0f | %d KiB | %.0f ms (%.0f) | %.0f ms (%.0f) |\n", r.Marshals,
+		fmt.Fprintf(&b, "| %d | %d | %.0f ms (%.0f) | %.0f ms (%.0f) | %.0f | %d KiB | %.0f ms (%.0f) | %.0f ms (%.0f) |\n", r.Instances,
 			r.Versions, r.Committed.Median, r.Committed.Max, r.Applied.Median, r.Applied.Max, r.Stored, r.File>>10,
 			r.Restart.Median, r.Restart.Max, r.NewLeader.Median, r.NewLeader.Max)
 	}
--- a/internal/testbed/town.go
+++ b/internal/testbed/town.go
@@ -18,12 +18,12 @@
 )
 
 // Town is the stand-ins that all marshals of a fleet share.
-type Town struct {
-	nodes  []*Node
-	agent  *http.Server
-	at     string
-	desk   *Desk
-	ending chan struct{}
+type Platform struct {
+	endpoints        []*Endpoint
+	agent            *http.Server
+	discoveryAddress string
+	controller       *Controller
+	closing          chan struct{}
 
 	mu      sync.Mutex
 	index   int
@@ -31,42 +31,42 @@
 }
 
 // Node is a stand-in for a node. It counts what it runs, by the hit's id.
-type Node struct {
+type Endpoint struct {
 	Name  string
 	Build int
 
-	server *http.Server
-	at     string
-	town   *Town
+	server   *http.Server
+	address  string
+	platform *Platform
 
-	mu    sync.Mutex
-	ran   map[string]int // mutating hits
-	hits  int
-	state string
-	work  time.Duration
-	fail  bool
+	mu                sync.Mutex
+	nonIdempotentRuns map[string]int // mutating hits
+	requests          int
+	state             string
+	latency           time.Duration
+	fail              bool
 }
 
 // NewTown starts so many nodes of one build, discovery and a desk at which that build is released.
-func NewTown(nodes int) (*Town, error) {
-	t := &Town{index: 1, changed: make(chan struct{}), ending: make(chan struct{})}
+func NewPlatform(nodes int) (*Platform, error) {
+	t := &Platform{index: 1, changed: make(chan struct{}), closing: make(chan struct{})}
 	for i := range nodes {
-		n := &Node{Name: fmt.Sprintf("s-%02d", i), Build: 1, town: t, ran: map[string]int{}, state: "Ready"}
+		n := &Endpoint{Name: fmt.Sprintf("s-%02d", i), Build: 1, platform: t, nonIdempotentRuns: map[string]int{}, state: "Ready"}
 		var err error
-		if n.server, n.at, err = serveOn(http.HandlerFunc(n.serve)); err != nil {
+		if n.server, n.address, err = serveOn(http.HandlerFunc(n.serve)); err != nil {
 			t.Close()
 			return nil, err
 		}
-		t.nodes = append(t.nodes, n)
+		t.endpoints = append(t.endpoints, n)
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /discovery/hosts", t.hosts)
 	var err error
-	if t.agent, t.at, err = serveOn(mux); err != nil {
+	if t.agent, t.discoveryAddress, err = serveOn(mux); err != nil {
 		t.Close()
 		return nil, err
 	}
-	if t.desk, err = newDesk(); err != nil {
+	if t.controller, err = newController(); err != nil {
 		t.Close()
 		return nil, err
 	}
@@ -84,47 +84,47 @@
 }
 
 // Close ends the stand-ins.
-func (t *Town) Close() {
+func (p *Platform) Close() {
 	select {
-	case <-t.ending:
+	case <-p.closing:
 		return
 	default:
-		close(t.ending)
+		close(p.closing)
 	}
-	for _, n := range t.nodes {
+	for _, n := range p.endpoints {
 		n.server.Close()
 	}
-	if t.agent != nil {
-		t.agent.Close()
+	if p.agent != nil {
+		p.agent.Close()
 	}
-	if t.desk != nil {
-		t.desk.close()
+	if p.controller != nil {
+		p.controller.close()
 	}
 }
 
 // Discovery is the address of the agent.
-func (t *Town) Discovery() string { return t.at }
+func (p *Platform) Discovery() string { return p.discoveryAddress }
 
 // Desk is the release desk.
-func (t *Town) Desk() *Desk { return t.desk }
+func (p *Platform) Controller() *Controller { return p.controller }
 
 // Nodes are the nodes.
-func (t *Town) Nodes() []*Node { return t.nodes }
+func (p *Platform) Endpoints() []*Endpoint { return p.endpoints }
 
 // Begun is how many hits all nodes have begun.
-func (t *Town) Begun() (n int) {
-	for _, node := range t.nodes {
-		n += node.Hits()
+func (p *Platform) Requests() (n int) {
+	for _, node := range p.endpoints {
+		n += node.Requests()
 	}
 	return n
 }
 
 // Twice are the mutating hits that ran more than once, over all nodes.
-func (t *Town) Twice() []string {
+func (p *Platform) RanTwice() []string {
 	all := map[string]int{}
-	for _, n := range t.nodes {
+	for _, n := range p.endpoints {
 		n.mu.Lock()
-		for id, times := range n.ran {
+		for id, times := range n.nonIdempotentRuns {
 			all[id] += times
 		}
 		n.mu.Unlock()
@@ -139,64 +139,64 @@
 }
 
 // SetBuild has a node run a build, as the list will tell.
-func (t *Town) SetBuild(n *Node, build int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (p *Platform) SetBuild(n *Endpoint, build int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	n.Build = build
-	t.index++
-	close(t.changed)
-	t.changed = make(chan struct{})
+	p.index++
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
 // Behave sets how long a node works on a hit, and whether it fails them.
-func (n *Node) Behave(work time.Duration, fail bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.work, n.fail = work, fail
+func (e *Endpoint) Behave(work time.Duration, fail bool) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.latency, e.fail = work, fail
 }
 
 // Hits is how many a node has begun.
-func (n *Node) Hits() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.hits
+func (e *Endpoint) Requests() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.requests
 }
 
-func (n *Node) serve(w http.ResponseWriter, r *http.Request) {
+func (e *Endpoint) serve(w http.ResponseWriter, r *http.Request) {
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		return // its last byte never came: it has not run
 	}
 	id := r.Header.Get("X-Correlation-Id")
-	n.mu.Lock()
-	n.hits++
+	e.mu.Lock()
+	e.requests++
 	if r.Method == http.MethodPost && r.Header.Get("Idempotency-Key") == "" {
-		n.ran[id]++
+		e.nonIdempotentRuns[id]++
 	}
-	work, fail := n.work, n.fail
-	n.mu.Unlock()
+	work, fail := e.latency, e.fail
+	e.mu.Unlock()
 	select {
 	case <-time.After(work):
 	case <-r.Context().Done():
 		return
-	case <-n.town.ending:
+	case <-e.platform.closing:
 		return
 	}
 	if fail {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	fmt.Fprintf(w, "%s of %s", id, n.Name)
+	fmt.Fprintf(w, "%s of %s", id, e.Name)
 }
 
 // hosts is the list, and the watch that waits for a change of it.
-func (t *Town) hosts(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) hosts(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.Atoi(r.URL.Query().Get("since"))
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
 	over := time.After(time.Duration(min(wait, 60000)) * time.Millisecond)
 	for {
-		t.mu.Lock()
-		index, changed := t.index, t.changed
-		t.mu.Unlock()
+		p.mu.Lock()
+		index, changed := p.index, p.changed
+		p.mu.Unlock()
 		if r.URL.Query().Get("since") == "" || index > since {
 			break
 		}
@@ -206,7 +206,7 @@
 		case <-over:
 		case <-r.Context().Done():
 			return
-		case <-t.ending:
+		case <-p.closing:
 			return
 		}
 		break
@@ -226,13 +226,15 @@
 		Snapshot  bool       `json:"snapshot"`
 		Endpoints []endpoint `json:"endpoints"`
 	}{Snapshot: true}
-	t.mu.Lock()
-	list.Index = t.index
-	for _, n := range t.nodes {
-		list.Endpoints = append(list.Endpoints, endpoint{Name: n.Name, Address: n.at, Zone: "z", Type: "k", Status: n.state,
-			Weight: 1, Image: n.Build})
+	p.mu.Lock()
+	list.Index = p.index
+	for _, n := range p.endpoints {
+		list.Endpoints = append(list.Endpoints, endpoint{
+			Name: n.Name, Address: n.address, Zone: "z", Type: "k", Status: n.state,
+			Weight: 1, Image: n.Build,
+		})
 	}
-	t.mu.Unlock()
+	p.mu.Unlock()
 	json.NewEncoder(w).Encode(list)
 }
 
@@ -261,124 +263,126 @@
 }
 
 // Desk is a stand-in for the release desk, in JSON-RPC 2.0, an object a line. It counts votes and moves nothing by itself.
-type Desk struct {
+type Controller struct {
 	listener net.Listener
-	ending   chan struct{}
-
-	mu      sync.Mutex
-	stage   Stage
-	since   time.Time
-	follows map[net.Conn]bool
-	ballots []Ballot
-	tokens  map[string]uint64 // the highest seen, by piece of work
+	closing  chan struct{}
+
+	mu        sync.Mutex
+	stage     Stage
+	since     time.Time
+	followers map[net.Conn]bool
+	ballots   []Ballot
+	tokens    map[string]uint64 // the highest seen, by piece of work
 }
 
 const (
-	signOfLife  = time.Second
-	mostBallots = 1 << 16
+	pingInterval = time.Second
+	maxBallots   = 1 << 16
 )
 
-func newDesk() (*Desk, error) {
+func newController() (*Controller, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("stand-in: %w", err)
 	}
-	d := &Desk{listener: l, ending: make(chan struct{}), stage: Stage{Image: 1, Progress: "live", Ceiling: 1}, since: time.Now(),
-		follows: map[net.Conn]bool{}, tokens: map[string]uint64{}}
+	d := &Controller{
+		listener: l, closing: make(chan struct{}), stage: Stage{Image: 1, Progress: "live", Ceiling: 1}, since: time.Now(),
+		followers: map[net.Conn]bool{}, tokens: map[string]uint64{},
+	}
 	go d.accept()
-	go d.live()
+	go d.pingLoop()
 	return d, nil
 }
 
 // Address is where it listens.
-func (d *Desk) Address() string { return d.listener.Addr().String() }
-
-func (d *Desk) close() {
-	close(d.ending)
-	d.listener.Close()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for c := range d.follows {
+func (ctl *Controller) Address() string { return ctl.listener.Addr().String() }
+
+func (ctl *Controller) close() {
+	close(ctl.closing)
+	ctl.listener.Close()
+	ctl.mu.Lock()
+	defer ctl.mu.Unlock()
+	for c := range ctl.followers {
 		c.Close()
 	}
 }
 
 // Ballots are the votes that came, in order.
-func (d *Desk) Ballots() []Ballot {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return append([]Ballot(nil), d.ballots...)
+func (ctl *Controller) Ballots() []Ballot {
+	ctl.mu.Lock()
+	defer ctl.mu.Unlock()
+	return append([]Ballot(nil), ctl.ballots...)
 }
 
 // Move has the newest build stand elsewhere and tells all who follow.
-func (d *Desk) Move(s Stage) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.stage, d.since = s, time.Now()
-	for c := range d.follows {
-		d.tell(c, "stage", d.now())
+func (ctl *Controller) SetStage(s Stage) {
+	ctl.mu.Lock()
+	defer ctl.mu.Unlock()
+	ctl.stage, ctl.since = s, time.Now()
+	for c := range ctl.followers {
+		ctl.notify(c, "stage", ctl.currentStage())
 	}
 }
 
 // now is the stage as it is told, with the lock held.
-func (d *Desk) now() Stage {
-	s := d.stage
-	s.Lag = float64(time.Since(d.since)) / float64(time.Millisecond)
+func (ctl *Controller) currentStage() Stage {
+	s := ctl.stage
+	s.Lag = float64(time.Since(ctl.since)) / float64(time.Millisecond)
 	return s
 }
 
-func (d *Desk) tell(c net.Conn, method string, params any) {
-	d.line(c, map[string]any{"jsonrpc": "2.0", "method": method, "params": params})
+func (ctl *Controller) notify(c net.Conn, method string, params any) {
+	ctl.writeLine(c, map[string]any{"jsonrpc": "2.0", "method": method, "params": params})
 }
 
 // line writes with the lock held. A reader that falls behind is cut off.
-func (d *Desk) line(c net.Conn, object any) {
+func (ctl *Controller) writeLine(c net.Conn, object any) {
 	raw, err := json.Marshal(object)
 	if err == nil {
-		c.SetWriteDeadline(time.Now().Add(signOfLife))
+		c.SetWriteDeadline(time.Now().Add(pingInterval))
 		_, err = c.Write(append(raw, '\n'))
 	}
 	if err != nil {
 		c.Close()
-		delete(d.follows, c)
+		delete(ctl.followers, c)
 	}
 }
 
 // live gives its sign of life.
-func (d *Desk) live() {
-	every := time.NewTicker(signOfLife)
+func (ctl *Controller) pingLoop() {
+	every := time.NewTicker(pingInterval)
 	defer every.Stop()
 	for {
 		select {
-		case <-d.ending:
+		case <-ctl.closing:
 			return
 		case <-every.C:
 		}
-		d.mu.Lock()
-		for c := range d.follows {
-			d.tell(c, "ping", struct{}{})
+		ctl.mu.Lock()
+		for c := range ctl.followers {
+			ctl.notify(c, "ping", struct{}{})
 		}
-		d.mu.Unlock()
+		ctl.mu.Unlock()
 	}
 }
 
-func (d *Desk) accept() {
+func (ctl *Controller) accept() {
 	for {
-		c, err := d.listener.Accept()
+		c, err := ctl.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err == nil {
-			go d.serve(c)
+			go ctl.serve(c)
 		}
 	}
 }
 
-func (d *Desk) serve(c net.Conn) {
+func (ctl *Controller) serve(c net.Conn) {
 	defer func() {
-		d.mu.Lock()
-		delete(d.follows, c)
-		d.mu.Unlock()
+		ctl.mu.Lock()
+		delete(ctl.followers, c)
+		ctl.mu.Unlock()
 		c.Close()
 	}()
 	lines := bufio.NewScanner(c)
@@ -392,36 +396,36 @@
 		if json.Unmarshal(lines.Bytes(), &in) != nil {
 			return
 		}
-		d.mu.Lock()
-		answer := map[string]any{"jsonrpc": "2.0", "id": in.ID}
+		ctl.mu.Lock()
+		response := map[string]any{"jsonrpc": "2.0", "id": in.ID}
 		var ballot Ballot
 		switch {
 		case in.Method == "follow":
-			answer["result"] = true
-			d.line(c, answer)
-			d.follows[c] = true
-			d.tell(c, "stage", d.now())
-			d.mu.Unlock()
+			response["result"] = true
+			ctl.writeLine(c, response)
+			ctl.followers[c] = true
+			ctl.notify(c, "stage", ctl.currentStage())
+			ctl.mu.Unlock()
 			continue
 		case in.Method != "castBallot" || json.Unmarshal(in.Params, &ballot) != nil ||
 			!strings.Contains(" none on hold back ", " "+ballot.Opinion+" "):
-			answer["error"] = map[string]any{"code": -32602, "message": "ValidationError"}
+			response["error"] = map[string]any{"code": -32602, "message": "ValidationError"}
 		default:
 			ballot.At, ballot.From = time.Now(), c.RemoteAddr().String()
 			for _, f := range ballot.Fences {
-				ballot.Fenced = ballot.Fenced || f.Token < d.tokens[f.Work]
-				d.tokens[f.Work] = max(d.tokens[f.Work], f.Token)
+				ballot.Fenced = ballot.Fenced || f.Token < ctl.tokens[f.Work]
+				ctl.tokens[f.Work] = max(ctl.tokens[f.Work], f.Token)
 			}
-			if ballot.Counted = !ballot.Fenced && ballot.Image == d.stage.Image && ballot.Ring == d.stage.Ring; ballot.Counted {
-				answer["result"] = d.now()
+			if ballot.Counted = !ballot.Fenced && ballot.Image == ctl.stage.Image && ballot.Ring == ctl.stage.Ring; ballot.Counted {
+				response["result"] = ctl.currentStage()
 			} else {
-				answer["error"] = map[string]any{"code": -32602, "message": "ConditionFailed"}
+				response["error"] = map[string]any{"code": -32602, "message": "ConditionFailed"}
 			}
-			if len(d.ballots) < mostBallots {
-				d.ballots = append(d.ballots, ballot)
+			if len(ctl.ballots) < maxBallots {
+				ctl.ballots = append(ctl.ballots, ballot)
 			}
 		}
-		d.line(c, answer)
-		d.mu.Unlock()
+		ctl.writeLine(c, response)
+		ctl.mu.Unlock()
 	}
 }
--- a/internal/upstream/answers_test.go
+++ b/internal/upstream/answers_test.go
@@ -5,15 +5,14 @@
 	"io"
 	"net"
 	"net/http"
-	"syscall"
-	"testing"
-	"time"
-
 	"ottershed/decision"
 	"ottershed/internal/clock"
 	"ottershed/internal/engine"
 	"ottershed/internal/settings"
 	"ottershed/internal/sockopt"
+	"syscall"
+	"testing"
+	"time"
 )
 
 const (
@@ -76,23 +75,23 @@
 
 // checkEnd fails unless the attempt ended as wanted, with a reply only if delivered, and the pool holds so many
 // connections, all of them idle.
-func checkEnd(t *testing.T, p *Pool, end engine.End, want decision.Ending, held int) {
+func checkEnd(t *testing.T, p *Pool, end engine.AttemptResult, want decision.Outcome, held int) {
 	t.Helper()
-	if end.Ending != want || (end.Reply != nil) != (want == decision.Delivered) {
-		t.Errorf("ended %d, want %d; reply %v", end.Ending, want, end.Reply)
+	if end.Outcome != want || (end.Response != nil) != (want == decision.Succeeded) {
+		t.Errorf("ended %d, want %d; reply %v", end.Outcome, want, end.Response)
 	}
-	if end.Reply != nil && string(end.Reply.Body) != "hi" {
-		t.Errorf("body %q", end.Reply.Body)
+	if end.Response != nil && string(end.Response.Body) != "hi" {
+		t.Errorf("body %q", end.Response.Body)
 	}
-	if n := p.Count(); n.Held != held || n.Idle != held {
-		t.Errorf("held %d, idle %d, want %d", n.Held, n.Idle, held)
+	if n := p.Stats(); n.Open != held || n.Idle != held {
+		t.Errorf("held %d, idle %d, want %d", n.Open, n.Idle, held)
 	}
 }
 
 // An answer that breaks off is never passed on in part, the attempt is never taken for one that did not run, its
 // connection is closed and the request is not sent again. Wherever the break is, an endpoint that has ended the
 // connection is named Broken, at once, and one that has only fallen silent Spoilt, after the rest timer.
-func TestAnswerBreaksOff(t *testing.T) {
+func TestResponseBreaksOff(t *testing.T) {
 	for place, part := range map[string]string{
 		"in the status line":          "HTTP/1.1 20",
 		"in a field name of the head": "HTTP/1.1 200 OK\r\nContent-Le",
@@ -107,22 +106,22 @@
 	} {
 		for how, tc := range map[string]struct {
 			end  func(net.Conn)
-			want decision.Ending
+			want decision.Outcome
 		}{
-			"FIN":     {func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }, decision.Broken},
-			"RST":     {reset, decision.Broken},
-			"silence": {func(net.Conn) {}, decision.Spoilt},
+			"FIN":     {func(c net.Conn) { c.(*net.TCPConn).CloseWrite() }, decision.ConnectionBroken},
+			"RST":     {reset, decision.ConnectionBroken},
+			"silence": {func(net.Conn) {}, decision.MalformedResponse},
 		} {
 			t.Run(place+", "+how, func(t *testing.T) {
 				p := newPool(4)
-				read, rest := seen(p), p.rest
-				if tc.want == decision.Broken {
-					p.rest = time.Hour // the ending must not wait for the timer
+				read, rest := seen(p), p.responseRest
+				if tc.want == decision.ConnectionBroken {
+					p.responseRest = time.Hour // the ending must not wait for the timer
 				}
-				s := newStand(t, func(c net.Conn, r *http.Request) { say(part)(c, r); <-read; tc.end(c) })
+				s := newFakeEndpoint(t, func(c net.Conn, r *http.Request) { say(part)(c, r); <-read; tc.end(c) })
 				began := time.Now()
-				checkEnd(t, p, p.forward(s.Addr().String(), "POST", deadline, nil), tc.want, 0)
-				if took := time.Since(began); took > soon || tc.want == decision.Spoilt && took < rest {
+				checkEnd(t, p, p.attempt(s.Addr().String(), "POST", deadline, nil), tc.want, 0)
+				if took := time.Since(began); took > soon || tc.want == decision.MalformedResponse && took < rest {
 					t.Errorf("ended after %v, rest timer %v", took, rest)
 				}
 				if <-s.closed; s.requests.Load() != 1 {
@@ -146,7 +145,7 @@
 
 // An endpoint whose answer comes a byte at a time is given up a quarter of the connect timeout after the first byte, at
 // least 50 ms: no further byte extends that, else it would hold its hits until their clients are gone.
-func TestSlowAnswer(t *testing.T) {
+func TestSlowResponse(t *testing.T) {
 	for name, tc := range map[string]struct {
 		start, text string
 		connect     decision.Millis
@@ -160,10 +159,10 @@
 		"body, with more time to connect": {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n", "x", 800, 200 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStand(t, drip(tc.start, tc.text))
+			s := newFakeEndpoint(t, drip(tc.start, tc.text))
 			p := NewPool(clock.New(), settings.Network{IdleAfter: 2000, ConnectTimeout: tc.connect}, 4, newPool(4).log)
 			began := time.Now()
-			checkEnd(t, p, p.forward(s.Addr().String(), "POST", deadline, nil), decision.Spoilt, 0)
+			checkEnd(t, p, p.attempt(s.Addr().String(), "POST", deadline, nil), decision.MalformedResponse, 0)
 			if took := time.Since(began); took < tc.rest || took > soon {
 				t.Errorf("given up after %v, want %v", took, tc.rest)
 			}
@@ -176,21 +175,21 @@
 func TestAfterContinue(t *testing.T) {
 	for name, tc := range map[string]struct {
 		then func(net.Conn)
-		want decision.Ending
+		want decision.Outcome
 		held int
 	}{
-		"the answer":  {func(c net.Conn) { say(ok)(c, nil) }, decision.Delivered, 1},
-		"two answers": {func(c net.Conn) { say(ok+ok)(c, nil) }, decision.Delivered, 0},
-		"FIN":         {func(c net.Conn) { c.Close() }, decision.Broken, 0},
-		"RST":         {reset, decision.Broken, 0},
+		"the answer":  {func(c net.Conn) { say(ok)(c, nil) }, decision.Succeeded, 1},
+		"two answers": {func(c net.Conn) { say(ok+ok)(c, nil) }, decision.Succeeded, 0},
+		"FIN":         {func(c net.Conn) { c.Close() }, decision.ConnectionBroken, 0},
+		"RST":         {reset, decision.ConnectionBroken, 0},
 		"silence":     {func(net.Conn) {}, decision.TimedOut, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPool(4)
 			read := seen(p)
-			s := newStand(t, func(c net.Conn, r *http.Request) { say(goOn)(c, r); <-read; tc.then(c) })
-			p.rest = time.Nanosecond // over as the next piece comes; a piece that is read at once needs none
-			checkEnd(t, p, p.forward(s.Addr().String(), "POST", 500, nil), tc.want, tc.held)
+			s := newFakeEndpoint(t, func(c net.Conn, r *http.Request) { say(goOn)(c, r); <-read; tc.then(c) })
+			p.responseRest = time.Nanosecond // over as the next piece comes; a piece that is read at once needs none
+			checkEnd(t, p, p.attempt(s.Addr().String(), "POST", 500, nil), tc.want, tc.held)
 		})
 	}
 }
@@ -198,35 +197,37 @@
 // An endpoint may answer before it has the whole request. The attempt is named by that answer: taken for one that never
 // ran, because the request was not written to its end, it would be sent again and run twice, or be held against an
 // endpoint that only turned it away.
-func TestAnswerBeforeRequestEnds(t *testing.T) {
+func TestResponseBeforeRequestEnds(t *testing.T) {
 	for name, tc := range map[string]struct {
-		answer string
-		then   func(net.Conn) // when the answer has reached this side, which still writes
-		want   decision.Ending
-		held   int
+		response string
+		then     func(net.Conn) // when the answer has reached this side, which still writes
+		want     decision.Outcome
+		held     int
 	}{
-		"delivered, then reads the rest": {ok, func(c net.Conn) { go io.Copy(io.Discard, c) }, decision.Delivered, 1},
-		"two answers, reads the rest":    {ok + ok, func(c net.Conn) { go io.Copy(io.Discard, c) }, decision.Delivered, 0},
-		"delivered, then resets":         {ok, reset, decision.Delivered, 0},
-		"turned away, then resets":       {full, reset, decision.NodeFull, 0},
-		"delivered, reads no more":       {ok, func(net.Conn) {}, decision.Delivered, 0},
+		"delivered, then reads the rest": {ok, func(c net.Conn) { go io.Copy(io.Discard, c) }, decision.Succeeded, 1},
+		"two answers, reads the rest":    {ok + ok, func(c net.Conn) { go io.Copy(io.Discard, c) }, decision.Succeeded, 0},
+		"delivered, then resets":         {ok, reset, decision.Succeeded, 0},
+		"turned away, then resets":       {full, reset, decision.EndpointRejected, 0},
+		"delivered, reads no more":       {ok, func(net.Conn) {}, decision.Succeeded, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPool(4)
-			l, dialed, ends := narrow(t, p), make(chan net.Conn, 1), make(chan engine.End, 1)
+			l, dialed, ends := narrow(t, p), make(chan net.Conn, 1), make(chan engine.AttemptResult, 1)
 			dial := p.dial
 			p.dial = func(ctx context.Context, d *net.Dialer, address string) (net.Conn, error) {
 				c, err := dial(ctx, d, address)
 				dialed <- c
 				return c, err
 			}
-			p.Moved("n", l.Addr().String())
-			p.Forward(engine.Forward{Node: "n", Address: l.Addr().String(), Until: p.clock.Now() + 1000,
+			p.SetAddress("n", l.Addr().String())
+			p.StartAttempt(engine.Attempt{
+				Endpoint: "n", Address: l.Addr().String(), Deadline: p.clock.Now() + 1000,
 				Request: &engine.Request{Method: "POST", URI: "/pay/x", Host: "h", Body: make([]byte, unread)},
-				Ended:   func(e engine.End) { ends <- e }})
+				OnEnd:   func(e engine.AttemptResult) { ends <- e },
+			})
 			endpoint, client := accept(t, l), <-dialed
-			io.WriteString(endpoint, tc.answer)
-			for sockopt.Quiet(client.(syscall.Conn)) { // the answer is on its way
+			io.WriteString(endpoint, tc.response)
+			for sockopt.IsIdle(client.(syscall.Conn)) { // the answer is on its way
 				time.Sleep(time.Millisecond)
 			}
 			tc.then(endpoint)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -12,31 +12,30 @@
 	"net/http"
 	"net/url"
 	"os"
+	"ottershed/decision"
+	"ottershed/internal/engine"
+	"ottershed/internal/sockopt"
 	"strconv"
 	"strings"
 	"syscall"
 	"time"
-
-	"ottershed/decision"
-	"ottershed/internal/engine"
-	"ottershed/internal/sockopt"
 )
 
-const longest = 64 << 10 // bytes of an answer's body, and of what stands before it
+const maxBody = 64 << 10 // bytes of an answer's body, and of what stands before it
 
 // conn is a connection to a node; it carries one request at a time.
 type conn struct {
 	net.Conn
-	left  *io.LimitedReader // what may still come of the present answer
-	r     *bufio.Reader
-	since time.Time // idle
-	over  error     // how reading ended
+	limit     *io.LimitedReader // what may still come of the present answer
+	reader    *bufio.Reader
+	idleSince time.Time // idle
+	readErr   error     // how reading ended
 }
 
 func newConn(raw net.Conn) *conn {
 	c := &conn{Conn: raw}
-	c.left = &io.LimitedReader{R: c}
-	c.r = bufio.NewReader(c.left)
+	c.limit = &io.LimitedReader{R: c}
+	c.reader = bufio.NewReader(c.limit)
 	return c
 }
 
@@ -44,68 +43,70 @@
 // head or in its trailer, and an endpoint that has gone would be taken for one that is there.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.over = err
+	c.readErr = err
 	return n, err
 }
 
 // exchange writes the request and reads the whole answer. written tells if the last byte went out, keep if the
 // connection is good for another request.
-func (c *conn) exchange(ctx context.Context, f engine.Forward, now decision.Millis, until time.Time, rest time.Duration) (
-	end engine.End, written, keep bool) {
-	c.left.N = 2 * longest
-	_, failed := c.Write(encode(f.Request, f.Until-now))
-	if failed != nil && !c.begun() {
-		return engine.End{Ending: decision.Unreachable}, false, false
+func (c *conn) exchange(ctx context.Context, f engine.Attempt, now decision.Millis, until time.Time, rest time.Duration) (
+	end engine.AttemptResult, written, keep bool,
+) {
+	c.limit.N = 2 * maxBody
+	_, failed := c.Write(encodeRequest(f.Request, f.Deadline-now))
+	if failed != nil && !c.responseBegun() {
+		return engine.AttemptResult{Outcome: decision.Unreachable}, false, false
 	}
-	res, body, begun, err := c.answer(ctx, until, rest)
-	if err != nil && c.over != nil {
-		err = c.over
+	res, body, begun, err := c.readResponse(ctx, until, rest)
+	if err != nil && c.readErr != nil {
+		err = c.readErr
 	}
 	switch late := errors.Is(err, os.ErrDeadlineExceeded); {
 	case err == nil:
 	case late && !begun:
-		return engine.End{Ending: decision.TimedOut}, true, false
+		return engine.AttemptResult{Outcome: decision.TimedOut}, true, false
 	// Danger: an answer that can't be read says that the node is there. Taken for a broken connection it would keep hits
 	// from a node in good health.
-	case late, c.left.N == 0, begun && !ended(err):
-		return engine.End{Ending: decision.Spoilt}, true, false
+	case late, c.limit.N == 0, begun && !peerClosed(err):
+		return engine.AttemptResult{Outcome: decision.MalformedResponse}, true, false
 	default:
-		return engine.End{Ending: decision.Broken}, true, false
+		return engine.AttemptResult{Outcome: decision.ConnectionBroken}, true, false
 	}
-	end.Ending, end.Load = ending(res), load(res.Header.Get("X-Backend-Load"))
-	if end.Ending == decision.Delivered {
-		end.Reply = &engine.Reply{Fields: res.Header, Body: body}
+	end.Outcome, end.Load = outcomeOf(res), parseLoad(res.Header.Get("X-Backend-Load"))
+	if end.Outcome == decision.Succeeded {
+		end.Response = &engine.Response{Fields: res.Header, Body: body}
 	}
-	return end, true, failed == nil && !res.Close && c.r.Buffered() == 0
+	return end, true, failed == nil && !res.Close && c.reader.Buffered() == 0
 }
 
 // begun tells, where the request can't be written to its end, whether an answer to it lies there already. Such a request
 // has run for all that is known; taken for one that never ran, it would be sent again and run twice.
-func (c *conn) begun() bool {
+func (c *conn) responseBegun() bool {
 	c.SetReadDeadline(time.Now().Add(time.Millisecond))
-	_, err := c.r.Peek(1)
+	_, err := c.reader.Peek(1)
 	return err == nil
 }
 
 // ended tells whether the other side has ended the connection.
-func ended(err error) bool {
+func peerClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) ||
 		errors.Is(err, syscall.EPIPE)
 }
 
 // answer reads answers up to the last one; begun tells if a part of it has come. Danger: one that stays a part holds its
 // hit until the client's time is over; nodes send answers in one piece, so the rest of it has rest to come.
-func (c *conn) answer(ctx context.Context, until time.Time, rest time.Duration) (
-	res *http.Response, body []byte, begun bool, err error) {
+func (c *conn) readResponse(ctx context.Context, until time.Time, rest time.Duration) (
+	res *http.Response, body []byte, begun bool, err error,
+) {
 	for {
-		c.wait(ctx, until)
-		if _, err := c.r.Peek(1); err != nil {
+		c.setReadDeadline(ctx, until)
+		if _, err := c.reader.Peek(1); err != nil {
 			return nil, nil, false, err
 		}
 		if soon := time.Now().Add(rest); soon.Before(until) {
-			c.wait(ctx, soon)
+			c.setReadDeadline(ctx, soon)
 		}
-		if res, err = http.ReadResponse(c.r, nil); err != nil {
+		if res, err = http.ReadResponse(c.reader, nil); err != nil {
 			return nil, nil, true, err
 		}
 		switch {
@@ -114,10 +115,10 @@
 		case res.StatusCode < http.StatusOK:
 			continue // not the answer yet
 		}
-		if res.ContentLength <= longest {
-			body, err = io.ReadAll(io.LimitReader(res.Body, longest+1))
+		if res.ContentLength <= maxBody {
+			body, err = io.ReadAll(io.LimitReader(res.Body, maxBody+1))
 		}
-		if err == nil && max(res.ContentLength, int64(len(body))) > longest {
+		if err == nil && max(res.ContentLength, int64(len(body))) > maxBody {
 			err = errors.New("answer too long")
 		}
 		return res, body, true, err // what is left of the body goes with the connection
@@ -125,7 +126,7 @@
 }
 
 // wait has reading end at a time, or at once when ctx is over.
-func (c *conn) wait(ctx context.Context, until time.Time) {
+func (c *conn) setReadDeadline(ctx context.Context, until time.Time) {
 	c.SetReadDeadline(until)
 	if ctx.Err() != nil {
 		c.SetDeadline(time.Unix(1, 0))
@@ -133,14 +134,16 @@
 }
 
 // encode writes a request with the time that is left for it.
-func encode(r *engine.Request, left decision.Millis) []byte {
+func encodeRequest(r *engine.Request, remaining decision.Millis) []byte {
 	header := maps.Clone(http.Header(r.Fields)) // the value set below takes a new slice
 	if header == nil {
 		header = http.Header{}
 	}
-	header.Set("X-Time-Left", strconv.FormatFloat(max(0, left)/1000, 'f', 3, 64))
-	req := &http.Request{Method: r.Method, URL: &url.URL{Opaque: r.URI}, Host: r.Host, Header: header,
-		ContentLength: int64(len(r.Body))}
+	header.Set("X-Time-Left", strconv.FormatFloat(max(0, remaining)/1000, 'f', 3, 64))
+	req := &http.Request{
+		Method: r.Method, URL: &url.URL{Opaque: r.URI}, Host: r.Host, Header: header,
+		ContentLength: int64(len(r.Body)),
+	}
 	if len(r.Body) > 0 {
 		req.Body = io.NopCloser(bytes.NewReader(r.Body))
 	}
@@ -150,7 +153,7 @@
 }
 
 // load reads a node's report; nil if there is none.
-func load(text string) *decision.Load {
+func parseLoad(text string) *decision.Load {
 	if text == "" {
 		return nil
 	}
@@ -173,5 +176,5 @@
 // the node has closed ends as reset, and what may have run can't always be sent again.
 func (c *conn) quiet() bool {
 	sys, ok := c.Conn.(syscall.Conn)
-	return !ok || sockopt.Quiet(sys)
+	return !ok || sockopt.IsIdle(sys)
 }
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -6,13 +6,12 @@
 	"io"
 	"net"
 	"net/http"
-	"regexp"
-	"strings"
-	"testing"
-
 	"ottershed/decision"
 	"ottershed/internal/engine"
 	"ottershed/internal/golden"
+	"regexp"
+	"strings"
+	"testing"
 )
 
 // goldenRequests are requests as the front hands them over.
@@ -21,18 +20,32 @@
 	request engine.Request
 }{
 	{"GET without headers", engine.Request{Method: "GET", URI: "/level-read/7", Host: "app.svc"}},
-	{"GET with the headers of a client", engine.Request{Method: "GET", URI: "/level-read/a%2Fb?key=k%201&q=;", Host: "app.svc:8080",
-		Fields: map[string][]string{"X-Correlation-Id": {"c1"}, "X-Account": {"acme"}, "X-Time-Left": {"9"}, "Accept": {"a", "b"},
-			"User-Agent": {"app/1"}}}},
-	{"POST with a body", engine.Request{Method: "POST", URI: "/send-text", Host: "app.svc", Body: []byte("line\r\nend\x00"),
-		Fields: map[string][]string{"Content-Type": {"text/plain"}, "Content-Length": {"99"}, "X-Correlation-Id": {"c2"}}}},
-	{"POST without a body", engine.Request{Method: "POST", URI: "/send-text", Host: "app.svc",
-		Fields: map[string][]string{"X-Correlation-Id": {"c3"}}}},
-	{"POST that is marked, and a client's repeat", engine.Request{Method: "POST", URI: "/subscribe", Host: "app.svc", Body: []byte("x"),
-		Fields: map[string][]string{"Idempotency-Key": {"mark-1"}, "X-Repeat": {"1"}, "X-Resume": {"1"}, "X-Correlation-Id": {"c4"}}}},
-	{"GET with headers of one connection", engine.Request{Method: "GET", URI: "/level-read/7", Host: "app.svc",
-		Fields: map[string][]string{"Connection": {"close"}, "Keep-Alive": {"1"}, "Te": {"trailers"}, "Upgrade": {"h2c"},
-			"Transfer-Encoding": {"chunked"}, "Trailer": {"X"}, "Proxy-Authorization": {"p"}}}},
+	{"GET with the headers of a client", engine.Request{
+		Method: "GET", URI: "/level-read/a%2Fb?key=k%201&q=;", Host: "app.svc:8080",
+		Fields: map[string][]string{
+			"X-Correlation-Id": {"c1"}, "X-Account": {"acme"}, "X-Time-Left": {"9"}, "Accept": {"a", "b"},
+			"User-Agent": {"app/1"},
+		},
+	}},
+	{"POST with a body", engine.Request{
+		Method: "POST", URI: "/send-text", Host: "app.svc", Body: []byte("line\r\nend\x00"),
+		Fields: map[string][]string{"Content-Type": {"text/plain"}, "Content-Length": {"99"}, "X-Correlation-Id": {"c2"}},
+	}},
+	{"POST without a body", engine.Request{
+		Method: "POST", URI: "/send-text", Host: "app.svc",
+		Fields: map[string][]string{"X-Correlation-Id": {"c3"}},
+	}},
+	{"POST that is marked, and a client's repeat", engine.Request{
+		Method: "POST", URI: "/subscribe", Host: "app.svc", Body: []byte("x"),
+		Fields: map[string][]string{"Idempotency-Key": {"mark-1"}, "X-Repeat": {"1"}, "X-Resume": {"1"}, "X-Correlation-Id": {"c4"}},
+	}},
+	{"GET with headers of one connection", engine.Request{
+		Method: "GET", URI: "/level-read/7", Host: "app.svc",
+		Fields: map[string][]string{
+			"Connection": {"close"}, "Keep-Alive": {"1"}, "Te": {"trailers"}, "Upgrade": {"h2c"},
+			"Transfer-Encoding": {"chunked"}, "Trailer": {"X"}, "Proxy-Authorization": {"p"},
+		},
+	}},
 }
 
 // timeLeft is the header whose figure depends on when the test runs; its form does not.
@@ -55,7 +68,7 @@
 func TestGoldenTimeLeft(t *testing.T) {
 	var observed strings.Builder
 	for _, left := range []decision.Millis{1234.5678, 1, 0.4, 0, -20, 3600000} {
-		observed.Write(timeLeft.Find(encode(&engine.Request{Method: "GET", URI: "/", Host: "h"}, left)))
+		observed.Write(timeLeft.Find(encodeRequest(&engine.Request{Method: "GET", URI: "/", Host: "h"}, left)))
 	}
 	if err := golden.Check("testdata/time-left.golden", []byte(golden.Quote([]byte(observed.String())))); err != nil {
 		t.Error(err)
@@ -74,12 +87,14 @@
 		defer c.Close()
 		read <- readRequest(c)
 	}()
-	p, ends := newPool(4), make(chan engine.End, 1)
-	p.Moved("n", l.Addr().String())
-	p.Forward(engine.Forward{Node: "n", Address: l.Addr().String(), Until: p.clock.Now() + deadline, Request: request,
-		Ended: func(e engine.End) { ends <- e }})
-	if end := <-ends; end.Ending != decision.Delivered {
-		t.Fatalf("the attempt ended as %d", end.Ending)
+	p, ends := newPool(4), make(chan engine.AttemptResult, 1)
+	p.SetAddress("n", l.Addr().String())
+	p.StartAttempt(engine.Attempt{
+		Endpoint: "n", Address: l.Addr().String(), Deadline: p.clock.Now() + deadline, Request: request,
+		OnEnd: func(e engine.AttemptResult) { ends <- e },
+	})
+	if end := <-ends; end.Outcome != decision.Succeeded {
+		t.Fatalf("the attempt ended as %d", end.Outcome)
 	}
 	return <-read
 }
--- a/internal/upstream/requests_test.go
+++ b/internal/upstream/requests_test.go
@@ -6,14 +6,13 @@
 	"io"
 	"net"
 	"net/http"
+	"ottershed/decision"
+	"ottershed/internal/engine"
 	"strings"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
-
-	"ottershed/decision"
-	"ottershed/internal/engine"
 )
 
 // unread is the size of a body that a narrow endpoint's connection does not hold: a part of it stays unwritten.
@@ -51,19 +50,21 @@
 		size  int
 		pause time.Duration
 		left  decision.Millis
-		want  decision.Ending
+		want  decision.Outcome
 		held  int
 	}{
-		"whole in time":     {16 << 10, 0, deadline, decision.Delivered, 1},
+		"whole in time":     {16 << 10, 0, deadline, decision.Succeeded, 1},
 		"not whole in time": {unread, time.Millisecond, 300, decision.Unreachable, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPool(4)
-			l, ends, began := narrow(t, p), make(chan engine.End, 1), time.Now()
-			p.Moved("n", l.Addr().String())
-			p.Forward(engine.Forward{Node: "n", Address: l.Addr().String(), Until: p.clock.Now() + tc.left,
+			l, ends, began := narrow(t, p), make(chan engine.AttemptResult, 1), time.Now()
+			p.SetAddress("n", l.Addr().String())
+			p.StartAttempt(engine.Attempt{
+				Endpoint: "n", Address: l.Addr().String(), Deadline: p.clock.Now() + tc.left,
 				Request: &engine.Request{Method: "POST", URI: "/pay/x", Host: "h", Body: make([]byte, tc.size)},
-				Ended:   func(e engine.End) { ends <- e }})
+				OnEnd:   func(e engine.AttemptResult) { ends <- e },
+			})
 			endpoint := accept(t, l)
 			go func() {
 				all := io.MultiReader(strings.NewReader("POST"), sips{endpoint, tc.pause}) // accept has read the method
@@ -84,9 +85,11 @@
 }
 
 // bound carries an attempt that may be sent for so many ms only, on a kept connection if there is a rested one.
-func (p *Pool) bound(address string, sendBy decision.Millis, body int) engine.End {
-	return p.run(context.Background(), engine.Forward{Node: "n", Address: address, SendBy: sendBy, Until: sendBy + 1000,
-		Request: &engine.Request{Method: "POST", URI: "/mark/x", Host: "h", Body: make([]byte, body)}}, p.aimed("n", address))
+func (p *Pool) bound(address string, sendBy decision.Millis, body int) engine.AttemptResult {
+	return p.runAttempt(context.Background(), engine.Attempt{
+		Endpoint: "n", Address: address, SendBy: sendBy, Deadline: sendBy + 1000,
+		Request: &engine.Request{Method: "POST", URI: "/mark/x", Host: "h", Body: make([]byte, body)},
+	}, p.targetAt("n", address))
 }
 
 // until waits for a moment of the pool's clock.
@@ -102,25 +105,25 @@
 	for name, tc := range map[string]struct {
 		left decision.Millis
 		cool time.Duration // for so long a kept connection is not used
-		want decision.Ending
+		want decision.Outcome
 		sent int32
 	}{
-		"before, kept connection":         {400, 0, decision.Delivered, 1},
-		"before, new connection":          {400, time.Hour, decision.Delivered, 1},
-		"at that moment, kept connection": {0, 0, decision.NeverSent, 0},
-		"at that moment, new connection":  {0, time.Hour, decision.NeverSent, 0},
+		"before, kept connection":         {400, 0, decision.Succeeded, 1},
+		"before, new connection":          {400, time.Hour, decision.Succeeded, 1},
+		"at that moment, kept connection": {0, 0, decision.NotSent, 0},
+		"at that moment, new connection":  {0, time.Hour, decision.NotSent, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPool(4)
 			var sendBy atomic.Int64
-			s := newStand(t, func(c net.Conn, r *http.Request) { p.until(float64(sendBy.Load())); say(ok)(c, r) })
+			s := newFakeEndpoint(t, func(c net.Conn, r *http.Request) { p.until(float64(sendBy.Load())); say(ok)(c, r) })
 			address := s.Addr().String()
-			p.forward(address, "GET", 1000, nil)
-			p.cool = tc.cool
+			p.attempt(address, "GET", 1000, nil)
+			p.reuseDelay = tc.cool
 			sendBy.Store(int64(p.clock.Now() + tc.left))
 			end := p.bound(address, float64(sendBy.Load()), 0)
-			if sent := s.requests.Load() - 1; end.Ending != tc.want || sent != tc.sent {
-				t.Errorf("ended %d, want %d; sent %d times", end.Ending, tc.want, sent)
+			if sent := s.requests.Load() - 1; end.Outcome != tc.want || sent != tc.sent {
+				t.Errorf("ended %d, want %d; sent %d times", end.Outcome, tc.want, sent)
 			}
 		})
 	}
@@ -129,7 +132,7 @@
 // An attempt whose kept connection turns out to be dead when the last moment to send has passed gets no new one: the
 // endpoint that it went to first has forgotten it by then, and it would run twice.
 func TestSendByBeforeNewConnection(t *testing.T) {
-	s, p := newStand(t, say(ok)), newPool(4)
+	s, p := newFakeEndpoint(t, say(ok)), newPool(4)
 	address, sendBy := s.Addr().String(), 0.0
 	hook(p, func() {}, func() error {
 		if sendBy == 0 {
@@ -138,11 +141,11 @@
 		p.until(sendBy)
 		return syscall.EPIPE
 	})
-	p.forward(address, "GET", 1000, nil)
+	p.attempt(address, "GET", 1000, nil)
 	p.rested("n")
 	sendBy = p.clock.Now() + 200
-	checkEnd(t, p, p.bound(address, sendBy, 0), decision.NeverSent, 0)
-	if n := p.Count(); n.Opened != 1 || s.requests.Load() != 1 {
+	checkEnd(t, p, p.bound(address, sendBy, 0), decision.NotSent, 0)
+	if n := p.Stats(); n.Opened != 1 || s.requests.Load() != 1 {
 		t.Errorf("opened %d connections, sent %d times", n.Opened, s.requests.Load())
 	}
 }
@@ -151,13 +154,13 @@
 // when it is whole, would not remember that it ran before. That says nothing of the endpoint.
 func TestSendByWhileWritten(t *testing.T) {
 	p := newPool(4)
-	l, ends, sendBy := narrow(t, p), make(chan engine.End, 1), p.clock.Now()+200
-	p.Moved("n", l.Addr().String())
+	l, ends, sendBy := narrow(t, p), make(chan engine.AttemptResult, 1), p.clock.Now()+200
+	p.SetAddress("n", l.Addr().String())
 	go func() { ends <- p.bound(l.Addr().String(), sendBy, unread) }()
 	endpoint := accept(t, l)
 	p.until(sendBy + 20)
 	if rest, _ := io.ReadAll(endpoint); len(rest) >= unread {
 		t.Errorf("the whole request came after the last moment to send it")
 	}
-	checkEnd(t, p, <-ends, decision.NeverSent, 0)
+	checkEnd(t, p, <-ends, decision.NotSent, 0)
 }
