--- a/decision/routing.go
+++ b/decision/routing.go
@@ -48,8 +48,11 @@
 // take the share of warming ones that have no credit.
 func (b *Balancer) chooseEndpoint(req *request, side int, overflow bool) endpointChoice {
 	search := endpointSearch{balancer: b, request: req, lowestRisk: math.Inf(1)}
-	for zone, part := range b.endpoints.byBuildAndZone[side] {
-		b.collectEligible(&search, zone, part, overflow)
+	parts := &b.endpoints.byBuildAndZone[side]
+	b.collectEligible(&search, homeZone, parts[homeZone], overflow)
+	b.collectEligible(&search, otherZone, parts[otherZone], overflow)
+	if len(b.routing.eligible[homeZone])+len(b.routing.eligible[otherZone]) == 0 {
+		return endpointChoice{}
 	}
 	if b.checksWanted() {
 		if choice, decided := b.healthCheckFirst(req, search.best); decided {
@@ -59,9 +62,8 @@
 	if b.drawsCrossing() {
 		search.homePenalty = b.crossZone.gain + b.settings.CrossZonePrice
 	}
-	for zone := range b.routing.eligible {
-		b.considerTwo(&search, zone)
-	}
+	b.considerTwo(&search, homeZone)
+	b.considerTwo(&search, otherZone)
 	return endpointChoice{endpoint: search.best}
 }
 
@@ -141,6 +143,9 @@
 // healthy tells whether an endpoint's health lets it take a request. An ejected endpoint is tried with one
 // idempotent request at a time.
 func (b *Balancer) healthy(req *request, ep *endpoint) bool {
+	if b.now < ep.ejectedUntil || float64(ep.inFlight) >= ep.concurrencyLimit {
+		return false
+	}
 	if ep.ejections > 0 && (ep.inFlight > 0 || req.Idempotency != Idempotent) {
 		return false
 	}
@@ -148,7 +153,7 @@
 	if req.Idempotency == NonIdempotent {
 		suspicion *= 2 // it cannot be retried elsewhere
 	}
-	return b.now >= ep.ejectedUntil && suspicion < avoidSuspicion && float64(ep.inFlight) < ep.concurrencyLimit
+	return suspicion < avoidSuspicion
 }
 
 // risk is the chance that a request fails or misses its latency objective at an endpoint, and the price of
