--- a/decision/stream_test.go
+++ b/decision/stream_test.go
@@ -53,7 +53,11 @@
 	zoneLostAt    decision.Millis // the second zone can't be reached from then on, for a while; 0: never
 	sharedSlowAt  decision.Millis // all endpoints are slower from then on, for a while; 0: never
 	sharedSlow    float64         // by this factor
+	slowOffers    bool            // half of the candidates are offered just as all endpoints get slower
 	homeSlowAt    decision.Millis // endpoints of the instance's own zone are slower from then on, for a while; 0: never
+	homeSlow      float64         // by this factor
+	pause         decision.Millis // from the release of a build to the offer of the next
+	rotation      decision.Millis // from the replacement of one endpoint to that of the next
 	spreads       bool            // a bad candidate slows all endpoints as long as one runs it
 	burstAt       decision.Millis // more requests come from then on, for a while; 0: never
 	troubleLasts  decision.Millis // the whiles above
@@ -186,6 +190,8 @@
 		keyed: random.Float64(), streamed: 0.1 * random.Float64(),
 		obeyed: random.Float64(), refusals: 0.6 * random.Float64(),
 		mostWait:      4500 + 4000*random.Float64(),
+		pause:         1500,
+		rotation:      900,
 		candidateSlow: 1 + random.Float64(), candidateFail: 0.02, badCandidates: 0.3,
 		troubleLasts: 1500 + 4000*random.Float64(),
 	}
@@ -205,23 +211,36 @@
 	case 3: // the other zone is lost
 		s.zoneLostAt = s.now + 3000 + 8000*s.random.Float64()
 	case 4: // all endpoints are slower, in half of the seeds as a candidate is offered that none of them runs yet
-		s.sharedSlowAt, s.sharedSlow = s.now+2600+10000*float64(s.random.IntN(2))*s.random.Float64(), 2+6*s.random.Float64()
+		s.sharedSlowAt, s.sharedSlow = s.now+3000+8000*s.random.Float64(), 2+6*s.random.Float64()
+		if s.slowOffers = s.random.IntN(2) == 0; s.slowOffers {
+			s.arrivals = 0.006 + 0.012*s.random.Float64()
+		}
 	case 5: // one of hundreds of instances, with few requests
 		s.thin(100 + s.random.IntN(300))
 	case 6: // overload
 		s.burstAt, s.fleet, s.capacity = s.now+4000, 3, 6
 		s.serviceTime *= 2
 	case 7: // thin, with bad candidates
-		s.thin(100 + s.random.IntN(300))
+		s.thin(100 + s.random.IntN(700))
 		s.candidateSlow, s.candidateFail, s.badCandidates = 1+3*s.random.Float64(), 0.3*s.random.Float64(), 0.7
+		if s.random.IntN(2) == 0 { // slow, with much trouble, through all stages
+			s.candidateFail, s.badCandidates, s.trouble, s.mostWait = 0, 1, 500, 7000
+			s.settings.Control, s.settings.Halt, s.settings.SlowStartWindow = decision.ByVotes, false, 800
+		}
 	case 8: // one of dozens
 		s.thin(10 + s.random.IntN(50))
 		s.settings.AdvanceQuorum = 1 + s.settings.Instances/4
 	case 9: // candidates that slow all endpoints
-		s.trouble, s.spreads = 1e5, true
+		s.trouble, s.noise, s.fleet, s.spreads = 1e5, 0, 4, true
+		s.settings.SlowStartFloor, s.rotation = 0.85, 250 // else cold endpoints explain the slowness
 		s.candidateSlow, s.badCandidates, s.mostWait = 2+4*s.random.Float64(), 0.9, 9000
+		if s.random.IntN(3) > 0 { // found out after the release
+			s.mostWait, s.pause = 500+1500*s.random.Float64(), 15000
+		}
 	case 10: // the instance's own zone is slow
-		s.homeSlowAt, s.troubleLasts = s.now+2000+4000*s.random.Float64(), 8000
+		s.homeSlowAt, s.troubleLasts = s.now+2000+4000*s.random.Float64(), 20000
+		s.homeSlow = s.settings.Classes[0].LatencyObjective * (0.3 + s.random.Float64()) / s.serviceTime
+		s.arrivals, s.fleet, s.capacity = 0.01+0.05*s.random.Float64(), 16, 60
 	case 11: // overload and silent endpoints, with short targets
 		s.hurry(20)
 		s.fleet, s.trouble, s.arrivals = 4, 300, 0.5
@@ -298,7 +317,7 @@
 	s.at(s.now+3000, s.offer)
 	s.arrive()
 	s.every(s.trouble, s.troubleEndpoint)
-	s.every(900, s.rotate)
+	s.every(s.rotation, s.rotate)
 	s.every(5000, s.administer)
 	s.every(1500, func() { s.handle(decision.PeerMessage{From: 2, Data: []byte("state")}) })
 	s.every(700, s.flag)
@@ -469,7 +488,7 @@
 		after *= s.sharedSlow
 	}
 	if e.Zone == s.settings.Zone && s.during(s.homeSlowAt) {
-		after *= 6
+		after *= s.homeSlow
 	}
 	if e.bad || s.spreads && slices.ContainsFunc(s.endpoints, func(other *endpoint) bool { return other.bad }) {
 		after *= s.candidateSlow
@@ -675,6 +694,9 @@
 func (s *simulation) offer() {
 	bad := s.random.Float64() < s.badCandidates
 	s.controller = controller{build: s.controller.build + 1, since: s.now, bad: bad}
+	if s.slowOffers && s.random.IntN(2) == 0 {
+		s.sharedSlowAt = s.now
+	}
 	s.announce()
 }
 
@@ -700,7 +722,7 @@
 	c.since = s.now
 	if c.stage++; c.stage >= len(s.settings.Stages) {
 		c.stage, c.phase = len(s.settings.Stages)-1, decision.Released
-		s.at(s.now+1500, s.offer)
+		s.at(s.now+s.pause, s.offer)
 	}
 	s.announce()
 }
