--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -7,10 +7,12 @@
 )
 
 func goldenUpdate(state State) Update {
-	return Update{Name: "c", Address: "127.0.0.3:7003", State: state, Incarnation: 1764700000123, Run: 0xfedcba9876543210, By: "a"}
+	return Update{
+		Name: "c", Address: "127.0.0.3:7003", State: state, Incarnation: 1764700000123, Run: 0xfedcba9876543210, By: "a",
+	}
 }
 
-// goldenPacket has every field set, those too that its kind does not need.
+// goldenPacket has every field set, including those that its kind does not need.
 func goldenPacket(kind Kind) *Packet {
 	p := &Packet{
 		Kind: kind, From: "a", Address: "127.0.0.1:7001", Incarnation: 1764700000001, Run: 0x123456789abcdef0, Seq: 99,
@@ -22,12 +24,15 @@
 	return p
 }
 
-// comparePacket compares a packet with its fixture, both ways, sealed and open.
-func comparePacket(t *testing.T, name string, p *Packet) {
+// comparePacket compares a packet with its fixtures in both directions, signed and unsigned.
+func comparePacket(t *testing.T, name string, packet *Packet) {
 	t.Helper()
-	for suffix, codec := range map[string]Codec{"": {Cluster: "town"}, "_sealed": {Cluster: "town", Key: []byte("0123456789abcdef")}} {
+	for suffix, codec := range map[string]Codec{
+		"":        {Cluster: "town"},
+		"_sealed": {Cluster: "town", Key: []byte("0123456789abcdef")},
+	} {
 		file := "packet_" + name + suffix + ".bin"
-		raw, err := codec.Encode(p)
+		raw, err := codec.Encode(packet)
 		if err != nil {
 			t.Fatalf("%s: %v", file, err)
 		}
@@ -36,11 +41,11 @@
 		if err != nil {
 			t.Fatalf("%s: %v", file, err)
 		}
-		golden.Equal(t, file, back, p)
+		golden.Equal(t, file, back, packet)
 	}
 }
 
-// Packets of every kind are as instances of earlier programs send and read them.
+// Packets of every kind are encoded as earlier releases send and read them.
 func TestPacketsOnTheWire(t *testing.T) {
 	kinds := map[string]Kind{
 		"ping": Ping, "ack": Ack, "ping_req": PingReq, "nack": Nack, "gossip": Gossip, "digest": Digest,
@@ -56,7 +61,7 @@
 	}
 }
 
-// Every state of a member keeps its place on the wire.
+// Every state of a member keeps its number on the wire.
 func TestStatesOnTheWire(t *testing.T) {
 	p := goldenPacket(Gossip)
 	p.Updates = nil
@@ -66,11 +71,11 @@
 	comparePacket(t, "states", p)
 }
 
-// The view is what the admin address answers.
+// The view is the response of the admin API.
 func TestViewOnTheWire(t *testing.T) {
 	view := View{Self: "a", At: 1764700000123.5, Health: 3, Superseded: "127.0.0.9:7009", Rejected: 2, Members: []Member{{
-		Name:    "c",
-		Address: "127.0.0.3:7003", State: Suspect, Incarnation: 1764700000123, Run: 0xfedcba9876543210, Since: 1764700000001.25, By: "a",
+		Name: "c", Address: "127.0.0.3:7003", State: Suspect, Incarnation: 1764700000123, Run: 0xfedcba9876543210,
+		Since: 1764700000001.25, By: "a",
 	}}}
 	golden.RoundTrip(t, "view.json", view, json.Marshal, json.Unmarshal)
 }
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -14,9 +14,9 @@
 	}
 }
 
-// said is a packet from a member, with updates.
-func packetFrom(from Name, inc Incarnation, updates ...Update) *Packet {
-	return &Packet{Kind: Gossip, From: from, Address: "127.0.0.2:1", Incarnation: inc, Run: 9, Updates: updates}
+// packetFromB is a gossip packet from member b with updates.
+func packetFromB(updates ...Update) *Packet {
+	return &Packet{Kind: Gossip, From: "b", Address: "127.0.0.2:1", Incarnation: 5, Run: 9, Updates: updates}
 }
 
 func TestSettingsChecked(t *testing.T) {
@@ -32,16 +32,19 @@
 		"membership.seeds[1].address: \"127.0.0": func(s *Settings) { s.Seeds[1].Address = s.Seeds[0].Address },
 	} {
 		s := settings("a")
-		if change(&s); s.Check() == nil || !strings.HasPrefix(s.Check().Error(), want) {
-			t.Errorf("want %q, got %v", want, s.Check())
+		change(&s)
+		if err := s.Check(); err == nil || !strings.HasPrefix(err.Error(), want) {
+			t.Errorf("want %q, got %v", want, err)
 		}
 	}
-	if s := settings("a"); s.Check() != nil {
-		t.Error(s.Check())
+	valid := settings("a")
+	if err := valid.Check(); err != nil {
+		t.Error(err)
 	}
 }
 
-// Packets come back as they were, fit their bound, and nothing that is odd passes.
+// Packets are decoded as they were encoded and fit the size they are reckoned at; signatures, clusters and fields are
+// checked.
 func TestCodec(t *testing.T) {
 	long := Name(strings.Repeat("n", maxNameBytes))
 	full := &Packet{
@@ -59,24 +62,43 @@
 	if err != nil || len(raw) > full.size() {
 		t.Fatalf("%d bytes, reckoned %d, %v", len(raw), full.size(), err)
 	}
-	if back, err := sealed.Decode(raw); err != nil || len(back.Updates) != len(full.Updates) || back.Updates[0] != full.Updates[0] ||
-		back.Seq != full.Seq || back.From != full.From || back.TargetAddress != full.TargetAddress {
+	if back, err := sealed.Decode(raw); err != nil || len(back.Updates) != len(full.Updates) ||
+		back.Updates[0] != full.Updates[0] || back.Seq != full.Seq || back.From != full.From ||
+		back.TargetAddress != full.TargetAddress {
 		t.Errorf("%+v, %v", back, err)
 	}
-	for i := range raw { // no byte can be changed
-		odd := append([]byte(nil), raw...)
-		odd[i]++
-		if _, err := sealed.Decode(odd); !errors.Is(err, ErrSignature) {
-			t.Fatalf("byte %d changed: %v", i, err)
-		}
+	checkSignature(t, sealed, raw)
+	if raw, err = (Codec{Cluster: "other"}).Encode(full); err != nil {
+		t.Fatal(err)
 	}
 	open := Codec{Cluster: "c"}
-	if raw, _ = (Codec{Cluster: "other"}).Encode(full); raw != nil {
-		if _, err := open.Decode(raw); !errors.Is(err, ErrCluster) {
-			t.Error(err)
+	if _, err := open.Decode(raw); !errors.Is(err, ErrCluster) {
+		t.Error(err)
+	}
+	checkMalformed(t, open)
+	for i := range raw {
+		if _, err := open.Decode(raw[:i]); err == nil {
+			t.Errorf("the first %d bytes pass", i)
+		}
+	}
+}
+
+// checkSignature changes each byte of a signed packet in turn.
+func checkSignature(t *testing.T, sealed Codec, raw []byte) {
+	t.Helper()
+	for i := range raw {
+		changed := append([]byte(nil), raw...)
+		changed[i]++
+		if _, err := sealed.Decode(changed); !errors.Is(err, ErrSignature) {
+			t.Fatalf("byte %d changed: %v", i, err)
 		}
 	}
-	ok := Update{Name: "x", Address: "127.0.0.1:1", Incarnation: 1}
+}
+
+// checkMalformed decodes packets with one invalid field each.
+func checkMalformed(t *testing.T, open Codec) {
+	t.Helper()
+	valid := Update{Name: "x", Address: "127.0.0.1:1", Incarnation: 1}
 	for name, change := range map[string]func(*Packet){
 		"kind":               func(p *Packet) { p.Kind = kindCount },
 		"no sender":          func(p *Packet) { p.From = "" },
@@ -90,7 +112,7 @@
 		"at the top":         func(p *Packet) { p.Updates[0].Incarnation = maxIncarnation },
 		"nobody accuses":     func(p *Packet) { p.Updates[0].State = Suspect },
 	} {
-		p := packetFrom("b", 5, ok)
+		p := packetFromB(valid)
 		change(p)
 		raw, err := open.Encode(p)
 		if err != nil {
@@ -100,17 +122,12 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	for i := range raw {
-		if _, err := open.Decode(raw[:i]); err == nil {
-			t.Errorf("the first %d bytes pass", i)
-		}
-	}
 }
 
-// A newer process of one's name elsewhere has it from then on; an older one's word changes nothing; a record of an
-// earlier run at the same place is denied.
+// A newer process of the same name elsewhere supersedes a member; updates of an older one change nothing; an update of
+// an earlier run at the same address is refuted.
 func TestOneName(t *testing.T) {
-	for name, tc := range map[string]struct {
+	for name, test := range map[string]struct {
 		u          Update
 		superseded bool
 		raised     bool
@@ -118,81 +135,86 @@
 		"newer, elsewhere":            {Update{Address: "127.0.0.9:1", Incarnation: 2000, Run: 8}, true, false},
 		"older, elsewhere":            {Update{Address: "127.0.0.9:1", Incarnation: 900, Run: 8}, false, false},
 		"earlier run, clock put back": {Update{Address: "127.0.0.1:1", Incarnation: 2000, Run: 8}, false, true},
-		"dead at this incarnation":    {Update{Address: "127.0.0.1:1", Incarnation: 1000, Run: 7, State: Dead, By: "b"}, false, true},
-		"dead long ago":               {Update{Address: "127.0.0.1:1", Incarnation: 900, Run: 6, State: Dead, By: "b"}, false, false},
-		"its own word":                {Update{Address: "127.0.0.1:1", Incarnation: 1000, Run: 7}, false, false},
+		"dead at this incarnation": {
+			Update{Address: "127.0.0.1:1", Incarnation: 1000, Run: 7, State: Dead, By: "b"}, false, true,
+		},
+		"dead long ago": {
+			Update{Address: "127.0.0.1:1", Incarnation: 900, Run: 6, State: Dead, By: "b"}, false, false,
+		},
+		"its own word": {Update{Address: "127.0.0.1:1", Incarnation: 1000, Run: 7}, false, false},
 	} {
 		d := New(settings("a"))
-		tc.u.Name = "a"
+		test.u.Name = "a"
 		d.Tick(1000)
-		d.Receive(1001, packetFrom("b", 5, tc.u))
-		if got := d.View().Superseded != ""; got != tc.superseded {
+		d.Receive(1001, packetFromB(test.u))
+		if got := d.View().Superseded != ""; got != test.superseded {
 			t.Errorf("%s: superseded %v", name, got)
 		}
-		if got := d.self.Incarnation > 1000; got != tc.raised || tc.raised && d.self.Incarnation <= tc.u.Incarnation {
+		if got := d.self.Incarnation > 1000; got != test.raised || test.raised && d.self.Incarnation <= test.u.Incarnation {
 			t.Errorf("%s: incarnation %d", name, d.self.Incarnation)
 		}
-		if out := d.Tick(100000); tc.superseded && len(out.Sends) > 0 {
-			t.Errorf("%s: it goes on speaking", name)
+		if out := d.Tick(100000); test.superseded && len(out.Sends) > 0 {
+			t.Errorf("%s: it still sends packets", name)
 		}
 	}
 }
 
-// Word of a death is an accusation to who had no doubt, and the truth to who had.
+// Another member's Dead counts as an accusation of a member that is alive here, and as a death of one that is
+// suspected.
 func TestDeathReports(t *testing.T) {
-	d := New(settings("a"))
-	d.Tick(1000)
-	c := Update{Name: "c", Address: "127.0.0.3:1", Incarnation: 5, Run: 3}
-	d.Receive(1001, packetFrom("b", 5, c))
-	dead := c
+	detector := New(settings("a"))
+	detector.Tick(1000)
+	member := Update{Name: "c", Address: "127.0.0.3:1", Incarnation: 5, Run: 3}
+	detector.Receive(1001, packetFromB(member))
+	dead := member
 	dead.State, dead.By = Dead, "b"
-	d.Receive(1002, packetFrom("b", 5, dead))
-	if s, _, _ := d.StateOf("c"); s != Suspect {
-		t.Errorf("at the first word %v", s)
+	detector.Receive(1002, packetFromB(dead))
+	if s, _, _ := detector.StateOf("c"); s != Suspect {
+		t.Errorf("after the first report %v", s)
 	}
-	d.Receive(1003, packetFrom("b", 5, dead))
-	if s, _, _ := d.StateOf("c"); s != Dead {
-		t.Errorf("at the second word %v", s)
+	detector.Receive(1003, packetFromB(dead))
+	if s, _, _ := detector.StateOf("c"); s != Dead {
+		t.Errorf("after the second report %v", s)
 	}
-	d.Receive(1004, packetFrom("b", 5, c))
-	if s, _, _ := d.StateOf("c"); s != Dead {
-		t.Errorf("old word of its life: %v", s)
+	detector.Receive(1004, packetFromB(member))
+	if s, _, _ := detector.StateOf("c"); s != Dead {
+		t.Errorf("after a late update about its life: %v", s)
 	}
-	c.Incarnation++
-	d.Receive(1005, packetFrom("b", 5, c))
-	if s, inc, _ := d.StateOf("c"); s != Alive || inc != 6 {
-		t.Errorf("its denial: %v %d", s, inc)
+	member.Incarnation++
+	detector.Receive(1005, packetFromB(member))
+	if s, inc, _ := detector.StateOf("c"); s != Alive || inc != 6 {
+		t.Errorf("after its refutation: %v %d", s, inc)
 	}
 }
 
-// The table holds no more than its bound, and forgets those that are long dead.
+// The table stays within its bound, and forgets members that died or left long ago.
 func TestBounds(t *testing.T) {
-	d := New(settings("a"))
-	d.Tick(1000)
+	detector := New(settings("a"))
+	detector.Tick(1000)
 	names := []Name{"c", "d", "e", "f"}
 	for _, n := range names {
-		d.Receive(1001, packetFrom("b", 5, Update{Name: n, Address: "127.0.0.3:1", Incarnation: 5}))
+		detector.Receive(1001, packetFromB(Update{Name: n, Address: "127.0.0.3:1", Incarnation: 5}))
 	}
-	if v := d.View(); len(v.Members) != 4 || v.Rejected != 2 {
+	if v := detector.View(); len(v.Members) != 4 || v.Rejected != 2 {
 		t.Errorf("%d members, %d refused", len(v.Members), v.Rejected)
 	}
-	d.Receive(1002, packetFrom("b", 5, Update{Name: "c", Address: "127.0.0.3:1", Incarnation: 5, State: Left}))
-	for now := 1002.0; now < 200000; now = max(now+1, d.Next()) {
-		d.Tick(now)
+	detector.Receive(1002, packetFromB(Update{Name: "c", Address: "127.0.0.3:1", Incarnation: 5, State: Left}))
+	for now := 1002.0; now < 200000; now = max(now+1, detector.Next()) {
+		detector.Tick(now)
 	}
-	if _, _, known := d.StateOf("c"); known {
+	if _, _, known := detector.StateOf("c"); known {
 		t.Error("one that left is never forgotten")
 	}
-	if d.table.size() != 1 || len(d.broadcasts.levels) > 20 || d.broadcasts.size > 1 {
-		t.Errorf("%d members, queue of %d", d.table.size(), d.broadcasts.size)
+	if detector.table.size() != 1 || len(detector.broadcasts.levels) > 20 || detector.broadcasts.size > 1 {
+		t.Errorf("%d members, queue of %d", detector.table.size(), detector.broadcasts.size)
 	}
 }
 
-// A detector that stood still takes nothing for dead by that.
+// After a pause of its own process a detector declares nobody dead.
 func TestOwnPause(t *testing.T) {
 	d := New(settings("a"))
 	d.Tick(1000)
-	d.Receive(1001, packetFrom("b", 5))
+	d.Receive(1001, packetFromB())
 	now := 1001.0
 	for s := Alive; s != Suspect; s, _, _ = d.StateOf("b") {
 		now = d.Next()
@@ -203,17 +225,19 @@
 		t.Errorf("after its own pause %v", s)
 	}
 	if d.awareness == 0 {
-		t.Error("it has no doubt in itself")
+		t.Error("its awareness has not grown")
 	}
 }
 
-// BenchmarkDetector is the work of one detector in a fleet, for a ping that it answers and its share of ticks.
+// BenchmarkDetector measures one detector in a cluster, for a ping that it acknowledges and its share of ticks.
 func BenchmarkDetector(b *testing.B) {
 	for _, members := range []int{5, 50, 1000} {
 		b.Run(strconv.Itoa(members), func(b *testing.B) {
 			var all []Update
 			for i := range members {
-				all = append(all, Update{Name: Name("n" + strconv.Itoa(i)), Address: "127.0.0.1:" + strconv.Itoa(i+1), Incarnation: 1})
+				all = append(all, Update{
+					Name: Name("n" + strconv.Itoa(i)), Address: "127.0.0.1:" + strconv.Itoa(i+1), Incarnation: 1,
+				})
 			}
 			s := settings("n0")
 			s.Address, s.Initial, s.MaxMembers = "127.0.0.1:1", NewRoster(all), 2*members
--- a/internal/cluster/membership/sim/sim.go
+++ b/internal/cluster/membership/sim/sim.go
@@ -1,110 +1,98 @@
-// Package sim plays many detectors against each other in simulated time: a network that loses, delays and cuts, members
-// that stop, stall and start again. The detectors are those of the marshals; nothing else is real. The same seed gives
-// the same run.
+// Package sim runs many membership detectors in simulated time, over a simulated network that loses and delays packets
+// and cuts links, with members that are killed, stalled and restarted. The detectors are those of a real process;
+// nothing else is real. The same settings and calls give the same run.
+//
+// Make a [Fleet] with [New], inject faults with its methods, advance time with [Fleet.Run], and observe it through
+// [Fleet.OnChange], [Fleet.Member] and [Fleet.Agree]. sim.go holds the fleet and its faults, events.go the event queue.
 package sim
 
 import (
-	"container/heap"
 	"fmt"
 	"ottershed/internal/cluster/membership"
 	"ottershed/internal/stats"
 )
 
-// Millis is a time or a span in milliseconds.
+// Millis is a time or a duration in milliseconds.
 type Millis = membership.Millis
 
-// Settings say what is played.
+// Settings describe a fleet.
 type Settings struct {
 	Members          int
-	Seeds            int // the first so many members
-	Seed             uint64
-	ToleratedPause   Millis
-	DetectionTimeout Millis
-	Loss             float64 // share of packets, each drawn for itself
-	Delay            Millis  // of a packet, at the most; at the least a tenth of it
-	Prejoined        bool    // all know each other from the start
+	Seeds            int     // the first so many members are seeds
+	Seed             uint64  // of every random choice
+	ToleratedPause   Millis  // as in membership.Settings
+	DetectionTimeout Millis  // as in membership.Settings
+	Loss             float64 // share of packets that are lost, 0 to 1, each drawn independently
+	Delay            Millis  // the longest delay of a packet; the shortest is a tenth of it
+	Prejoined        bool    // all members know each other from the start
 	Codec            membership.Codec
 }
 
-// Heard is a change that a member made in its view, and whether the one it concerns was running.
+// Observation is a change in a member's view, and whether the member that it is about was running.
 type Observation struct {
-	Observer int // the member whose view it is
+	Observer int // the member whose view has changed
 	membership.Change
 	Running bool
 }
 
-// Member is one marshal.
+// Member is one simulated process.
 type Member struct {
 	Name     membership.Name
 	Detector *membership.Detector
 	Running  bool
-	Stalled  bool // its packets wait meanwhile
+	Stalled  bool // its clock stands still and its packets are queued
 	Starts   int
-	waiting  []*membership.Packet
-	wake     Millis // the earliest that is planned
+	waiting  []*membership.Packet // received while stalled
+	wake     Millis               // the earliest wake-up in the queue; 0: none
 }
 
-// Fleet is a run.
+// Fleet is a simulation.
 type Fleet struct {
 	settings  Settings
-	now       Millis
+	now       Millis // Unix
 	random    stats.Random
 	members   []*Member
-	byAddress map[string]int // by address
-	events    events
-	nextEvent uint64
+	byAddress map[string]int // indices of members
 	roster    *membership.Roster
-	cuts      map[[2]int]bool
+	cuts      map[[2]int]bool // links, from and to, that carry nothing
+	queue     eventQueue
 
 	OnChange func(Observation) // called for each change; may be nil
-	Packets  int
-	Bytes    int
-	Lost     int
+	Packets  int               // sent
+	Bytes    int               // sent
+	Lost     int               // packets sent and not delivered
 }
 
-// start is the Unix time at which a run begins, in milliseconds.
+// startUnix is the Unix time at which a simulation begins, in milliseconds.
 const startUnix = 1_700_000_000_000
 
-type event struct {
-	due    Millis
-	seq    uint64
-	member int
-	packet *membership.Packet // nil: a wake
-}
-
-type events []event
-
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].due < e[j].due || e[i].due == e[j].due && e[i].seq < e[j].seq
-}
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
-	return last
-}
-
-// New starts a fleet.
+// New makes a fleet and starts all members.
 func New(set Settings) (*Fleet, error) {
-	f := &Fleet{settings: set, now: startUnix, random: stats.Random{Seed: set.Seed}, byAddress: map[string]int{}, cuts: map[[2]int]bool{}}
+	fleet := &Fleet{
+		settings:  set,
+		now:       startUnix,
+		random:    stats.Random{Seed: set.Seed},
+		byAddress: map[string]int{},
+		cuts:      map[[2]int]bool{},
+	}
 	var all []membership.Update
 	for i := range set.Members {
 		m := &Member{Name: membership.Name(fmt.Sprintf("n%d", i))}
-		f.members = append(f.members, m)
-		f.byAddress[address(i)] = i
-		all = append(all, membership.Update{Name: m.Name, Address: address(i), Incarnation: startUnix, Run: membership.RunID(i + 1)})
+		fleet.members = append(fleet.members, m)
+		fleet.byAddress[address(i)] = i
+		all = append(all, membership.Update{
+			Name: m.Name, Address: address(i), Incarnation: startUnix, Run: membership.RunID(i + 1),
+		})
 	}
 	if set.Prejoined {
-		f.roster = membership.NewRoster(all)
+		fleet.roster = membership.NewRoster(all)
 	}
-	for i := range f.members {
-		if err := f.Start(i); err != nil {
+	for i := range fleet.members {
+		if err := fleet.Start(i); err != nil {
 			return nil, err
 		}
 	}
-	return f, nil
+	return fleet, nil
 }
 
 func address(i int) string { return fmt.Sprintf("10.%d.%d.%d:7946", i>>16, i>>8&255, i&255) }
@@ -112,45 +100,49 @@
 // Now is the simulated time since the start.
 func (f *Fleet) Now() Millis { return f.now - startUnix }
 
-// Member is one of them.
+// Member returns the member of an index.
 func (f *Fleet) Member(i int) *Member { return f.members[i] }
 
-// Start starts a member, or starts it again from nothing.
+// Start starts a member, or restarts it with no memory of its earlier run.
 func (f *Fleet) Start(i int) error {
-	m := f.members[i]
+	member := f.members[i]
 	set := membership.Settings{
-		Name: m.Name, Address: address(i), Run: membership.RunID(i + 1 + m.Starts*f.settings.Members),
-		Start: f.now, RandomSeed: f.settings.Seed<<20 + uint64(i) + uint64(m.Starts)<<40, ToleratedPause: f.settings.ToleratedPause,
-		DetectionTimeout: f.settings.DetectionTimeout, MaxMembers: max(2, 2*f.settings.Members),
+		Name:             member.Name,
+		Address:          address(i),
+		Run:              membership.RunID(i + 1 + member.Starts*f.settings.Members),
+		Start:            f.now,
+		RandomSeed:       f.settings.Seed<<20 + uint64(i) + uint64(member.Starts)<<40,
+		ToleratedPause:   f.settings.ToleratedPause,
+		DetectionTimeout: f.settings.DetectionTimeout,
+		MaxMembers:       max(2, 2*f.settings.Members),
 	}
 	for s := range min(f.settings.Seeds, f.settings.Members) {
 		set.Seeds = append(set.Seeds, membership.Seed{Name: f.members[s].Name, Address: address(s)})
 	}
-	if m.Starts == 0 {
+	if member.Starts == 0 {
 		set.Initial = f.roster
 	}
 	if err := set.Check(); err != nil {
 		return err
 	}
-	m.Detector, m.Running, m.Stalled, m.waiting, m.wake = membership.New(set), true, false, nil, 0
-	m.Starts++
+	*member = Member{Name: member.Name, Detector: membership.New(set), Running: true, Starts: member.Starts + 1}
 	f.scheduleWake(i, f.now)
 	return nil
 }
 
-// Kill ends a member at once.
+// Kill ends a member without any announcement.
 func (f *Fleet) Kill(i int) { f.members[i].Running = false }
 
-// Leave has a member say that it goes, and ends it.
+// Leave has a member announce its shutdown, and ends it.
 func (f *Fleet) Leave(i int) {
 	f.execute(i, f.members[i].Detector.Leave(f.now))
 	f.Kill(i)
 }
 
-// Stall stops a member's clock; what is sent to it waits.
+// Stall stops a member's clock; packets to it are queued.
 func (f *Fleet) Stall(i int) { f.members[i].Stalled = true }
 
-// Resume lets it go on.
+// Resume ends a stall: the member receives the queued packets.
 func (f *Fleet) Resume(i int) {
 	m := f.members[i]
 	m.Stalled = false
@@ -161,7 +153,7 @@
 	f.scheduleWake(i, f.now)
 }
 
-// Cut has nothing pass from one member to another, or pass again.
+// Cut cuts the link from one member to another in that direction, or restores it.
 func (f *Fleet) Cut(from, to int, on bool) {
 	if on {
 		f.cuts[[2]int{from, to}] = true
@@ -173,38 +165,42 @@
 // Loss sets the share of packets that are lost.
 func (f *Fleet) Loss(share float64) { f.settings.Loss = share }
 
-// Run plays on for a while.
+// Run advances the simulated time.
 func (f *Fleet) Run(span Millis) {
 	end := f.now + span
-	for len(f.events) > 0 && f.events[0].due <= end {
-		e := heap.Pop(&f.events).(event)
-		f.now = max(f.now, e.due)
-		m := f.members[e.member]
-		switch {
-		case !m.Running:
-		case m.Stalled && e.packet != nil:
-			m.waiting = append(m.waiting, e.packet)
-		case m.Stalled:
-			m.wake = 0 // Resume plans anew
-		case e.packet != nil:
-			f.execute(e.member, m.Detector.Receive(f.now, e.packet))
-		case e.due == m.wake:
-			m.wake = 0
-			f.execute(e.member, m.Detector.Tick(f.now))
-		}
+	for next, due := f.queue.popUntil(end); due; next, due = f.queue.popUntil(end) {
+		f.now = max(f.now, next.due)
+		f.deliver(next)
 	}
 	f.now = end
 }
 
-// done carries out what a detector wants.
+// deliver hands a packet or a wake-up to its member.
+func (f *Fleet) deliver(next event) {
+	m := f.members[next.member]
+	switch {
+	case !m.Running: // nobody receives it
+	case m.Stalled && next.packet != nil:
+		m.waiting = append(m.waiting, next.packet)
+	case m.Stalled:
+		m.wake = 0 // Resume schedules the next
+	case next.packet != nil:
+		f.execute(next.member, m.Detector.Receive(f.now, next.packet))
+	case next.due == m.wake:
+		m.wake = 0
+		f.execute(next.member, m.Detector.Tick(f.now))
+	}
+}
+
+// execute carries out the output of a member's detector.
 func (f *Fleet) execute(i int, out membership.Output) {
 	for _, s := range out.Sends {
 		f.send(i, s)
 	}
 	if f.OnChange != nil {
 		for _, c := range out.Changes {
-			of := f.byAddress[c.Address]
-			f.OnChange(Observation{Observer: i, Change: c, Running: f.members[of].Running})
+			subject := f.members[f.byAddress[c.Address]]
+			f.OnChange(Observation{Observer: i, Change: c, Running: subject.Running})
 		}
 	}
 	f.scheduleWake(i, f.members[i].Detector.Next())
@@ -213,7 +209,7 @@
 func (f *Fleet) send(from int, s membership.Send) {
 	raw, err := f.settings.Codec.Encode(&s.Packet)
 	if err != nil {
-		panic(err) // a packet of our own that can't be written
+		panic(err) // a fault of the codec: the detector's own packet
 	}
 	f.Packets++
 	f.Bytes += len(raw)
@@ -226,25 +222,21 @@
 	if err != nil {
 		panic(err)
 	}
-	f.push(event{due: f.now + f.settings.Delay*(0.1+0.9*f.random.Next()), member: to, packet: packet})
+	f.queue.push(event{due: f.now + f.settings.Delay*(0.1+0.9*f.random.Next()), member: to, packet: packet})
 }
 
+// scheduleWake plans a wake-up unless an earlier one is planned.
 func (f *Fleet) scheduleWake(i int, at Millis) {
 	m := f.members[i]
 	at = max(at, f.now)
 	if m.wake == 0 || at < m.wake {
 		m.wake = at
-		f.push(event{due: at, member: i})
+		f.queue.push(event{due: at, member: i})
 	}
 }
 
-func (f *Fleet) push(e event) {
-	f.nextEvent++
-	e.seq = f.nextEvent
-	heap.Push(&f.events, e)
-}
-
-// Agree tells whether all running members hold the same of all, and if not, what differs first.
+// Agree reports the first view that is not true: a running member's of a running one that is not Alive there, or of a
+// stopped one that is.
 func (f *Fleet) Agree() error {
 	for i, m := range f.members {
 		if !m.Running {
--- a/internal/cluster/membership/sim/sim_test.go
+++ b/internal/cluster/membership/sim/sim_test.go
@@ -11,11 +11,11 @@
 		set.ToleratedPause, set.DetectionTimeout = 4000, 12000
 	}
 	set.Delay, set.Seeds = 20, min(3, set.Members)
-	f, err := New(set)
+	simulated, err := New(set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f
+	return simulated
 }
 
 // falseDead counts the running members that anyone declares dead.
@@ -29,24 +29,24 @@
 	return &n
 }
 
-// Strangers that know but the seeds come to know all, whatever is lost.
+// Members that know only the seeds come to know all others, in spite of packet loss.
 func TestJoin(t *testing.T) {
 	t.Parallel()
-	for _, tc := range []struct {
+	for _, test := range []struct {
 		members int
 		loss    float64
 	}{{2, 0}, {5, 0.2}, {50, 0}, {200, 0.2}} {
-		f := fleet(t, Settings{Members: tc.members, Loss: tc.loss, Seed: 1})
+		f := fleet(t, Settings{Members: test.members, Loss: test.loss, Seed: 1})
 		f.Run(30000)
 		f.Loss(0)
 		f.Run(30000)
 		if err := f.Agree(); err != nil {
-			t.Errorf("%d members, loss %g: %v", tc.members, tc.loss, err)
+			t.Errorf("%d members, loss %g: %v", test.members, test.loss, err)
 		}
 	}
 }
 
-// A member that dies is declared dead by all within the bound, at every size and on every seed.
+// A member that dies is declared dead by all within the detection timeout, at every size and on every seed.
 func TestDeathWithinBound(t *testing.T) {
 	t.Parallel()
 	for _, members := range []int{2, 3, 5, 20, 100} {
@@ -71,34 +71,34 @@
 	}
 }
 
-// Members that stand still for as long as is to be borne are not declared dead, and declare nobody dead themselves.
+// Members that pause for no longer than the tolerated pause are not declared dead, and declare nobody dead.
 func TestPauses(t *testing.T) {
 	t.Parallel()
-	for _, tc := range []struct {
+	for _, test := range []struct {
 		members, stalled int
 	}{{2, 1}, {5, 1}, {5, 2}, {5, 4}, {20, 10}} {
 		for seed := range uint64(10) {
-			f := fleet(t, Settings{Members: tc.members, Seed: seed, Prejoined: true})
+			f := fleet(t, Settings{Members: test.members, Seed: seed, Prejoined: true})
 			dead := falseDead(f)
 			for range 5 {
 				f.Run(3000 + 200*Millis(seed))
-				for i := range tc.stalled {
+				for i := range test.stalled {
 					f.Stall(i)
 				}
 				f.Run(4000)
-				for i := range tc.stalled {
+				for i := range test.stalled {
 					f.Resume(i)
 				}
 			}
 			f.Run(8000)
 			if err := f.Agree(); err != nil || *dead > 0 {
-				t.Errorf("%d of %d members stalled, seed %d: %d declared dead, %v", tc.stalled, tc.members, seed, *dead, err)
+				t.Errorf("%d of %d members stalled, seed %d: %d declared dead, %v", test.stalled, test.members, seed, *dead, err)
 			}
 		}
 	}
 }
 
-// A long pause ends in death, and the dead that come back are taken in again, under a higher incarnation.
+// A member that pauses for longer is declared dead, and rejoins under a higher incarnation.
 func TestLongPause(t *testing.T) {
 	t.Parallel()
 	f := fleet(t, Settings{Members: 5, Seed: 3, Prejoined: true})
@@ -107,7 +107,7 @@
 	f.Run(15000)
 	for i := range 5 {
 		if state, _, _ := f.Member(i).Detector.StateOf("n2"); i != 2 && state != membership.Dead {
-			t.Errorf("n%d holds it for %v", i, state)
+			t.Errorf("n%d: state %v", i, state)
 		}
 	}
 	f.Resume(2)
@@ -120,17 +120,17 @@
 	}
 }
 
-// Under loss and one-sided cuts nobody who runs is declared dead.
+// Under packet loss and cuts in one direction no running member is declared dead.
 func TestLossAndCuts(t *testing.T) {
 	t.Parallel()
 	for name, cuts := range map[string][][2]int{
-		"loss alone":                    nil,
-		"one does not hear another":     {{0, 1}},
-		"one hears one only":            {{1, 0}, {2, 0}, {3, 0}},
-		"one is heard by one only":      {{0, 1}, {0, 2}, {0, 3}},
-		"both, by two that differ":      {{0, 1}, {0, 2}, {1, 0}, {3, 0}},
-		"two do not hear each other":    {{0, 1}, {1, 0}},
-		"a ring of those who hear less": {{0, 1}, {1, 2}, {2, 3}, {3, 4}, {4, 0}},
+		"loss alone":                  nil,
+		"one link":                    {{0, 1}},
+		"one receives from one only":  {{1, 0}, {2, 0}, {3, 0}},
+		"one is received by one only": {{0, 1}, {0, 2}, {0, 3}},
+		"both, by different members":  {{0, 1}, {0, 2}, {1, 0}, {3, 0}},
+		"both directions of a pair":   {{0, 1}, {1, 0}},
+		"a ring of links":             {{0, 1}, {1, 2}, {2, 3}, {3, 4}, {4, 0}},
 	} {
 		for _, loss := range []float64{0, 0.2} {
 			for seed := range uint64(6) {
@@ -141,112 +141,134 @@
 				}
 				f.Run(60000)
 				if *dead > 0 {
-					t.Errorf("%s, loss %g, seed %d: %d times one that runs was declared dead", name, loss, seed, *dead)
+					t.Errorf("%s, loss %g, seed %d: a running member was declared dead %d times", name, loss, seed, *dead)
 				}
 			}
 		}
 	}
 }
 
-// A fleet that was cut in two comes together again, also where no seed is on one side.
+// The two sides of a healed partition merge, also if there is no seed on one side.
 func TestCutInTwo(t *testing.T) {
 	t.Parallel()
-	f := fleet(t, Settings{Members: 6, Seed: 5, Prejoined: true})
+	simulated := fleet(t, Settings{Members: 6, Seed: 5, Prejoined: true})
 	part := func(on bool) {
 		for i := range 6 {
 			for j := range 6 {
 				if (i < 4) != (j < 4) {
-					f.Cut(i, j, on)
+					simulated.Cut(i, j, on)
 				}
 			}
 		}
 	}
-	f.Run(2000)
+	simulated.Run(2000)
 	part(true)
-	f.Run(40000)
-	if by := f.Member(5).Detector.Count(); by[membership.Dead] != 4 {
-		t.Errorf("the cut-off side holds %v", by)
+	simulated.Run(40000)
+	if by := simulated.Member(5).Detector.Count(); by[membership.Dead] != 4 {
+		t.Errorf("members by state on the smaller side: %v", by)
 	}
 	part(false)
-	f.Run(30000)
-	if err := f.Agree(); err != nil {
+	simulated.Run(30000)
+	if err := simulated.Agree(); err != nil {
 		t.Error(err)
 	}
 }
 
-// A restart comes with a higher incarnation, before and after its death is known; one that leaves is not missed.
+// A restart raises the incarnation, before and after the death is known; a member that leaves is not declared dead.
 func TestRestartAndLeave(t *testing.T) {
 	t.Parallel()
 	for _, down := range []Millis{100, 2000, 20000} {
-		f := fleet(t, Settings{Members: 5, Seed: 7, Prejoined: true})
-		f.Run(3000)
-		f.Kill(1)
-		f.Run(down)
-		if err := f.Start(1); err != nil {
+		simulated := fleet(t, Settings{Members: 5, Seed: 7, Prejoined: true})
+		simulated.Run(3000)
+		simulated.Kill(1)
+		simulated.Run(down)
+		if err := simulated.Start(1); err != nil {
 			t.Fatal(err)
 		}
-		f.Run(15000)
-		if err := f.Agree(); err != nil {
+		simulated.Run(15000)
+		if err := simulated.Agree(); err != nil {
 			t.Errorf("down for %g ms: %v", down, err)
 		}
 		for i := range 5 {
-			if _, inc, _ := f.Member(i).Detector.StateOf("n1"); inc < membership.Incarnation(startUnix+3000+down) {
+			if _, inc, _ := simulated.Member(i).Detector.StateOf("n1"); inc < membership.Incarnation(startUnix+3000+down) {
 				t.Errorf("down for %g ms: n%d holds incarnation %d", down, i, inc)
 			}
 		}
-		f.Leave(4)
-		f.Run(3000)
+		simulated.Leave(4)
+		simulated.Run(3000)
 		for i := range 4 {
-			if state, _, _ := f.Member(i).Detector.StateOf("n4"); state != membership.Left {
-				t.Errorf("n%d holds the one that left for %v", i, state)
+			if state, _, _ := simulated.Member(i).Detector.StateOf("n4"); state != membership.Left {
+				t.Errorf("n%d: state %v of the member that left", i, state)
 			}
 		}
 	}
 }
 
-// Faults drawn at random for a time: afterwards all agree. The same seed gives the same run.
+// After random faults that end, all running members agree, and the same seed gives the same run.
 func TestRandomFaults(t *testing.T) {
 	t.Parallel()
-	played := map[uint64]int{}
+	packets := map[uint64]int{}
 	for again := range 2 {
 		for seed := range uint64(25) {
-			f := fleet(t, Settings{Members: 5, Seed: seed, Loss: 0.1})
+			simulated := fleet(t, Settings{Members: 5, Seed: seed, Loss: 0.1})
 			for range 40 {
-				f.Run(200 + 1800*f.random.Next())
-				i, j := int(5*f.random.Next()), int(5*f.random.Next())
-				switch what := int(6 * f.random.Next()); {
-				case what == 0 && f.Member(i).Running:
-					f.Kill(i)
-				case what == 1 && !f.Member(i).Running:
-					f.Start(i)
-				case what == 2 && f.Member(i).Running:
-					f.Stall(i)
-				case what == 3 && f.Member(i).Stalled && f.Member(i).Running:
-					f.Resume(i)
-				case what >= 4:
-					f.Cut(i, j, what == 4)
-				}
+				simulated.Run(200 + 1800*simulated.random.Next())
+				randomFault(t, simulated)
 			}
-			f.Loss(0)
-			for i := range 5 {
-				for j := range 5 {
-					f.Cut(i, j, false)
-				}
-				if !f.Member(i).Running {
-					f.Start(i)
-				} else if f.Member(i).Stalled {
-					f.Resume(i)
-				}
-			}
-			f.Run(60000)
-			if err := f.Agree(); err != nil {
+			heal(t, simulated)
+			simulated.Run(60000)
+			if err := simulated.Agree(); err != nil {
 				t.Errorf("seed %d: %v", seed, err)
 			}
 			if again == 0 {
-				played[seed] = f.Packets
-			} else if played[seed] != f.Packets {
-				t.Errorf("seed %d: %d packets, and %d before", seed, f.Packets, played[seed])
+				packets[seed] = simulated.Packets
+			} else if packets[seed] != simulated.Packets {
+				t.Errorf("seed %d: %d packets, and %d before", seed, simulated.Packets, packets[seed])
 			}
 		}
 	}
 }
+
+// randomFault kills, starts, stalls or resumes one of five members, or cuts or restores a link. A fault that does not
+// apply to the member's state is left out.
+func randomFault(t *testing.T, f *Fleet) {
+	t.Helper()
+	i := int(5 * f.random.Next())
+	j := int(5 * f.random.Next())
+	member := f.Member(i)
+	switch fault := int(6 * f.random.Next()); {
+	case fault == 0 && member.Running:
+		f.Kill(i)
+	case fault == 1 && !member.Running:
+		start(t, f, i)
+	case fault == 2 && member.Running:
+		f.Stall(i)
+	case fault == 3 && member.Stalled && member.Running:
+		f.Resume(i)
+	case fault >= 4:
+		f.Cut(i, j, fault == 4)
+	}
+}
+
+// heal ends all faults of a fleet of five.
+func heal(t *testing.T, f *Fleet) {
+	t.Helper()
+	f.Loss(0)
+	for i := range 5 {
+		for j := range 5 {
+			f.Cut(i, j, false)
+		}
+		if !f.Member(i).Running {
+			start(t, f, i)
+		} else if f.Member(i).Stalled {
+			f.Resume(i)
+		}
+	}
+}
+
+func start(t *testing.T, f *Fleet, i int) {
+	t.Helper()
+	if err := f.Start(i); err != nil {
+		t.Fatal(err)
+	}
+}
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -9,32 +9,33 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// member is what is held of one member.
+// member is an entry of the table.
 type member struct {
 	Update
-	since       Millis // in this state
-	suspicion   *suspicion
-	confirmedAt Millis // while suspected: when it was last found to be there, by this member itself
-	notifiedAt  Millis // when it was last told what is held of it
-	transmits   int    // how often the newest update has gone out
-	queued      bool
+	since       Millis     // when this state began
+	suspicion   *suspicion // nil unless Suspect
+	confirmedAt Millis     // the last sign of life while Suspect, seen by this member itself
+	notifiedAt  Millis     // when the member was last sent its own state, while Dead
+	transmits   int        // of its newest update
+	queued      bool       // its newest update is still to be disseminated
 }
 
-// Roster is a list of members that many detectors may start from and share. It does not change.
+// Roster is an immutable list of members that many detectors can start from and share.
 type Roster struct {
 	members   []member
 	index     map[Name]int
 	checksums [buckets]uint64
 }
 
-// NewRoster makes a roster of members that are alive; a name that comes twice is held once.
+// NewRoster makes a roster of members that are alive; of entries with one name the first is used.
 func NewRoster(updates []Update) *Roster {
 	r := &Roster{index: make(map[Name]int, len(updates))}
 	for _, u := range updates {
 		if _, twice := r.index[u.Name]; twice {
 			continue
 		}
-		u.State, u.By = Alive, ""
+		u.State = Alive
+		u.By = ""
 		r.index[u.Name] = len(r.members)
 		r.members = append(r.members, member{Update: u})
 		r.checksums[bucketFor(u.Name)] ^= u.sum()
@@ -42,16 +43,16 @@
 	return r
 }
 
-// table holds the members: those that never changed since the start in the shared roster, the others itself. Its
-// bounds are Settings.MostMembers and the time after which the dead are forgotten.
+// table holds the members. Those that have not changed since the start stay in the shared roster. Settings.MaxMembers
+// and the time after which dead members are forgotten bound it.
 type table struct {
 	base      *Roster
-	overrides map[Name]*member // changed or new; nil for one of the roster that was forgotten
-	added     []Name           // new, in the order in which they came
-	checksums [buckets]uint64
-	forgotten int    // of the roster, forgotten
-	version   uint64 // changes so far
-	count     [4]int // by state
+	overrides map[Name]*member // changed or new members; nil for one of the roster that was forgotten
+	added     []Name           // new members, in the order of their addition
+	checksums [buckets]uint64  // XOR of the sums of a bucket's members
+	forgotten int              // members of the roster that were forgotten
+	version   uint64           // grows with each change
+	count     [4]int           // members by State
 }
 
 func newTable(base *Roster) *table {
@@ -63,16 +64,16 @@
 	return t
 }
 
-// slots is the number of places that at takes.
+// slots is the number of indices that memberAt takes.
 func (t *table) slots() int { return len(t.base.members) + len(t.added) }
 
 // size is the number of members.
 func (t *table) size() int { return t.slots() - t.forgotten }
 
-// present is the number of those that are alive or suspected.
+// present is the number of members that are alive or suspected.
 func (t *table) present() int { return t.count[Alive] + t.count[Suspect] }
 
-// at is the member in a place, to be read only; nil where it was forgotten.
+// memberAt is the member in a slot, to be read only; nil if it was forgotten.
 func (t *table) memberAt(i int) *member {
 	if i >= len(t.base.members) {
 		return t.overrides[t.added[i-len(t.base.members)]]
@@ -84,7 +85,7 @@
 	return m
 }
 
-// get is the member of a name, to be read only; nil where it is not known.
+// get is the member of a name, to be read only; nil if it is not known.
 func (t *table) get(name Name) *member {
 	if m, changed := t.overrides[name]; changed {
 		return m
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// write is the member of a name, to be changed by set.
+// write is the member of a name, copied out of the roster so that it can be changed; nil if it is not known.
 func (t *table) write(name Name) *member {
 	m, changed := t.overrides[name]
 	if !changed {
@@ -110,7 +111,7 @@
 	return m
 }
 
-// add takes a new member in.
+// add adds a member that is not known.
 func (t *table) add(u Update) *member {
 	m := &member{Update: u}
 	t.version++
@@ -125,7 +126,7 @@
 	return m
 }
 
-// set gives a member of write a new update.
+// set gives a member that write has returned a new update.
 func (t *table) set(m *member, u Update) {
 	b := bucketFor(m.Name)
 	t.version++
@@ -136,7 +137,7 @@
 	t.checksums[b] ^= m.sum()
 }
 
-// forget drops a member.
+// forget removes a member.
 func (t *table) forget(m *member) {
 	t.version++
 	t.checksums[bucketFor(m.Name)] ^= m.sum()
@@ -152,7 +153,7 @@
 	}
 }
 
-// changed are the members that differ from the roster, by name.
+// changed lists the members that were copied out of the roster or added, by name.
 func (t *table) changed() []*member {
 	var out []*member
 	for _, name := range slices.Sorted(maps.Keys(t.overrides)) {
@@ -163,11 +164,12 @@
 	return out
 }
 
+// buckets is the number of checksums in a Digest. It goes over the wire.
 const buckets = 64
 
 func bucketFor(name Name) int { return int(crc32.ChecksumIEEE([]byte(name)) % buckets) }
 
-// sum is what a member adds to its bucket's sum. A suspicion is not in it: gossip spreads that, and it passes.
+// sum is a member's part of its bucket's checksum. A suspicion counts as Alive: it is transient, and gossip spreads it.
 func (u *Update) sum() uint64 {
 	state := u.State
 	if state == Suspect {
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -5,30 +5,32 @@
 	"slices"
 )
 
-// Member is one line of a view.
+// Member is one member in a view.
 type Member struct {
 	Name        Name        `json:"name"`
 	Address     string      `json:"address"`
 	State       State       `json:"state"`
 	Incarnation Incarnation `json:"incarnation"`
 	Run         RunID       `json:"run,string"`
-	Since       Millis      `json:"since_ms"`     // in this state, Unix
-	By          Name        `json:"by,omitempty"` // who accuses it
+	Since       Millis      `json:"since_ms"`     // Unix; when this state began
+	By          Name        `json:"by,omitempty"` // the accuser
 }
 
-// View is what a member holds of all, itself included. It does not change.
+// View is an immutable snapshot of one member's table, itself included.
 type View struct {
 	Self       Name     `json:"self"`
 	At         Millis   `json:"at_ms"`                   // Unix
-	Health     int      `json:"health"`                  // its doubt in itself, 0 to 8
+	Health     int      `json:"health"`                  // its awareness: 0 (healthy) to 8
 	Superseded string   `json:"superseded_by,omitempty"` // the address of a newer process of its name
-	Rejected   int      `json:"refused"`                 // members not taken in for want of room
+	Rejected   int      `json:"refused"`                 // members not added because the table was full
 	Members    []Member `json:"members"`                 // by name
 }
 
-// View is the present view.
+// View is a snapshot of the present state.
 func (d *Detector) View() View {
-	v := View{Self: d.settings.Name, At: d.now, Health: int(d.awareness), Superseded: d.superseded, Rejected: d.rejected}
+	v := View{
+		Self: d.settings.Name, At: d.now, Health: int(d.awareness), Superseded: d.supersededBy, Rejected: d.rejected,
+	}
 	for i := range d.table.slots() {
 		if m := d.table.memberAt(i); m != nil {
 			v.Members = append(v.Members, m.snapshot())
@@ -38,13 +40,13 @@
 	return v
 }
 
-// Turns grows with each change of what View would show of members.
+// Version grows with each change of the members in View.
 func (d *Detector) Version() uint64 { return d.table.version }
 
-// Count tells how many members are in each state, without making a view.
+// Count is the number of members by State, without making a view.
 func (d *Detector) Count() (by [4]int) { return d.table.count }
 
-// StateOf is what is held of one member; known is false where nothing is.
+// StateOf is the state of one member; known is false if it is not in the table.
 func (d *Detector) StateOf(name Name) (s State, inc Incarnation, known bool) {
 	m := d.table.get(name)
 	if m == nil {
@@ -53,7 +55,7 @@
 	return m.State, m.Incarnation, true
 }
 
-// Get is a member's line; false where it is not known.
+// Get returns a member; false if it is not in the view.
 func (v *View) Get(name Name) (Member, bool) {
 	i, found := slices.BinarySearchFunc(v.Members, name, func(m Member, n Name) int { return cmp.Compare(m.Name, n) })
 	if !found {
@@ -62,7 +64,7 @@
 	return v.Members[i], true
 }
 
-// Present are the names of those that are alive or suspected, in order.
+// Present lists the names of the members that are alive or suspected, in order.
 func (v *View) Present() []Name {
 	var out []Name
 	for _, m := range v.Members {
@@ -80,12 +82,14 @@
 	}
 }
 
+// emitChange reports a change of a member to the caller; fresh says that the member was not known.
 func (d *Detector) emitChange(m *member, was State, fresh bool) {
-	if d.started {
-		if fresh {
-			m = d.table.write(m.Name)
-			m.since = d.now
-		}
-		d.output.Changes = append(d.output.Changes, Change{At: d.now, Previous: was, New: fresh, Member: m.snapshot()})
+	if d.phase == created {
+		return
+	}
+	if fresh {
+		m = d.table.write(m.Name)
+		m.since = d.now
 	}
+	d.output.Changes = append(d.output.Changes, Change{At: d.now, Previous: was, New: fresh, Member: m.snapshot()})
 }
--- a/internal/cluster/membership/view_test.go
+++ b/internal/cluster/membership/view_test.go
@@ -5,11 +5,13 @@
 	"testing"
 )
 
-// A view comes back from JSON as it was: the commands and the lab read it so.
+// A view is decoded from JSON as it was encoded: the operator commands and the testbed read it.
 func TestViewAsJSON(t *testing.T) {
 	d := New(settings("a"))
 	d.Tick(1000)
-	d.Receive(1001, packetFrom("b", 5, Update{Name: "c", Address: "127.0.0.3:1", State: Suspect, Incarnation: 7, Run: 1<<64 - 1, By: "b"}))
+	d.Receive(1001, packetFromB(Update{
+		Name: "c", Address: "127.0.0.3:1", State: Suspect, Incarnation: 7, Run: 1<<64 - 1, By: "b",
+	}))
 	v := d.View()
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -27,10 +29,10 @@
 		t.Errorf("%v", p)
 	}
 	if _, known := back.Get("x"); known {
-		t.Error("one that nobody knows")
+		t.Error("an unknown member is found")
 	}
 	var s State
 	if s.UnmarshalText([]byte("well")) == nil {
-		t.Error("a state that is none")
+		t.Error("an invalid state is accepted")
 	}
 }
--- a/internal/cluster/membership/wire.go
+++ b/internal/cluster/membership/wire.go
@@ -11,13 +11,14 @@
 
 const (
 	protocolVersion = 1
-	maxWireBytes    = 2048 // bytes; what is longer is nothing of ours
-	signatureBytes  = 16
+	maxWireBytes    = 2048 // bytes of a datagram that is decoded
+	signatureBytes  = 16   // bytes of the truncated HMAC-SHA-256
+	maxClusterBytes = 32   // bytes of the name of a cluster
 )
 
-// wirePacket is a packet on the wire: a list, so that no names of fields go over it.
+// wirePacket is the encoding of a packet: an array, so that field names are not sent.
 type wirePacket struct {
-	_msgpack      struct{} `msgpack:",as_array"`
+	_msgpack      struct{} `msgpack:",as_array"` //nolint:unused // msgpack reads its tag
 	Version       int
 	Cluster       string
 	Kind          Kind
@@ -33,7 +34,7 @@
 }
 
 type wireUpdate struct {
-	_msgpack    struct{} `msgpack:",as_array"`
+	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // msgpack reads its tag
 	Name        Name
 	Address     string
 	State       State
@@ -42,13 +43,13 @@
 	By          Name
 }
 
-// Codec turns packets into bytes and back. Only packets of one cluster, and sealed with its key if it has one, pass.
+// Codec encodes, signs, verifies and decodes the packets of one cluster.
 type Codec struct {
-	Cluster string
-	Key     []byte // none: anybody who reaches the port can speak
+	Cluster string // 0 to 32 bytes; packets of other clusters are rejected
+	Key     []byte // 16 bytes or more; nil: packets are not signed, and anyone who reaches the port can send them
 }
 
-// Encode writes a packet.
+// Encode encodes and signs a packet.
 func (c Codec) Encode(p *Packet) ([]byte, error) {
 	w := wirePacket{
 		Version: protocolVersion, Cluster: c.Cluster, Kind: p.Kind, From: p.From, Address: p.Address,
@@ -76,15 +77,15 @@
 	return h.Sum(nil)[:signatureBytes]
 }
 
-// What is wrong with a packet that is not taken.
+// The reasons why Decode rejects a packet.
 var (
 	ErrSignature = errors.New("packet: not sealed with the cluster's key")
 	ErrCluster   = errors.New("packet: of another cluster")
 	ErrMalformed = errors.New("packet: not of this form")
 )
 
-// Decode reads a packet and checks it. Whoever reaches the port can send anything: nothing is taken on trust, and what is
-// kept of a packet is bounded by its length.
+// Decode verifies, decodes and checks a packet. Anyone who reaches the port can send anything: no field is trusted, and
+// the memory that a packet takes is bounded by its length.
 func (c Codec) Decode(raw []byte) (*Packet, error) {
 	if len(raw) > maxWireBytes {
 		return nil, fmt.Errorf("%w: %d bytes", ErrMalformed, len(raw))
@@ -122,10 +123,10 @@
 	return p, nil
 }
 
-// highest bounds incarnations. Danger: one at the top of its type could never be denied, for there is none above.
+// maxIncarnation bounds incarnations: the highest value of the type could never be refuted.
 const maxIncarnation = Incarnation(1) << 62
 
-// Check tells what is wrong with a packet from elsewhere.
+// Check reports the first fault of a received packet.
 func (p *Packet) Check() error {
 	if p.Kind < Ping || p.Kind >= kindCount {
 		return fmt.Errorf("kind %d", p.Kind)
@@ -177,27 +178,25 @@
 	return nil
 }
 
-// Bytes that parts of a packet take on the wire at most, beside their texts.
+// The most bytes that parts of an encoded packet take, beside their texts.
 const (
-	fixedBytes  = 9 * 4 // of a packet: a sign and eight bytes each
-	updateBytes = 9*2 + 8
-	sumBytes    = 9
+	fixedBytes  = 9*4 + 24 // a packet: four numbers of nine bytes, headers and short fields
+	updateBytes = 9*2 + 8  // an update
+	sumBytes    = 9        // a checksum
 )
 
 func (u *Update) size() int { return updateBytes + len(u.Name) + len(u.Address) + len(u.By) }
 
 func (p *Packet) size() int {
-	n := fixedBytes + maxClusterBytes + signatureBytes + len(p.From) + len(p.Address) + len(p.Target) + len(p.TargetAddress) +
-		sumBytes*len(p.Sums) + 24
+	n := fixedBytes + maxClusterBytes + signatureBytes + len(p.From) + len(p.Address) + len(p.Target) +
+		len(p.TargetAddress) + sumBytes*len(p.Sums)
 	for i := range p.Updates {
 		n += p.Updates[i].size()
 	}
 	return n
 }
 
-const maxClusterBytes = 32
-
-// Check tells what is wrong with a codec's settings, naming the key of the operator's file.
+// Check reports the first fault of a codec's settings, by the key of the operator's file.
 func (c Codec) Check() error {
 	if len(c.Cluster) > maxClusterBytes {
 		return fmt.Errorf("membership.cluster: want %d bytes at most, got %d", maxClusterBytes, len(c.Cluster))
--- a/internal/cluster/membership/wire_golden_test.go
+++ b/internal/cluster/membership/wire_golden_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The bytes of a packet with every field set, sealed and not, are those of the golden file: members of different versions hear
-// each other.
+// The bytes of a packet with every field set, signed and not, are those of the golden file: members of different
+// versions understand each other.
 func TestGoldenPackets(t *testing.T) {
 	packet := &Packet{
 		Kind: PingReq, From: "n0", Address: "127.0.0.1:7946", Incarnation: 5, Run: 1 << 63, Seq: 7, Target: "n1",
