--- a/cmd/balancer/policy_cluster_test.go
+++ b/cmd/balancer/policy_cluster_test.go
@@ -354,7 +354,7 @@
 		})
 		log := f.Process(2).Output()
 		log = log[strings.LastIndex(log, `msg="policy on"`):]
-		if strings.Contains(log, "was=4") || !strings.Contains(log, "taken in again") {
+		if strings.Contains(log, "was=4") || !strings.Contains(log, `msg="raft: no log in the store, rejoining`) {
 			t.Errorf("%s: not taken in anew:\n%s", name, log)
 		}
 		if whole := f.Process(2).Output(); !strings.Contains(whole[strings.LastIndex(whole, `msg="membership on"`):], "store was torn") {
--- /dev/null
+++ b/internal/cluster/raftlog/fsm.go
@@ -0,0 +1,174 @@
+package raftlog
+
+import (
+	"encoding/binary"
+	"fmt"
+	"io"
+	"ottershed/internal/cluster/quorum"
+	"strconv"
+	"sync"
+	"sync/atomic"
+
+	"github.com/hashicorp/raft"
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// StateMachine applies the commands of one kind, in the order of the log, with the same result at every server. Its
+// methods are never called concurrently.
+type StateMachine interface {
+	// Apply applies a command; at is the log's time, see quorum.Clock. The reply goes to the proposer.
+	Apply(index uint64, at quorum.Millis, command []byte) (reply []byte)
+	Snapshot() ([]byte, error)
+	Restore(raw []byte) error
+}
+
+// clocked is a state machine with a time of its own in its snapshots, from releases before the log had one.
+type clocked interface{ LogTime() quorum.Millis }
+
+// fsm implements raft.FSM: it dispatches commands to the state machines.
+type fsm struct {
+	mu       sync.Mutex
+	machines map[Kind]StateMachine
+	logClock quorum.Clock
+	// lastApplied is the index of the newest command that the state machines have applied. Raft's own AppliedIndex also
+	// counts entries that are still queued for them; a rejoining server would be promoted before it holds everything.
+	lastApplied atomic.Uint64
+}
+
+// Apply implements raft.FSM. Its result is the reply of the state machine, a []byte.
+func (f *fsm) Apply(entry *raft.Log) any {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if entry.Type != raft.LogCommand || len(entry.Data) == 0 {
+		return []byte(nil)
+	}
+	at, command, valid := f.decode(entry)
+	if !valid {
+		return []byte(nil)
+	}
+	machine := f.machines[command[0]]
+	if machine == nil {
+		return []byte(nil)
+	}
+	reply := machine.Apply(entry.Index, at, command[1:])
+	f.lastApplied.Store(entry.Index)
+	return reply
+}
+
+// decode advances the log's time to an entry and returns its command with the kind in front; false for an entry with an
+// invalid stamp, which no leader writes.
+func (f *fsm) decode(entry *raft.Log) (quorum.Millis, []byte, bool) {
+	stamp, command, stamped := cutStamp(entry.Data)
+	switch {
+	case stamped:
+		return f.logClock.Advance(stamp), command, true
+	case entry.Data[0] == stampedEntry:
+		return 0, nil, false
+	default:
+		return f.logClock.AdvanceTo(float64(entry.AppendedAt.UnixMicro()) / 1000), command, true
+	}
+}
+
+// Keys of a snapshot beside the kinds of the state machines. They are stored.
+const (
+	lastKey  = "last"  // the index of the newest command
+	clockKey = "clock" // the log's time
+)
+
+// Snapshot implements raft.FSM.
+func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	at, err := msgpack.Marshal(&f.logClock)
+	if err != nil {
+		return nil, err
+	}
+	parts := map[string][]byte{lastKey: indexKey(f.lastApplied.Load()), clockKey: at}
+	for kind, machine := range f.machines {
+		raw, err := machine.Snapshot()
+		if err != nil {
+			return nil, err
+		}
+		parts[machineKey(kind)] = raw
+	}
+	raw, err := msgpack.Marshal(parts)
+	if err != nil {
+		return nil, err
+	}
+	return snapshot(appendChecksum(raw)), nil
+}
+
+func machineKey(kind Kind) string { return strconv.Itoa(int(kind)) }
+
+// Restore implements raft.FSM.
+func (f *fsm) Restore(from io.ReadCloser) error {
+	defer func() { _ = from.Close() }() // it was read to its end and checked
+	parts, err := readSnapshot(from)
+	if err != nil {
+		return err
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for kind, machine := range f.machines {
+		if raw, stored := parts[machineKey(kind)]; stored {
+			if err := machine.Restore(raw); err != nil {
+				return err
+			}
+		}
+	}
+	if err := f.restoreClock(parts[clockKey]); err != nil {
+		return err
+	}
+	if last := parts[lastKey]; len(last) == indexBytes {
+		f.lastApplied.Store(binary.BigEndian.Uint64(last))
+	}
+	return nil
+}
+
+func readSnapshot(from io.Reader) (map[string][]byte, error) {
+	raw, err := io.ReadAll(from)
+	if err != nil {
+		return nil, err
+	}
+	if raw, err = verifyChecksum(raw); err != nil {
+		return nil, fmt.Errorf("snapshot: %w", err)
+	}
+	var parts map[string][]byte
+	if err := msgpack.Unmarshal(raw, &parts); err != nil {
+		return nil, fmt.Errorf("snapshot: %w", err)
+	}
+	return parts, nil
+}
+
+// restoreClock restores the log's time; without one, from a release before entries had stamps, it starts at the time of
+// the state machines.
+func (f *fsm) restoreClock(raw []byte) error {
+	f.logClock = quorum.Clock{}
+	if raw != nil {
+		if err := msgpack.Unmarshal(raw, &f.logClock); err != nil {
+			return fmt.Errorf("snapshot: %w", err)
+		}
+		return nil
+	}
+	for _, machine := range f.machines {
+		if c, ok := machine.(clocked); ok {
+			f.logClock.AdvanceTo(c.LogTime())
+		}
+	}
+	return nil
+}
+
+// snapshot is an encoded snapshot with its checksum. It implements raft.FSMSnapshot.
+type snapshot []byte
+
+// Persist implements raft.FSMSnapshot.
+func (s snapshot) Persist(to raft.SnapshotSink) error {
+	if _, err := to.Write(s); err != nil {
+		_ = to.Cancel() // the error of the write is the cause
+		return err
+	}
+	return to.Close()
+}
+
+// Release implements raft.FSMSnapshot.
+func (s snapshot) Release() {}
--- a/internal/cluster/raftlog/golden_test.go
+++ b/internal/cluster/raftlog/golden_test.go
@@ -23,17 +23,17 @@
 	"go.etcd.io/bbolt"
 )
 
-// Kinds of the log's commands. Danger: internal/cluster/policysync and internal/cluster/failover define them and import this package, so they
-// are repeated here; the fixtures of entries there begin with them.
+// Kinds of the log's commands. Packages policysync and failover define them and import this package, so they are
+// repeated here; the fixtures of entries there begin with them.
 const (
 	policyKind byte = 'p'
 	leaseKind  byte = 'l'
 )
 
-// policyPart and leasePart do as those of internal/cluster/policysync and internal/cluster/failover.
-type policyPart struct{ policy.State }
+// policyMachine and leaseMachine behave like those of packages policysync and failover.
+type policyMachine struct{ policy.State }
 
-func (p *policyPart) Apply(_ uint64, _ quorum.Millis, command []byte) []byte {
+func (p *policyMachine) Apply(_ uint64, _ quorum.Millis, command []byte) []byte {
 	var proposal policy.Proposal
 	if err := msgpack.Unmarshal(command, &proposal); err != nil {
 		return []byte(err.Error())
@@ -41,11 +41,11 @@
 	return []byte(p.State.Apply(&proposal).Rejection)
 }
 
-func (p *policyPart) Snapshot() ([]byte, error) { return p.Encode() }
+func (p *policyMachine) Snapshot() ([]byte, error) { return p.Encode() }
 
-type leasePart struct{ lease.Table }
+type leaseMachine struct{ lease.Table }
 
-func (p *leasePart) Apply(_ uint64, at quorum.Millis, raw []byte) []byte {
+func (p *leaseMachine) Apply(_ uint64, at quorum.Millis, raw []byte) []byte {
 	var command lease.Command
 	if err := msgpack.Unmarshal(raw, &command); err != nil {
 		return []byte(err.Error())
@@ -53,11 +53,11 @@
 	return []byte(p.Table.Apply(&command, at).Rejection)
 }
 
-func (p *leasePart) Snapshot() ([]byte, error) { return p.Encode() }
+func (p *leaseMachine) Snapshot() ([]byte, error) { return p.Encode() }
 
-// goldenMachine is a state machine with the parts that a server has.
-func goldenMachine() (*fsm, *policyPart, *leasePart) {
-	policy, leases := &policyPart{}, &leasePart{Table: *lease.NewTable()}
+// goldenMachine has the state machines that a server has.
+func goldenMachine() (*fsm, *policyMachine, *leaseMachine) {
+	policy, leases := &policyMachine{}, &leaseMachine{Table: *lease.NewTable()}
 	return &fsm{machines: map[byte]StateMachine{policyKind: policy, leaseKind: leases}}, policy, leases
 }
 
@@ -67,18 +67,19 @@
 	command any
 }
 
-// goldenCommands are commands of each kind, in an order in which all of them succeed. They leave a lease and a piece that
-// was ended, with no field empty.
+// goldenCommands are commands of each kind, in an order in which all of them succeed. They leave a lease and an
+// abandoned lease, with no field empty.
 func goldenCommands() []namedCommand {
-	a, b := lease.Holder{Name: "a", Incarnation: 5}, lease.Holder{Name: "b", Incarnation: 6}
-	claim := func(work lease.ID, by lease.Holder) lease.Command {
-		return lease.Command{Operation: lease.Acquire, ID: work, Holder: by, TTL: 60000}
+	first := lease.Holder{Name: "a", Incarnation: 5}
+	second := lease.Holder{Name: "b", Incarnation: 6}
+	claim := func(id lease.ID, by lease.Holder) lease.Command {
+		return lease.Command{Operation: lease.Acquire, ID: id, Holder: by, TTL: 60000}
 	}
-	release := func(work lease.ID, token lease.Token) lease.Command {
-		return lease.Command{Operation: lease.Release, ID: work, Holder: b, Token: token}
+	release := func(id lease.ID, token lease.Token) lease.Command {
+		return lease.Command{Operation: lease.Release, ID: id, Holder: second, Token: token}
 	}
-	take := func(work lease.ID) lease.Command {
-		return lease.Command{Operation: lease.TakeOver, ID: work, Holder: a, TTL: 60000}
+	take := func(id lease.ID) lease.Command {
+		return lease.Command{Operation: lease.TakeOver, ID: id, Holder: first, TTL: 60000}
 	}
 	return []namedCommand{
 		{"proposal", policy.Proposal{ID: "first", By: "a", At: 1764700000123.5, Body: []byte(`{"note":"a trial"}`)}},
@@ -86,11 +87,11 @@
 			ID: "second", By: "b", At: 1764700001123.5, Based: true, Base: 1,
 			Body: []byte(`{"note":"another"}`),
 		}},
-		{"claim_a", claim("trial/a", a)},
-		{"claim_b", claim("trial/b", b)},
-		{"claim_c", claim("trial/c", b)},
+		{"claim_a", claim("trial/a", first)},
+		{"claim_b", claim("trial/b", second)},
+		{"claim_c", claim("trial/c", second)},
 		{"keep_a", lease.Command{
-			Operation: lease.Renew, ID: "trial/a", Holder: a, Token: 1, TTL: 60000,
+			Operation: lease.Renew, ID: "trial/a", Holder: first, Token: 1, TTL: 60000,
 			Checkpoint: []byte("seen"), CheckpointSeq: 3,
 		}},
 		{"release_b", release("trial/b", 2)},
@@ -98,14 +99,14 @@
 		{"take_b", take("trial/b")},
 		{"take_c", take("trial/c")},
 		{"merge_b", lease.Command{
-			Operation: lease.Merge, ID: "trial/b", Holder: a, Token: 4, TTL: 60000,
+			Operation: lease.Merge, ID: "trial/b", Holder: first, Token: 4, TTL: 60000,
 			Checkpoint: []byte("both"), Into: "trial/a", IntoToken: 1, CheckpointSeq: 4,
 		}},
-		{"end_c", lease.Command{Operation: lease.Abandon, ID: "trial/c", Holder: a, Token: 5, Reason: "can't be read"}},
+		{"end_c", lease.Command{Operation: lease.Abandon, ID: "trial/c", Holder: first, Token: 5, Reason: "can't be read"}},
 	}
 }
 
-// goldenEntries are the log's entries with these commands, each under its leader's stamp.
+// goldenEntries are the entries of these commands, each with its leader's stamp.
 func goldenEntries(t *testing.T) (entries []*raft.Log) {
 	t.Helper()
 	for i, c := range goldenCommands() {
@@ -127,13 +128,13 @@
 	return entries
 }
 
-// applied is a machine that has taken all entries.
+// applied has applied all golden entries.
 func applied(t *testing.T) *fsm {
 	t.Helper()
 	m, policy, leases := goldenMachine()
 	for _, entry := range goldenEntries(t) {
-		if answer := m.Apply(entry).([]byte); len(answer) > 0 {
-			t.Fatalf("entry %d: %s", entry.Index, answer)
+		if reply := m.Apply(entry).([]byte); len(reply) > 0 {
+			t.Fatalf("entry %d: %s", entry.Index, reply)
 		}
 	}
 	golden.Filled(t, "clock", m.logClock)
@@ -144,7 +145,7 @@
 	return m
 }
 
-// Each entry of the log is as it was stored, and the stamp and the command are found in it.
+// Each entry is encoded as earlier releases stored it, and decoded into its stamp and command.
 func TestStoredEntries(t *testing.T) {
 	commands := goldenCommands()
 	for i, entry := range goldenEntries(t) {
@@ -159,7 +160,7 @@
 	}
 }
 
-// buffer is a raft.SnapshotSink.
+// buffer implements raft.SnapshotSink.
 type buffer struct{ bytes.Buffer }
 
 func (*buffer) ID() string    { return "buffer" }
@@ -179,8 +180,8 @@
 	return sink.Bytes()
 }
 
-// canonical is a snapshot with its parts sorted by key: the program writes a map, whose order differs from one time to the
-// next. Each part stays byte by byte as it is, and the sum over all is checked.
+// canonical is a snapshot with its parts sorted by key, for the order of the encoded map is random. Each part stays as
+// it is, byte by byte, and the checksum is verified.
 func canonical(t *testing.T, raw []byte) []byte {
 	t.Helper()
 	plain, err := verifyChecksum(raw)
@@ -203,7 +204,7 @@
 	return out.Bytes()
 }
 
-// A snapshot is as it was stored, but for the order of its parts, and restores the same machine.
+// A snapshot is encoded as earlier releases stored it, but for the order of its parts, and restores the same state.
 func TestStoredSnapshot(t *testing.T) {
 	const name = "snapshot.bin"
 	want := applied(t)
@@ -223,7 +224,7 @@
 	golden.Equal(t, name, got.machines, want.machines)
 }
 
-// goldenKept is what policy keeps of the version that was run last.
+// goldenKept is the user value in which policy stores the version that ran last.
 func goldenKept(t *testing.T) []byte {
 	t.Helper()
 	raw, err := policy.EncodeRecord(&policy.Record{
@@ -236,8 +237,8 @@
 	return raw
 }
 
-// goldenStored are the entries of the store, from the first index on, as in a store without a snapshot. No field of the last
-// one is empty.
+// goldenStored are the entries of the store, from the first index on, as in a store without a snapshot. No field of the
+// last one is empty.
 func goldenStored(t *testing.T) []*raft.Log {
 	t.Helper()
 	entries := goldenEntries(t)
@@ -254,7 +255,7 @@
 func writeStore(t *testing.T, dir string) {
 	t.Helper()
 	store := opened(t, dir)
-	defer store.Close()
+	defer closeStore(t, store)
 	for _, err := range []error{
 		store.StoreLogs(goldenStored(t)), store.SetUint64([]byte("CurrentTerm"), 2),
 		store.Set([]byte("LastVoteCand"), []byte("a")), store.PutUser("policy", goldenKept(t)),
@@ -274,6 +275,13 @@
 	return store
 }
 
+func closeStore(t *testing.T, store *Store) {
+	t.Helper()
+	if err := store.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
 // content lists all keys and values of a store.
 func content(t *testing.T, store *Store) (lines []string) {
 	t.Helper()
@@ -290,7 +298,7 @@
 	return lines
 }
 
-// copied is a copy of the stored file, for opening a store writes to its file.
+// copied is a directory with a copy of the fixture, for opening a store writes to its file.
 func copied(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -300,7 +308,7 @@
 	return dir
 }
 
-// The store has the keys and values that an earlier program wrote, byte by byte; its pages may lie otherwise.
+// The store has the keys and values that earlier releases wrote, byte by byte; the layout of its pages may differ.
 func TestStoredStore(t *testing.T) {
 	dir := t.TempDir()
 	writeStore(t, dir)
@@ -312,8 +320,8 @@
 		golden.Write(t, "store.db", raw)
 	}
 	written, stored := opened(t, dir), opened(t, copied(t))
-	defer written.Close()
-	defer stored.Close()
+	defer closeStore(t, written)
+	defer closeStore(t, stored)
 	got, want := content(t, written), content(t, stored)
 	if len(want) != len(goldenStored(t))+3 {
 		t.Errorf("%d values are stored", len(want))
@@ -341,21 +349,22 @@
 	}
 }
 
-// answered is what a server answers a call with.
-func answered(value any) ([]byte, error) {
+// encodeResponse is the body of a response.
+func encodeResponse(value any) ([]byte, error) {
 	recorder := httptest.NewRecorder()
 	WriteJSON(recorder, value)
 	return recorder.Body.Bytes(), nil
 }
 
-// Servers ask each other for their state and for their place.
+// Requests and responses between servers are encoded as earlier releases send and read them.
 func TestCallsOnTheWire(t *testing.T) {
-	golden.RoundTrip(t, "state.json", serverState{Established: true}, answered, json.Unmarshal)
-	golden.RoundTrip(t, "readmission.json", readmitRequest{Name: "b", Empty: true, Applied: 7}, json.Marshal, json.Unmarshal)
+	golden.RoundTrip(t, "state.json", serverState{Established: true}, encodeResponse, json.Unmarshal)
+	readmit := readmitRequest{Name: "b", Empty: true, Applied: 7}
+	golden.RoundTrip(t, "readmission.json", readmit, json.Marshal, json.Unmarshal)
 	golden.RoundTrip(t, "status.json", Status{
 		Role: "leader", Leader: "a", Term: 3, Commit: 20, Applied: 19,
 		Voters: []string{"a", "b"},
 	}, json.Marshal, json.Unmarshal)
 	steps := []quorum.Step{quorum.NoStep, quorum.Remove, quorum.AddLearner, quorum.CatchUp, quorum.Promote, quorum.Done}
-	golden.RoundTrip(t, "steps.json", steps, answered, json.Unmarshal)
+	golden.RoundTrip(t, "steps.json", steps, encodeResponse, json.Unmarshal)
 }
--- /dev/null
+++ b/internal/cluster/raftlog/listener.go
@@ -0,0 +1,140 @@
+package raftlog
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/raft"
+)
+
+const (
+	maxHandshakes    = 64 // connections in their handshake; further ones are closed
+	acceptRetryDelay = 10 * time.Millisecond
+)
+
+// mux shares one listener between raft and HTTP, by the kind that a connection's handshake names.
+type mux struct {
+	listener net.Listener
+	key      []byte
+	raft     chan net.Conn
+	http     chan net.Conn
+	done     chan struct{}
+	once     sync.Once
+}
+
+func newMux(listener net.Listener, key []byte) *mux {
+	m := &mux{
+		listener: listener,
+		key:      key,
+		raft:     make(chan net.Conn),
+		http:     make(chan net.Conn),
+		done:     make(chan struct{}),
+	}
+	go m.accept()
+	return m
+}
+
+func (m *mux) accept() {
+	handshakes := make(chan struct{}, maxHandshakes)
+	for {
+		conn, err := m.listener.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil {
+			time.Sleep(acceptRetryDelay) // out of file descriptors, for example
+			continue
+		}
+		select {
+		case handshakes <- struct{}{}:
+		default:
+			// Connections that send nothing occupy the handshakes for handshakeTimeout at most.
+			_ = conn.Close() // nothing was exchanged
+			continue
+		}
+		go func() {
+			kind, err := acceptHandshake(conn, m.key)
+			<-handshakes
+			if err != nil {
+				_ = conn.Close() // the other side sees its handshake fail
+				return
+			}
+			m.deliver(conn, kind)
+		}()
+	}
+}
+
+// deliver hands a connection to raft or HTTP.
+func (m *mux) deliver(conn net.Conn, kind byte) {
+	to := m.http
+	if kind == raftKind {
+		to = m.raft
+	}
+	select {
+	case to <- conn:
+	case <-m.done:
+		_ = conn.Close() // the server shuts down
+	}
+}
+
+// next waits for a connection.
+func (m *mux) next(from chan net.Conn) (net.Conn, error) {
+	select {
+	case conn := <-from:
+		return conn, nil
+	case <-m.done:
+		return nil, net.ErrClosed
+	}
+}
+
+// close closes the listener and ends the wait for connections.
+func (m *mux) close() {
+	m.once.Do(func() {
+		close(m.done)
+		_ = m.listener.Close() // the server shuts down
+	})
+}
+
+// httpListener implements net.Listener for HTTP.
+type httpListener struct{ mux *mux }
+
+func (l httpListener) Accept() (net.Conn, error) { return l.mux.next(l.mux.http) }
+func (l httpListener) Addr() net.Addr            { return l.mux.listener.Addr() }
+func (l httpListener) Close() error {
+	l.mux.close()
+	return nil
+}
+
+// streamLayer implements raft.StreamLayer. In raft's configuration a server's address is its name; each server finds
+// the address of a name in its own operator's file.
+type streamLayer struct {
+	mux     *mux
+	name    string
+	address func(name string) (string, error)
+}
+
+func (s streamLayer) Accept() (net.Conn, error) { return s.mux.next(s.mux.raft) }
+func (s streamLayer) Addr() net.Addr            { return serverAddr(s.name) }
+func (s streamLayer) Close() error {
+	s.mux.close()
+	return nil
+}
+
+func (s streamLayer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	address, err := s.address(string(to))
+	if err != nil {
+		return nil, err
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	defer cancel()
+	return dial(ctx, address, raftKind, s.mux.key)
+}
+
+// serverAddr is a server's name as a net.Addr.
+type serverAddr string
+
+func (a serverAddr) Network() string { return "name" }
+func (a serverAddr) String() string  { return string(a) }
--- a/internal/cluster/raftlog/propose.go
+++ b/internal/cluster/raftlog/propose.go
@@ -3,10 +3,8 @@
 import (
 	"bytes"
 	"context"
-	"encoding/binary"
 	"fmt"
 	"io"
-	"math"
 	"net/http"
 	"ottershed/internal/cluster/quorum"
 	"strconv"
@@ -17,37 +15,45 @@
 	"github.com/hashicorp/raft"
 )
 
-// Headers of answers to proposals: the answering process's reading of its own clock, and whom it follows.
+// Headers of responses to proposals.
 const (
-	clockHeader  = "X-Log-Clock"
-	leaderHeader = "X-Log-Leader"
+	clockHeader  = "X-Log-Clock"  // the responding process and its uptime in milliseconds
+	leaderHeader = "X-Log-Leader" // the leader that the responding server follows
 )
 
-// stamped is the kind of an entry that carries its leader's stamp before the command with its own kind. Entries without it
-// are from before there were stamps.
-const stampedEntry byte = 't'
-
-const stampBytes = 16
+// Propose appends a command to the log and returns the reply of its state machine. A reply can be lost with its leader;
+// the command is then proposed again, until a reply comes or ctx ends: the state machine must recognize a command that
+// it has applied already.
+func (n *Node) Propose(ctx context.Context, kind Kind, command []byte) ([]byte, error) {
+	first := n.leaderName()
+	if first == "" {
+		first = n.client.readings.lastLeader()
+	}
+	return n.client.propose(ctx, first, withKind(kind, command))
+}
 
-// sealStamp writes a stamp before a command.
-func prependStamp(s quorum.Stamp, command []byte) []byte {
-	out := make([]byte, 0, 1+stampBytes+len(command))
-	out = append(out, stampedEntry)
-	out = binary.BigEndian.AppendUint64(out, s.Process)
-	out = binary.BigEndian.AppendUint64(out, math.Float64bits(s.Uptime))
-	return append(out, command...)
+// Propose does as Node.Propose.
+func (c *Client) Propose(ctx context.Context, kind Kind, command []byte) ([]byte, error) {
+	return c.propose(ctx, c.readings.lastLeader(), withKind(kind, command))
 }
 
-// cutStamp takes it off again; false: there is none.
-func cutStamp(entry []byte) (quorum.Stamp, []byte, bool) {
-	if len(entry) < 2+stampBytes || entry[0] != stampedEntry {
-		return quorum.Stamp{}, entry, false
+func withKind(kind Kind, command []byte) []byte { return append([]byte{kind}, command...) }
+
+// Barrier returns when this server's state machines have applied all that was committed when it was called.
+func (n *Node) Barrier(ctx context.Context) error {
+	var index uint64
+	if err := n.callLeader(ctx, "/log/barrier", nil, &index); err != nil {
+		return err
 	}
-	s := quorum.Stamp{Process: binary.BigEndian.Uint64(entry[1:]), Uptime: math.Float64frombits(binary.BigEndian.Uint64(entry[9:]))}
-	return s, entry[1+stampBytes:], !math.IsNaN(s.Uptime) && !math.IsInf(s.Uptime, 0)
+	for n.fsm.lastApplied.Load() < index {
+		if !sleepContext(ctx, n.cfg.ElectionTimeout/50) {
+			return fmt.Errorf("log: behind: %w", ctx.Err())
+		}
+	}
+	return nil
 }
 
-// tickets are what a proposer knows of servers' clocks, by address, and who led last.
+// leaderReadings is what a proposer knows of the servers: readings of their clocks, and who led last.
 type leaderReadings struct {
 	mu        sync.Mutex
 	byAddress map[string]quorum.LeaderReading
@@ -72,12 +78,12 @@
 	return r.byAddress[address]
 }
 
-// hear keeps the reading that an answer carried.
+// receive stores the reading in a response's clockHeader; false if there is none.
 func (r *leaderReadings) receive(address, header string, now quorum.Millis) bool {
-	process, ran, ok := strings.Cut(header, ":")
-	id, err := strconv.ParseUint(process, 16, 64)
-	reading, rerr := strconv.ParseFloat(ran, 64)
-	if !ok || err != nil || rerr != nil {
+	process, uptime, ok := strings.Cut(header, ":")
+	id, idErr := strconv.ParseUint(process, 16, 64)
+	reading, readingErr := strconv.ParseFloat(uptime, 64)
+	if !ok || idErr != nil || readingErr != nil {
 		return false
 	}
 	r.mu.Lock()
@@ -89,23 +95,48 @@
 	return true
 }
 
-func (c *Client) address(name string) string {
-	for _, s := range c.Servers {
-		if s.Name == name {
-			return s.Address
-		}
+// proposalRoute chooses the server that a proposal goes to next: the presumed leader, then the one that a server names
+// as its leader, else the servers in turn.
+type proposalRoute struct {
+	client *Client
+	target string // may be unknown: then the servers in turn
+	failed string // the last server that failed and named no leader
+	hops   int    // redirects in a row
+	turn   int    // servers tried in turn
+}
+
+// next is the server to ask.
+func (r *proposalRoute) next() string {
+	servers := r.client.Servers
+	if r.client.address(r.target) == "" {
+		r.target = servers[r.turn%len(servers)].Name
+		r.turn++
 	}
-	return ""
+	return r.target
 }
 
-// propose asks first whoever is thought to lead, then whom the asked one names, else the servers in turn, until one answers.
+// redirect handles a failure of the target, which names a leader or none. It reports whether that leader is to be asked
+// at once. A server that is cut off from its leader still names it: so a leader that has just failed is not asked
+// again, and redirects in a row are bounded by the number of servers.
+func (r *proposalRoute) redirect(leader string) bool {
+	if leader == "" {
+		r.failed = r.target
+	}
+	if leader != "" && leader != r.target && leader != r.failed && r.hops < len(r.client.Servers) {
+		r.target = leader
+		r.hops++
+		return true
+	}
+	r.target = ""
+	r.hops = 0
+	return false
+}
+
+// propose proposes to one server after another until one replies; first is the presumed leader.
 func (c *Client) propose(ctx context.Context, first string, command []byte) ([]byte, error) {
-	name, failed, hops := first, "", 0
-	for turn := 0; ; {
-		if c.address(name) == "" {
-			name = c.Servers[turn%len(c.Servers)].Name
-			turn++
-		}
+	route := proposalRoute{client: c, target: first}
+	for {
+		name := route.next()
 		tryCtx, cancel := context.WithTimeout(ctx, 3*c.ElectionTimeout)
 		reply, leader, err := c.proposeTo(tryCtx, c.address(name), command)
 		cancel()
@@ -113,70 +144,51 @@
 			c.readings.setLeader(name)
 			return reply, nil
 		}
-		// Danger: one that is cut off from its leader goes on naming it. So whom it names is asked at once, but not again where
-		// that one has just failed, and no more often than there are servers.
-		if leader == "" {
-			failed = name
-		}
-		if leader != "" && leader != name && leader != failed && hops < len(c.Servers) {
-			name, hops = leader, hops+1
+		if route.redirect(leader) {
 			continue
 		}
-		name, hops = "", 0
 		if !sleepContext(ctx, c.ElectionTimeout/10) {
 			return nil, fmt.Errorf("%w: %w", ErrNoLeader, err)
 		}
 	}
 }
 
-// try asks one server; leader is whom it names instead.
-func (c *Client) proposeTo(ctx context.Context, address string, command []byte) (reply []byte, leader string, err error) {
-	for again := 0; ; again++ {
-		status, header, body, err := exchange(ctx, c.HTTP, address, http.MethodPost, "/log/propose"+c.deadlineQuery(ctx, address), command)
+// proposeTo proposes to one server; leader is the one that it names instead. A server whose clock is not known, or that
+// is another process by now, is asked once more, with the reading that its response carried.
+func (c *Client) proposeTo(
+	ctx context.Context, address string, command []byte,
+) (reply []byte, leader string, err error) {
+	for again := false; ; again = true {
+		path := "/log/propose" + c.deadlineQuery(ctx, address)
+		res, err := exchange(ctx, c.HTTP, address, http.MethodPost, path, command)
 		if err != nil {
 			return nil, "", err
 		}
-		received := c.readings.receive(address, header.Get(clockHeader), c.Clock.Uptime())
-		switch {
-		case status == http.StatusOK:
-			return body, "", nil
-		case status == http.StatusConflict && received && again == 0: // its clock was not known, or it is another process by now
+		received := c.readings.receive(address, res.header.Get(clockHeader), c.Clock.Uptime())
+		if res.status == http.StatusOK {
+			return res.body, "", nil
+		}
+		if res.status == http.StatusConflict && received && !again {
 			continue
 		}
-		return nil, header.Get(leaderHeader), fmt.Errorf("call %s/log/propose: %d: %s", address, status, bytes.TrimSpace(body))
+		err = fmt.Errorf("call %s/log/propose: %d: %s", address, res.status, bytes.TrimSpace(res.body))
+		return nil, res.header.Get(leaderHeader), err
 	}
 }
 
-// by tells the leader, by its own clock, until when the proposer waits; without a deadline it waits for ever.
+// deadlineQuery tells the leader, by its own clock, until when the proposer waits; empty without a deadline.
 func (c *Client) deadlineQuery(ctx context.Context, address string) string {
 	end, bounded := ctx.Deadline()
 	if !bounded {
 		return ""
 	}
-	now, ticket := c.Clock.Uptime(), c.readings.get(address)
-	until, ok := ticket.Deadline(now, now+float64(time.Until(end))/float64(time.Millisecond))
+	now := c.Clock.Uptime()
+	reading := c.readings.get(address)
+	until, ok := reading.Deadline(now, now+float64(time.Until(end))/float64(time.Millisecond))
 	if !ok {
 		return "?process=0&until=0"
 	}
-	return fmt.Sprintf("?process=%x&until=%.3f", ticket.Process, until)
-}
-
-// exchange makes one call and reads the answer, whatever its status.
-func exchange(ctx context.Context, c *http.Client, address, method, path string, raw []byte) (int, http.Header, []byte, error) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(raw))
-	if err != nil {
-		return 0, nil, nil, fmt.Errorf("call %s: %w", address, err)
-	}
-	res, err := c.Do(req)
-	if err != nil {
-		return 0, nil, nil, fmt.Errorf("call %s: %w", address, err)
-	}
-	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxMessageBytes))
-	if err != nil {
-		return 0, nil, nil, fmt.Errorf("call %s: %w", address, err)
-	}
-	return res.StatusCode, res.Header, body, nil
+	return fmt.Sprintf("?process=%x&until=%.3f", reading.Process, until)
 }
 
 // stamp is this process's reading of its own clock.
@@ -184,33 +196,34 @@
 	return quorum.Stamp{Process: n.processID, Uptime: n.clock.Uptime()}
 }
 
-// tooLate tells whether a proposal's proposer has given up by now, as far as it can be told; known: it could be.
+// expired reports whether the proposer has given up by now; known is false if the deadline is not by this process's
+// clock.
 func (n *Node) expired(process, until string) (late, known bool) {
 	if process == "" {
 		return false, true
 	}
-	id, err := strconv.ParseUint(process, 16, 64)
-	end, uerr := strconv.ParseFloat(until, 64)
-	if err != nil || uerr != nil || id != n.processID {
+	id, idErr := strconv.ParseUint(process, 16, 64)
+	end, endErr := strconv.ParseFloat(until, 64)
+	if idErr != nil || endErr != nil || id != n.processID {
 		return false, false
 	}
 	return n.clock.Uptime() > end, true
 }
 
 func (n *Node) handlePropose(w http.ResponseWriter, req *http.Request) {
-	s := n.stamp()
-	w.Header().Set(clockHeader, fmt.Sprintf("%x:%.3f", s.Process, s.Uptime))
+	reading := n.stamp()
+	w.Header().Set(clockHeader, fmt.Sprintf("%x:%.3f", reading.Process, reading.Uptime))
 	command, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxMessageBytes))
-	if err != nil || len(command) == 0 || n.machines[command[0]] == nil {
+	if err != nil || len(command) == 0 || n.fsm.machines[command[0]] == nil {
 		http.Error(w, "no command of ours", http.StatusBadRequest)
 		return
 	}
-	r := n.requireLeader(w)
-	if r == nil {
+	leader := n.requireLeader(w)
+	if leader == nil {
 		return
 	}
-	// Danger: a proposal that a cut had held up came minutes later, when its proposer had long been told that it failed. Two
-	// machines' wall clocks can't tell; the proposer says by this process's own clock until when it waits.
+	// A proposal that a partition has delayed can arrive minutes after its proposer has reported a failure. The wall
+	// clocks of two machines can't tell; so the proposer names its deadline by this process's clock.
 	late, known := n.expired(req.URL.Query().Get("process"), req.URL.Query().Get("until"))
 	switch {
 	case !known:
@@ -220,15 +233,29 @@
 		http.Error(w, "comes too late", http.StatusGone)
 		return
 	}
-	f := r.Apply(prependStamp(n.stamp(), command), 2*n.cfg.ElectionTimeout)
-	if err := f.Error(); err != nil {
+	applied := leader.Apply(prependStamp(n.stamp(), command), 2*n.cfg.ElectionTimeout)
+	if err := applied.Error(); err != nil {
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
+		return
+	}
+	_, _ = w.Write(applied.Response().([]byte)) // a proposer that has gone proposes again
+}
+
+func (n *Node) handleBarrier(w http.ResponseWriter, _ *http.Request) {
+	leader := n.requireLeader(w)
+	if leader == nil {
+		return
+	}
+	// A new leader knows how far its predecessor has committed only once an entry of its own term is committed.
+	if err := leader.Barrier(2 * n.cfg.ElectionTimeout).Error(); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	w.Write(f.Response().([]byte))
+	WriteJSON(w, n.fsm.lastApplied.Load())
 }
 
-// leading is raft where this server leads; else the call is answered, with whom it follows.
+// requireLeader returns raft if this server leads. Otherwise it responds with the leader that this server follows, and
+// returns nil.
 func (n *Node) requireLeader(w http.ResponseWriter) *raft.Raft {
 	r := n.raft.Load()
 	if r != nil && r.State() == raft.Leader {
--- a/internal/cluster/raftlog/wire_golden_test.go
+++ b/internal/cluster/raftlog/wire_golden_test.go
@@ -11,15 +11,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// onePart is a part of the log that holds a fixed text.
-type onePart struct{}
+// fixedMachine is a state machine with a fixed snapshot.
+type fixedMachine struct{}
 
-func (onePart) Apply(uint64, quorum.Millis, []byte) []byte { return nil }
-func (onePart) Snapshot() ([]byte, error)                  { return []byte("held"), nil }
-func (onePart) Restore([]byte) error                       { return nil }
+func (fixedMachine) Apply(uint64, quorum.Millis, []byte) []byte { return nil }
+func (fixedMachine) Snapshot() ([]byte, error)                  { return []byte("held"), nil }
+func (fixedMachine) Restore([]byte) error                       { return nil }
 
-// What servers of the log ask each other, a stamped entry, and a snapshot's clock, are those of the golden file. A snapshot is a
-// table in no order, so its parts are listed by name.
+// Messages between servers, a stamped entry and a snapshot's clock are those of the golden file. The order of a
+// snapshot's parts is random, so they are listed by name.
 func TestGoldenMessages(t *testing.T) {
 	stamp := quorum.Stamp{Process: 1 << 63, Uptime: 1234.5}
 	observed := golden.Section("a stamped entry", golden.Quote(prependStamp(stamp, []byte("xcommand")))+"\n")
@@ -43,10 +43,10 @@
 	}
 }
 
-// snapshotParts lists what a snapshot holds.
+// snapshotParts lists the parts of a snapshot.
 func snapshotParts(t *testing.T, stamp quorum.Stamp) string {
 	t.Helper()
-	m := &fsm{machines: map[byte]StateMachine{'x': onePart{}}, logClock: quorum.Clock{Now: 2000.5, Last: stamp}}
+	m := &fsm{machines: map[byte]StateMachine{'x': fixedMachine{}}, logClock: quorum.Clock{Now: 2000.5, Last: stamp}}
 	m.lastApplied.Store(7)
 	taken, err := m.Snapshot()
 	if err != nil {
