--- a/internal/cluster/gossip/golden_test.go
+++ b/internal/cluster/gossip/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Counters are part of what the admin address answers.
+// Counters are part of a response of the admin API.
 func TestCountersOnTheWire(t *testing.T) {
 	counters := Counters{PacketsIn: 1, PacketsOut: 2, BytesIn: 3, BytesOut: 4, Rejected: 5, DroppedChanges: 6}
 	golden.RoundTrip(t, "counters.json", counters, json.Marshal, json.Unmarshal)
--- a/internal/cluster/gossip/transport.go
+++ b/internal/cluster/gossip/transport.go
@@ -1,5 +1,3 @@
-// Package peers gives the failure detector of internal/cluster/membership a socket and a clock: one goroutine owns the detector,
-// another reads the socket, and all else reads views.
 package gossip
 
 import (
@@ -13,107 +11,87 @@
 	"ottershed/internal/clock"
 	"ottershed/internal/cluster/membership"
 	"ottershed/internal/logging"
-	"sync/atomic"
 	"time"
 
 	"github.com/sirupsen/logrus"
 )
 
-// Config is what the operator's file says of membership.
-type Config struct {
-	Membership membership.Settings // Run, Start and Chance are drawn here
-	Bind       string              // ip:port to hear on
-	Codec      membership.Codec
-}
-
 const (
-	receiveQueue    = 256  // packets that wait for the owner; beyond, they are lost as on the way
-	maxPacketBytes  = 4096 // bytes read of a packet
-	changeQueue     = 256  // changes that wait for a reader
-	leaveBroadcasts = 3    // packets of word that this member leaves, a moment apart
+	receiveQueue    = 256  // received packets that wait for the detector; further ones are dropped
+	maxPacketBytes  = 4096 // bytes read of a datagram
+	leaveBroadcasts = 3    // calls of Detector.Leave
 )
 
-// Counters are sums since the start.
-type Counters struct {
-	PacketsIn      uint64 `json:"packets_in"`
-	PacketsOut     uint64 `json:"packets_out"`
-	BytesIn        uint64 `json:"bytes_in"`
-	BytesOut       uint64 `json:"bytes_out"`
-	Rejected       uint64 `json:"refused"` // packets that could not be read or were not of this cluster
-	DroppedChanges uint64 `json:"missed"`  // changes that no reader took in time
+// Config configures a transport, from the operator's file.
+type Config struct {
+	Membership membership.Settings // Run, Start and RandomSeed are set by Listen
+	Bind       string              // ip:port, UDP, to receive on
+	Codec      membership.Codec
 }
 
-// Peers is this marshal's part in the membership of its fleet.
+// Transport is this process's part in the membership of its cluster.
 type Transport struct {
 	conn      *net.UDPConn
 	codec     membership.Codec
 	clock     *clock.Clock
 	log       logrus.FieldLogger
-	detector  *membership.Detector // the owner's
+	logLimit  logging.Limiter      // of lines about single packets
+	detector  *membership.Detector // Run's goroutine owns it
 	run       membership.RunID
-	packets   chan *membership.Packet
-	leave     chan chan struct{}
-	changes   chan membership.Change
-	view      atomic.Pointer[membership.View]
-	hasReader atomic.Bool // somebody reads the changes
-	causes    logging.Limiter
-	version   uint64 // of the view
-
-	packetsIn, packetsOut, bytesIn, bytesOut, rejected, droppedChanges atomic.Uint64
+	packets   chan *membership.Packet // received
+	leave     chan chan struct{}      // requests of Leave; the channel that is sent is closed once done
+	published publisher
+	counters  counters
 }
 
 // Listen opens the socket; Run does the rest. An error names the key of the operator's file.
-func Listen(cfg Config, c *clock.Clock, log logrus.FieldLogger) (*Transport, error) {
-	var drawn [16]byte
-	if _, err := rand.Read(drawn[:]); err != nil {
-		return nil, fmt.Errorf("membership: %w", err)
+func Listen(cfg Config, processClock *clock.Clock, log logrus.FieldLogger) (*Transport, error) {
+	settings, err := complete(cfg.Membership, processClock)
+	if err != nil {
+		return nil, err
 	}
-	set := cfg.Membership
-	set.Run = membership.RunID(binary.BigEndian.Uint64(drawn[:8]))
-	set.RandomSeed = binary.BigEndian.Uint64(drawn[8:])
-	set.Start = c.Now()
-	if err := errors.Join(set.Check(), cfg.Codec.Check()); err != nil {
+	if err := errors.Join(settings.Check(), cfg.Codec.Check()); err != nil {
 		return nil, err
 	}
-	at, err := netip.ParseAddrPort(cfg.Bind)
+	bind, err := netip.ParseAddrPort(cfg.Bind)
 	if err != nil {
 		return nil, fmt.Errorf("membership.bind: want ip:port, got %q", cfg.Bind)
 	}
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(bind))
 	if err != nil {
 		return nil, fmt.Errorf("membership.bind: %w", err)
 	}
-	p := &Transport{
-		conn: conn, codec: cfg.Codec, clock: c, log: log, detector: membership.New(set), run: set.Run,
-		packets: make(chan *membership.Packet, receiveQueue), leave: make(chan chan struct{}),
-		changes: make(chan membership.Change, changeQueue),
-	}
-	p.publish()
-	return p, nil
-}
-
-// RunID is the number by which this process is told from others of its name.
-func (t *Transport) RunID() membership.RunID { return t.run }
-
-// View is the present view. It is never nil and does not change.
-func (t *Transport) View() *membership.View { return t.view.Load() }
-
-// Changes tells of members' states as they change, from the first call on; it has one reader. It holds a bounded number; a
-// reader that falls behind sees in Counters that it missed some, and finds the truth in View.
-func (t *Transport) Changes() <-chan membership.Change {
-	t.hasReader.Store(true)
-	return t.changes
+	transport := &Transport{
+		conn:      conn,
+		codec:     cfg.Codec,
+		clock:     processClock,
+		log:       log,
+		detector:  membership.New(settings),
+		run:       settings.Run,
+		packets:   make(chan *membership.Packet, receiveQueue),
+		leave:     make(chan chan struct{}),
+		published: publisher{changes: make(chan membership.Change, changeQueue)},
+	}
+	transport.publishView()
+	return transport, nil
 }
 
-// Counters are the sums so far.
-func (t *Transport) Counters() Counters {
-	return Counters{
-		PacketsIn: t.packetsIn.Load(), PacketsOut: t.packetsOut.Load(), BytesIn: t.bytesIn.Load(),
-		BytesOut: t.bytesOut.Load(), Rejected: t.rejected.Load(), DroppedChanges: t.droppedChanges.Load(),
+// complete sets the settings that are drawn or measured at the start.
+func complete(settings membership.Settings, processClock *clock.Clock) (membership.Settings, error) {
+	var drawn [16]byte
+	if _, err := rand.Read(drawn[:]); err != nil {
+		return settings, fmt.Errorf("membership: %w", err)
 	}
+	settings.Run = membership.RunID(binary.BigEndian.Uint64(drawn[:8]))
+	settings.RandomSeed = binary.BigEndian.Uint64(drawn[8:])
+	settings.Start = processClock.Now()
+	return settings, nil
 }
 
-// Leave tells the others that this member goes, and returns once that is said.
+// RunID tells this process from others of its name.
+func (t *Transport) RunID() membership.RunID { return t.run }
+
+// Leave announces the shutdown of this member, and returns once that is sent.
 func (t *Transport) Leave(ctx context.Context) {
 	sent := make(chan struct{})
 	select {
@@ -131,7 +109,7 @@
 		t.read()
 	}()
 	defer func() {
-		t.conn.Close()
+		_ = t.conn.Close() // ends read
 		<-read
 	}()
 	wake := time.NewTimer(0)
@@ -145,7 +123,7 @@
 		case <-wake.C:
 			t.execute(t.detector.Tick(t.clock.Now()))
 		case sent := <-t.leave:
-			for range leaveBroadcasts { // Danger: word that is lost would leave the others to find out
+			for range leaveBroadcasts {
 				t.execute(t.detector.Leave(t.clock.Now()))
 			}
 			close(sent)
@@ -154,91 +132,60 @@
 	}
 }
 
-// read hands packets to the owner until the socket is closed.
+// read decodes datagrams for Run until the socket is closed.
 func (t *Transport) read() {
 	raw := make([]byte, maxPacketBytes)
 	for {
-		n, _, err := t.conn.ReadFromUDPAddrPort(raw)
+		length, _, err := t.conn.ReadFromUDPAddrPort(raw)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // an earlier packet found nobody; that says nothing of the socket
+			continue // an ICMP error about a datagram sent earlier; the socket is still good
 		}
-		packet, err := t.codec.Decode(raw[:n])
+		packet, err := t.codec.Decode(raw[:length])
 		if err != nil {
-			t.rejected.Add(1)
-			if t.causes.Allow("refused") {
-				t.log.WithError(err).Warn("membership: packet refused")
-			}
+			t.counters.rejected.Add(1)
+			t.warn("refused", "membership: packet rejected", err)
 			continue
 		}
-		t.packetsIn.Add(1)
-		t.bytesIn.Add(uint64(n))
+		t.counters.received(length)
 		select {
 		case t.packets <- packet:
-		default:
+		default: // dropped, as if lost on the network
 		}
 	}
 }
 
-// carryOut sends what the detector wants sent, logs changes and hands them on.
+// execute carries out an output of the detector.
 func (t *Transport) execute(out membership.Output) {
 	for i := range out.Sends {
-		s := &out.Sends[i]
-		raw, err := t.codec.Encode(&s.Packet)
-		at, aerr := netip.ParseAddrPort(s.To)
-		if err = errors.Join(err, aerr); err == nil {
-			_, err = t.conn.WriteToUDPAddrPort(raw, at)
-		}
+		length, err := t.send(&out.Sends[i])
 		if err != nil {
-			if t.causes.Allow("send") {
-				t.log.WithError(err).Warn("membership: packet not sent")
-			}
+			t.warn("send", "membership: packet not sent", err)
 			continue
 		}
-		t.packetsOut.Add(1)
-		t.bytesOut.Add(uint64(len(raw)))
-	}
-	if t.detector.Version() != t.version || len(out.Changes) > 0 {
-		t.publish()
-	}
-	for _, c := range out.Changes {
-		t.notify(c)
+		t.counters.sent(length)
 	}
+	t.publish(out.Changes)
 }
 
-func (t *Transport) publish() {
-	v := t.detector.View()
-	t.version = t.detector.Version()
-	t.view.Store(&v)
-}
-
-func (t *Transport) notify(c membership.Change) {
-	v := t.View()
-	line := t.log.WithFields(logrus.Fields{
-		"member": c.Name, "state": c.State, "was": c.Previous, "address": c.Address,
-		"incarnation": uint64(c.Incarnation),
-	})
-	if c.By != "" {
-		line = line.WithField("by", c.By)
-	}
-	switch {
-	case c.Name == v.Self && v.Superseded != "":
-		line.WithField("superseded_by", v.Superseded).Error("membership: a newer process has this marshal's name")
-	case c.New:
-		line.Info("member found")
-	case c.State == membership.Suspect, c.State == membership.Dead:
-		line.Warn("member changed")
-	default:
-		line.Info("member changed")
+// send encodes and sends a packet and returns its length.
+func (t *Transport) send(s *membership.Send) (int, error) {
+	raw, err := t.codec.Encode(&s.Packet)
+	if err != nil {
+		return 0, err
 	}
-	if !t.hasReader.Load() {
-		return
+	address, err := netip.ParseAddrPort(s.To)
+	if err != nil {
+		return 0, err
 	}
-	select {
-	case t.changes <- c:
-	default:
-		t.droppedChanges.Add(1)
+	return t.conn.WriteToUDPAddrPort(raw, address)
+}
+
+// warn logs an error of a single packet, limited for each cause.
+func (t *Transport) warn(cause, message string, err error) {
+	if t.logLimit.Allow(cause) {
+		t.log.WithError(err).Warn(message)
 	}
 }
