--- a/internal/cluster/raftlog/store_test.go
+++ b/internal/cluster/raftlog/store_test.go
@@ -19,6 +19,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	// hashicorp/raft recognizes a missing key by this text.
 	if _, err := store.GetUint64([]byte("term")); err == nil || err.Error() != "not found" {
 		t.Error(err)
 	}
