--- /dev/null
+++ b/internal/engine/actions.go
@@ -0,0 +1,53 @@
+package engine
+
+// Carrying out the module's actions.
+
+import (
+	"container/heap"
+	"ottershed/decision"
+
+	"github.com/sirupsen/logrus"
+)
+
+// perform carries out actions in order.
+func (c *core) perform(now decision.Millis, actions []decision.Action) {
+	for _, action := range actions {
+		switch action := action.(type) {
+		case decision.StartAttempt:
+			c.startAttempt(now, action)
+		case decision.Reject:
+			c.finish(now, action.Request, Result{Kind: Rejected, RetryAfter: action.RetryAfter})
+		case decision.Fail:
+			c.finish(now, action.Request, Result{Kind: Failed})
+		case decision.Cancel:
+			c.cancelAttempt(action)
+		case decision.WakeAt:
+			heap.Push(&c.timers, timer{action.At, action.Token})
+		case decision.CloseIdle:
+			c.upstream.CloseIdle(action.Endpoint)
+		case decision.Vote:
+			c.castVote(action)
+		case decision.ResolveEndpoints:
+			c.discovery.Resolve()
+		case decision.WatchEndpoints:
+			c.discovery.ResumeWatch()
+		case decision.Log:
+			c.log.Info(action.Text)
+		case decision.StartHealthCheck:
+			c.refuseHealthCheck(action)
+		case decision.SendToPeer: // the protocol has no messages between balancers
+		}
+	}
+}
+
+func (c *core) castVote(vote decision.Vote) {
+	c.stats.counters.Votes++
+	c.log.WithFields(logrus.Fields{"build": vote.Build, "stage": vote.Stage, "verdict": vote.Verdict}).Debug("vote")
+	c.controller.Vote(vote)
+}
+
+// refuseHealthCheck ends a health check as not sent: the protocol has none.
+func (c *core) refuseHealthCheck(check decision.StartHealthCheck) {
+	c.stats.counters.HealthChecks++
+	c.followUps = append(c.followUps, decision.HealthCheckEnded{Endpoint: check.Endpoint, Outcome: decision.NotSent})
+}
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -1,9 +1,11 @@
 package engine
 
+// Names of the module's events in the log.
+
 import "ottershed/decision"
 
-// eventName is how the log names an event. The names are fixed here, so that who searches logs finds them again when types
-// get other names.
+// eventName is the name of an event in the log line of a panic. The names are fixed, apart from those of the types,
+// so that searches in logs find them after a type was renamed.
 func eventName(event decision.Event) string {
 	switch event.(type) {
 	case decision.EndpointsChanged:
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -10,7 +10,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// logged keeps the lines of a log.
+// logged records the lines of a log.
 type logged struct{ lines []*logrus.Entry }
 
 func (l *logged) Levels() []logrus.Level { return logrus.AllLevels }
@@ -20,8 +20,8 @@
 	return nil
 }
 
-// The fields of the log's line about a panic in the decision module are those of the golden file, for each kind of event: whoever
-// reads logs looks for the event by this name. The stack in its text is volatile and left out.
+// The fields of the log line about a panic in the decision module are those of the golden file, for each kind of event:
+// searches in logs rely on these names. The stack in its text varies and is left out.
 func TestGoldenPanics(t *testing.T) {
 	observed := ""
 	for _, event := range []decision.Event{
@@ -40,18 +40,19 @@
 		decision.ControllerCounts{},
 		decision.ResponseFlagged{},
 	} {
-		r, lines := newHarness(), &logged{}
+		h, lines := newHarness(), &logged{}
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		log.AddHook(lines)
-		r.core.log = log
-		r.module.panicNext = true
-		r.core.callModule(r.now, event)
+		h.log = log
+		h.module.panicNext = true
+		h.callModule(h.now, event)
 		if len(lines.lines) == 0 {
 			t.Fatal("nothing was logged")
 		}
 		fields := lines.lines[0].Data
-		observed += fmt.Sprintf("level=%s event=%v open=%v panic=%v\n", lines.lines[0].Level, fields["event"], fields["open"], fields["panic"])
+		observed += fmt.Sprintf("level=%s event=%v open=%v panic=%v\n", lines.lines[0].Level, fields["event"],
+			fields["open"], fields["panic"])
 	}
 	if err := golden.Check("testdata/panics.golden", []byte(observed)); err != nil {
 		t.Error(err)
--- a/internal/engine/messages.go
+++ b/internal/engine/messages.go
@@ -1,99 +1,109 @@
 package engine
 
-import "ottershed/decision"
+// Messages in the queue, and their handlers.
 
-// Request is what a client asked, decoded once; it passes to nodes as it is.
-type Request struct {
-	Method, URI, Host string
-	Fields            map[string][]string
-	Body              []byte
-}
-
-// Reply is a node's whole answer.
-type Response struct {
-	Fields map[string][]string
-	Body   []byte
-}
+import (
+	"ottershed/decision"
 
-// Hit is a client's request with what the module is told of it.
-type ClientRequest struct {
-	Class      decision.ClassName
-	Tenant     decision.TenantID
-	Key        decision.Key
-	Remaining  decision.Millis // until the client gives up, from Taken on
-	ReceivedAt decision.Millis
-	Hint       decision.Millis
-	Retried    bool
-	Request    *Request
-	Respond    func(Result) // called once at most, by the owner; it doesn't block
+	"github.com/sirupsen/logrus"
+)
 
-	id decision.RequestID // the owner's
-}
+// message is what reaches the event loop through the queue. Each concrete type is one kind, with one handler.
+type message interface{ message() }
 
-// AnswerKind is how a hit ended.
-type ResultKind int
+type (
+	requestReceived    struct{ request *ClientRequest }
+	clientDisconnected struct{ request *ClientRequest }
+	attemptEnded       struct {
+		id      decision.RequestID
+		attempt int // index, from 0
+		result  AttemptResult
+	}
+	endpointsReceived struct{ update EndpointUpdate }
+	eventReceived     struct{ event decision.Event }
 
-const (
-	Succeeded ResultKind = iota
-	Rejected
-	Failed
+	// The reply channels have a buffer of one, so that the event loop doesn't block.
+	evidenceRequested struct{ reply chan<- *decision.Evidence }
+	statsRequested    struct{ reply chan<- Stats }
 )
 
-// Answer is the final answer to a hit.
-type Result struct {
-	Kind       ResultKind
-	RetryAfter decision.Millis // of a bounce; 0: no advice
-	Response   *Response       // of a delivery
-}
-
-// Forward is one sending of a request to a node.
-type Attempt struct {
-	Endpoint decision.EndpointID
-	Address  string
-	Request  *Request
-	SendBy   decision.Millis     // not sent from then on; 0: sent as long as Until
-	Deadline decision.Millis     // no answer by then: timed out
-	OnEnd    func(AttemptResult) // called exactly once, from any goroutine; the connection is given back before
-}
+func (requestReceived) message()    {}
+func (clientDisconnected) message() {}
+func (attemptEnded) message()       {}
+func (endpointsReceived) message()  {}
+func (eventReceived) message()      {}
+func (evidenceRequested) message()  {}
+func (statsRequested) message()     {}
 
-// End is how a forward ended.
-type AttemptResult struct {
-	Outcome  decision.Outcome
-	EndedAt  decision.Millis
-	Response *Response
-	Load     *decision.Load
+// handle takes one message.
+func (c *core) handle(now decision.Millis, msg message) {
+	switch msg := msg.(type) {
+	case requestReceived:
+		c.handleRequest(now, msg.request)
+	case clientDisconnected:
+		c.handleDisconnect(now, msg.request)
+	case attemptEnded:
+		c.handleAttemptEnd(now, msg)
+	case endpointsReceived:
+		c.handleEndpoints(now, msg.update)
+	case eventReceived:
+		c.handleEvent(now, msg.event)
+	case evidenceRequested:
+		msg.reply <- c.evidence()
+	case statsRequested:
+		msg.reply <- c.currentStats()
+	}
 }
 
-// Entry is a node with the address at which this marshal reaches it.
-type Endpoint struct {
-	decision.Endpoint
-	Address string
+// handleEvent keeps what the module needs again after a restart, and hands it the event.
+func (c *core) handleEvent(now decision.Millis, event decision.Event) {
+	switch event := event.(type) {
+	case decision.StageUpdate:
+		c.noteStageUpdate(now, event)
+	case decision.SettingsChanged:
+		c.recovery.settings = &event
+	}
+	c.dispatch(now, event)
 }
 
-// List is what discovery tells.
-type EndpointUpdate struct {
-	Kind      decision.SnapshotKind
-	Version   int64
-	Endpoints []Endpoint
+func (c *core) noteStageUpdate(now decision.Millis, update decision.StageUpdate) {
+	c.log.WithFields(logrus.Fields{
+		"build": update.Build, "stage": update.Stage, "phase": update.Phase, "cap": update.ExposureCap,
+		"age_ms": update.Age, "to_vote": update.IsVoteResult, "fate": update.VoteResult,
+	}).Debug("stage update")
+	if update.VoteResult != decision.VoteAccepted {
+		return
+	}
+	before := c.recovery.stage
+	c.recovery.stage = &update
+	c.recovery.stageReceivedAt = now
+	if before != nil && update.Build == before.Build && update.ExposureCap < before.ExposureCap {
+		c.cancelUnsentForBuild(update.Build)
+	}
 }
 
-// Nodes carries forwards. Its methods don't block.
-type Upstream interface {
-	// Forward starts a forward; what it returns calls it off.
-	StartAttempt(Attempt) (recall func())
-	// Moved says that another machine is this node now and has this address, or none has if it is empty.
-	SetAddress(id decision.EndpointID, address string)
-	// Unsend has forwards to a node end that are not yet sent.
-	CancelUnsent(decision.EndpointID)
-	CloseIdle(decision.EndpointID)
+// evidence returns what the module has observed of the candidate; nil if there is none.
+func (c *core) evidence() *decision.Evidence {
+	source, ok := c.module.(interface {
+		Evidence() (decision.Evidence, bool)
+	})
+	if !ok {
+		return nil
+	}
+	evidence, ok := source.Evidence()
+	if !ok {
+		return nil
+	}
+	return &evidence
 }
 
-// Desk takes votes; the fate of each comes back as news. It doesn't block.
-type Controller interface{ Vote(decision.Vote) }
-
-// Discovery asks for the list. Its methods don't block.
-type Discovery interface {
-	Resolve()
-	// Watch has a call that was refused go out again; what isn't refused is watched without.
-	ResumeWatch()
+// dispatch hands the module an event, carries out what it returns, and goes on with the events that this caused.
+func (c *core) dispatch(now decision.Millis, event decision.Event) {
+	for {
+		c.perform(now, c.callModule(now, event))
+		if len(c.followUps) == 0 {
+			return
+		}
+		event, c.followUps = c.followUps[0], c.followUps[1:]
+	}
 }
--- /dev/null
+++ b/internal/engine/queue_test.go
@@ -0,0 +1,39 @@
+package engine
+
+import (
+	"fmt"
+	"io"
+	"ottershed/decision"
+	"ottershed/internal/clock"
+	"testing"
+
+	"github.com/sirupsen/logrus"
+)
+
+// Events pass requests that wait, and each priority keeps its order.
+func TestQueueOrder(t *testing.T) {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	settings := decision.Settings{
+		Classes: []decision.RequestClass{{LatencyObjective: 400}}, ExposureCaps: []float64{1}, Stages: []float64{1},
+	}
+	m := New(settings, 1, clock.New(), log)
+	m.ReceiveRequest(&ClientRequest{Class: "1"})
+	m.HandleEvent(decision.ResponseFlagged{Endpoint: "2"})
+	m.ReceiveRequest(&ClientRequest{Class: "3"})
+	m.UpdateEndpoints(EndpointUpdate{Version: 4})
+	got := ""
+	for msg, _ := m.queue.next(); msg.message != nil; msg, _ = m.queue.next() {
+		switch msg := msg.message.(type) {
+		case requestReceived:
+			got += string(msg.request.Class)
+		case eventReceived:
+			got += string(msg.event.(decision.ResponseFlagged).Endpoint)
+		case endpointsReceived:
+			got += fmt.Sprint(msg.update.Version)
+		}
+	}
+	if got != "2413" {
+		t.Errorf("order %s, want 2413", got)
+	}
+}
--- /dev/null
+++ b/internal/engine/stats.go
@@ -0,0 +1,76 @@
+package engine
+
+// Counters.
+
+import "ottershed/decision"
+
+// Stats are the counters since the engine's start, and the module's status.
+type Stats struct {
+	Requests            int64
+	RequestsSucceeded   int64
+	RequestsRejected    int64
+	RequestsFailed      int64
+	ObjectivesMissed    int64 // succeeded after the latency objective of their class
+	ClientsDisconnected int64 // before the result
+
+	Attempts            int64
+	AttemptsCanceled    int64
+	AttemptsRejected    int64 // by the endpoint
+	AttemptsUnreachable int64
+	AttemptsBroken      int64 // the connection broke
+	AttemptsTimedOut    int64
+	AttemptsFailed      int64 // the endpoint reported an error, or its response was malformed
+
+	HealthChecks int64
+	Votes        int64
+	Status       decision.Status
+}
+
+// statsCounter counts, and knows the latency objectives for it.
+type statsCounter struct {
+	counters   Stats
+	objectives map[decision.ClassName]decision.Millis
+}
+
+// currentStats returns the counters, with the module's status if it has one.
+func (c *core) currentStats() Stats {
+	stats := c.stats.counters
+	if source, ok := c.module.(interface{ Sight() decision.Status }); ok {
+		stats.Status = source.Sight()
+	}
+	return stats
+}
+
+// countResult counts the result of a request.
+func (s *statsCounter) countResult(now decision.Millis, kind ResultKind, request *ClientRequest) {
+	switch kind {
+	case Succeeded:
+		s.counters.RequestsSucceeded++
+		objective, known := s.objectives[request.Class]
+		if known && now > request.ReceivedAt+objective {
+			s.counters.ObjectivesMissed++
+		}
+	case Rejected:
+		s.counters.RequestsRejected++
+	case Failed:
+		s.counters.RequestsFailed++
+	}
+}
+
+// countOutcome counts the outcome of an attempt.
+func (s *statsCounter) countOutcome(outcome decision.Outcome) {
+	switch outcome {
+	case decision.EndpointRejected:
+		s.counters.AttemptsRejected++
+	case decision.Unreachable:
+		s.counters.AttemptsUnreachable++
+	case decision.ConnectionBroken:
+		s.counters.AttemptsBroken++
+	case decision.TimedOut:
+		s.counters.AttemptsTimedOut++
+	case decision.Canceled:
+		s.counters.AttemptsCanceled++
+	case decision.EndpointFailed, decision.MalformedResponse:
+		s.counters.AttemptsFailed++
+	}
+}
