--- a/internal/rollout/wire.go
+++ b/internal/rollout/wire.go
@@ -1,6 +1,7 @@
-// Package desk speaks with the release desk: votes go out, their fates and what it tells unasked come back.
 package rollout
 
+// The wire: JSON-RPC objects, one a line.
+
 import (
 	"encoding/json"
 	"errors"
@@ -8,7 +9,12 @@
 	"ottershed/decision"
 )
 
-// line is one JSON-RPC object from the desk.
+var (
+	errNoMethod    = errors.New("neither a response nor a notification")
+	errNotFollowed = errors.New("response: the follow call was rejected")
+)
+
+// message is a JSON-RPC object from the rollout controller.
 type message struct {
 	ID     *uint64         `json:"id"`
 	Method string          `json:"method"`
@@ -28,80 +34,86 @@
 		decision.VoteNone: "none", decision.VoteAdvance: "on", decision.VoteHold: "hold",
 		decision.VoteRollback: "back",
 	}
-	// What was not carried out counts as an error where the module knows no word for it.
+	// voteResults are the results of votes that were not carried out.
 	voteResults = map[string]decision.VoteResult{
 		"Throttling": decision.VoteThrottled, "ConditionFailed": decision.VoteObsolete,
 		"InternalFailure": decision.VoteFailed, "ValidationError": decision.VoteFailed,
 	}
 )
 
-// DecodeStage reads where the newest build stands.
+// DecodeStage reads the stage of the newest build.
 func DecodeStage(raw []byte) (decision.StageUpdate, error) {
-	var in struct {
+	var stage struct {
 		Image    *int     `json:"image"`
 		Ring     int      `json:"ring"`
 		Progress string   `json:"progress"`
 		Ceiling  *float64 `json:"ceiling"`
 		Lag      float64  `json:"lag_ms"`
 	}
-	if err := json.Unmarshal(raw, &in); err != nil {
+	if err := json.Unmarshal(raw, &stage); err != nil {
 		return decision.StageUpdate{}, fmt.Errorf("stage: %w", err)
 	}
-	phase, ok := phases[in.Progress]
-	if !ok || in.Image == nil || in.Ceiling == nil || *in.Ceiling < 0 || *in.Ceiling > 1 || in.Lag < 0 || in.Ring < 0 {
-		return decision.StageUpdate{}, fmt.Errorf("stage: image, ceiling or progress %q missing or unknown, or a figure out of range", in.Progress)
+	phase, known := phases[stage.Progress]
+	complete := known && stage.Image != nil && stage.Ceiling != nil
+	if !complete || *stage.Ceiling < 0 || *stage.Ceiling > 1 || stage.Lag < 0 || stage.Ring < 0 {
+		return decision.StageUpdate{}, fmt.Errorf(
+			"stage: image, ceiling or progress %q missing or unknown, or a figure out of range", stage.Progress)
 	}
 	return decision.StageUpdate{
-		Age: in.Lag, Build: decision.Build(*in.Image), Phase: phase, ExposureCap: *in.Ceiling,
-		Stage: in.Ring,
+		Age: stage.Lag, Build: decision.Build(*stage.Image), Phase: phase, ExposureCap: *stage.Ceiling,
+		Stage: stage.Ring,
 	}, nil
 }
 
+// decodeFlag reads that a client found a response wrong.
 func decodeFlag(raw []byte) (decision.ResponseFlagged, error) {
-	var in struct {
+	var flag struct {
 		Host string  `json:"host"`
 		Type string  `json:"type"`
 		Lag  float64 `json:"lag_ms"`
 	}
-	if err := json.Unmarshal(raw, &in); err != nil {
+	if err := json.Unmarshal(raw, &flag); err != nil {
 		return decision.ResponseFlagged{}, fmt.Errorf("flag: %w", err)
 	}
-	return decision.ResponseFlagged{Endpoint: decision.EndpointID(in.Host), Class: decision.ClassName(in.Type), Age: in.Lag}, nil
+	return decision.ResponseFlagged{
+		Endpoint: decision.EndpointID(flag.Host), Class: decision.ClassName(flag.Type), Age: flag.Lag,
+	}, nil
 }
 
-// notice reads what the desk tells unasked; nil for a sign of life and for kinds that we don't know.
-func (l *message) event() (decision.Event, error) {
-	switch l.Method {
+// event reads a notification; nil for a heartbeat and for unknown methods.
+func (m *message) event() (decision.Event, error) {
+	switch m.Method {
 	case "":
-		return nil, errors.New("neither an answer nor a notice")
+		return nil, errNoMethod
 	case "stage":
-		return DecodeStage(l.Params)
+		return DecodeStage(m.Params)
 	case "flag":
-		return decodeFlag(l.Params)
+		return decodeFlag(m.Params)
 	}
 	return nil, nil
 }
 
-// fate reads the answer to a vote. What can't be read may have counted.
-func (l *message) voteResult() (decision.StageUpdate, error) {
-	if l.Error != nil {
-		if result, ok := voteResults[l.Error.Message]; ok {
-			return decision.StageUpdate{IsVoteResult: true, VoteResult: result}, nil
+// voteResult reads the response to a vote. A vote with a malformed response may have counted: it has timed out.
+func (m *message) voteResult() (decision.StageUpdate, error) {
+	if m.Error != nil {
+		result, known := voteResults[m.Error.Message]
+		if !known {
+			return voteFailedWith(decision.VoteTimedOut), fmt.Errorf("response: unknown error %q", m.Error.Message)
 		}
-		return decision.StageUpdate{IsVoteResult: true, VoteResult: decision.VoteTimedOut}, fmt.Errorf("answer: error %q is not known", l.Error.Message)
+		return voteFailedWith(result), nil
 	}
-	update, err := DecodeStage(l.Result)
+	update, err := DecodeStage(m.Result)
 	if err != nil {
-		return decision.StageUpdate{IsVoteResult: true, VoteResult: decision.VoteTimedOut}, err
+		return voteFailedWith(decision.VoteTimedOut), err
 	}
 	update.IsVoteResult = true
 	return update, nil
 }
 
-// accepted reads the answer to the call that asks to follow.
-func (l *message) checkFollowed() error {
-	if string(l.Result) != "true" {
-		return errors.New("answer: the desk does not let us follow")
+// checkFollowed reads the response to the call that subscribes to events.
+func (m *message) checkFollowed() error {
+	if string(m.Result) != "true" {
+		return errNotFollowed
 	}
 	return nil
 }
@@ -110,15 +122,15 @@
 	return fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%d,"method":"follow"}`+"\n", id)
 }
 
-func encodeVote(id uint64, v decision.Vote, fences []Fence) []byte {
-	more := ""
+func encodeVote(id uint64, vote decision.Vote, fences []Fence) []byte {
+	member := "" // of the call's parameters
 	if len(fences) > 0 {
 		raw, err := json.Marshal(fences)
 		if err != nil {
-			panic(err) // texts and numbers
+			panic(err) // strings and numbers can always be encoded
 		}
-		more = `,"fences":` + string(raw)
+		member = `,"fences":` + string(raw)
 	}
 	return fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%d,"method":"castBallot","params":`+
-		`{"image":%d,"ring":%d,"opinion":%q%s}}`+"\n", id, int(v.Build), v.Stage, verdicts[v.Verdict], more)
+		`{"image":%d,"ring":%d,"opinion":%q%s}}`+"\n", id, int(vote.Build), vote.Stage, verdicts[vote.Verdict], member)
 }
--- a/internal/rollout/wire_golden_test.go
+++ b/internal/rollout/wire_golden_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"bufio"
-	"context"
-	"fmt"
 	"io"
 	"net"
 	"ottershed/decision"
@@ -16,18 +14,18 @@
 	"github.com/sirupsen/logrus"
 )
 
-// callID is the number of a call, which depends on how many connections were opened before.
+// callID is the id of a call, which depends on how many connections were opened before.
 var callID = regexp.MustCompile(`"id":\d+`)
 
-// The lines that the rollout controller reads are those of the golden file, to the last byte: the call that asks to follow
-// and one vote of each kind, with and without fences. The numbers of the calls are volatile and stand there as ID.
+// The lines that the rollout controller reads are those of the golden file, byte for byte: the follow call and a vote
+// of each kind, with and without fences. The ids of the calls vary and stand there as ID.
 func TestGoldenCalls(t *testing.T) {
-	calls, settled, d := goldenDesk(t)
+	calls, results, client := startGolden(t)
 	observed := golden.Section("follow", receive(t, calls))
-	for _, v := range []struct {
-		title string
-		vote  decision.Vote
-		under []Fence
+	for _, cast := range []struct {
+		title  string
+		vote   decision.Vote
+		fences []Fence
 	}{
 		{"no opinion", decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteNone}, nil},
 		{"on", decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteAdvance}, nil},
@@ -39,73 +37,71 @@
 			[]Fence{{Lease: "trial/n0", Token: 9}, {Lease: "trial/n<1>", Token: 1 << 60}},
 		},
 	} {
-		d.VoteFenced(v.vote, v.under)
-		observed += golden.Section(v.title, receive(t, calls))
-		receive(t, settled)
+		client.VoteFenced(cast.vote, cast.fences)
+		observed += golden.Section(cast.title, receive(t, calls))
+		receive(t, results)
 	}
 	if err := golden.Check("testdata/calls.golden", []byte(observed)); err != nil {
 		t.Error(err)
 	}
 }
 
-// goldenDesk runs a desk against a rollout controller that tells each line it reads, and that answers each. Votes may go out
-// once it has received the first one; settled tells when the fate of each is known.
-func goldenDesk(t *testing.T) (calls, settled chan string, d *Client) {
+// startGolden runs a client and a rollout controller that responds to each line; calls has these lines. Votes
+// may be cast when it returns; results has an entry for the result of each.
+func startGolden(t *testing.T) (calls, results chan string, client *Client) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	calls, settled = make(chan string, 100), make(chan string, 100)
-	speaks := make(chan struct{}, 100)
+	t.Cleanup(func() { closeQuietly(listener) })
+	calls, results = make(chan string, 100), make(chan string, 100)
+	received := make(chan struct{}, 100)
 	go func() {
-		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
-			go answerLines(c, calls)
+		for conn, err := listener.Accept(); err == nil; conn, err = listener.Accept() {
+			go respondToLines(conn, calls)
 		}
 	}()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	d = New(l.Addr().String(), 5000, func(e decision.Event) {
-		if news, ok := e.(decision.StageUpdate); ok && news.IsVoteResult {
-			settled <- "settled"
+	client = New(listener.Addr().String(), 5000, func(event decision.Event) {
+		if update, ok := event.(decision.StageUpdate); ok && update.IsVoteResult {
+			results <- "result"
 			return
 		}
-		speaks <- struct{}{}
+		received <- struct{}{}
 	}, log)
-	d.heartbeat = 10 * time.Second // a controller that is slow here must not be taken for a silent one
-	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() { d.Run(ctx); close(ended) }()
-	t.Cleanup(func() { cancel(); <-ended })
+	client.heartbeat = 10 * time.Second // on a slow machine the controller must not count as unresponsive
+	run(t, client)
 	select {
-	case <-speaks: // from now on votes go out on this connection
+	case <-received: // from now on votes go out on this connection
 	case <-time.After(10 * time.Second):
-		t.Fatal("the desk heard nothing")
+		t.Fatal("the client received nothing")
 	}
-	return calls, settled, d
+	return calls, results, client
 }
 
-// answerLines tells each line that comes, its number replaced, and answers it; the first one also with the stage.
-func answerLines(c net.Conn, calls chan<- string) {
-	defer c.Close()
-	r := bufio.NewReader(c)
+// respondToLines hands on each line that it reads, with its id replaced, and responds to it; to the follow call also
+// with the stage.
+func respondToLines(conn net.Conn, calls chan<- string) {
+	defer closeQuietly(conn)
+	lines := bufio.NewReader(conn)
 	for {
-		text, err := r.ReadString('\n')
+		text, err := lines.ReadString('\n')
 		if err != nil {
 			return
 		}
 		calls <- golden.Quote([]byte(callID.ReplaceAllString(text, `"id":ID`)))
 		id, _, _ := strings.Cut(callID.FindString(text), ",")
 		if strings.Contains(text, "follow") {
-			fmt.Fprintf(c, "{%s,\"result\":true}\n{\"method\":\"stage\",\"params\":%s}\n", id, stage)
+			call{conn: conn}.send("{%s,\"result\":true}\n{\"method\":\"stage\",\"params\":%s}", id, stage)
 		} else {
-			fmt.Fprintf(c, "{%s,\"result\":%s}\n", id, stage)
+			call{conn: conn}.send("{%s,\"result\":%s}", id, stage)
 		}
 	}
 }
 
-// receive is the next text of a channel.
+// receive returns the next text of a channel.
 func receive(t *testing.T, texts <-chan string) string {
 	t.Helper()
 	select {
--- /dev/null
+++ b/internal/rollout/wire_test.go
@@ -0,0 +1,82 @@
+package rollout
+
+import (
+	"ottershed/decision"
+	"ottershed/internal/golden"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+)
+
+// A vote goes to the rollout controller with the fences under which it was cast.
+func TestVoteOnTheWire(t *testing.T) {
+	fences := []Fence{{Lease: "trial/a", Token: 11}, {Lease: "trial/c", Token: 9}}
+	golden.Filled(t, "fences", fences)
+	vote := decision.Vote{Build: 8, Stage: 2, Verdict: decision.VoteRollback}
+	golden.Compare(t, "vote.json", encodeVote(5, vote, fences))
+}
+
+func TestEvents(t *testing.T) {
+	for name, test := range map[string]struct {
+		line string
+		want decision.Event // nil: none
+	}{
+		"in trial": {
+			`{"jsonrpc":"2.0","method":"stage","params":` + stage + `}`,
+			decision.StageUpdate{Age: 310, Build: 42, Phase: 0, ExposureCap: 0.28, Stage: 1},
+		},
+		"rolling back": {
+			`{"method":"stage","params":{"image":42,"ring":0,"progress":"recalling","ceiling":0}}`,
+			decision.StageUpdate{Age: 0, Build: 42, Phase: 1, ExposureCap: 0, Stage: 0},
+		},
+		"released": {
+			`{"method":"stage","params":{"image":42,"ring":3,"progress":"live","ceiling":1}}`,
+			decision.StageUpdate{Age: 0, Build: 42, Phase: 2, ExposureCap: 1, Stage: 3},
+		},
+		"rolled back": {
+			`{"method":"stage","params":{"image":42,"ring":3,"progress":"recalled","ceiling":0}}`,
+			decision.StageUpdate{Age: 0, Build: 42, Phase: 3, ExposureCap: 0, Stage: 3},
+		},
+		"flag": {
+			`{"method":"flag","params":{"host":"s-1","type":"lookup","lag_ms":1200}}`,
+			decision.ResponseFlagged{Endpoint: "s-1", Class: "lookup", Age: 1200},
+		},
+		"heartbeat":      {`{"method":"ping"}`, nil},
+		"unknown method": {`{"method":"weather","params":{}}`, nil},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, calls, events := start(t)
+			conn := followed(t, calls, events)
+			conn.send("%s", test.line)
+			conn.send(`{"method":"flag","params":{"host":"last"}}`)
+			if test.want == nil {
+				test.want = decision.ResponseFlagged{Endpoint: "last"}
+			}
+			if diff := cmp.Diff(test.want, wait(t, events)); diff != "" {
+				t.Errorf("received (-want +got):\n%s", diff)
+			}
+		})
+	}
+}
+
+// A malformed line ends the connection, and another one is opened.
+func TestUnreadable(t *testing.T) {
+	for name, line := range map[string]string{
+		"no JSON":           "what?",
+		"no phase":          `{"method":"stage","params":{"image":1,"ceiling":1,"progress":"x"}}`,
+		"no exposure limit": `{"method":"stage","params":{"image":1,"progress":"live"}}`,
+		"flag of no object": `{"method":"flag","params":3}`,
+		"too long":          `{"method":"ping","params":"` + strings.Repeat("x", maxLine) + `"}`,
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, calls, events := start(t)
+			conn := followed(t, calls, events)
+			conn.send("%s", line)
+			if ended := next(t, calls, "closed"); ended.conn != conn.conn {
+				t.Error("another connection was closed")
+			}
+			followed(t, calls, events)
+		})
+	}
+}
