--- /dev/null
+++ b/internal/simwire/fields.go
@@ -0,0 +1,122 @@
+package simwire
+
+// The fields of a line.
+
+import (
+	"fmt"
+	"math"
+	"ottershed/decision"
+	"strconv"
+	"strings"
+)
+
+// absent stands for a field without a value.
+const absent = "-"
+
+// fields reads the fields of one line. The first mistake stays in err; what cannot be read is the zero value.
+type fields struct {
+	parts []string // the first one names the kind of line
+	err   error
+}
+
+func (f *fields) name() string { return f.parts[0] }
+
+// fail notes that a field is not what it should be.
+func (f *fields) fail(i int, expected string) {
+	if f.err == nil {
+		f.err = fmt.Errorf("%s: field %d: %q is not %s", f.name(), i, f.parts[i], expected)
+	}
+}
+
+func (f *fields) number(i int) float64 {
+	if f.parts[i] == absent {
+		return 0
+	}
+	number, err := strconv.ParseFloat(f.parts[i], 64)
+	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
+		f.fail(i, "a number")
+		return 0
+	}
+	return number
+}
+
+func (f *fields) integer(i int) int64 {
+	if f.parts[i] == absent {
+		return 0
+	}
+	integer, err := strconv.ParseInt(f.parts[i], 10, 64)
+	if err != nil {
+		f.fail(i, "a whole number")
+	}
+	return integer
+}
+
+// request reads the id of a request, always the second field.
+func (f *fields) request() decision.RequestID {
+	const i = 2
+	id, err := strconv.ParseUint(f.parts[i], 10, 32)
+	if err != nil {
+		f.fail(i, "a request id")
+	}
+	return decision.RequestID(id)
+}
+
+func (f *fields) token(i int) uint64 {
+	token, err := strconv.ParseUint(f.parts[i], 10, 64)
+	if err != nil {
+		f.fail(i, "a token")
+	}
+	return token
+}
+
+func (f *fields) text(i int) string {
+	if f.parts[i] == absent {
+		return ""
+	}
+	return f.parts[i]
+}
+
+func (f *fields) endpoint(i int) decision.EndpointID { return decision.EndpointID(f.text(i)) }
+
+func (f *fields) class(i int) decision.ClassName { return decision.ClassName(f.text(i)) }
+
+func (f *fields) flag(i int) bool {
+	switch f.parts[i] {
+	case "0", "1", absent:
+	default:
+		f.fail(i, "0 or 1")
+	}
+	return f.parts[i] == "1"
+}
+
+// word reads one of the words that a field may have.
+func word[T any](f *fields, i int, words map[string]T) T {
+	value, ok := words[f.parts[i]]
+	if !ok {
+		f.fail(i, "a known word")
+	}
+	return value
+}
+
+// load reads a load report, name:value pairs; unknown names are skipped, and missing ones are -1.
+func (f *fields) load(i int) *decision.Load {
+	if f.parts[i] == absent {
+		return nil
+	}
+	load := &decision.Load{Util: -1, Queue: -1}
+	for pair := range strings.SplitSeq(f.parts[i], ",") {
+		name, text, found := strings.Cut(pair, ":")
+		value, err := strconv.ParseFloat(text, 64)
+		if !found || err != nil {
+			f.fail(i, "a load report")
+			return nil
+		}
+		switch name {
+		case "cpu":
+			load.Util = value
+		case "waiting":
+			load.Queue = value
+		}
+	}
+	return load
+}
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -8,18 +8,21 @@
 	"testing"
 )
 
-// bornLine starts an instance with every figure that the module reads.
-const bornLine = "born\t3\t5138197539985895\tn-instances=3\tzone=oulu\tgranularity-ms=5.5\tdiscovery=ask\trules.ask-within-ms=10000" +
-	"\tcharges.cross-zone=0.02\tcharges.probe=0.01\tlimits.probing=true\tlimits.cancel=true\tlimits.second-copies=1" +
-	"\tlimits.retry-after=true\tlimits.max-retry-after-ms=500\tlimits.most-tries=5\trules.cold-from=0.35\trules.warm-after-ms=4500" +
-	"\trules.overload-factor=3.5\trules.overload-for-ms=1000\tdomain.swap=rolling\tdomain.caps=0.1,0.4,1\tdomain.waves=0.08,0.25,1" +
-	"\tdomain.uncounted=1.5\tdomain.per=per_lane\tdomain.guarded-stages=2\tdomain.keys-stay=true\tdomain.reported-share=0.3" +
-	"\tdomain.vote-ttl-ms=6000\tdomain.vote-wait-ms=800\tdomain.on-votes=4\tdomain.votes-to-revert=6\tdomain.to-pause=7" +
-	"\tdomain.tally-every-ms=900\tdomain.vote-mode=clocked\tservices.count=3\tservices.0.name=level-read\tservices.0.aim-ms=400" +
-	"\tservices.0.give-up-ms=1500\tservices.0.idempotency=safe\tservices.1.name=subscribe\tservices.1.aim-ms=500" +
-	"\tservices.1.give-up-ms=2000\tservices.1.idempotency=keyed\tservices.1.group=zone\tservices.1.window-ms=1200" +
-	"\tservices.2.name=send-text\tservices.2.aim-ms=550\tservices.2.give-up-ms=1500\tservices.2.idempotency=unsafe" +
-	"\ttenants.count=2\ttenants.0.name=tulvavahti\ttenants.1.name=jokisilma"
+// bornLine starts an instance with every setting that the module reads.
+const bornLine = "born\t3\t5138197539985895\tn-instances=3\tzone=oulu\tgranularity-ms=5.5\tdiscovery=ask" +
+	"\trules.ask-within-ms=10000\tcharges.cross-zone=0.02\tcharges.probe=0.01\tlimits.probing=true" +
+	"\tlimits.cancel=true\tlimits.second-copies=1\tlimits.retry-after=true\tlimits.max-retry-after-ms=500" +
+	"\tlimits.most-tries=5\trules.cold-from=0.35\trules.warm-after-ms=4500\trules.overload-factor=3.5" +
+	"\trules.overload-for-ms=1000\tdomain.swap=rolling\tdomain.caps=0.1,0.4,1\tdomain.waves=0.08,0.25,1" +
+	"\tdomain.uncounted=1.5\tdomain.per=per_lane\tdomain.guarded-stages=2\tdomain.keys-stay=true" +
+	"\tdomain.reported-share=0.3\tdomain.vote-ttl-ms=6000\tdomain.vote-wait-ms=800\tdomain.on-votes=4" +
+	"\tdomain.votes-to-revert=6\tdomain.to-pause=7\tdomain.tally-every-ms=900\tdomain.vote-mode=clocked" +
+	"\tservices.count=3\tservices.0.name=level-read\tservices.0.aim-ms=400\tservices.0.give-up-ms=1500" +
+	"\tservices.0.idempotency=safe\tservices.1.name=subscribe\tservices.1.aim-ms=500" +
+	"\tservices.1.give-up-ms=2000\tservices.1.idempotency=keyed\tservices.1.group=zone" +
+	"\tservices.1.window-ms=1200\tservices.2.name=send-text\tservices.2.aim-ms=550" +
+	"\tservices.2.give-up-ms=1500\tservices.2.idempotency=unsafe\ttenants.count=2" +
+	"\ttenants.0.name=tulvavahti\ttenants.1.name=jokisilma"
 
 // goldenLines are lines of every kind, with every word that the wire has for a field.
 func goldenLines() []string {
@@ -34,33 +37,38 @@
 	for bits := range 4 {
 		lines = append(lines, fmt.Sprintf("req\t3\t4294967295\tlevel-read\ttulvavahti\tacct/k\t240.5\t12.5\t%d", bits))
 	}
-	lines = append(lines, "req\t3\t7\tlevel-read\t-\t-\t240\t-\t0", "flowing\t3\t7\t2\t10.0.0.1:80\t4.5", "aborted\t3\t7",
+	lines = append(lines, "req\t3\t7\tlevel-read\t-\t-\t240\t-\t0",
+		"flowing\t3\t7\t2\t10.0.0.1:80\t4.5", "aborted\t3\t7",
 		"tick_due\t3\t9223372036854775808", "message\t3\t2\t6869", "message\t3\t2\t-")
-	for i, ending := range []string{"completed", "errored", "saturated", "overdue", "refused_conn", "severed", "recalled", "superseded"} {
-		lines = append(lines, fmt.Sprintf("verdict\t3\t7\t%s\t10.0.0.1:80\t2\t4.5\t%d\tcpu:0.5,waiting:3,other:9", ending, i%2),
-			fmt.Sprintf("ping_result\t3\t10.0.0.1:80\t%s\t250.5\t-", ending))
+	for i, outcome := range []string{
+		"completed", "errored", "saturated", "overdue", "refused_conn", "severed", "recalled", "superseded",
+	} {
+		lines = append(lines,
+			fmt.Sprintf("verdict\t3\t7\t%s\t10.0.0.1:80\t2\t4.5\t%d\tcpu:0.5,waiting:3,other:9", outcome, i%2),
+			fmt.Sprintf("ping_result\t3\t10.0.0.1:80\t%s\t250.5\t-", outcome))
 	}
 	lines = append(lines, "verdict\t3\t7\tcompleted\tn\t1\t4.5\t-\twaiting:2", "ping_result\t3\tn\tcompleted\t1\tcpu:0.25")
 	for _, phase := range []string{"0", "-", "1", "2", "3"} {
 		lines = append(lines, "stage\t3\t310.5\t42\t"+phase+"\t0\t0.28\t2\tcompleted")
 	}
-	for _, fate := range []string{"completed", "errored", "saturated", "overdue", "superseded"} {
-		lines = append(lines, "stage\t3\t310.5\t42\t1\t1\t0.28\t2\t"+fate)
+	for _, result := range []string{"completed", "errored", "saturated", "overdue", "superseded"} {
+		lines = append(lines, "stage\t3\t310.5\t42\t1\t1\t0.28\t2\t"+result)
 	}
-	return append(lines, "metrics\t3\t42\tlevel-read\t20\t2\t31.5\t900.5", "reported_wrong\t3\t10.0.0.1:80\tlevel-read\t1200.5")
+	return append(lines, "metrics\t3\t42\tlevel-read\t20\t2\t31.5\t900.5",
+		"reported_wrong\t3\t10.0.0.1:80\tlevel-read\t1200.5")
 }
 
-// Each line decodes into the event of the golden file, figure by figure. The words there are the test's own, so that they
-// stay when fields get other names.
+// Each line decodes into the event of the golden file, field by field. The names in that file are the test's own, so
+// that they stay when fields are renamed.
 func TestGoldenEvents(t *testing.T) {
 	var observed strings.Builder
-	var d Decoder
+	var decoder Decoder
 	for _, line := range goldenLines() {
-		in, err := d.Line(line)
+		incoming, err := decoder.Line(line)
 		if err != nil {
 			t.Fatalf("%q: %v", line, err)
 		}
-		fmt.Fprintf(&observed, "%s  %s\n", golden.Quote([]byte(line)), describe(in))
+		fmt.Fprintf(&observed, "%s  %s\n", golden.Quote([]byte(line)), describe(incoming))
 	}
 	if err := golden.Check("testdata/events.golden", []byte(observed.String())); err != nil {
 		t.Error(err)
@@ -97,52 +105,60 @@
 	}
 }
 
-// describe tells what a line has brought, in words of this test alone.
-func describe(in *Incoming) string {
+// describe prints what a line decodes into, in the words of the golden file.
+func describe(incoming *Incoming) string {
 	switch {
-	case in == nil:
+	case incoming == nil:
 		return "adds to a list"
-	case in.Start != nil:
-		return fmt.Sprintf("instance %d starts: seed %d, fault %v\n%s", in.Instance, in.Start.Seed, in.Start.Err, describeSettings(&in.Start.Settings))
-	case in.Stop:
-		return fmt.Sprintf("instance %d ends", in.Instance)
+	case incoming.Start != nil:
+		return fmt.Sprintf("instance %d starts: seed %d, fault %v\n%s", incoming.Instance, incoming.Start.Seed,
+			incoming.Start.Err, describeSettings(&incoming.Start.Settings))
+	case incoming.Stop:
+		return fmt.Sprintf("instance %d ends", incoming.Instance)
 	}
-	return fmt.Sprintf("instance %d: %s", in.Instance, describeEvent(in.Event))
+	return fmt.Sprintf("instance %d: %s", incoming.Instance, describeEvent(incoming.Event))
 }
 
 func describeEvent(event decision.Event) string {
-	switch e := event.(type) {
+	switch event := event.(type) {
 	case decision.EndpointsChanged:
-		text := fmt.Sprintf("list: kind %d, number %d", int(e.Kind), e.Version)
-		for _, n := range e.Endpoints {
-			text += fmt.Sprintf("; endpoint %q cell %d started %g zone %q build %d kind %q state %d units %g", string(n.ID),
-				int(n.Cell), n.Started, string(n.Zone), int(n.Build), string(n.MachineType), int(n.State), n.Capacity)
+		text := fmt.Sprintf("list: kind %d, number %d", int(event.Kind), event.Version)
+		for _, entry := range event.Endpoints {
+			text += fmt.Sprintf("; endpoint %q cell %d started %g zone %q build %d kind %q state %d units %g",
+				string(entry.ID), int(entry.Cell), entry.Started, string(entry.Zone), int(entry.Build),
+				string(entry.MachineType), int(entry.State), entry.Capacity)
 		}
 		return text
 	case decision.RequestReceived:
-		return fmt.Sprintf("request %d: class %q tenant %q key %q left %g hint %g repeated %t", uint64(e.Request), string(e.Class),
-			string(e.Tenant), string(e.Key), e.TTL, e.Hint, e.Retried)
+		return fmt.Sprintf("request %d: class %q tenant %q key %q left %g hint %g repeated %t",
+			uint64(event.Request), string(event.Class), string(event.Tenant),
+			string(event.Key), event.TTL, event.Hint, event.Retried)
 	case decision.ResponseStarted:
-		return fmt.Sprintf("answer begins: request %d attempt %d endpoint %q after %g", uint64(e.Request), e.Attempt, string(e.Endpoint), e.After)
+		return fmt.Sprintf("answer begins: request %d attempt %d endpoint %q after %g", uint64(event.Request),
+			event.Attempt, string(event.Endpoint), event.After)
 	case decision.AttemptEnded:
 		return fmt.Sprintf("attempt ended: request %d ending %d endpoint %q attempt %d after %g request ended %t load %s",
-			uint64(e.Request), int(e.Outcome), string(e.Endpoint), e.Attempt, e.After, e.RequestEnded, describeLoad(e.Load))
+			uint64(event.Request), int(event.Outcome), string(event.Endpoint), event.Attempt, event.After,
+			event.RequestEnded, describeLoad(event.Load))
 	case decision.ClientDisconnected:
-		return fmt.Sprintf("request gone: %d", uint64(e.Request))
+		return fmt.Sprintf("request gone: %d", uint64(event.Request))
 	case decision.TimerFired:
-		return fmt.Sprintf("timer due: %d", uint64(e.Token))
+		return fmt.Sprintf("timer due: %d", uint64(event.Token))
 	case decision.HealthCheckEnded:
-		return fmt.Sprintf("probe ended: endpoint %q ending %d after %g load %s", string(e.Endpoint), int(e.Outcome), e.After, describeLoad(e.Load))
+		return fmt.Sprintf("probe ended: endpoint %q ending %d after %g load %s", string(event.Endpoint),
+			int(event.Outcome), event.After, describeLoad(event.Load))
 	case decision.PeerMessage:
-		return fmt.Sprintf("peer %d said %q", int(e.From), e.Data)
+		return fmt.Sprintf("peer %d said %q", int(event.From), event.Data)
 	case decision.StageUpdate:
-		return fmt.Sprintf("stage: age %g build %d phase %d to a vote %t cap %g stage %d fate %d", e.Age, int(e.Build), int(e.Phase),
-			e.IsVoteResult, e.ExposureCap, e.Stage, int(e.VoteResult))
+		return fmt.Sprintf("stage: age %g build %d phase %d to a vote %t cap %g stage %d fate %d", event.Age,
+			int(event.Build), int(event.Phase), event.IsVoteResult, event.ExposureCap, event.Stage,
+			int(event.VoteResult))
 	case decision.ControllerCounts:
-		return fmt.Sprintf("tally: build %d class %q count %d failed %d mean %g age %g", int(e.Build), string(e.Class), e.Count,
-			e.Failed, e.Mean, e.Age)
+		return fmt.Sprintf("tally: build %d class %q count %d failed %d mean %g age %g", int(event.Build),
+			string(event.Class), event.Count, event.Failed, event.Mean, event.Age)
 	case decision.ResponseFlagged:
-		return fmt.Sprintf("reported wrong: endpoint %q class %q age %g", string(e.Endpoint), string(e.Class), e.Age)
+		return fmt.Sprintf("reported wrong: endpoint %q class %q age %g", string(event.Endpoint),
+			string(event.Class), event.Age)
 	}
 	return "an event that this test does not know"
 }
@@ -154,22 +170,25 @@
 	return fmt.Sprintf("busy %g waiting %g", l.Util, l.Queue)
 }
 
-func describeSettings(s *decision.Settings) string {
+func describeSettings(set *decision.Settings) string {
 	lines := []string{
-		fmt.Sprintf("instances %d zone %q granularity %g asks %t within %g", s.Instances, string(s.Zone), s.ClockGranularity, s.PollEndpoints, s.PollWithin),
-		fmt.Sprintf("prices: cross %g probe %g; may cancel %t copy %t probe %t", s.CrossZonePrice, s.HealthCheckPrice, s.CancelAllowed, s.HedgingAllowed, s.HealthChecksAllowed),
-		fmt.Sprintf("come back %g attempts %d cold %g over %g warm %g over for %g", s.MaxRetryAfter, s.MaxAttempts, s.SlowStartFloor, s.OverloadFactor,
-			s.SlowStartWindow, s.OverloadWindow),
-		fmt.Sprintf("control %d in place %t caps %v stages %v free %g per class %t guarded %d keys stay %t reported %g", int(s.Control), s.InPlace,
-			s.ExposureCaps, s.Stages, s.FreeAttempts, s.ExposurePerClass, s.GuardedStages, s.StickyKeys, s.FlagShare),
-		fmt.Sprintf("votes: life %g wait %g on %d back %d hold %d; tally every %g", s.VoteTTL, s.VoteWait, s.AdvanceQuorum, s.RollbackQuorum, s.HoldQuorum,
-			s.CountInterval),
-	}
-	for _, g := range s.Classes {
-		lines = append(lines, fmt.Sprintf("class %q target %g effect %d scope %d remembered %g", string(g.Name), g.LatencyObjective, int(g.Idempotency),
-			int(g.RetryScope), g.DedupWindow))
-	}
-	for _, tenant := range s.Tenants {
+		fmt.Sprintf("instances %d zone %q granularity %g asks %t within %g", set.Instances,
+			string(set.Zone), set.ClockGranularity, set.PollEndpoints, set.PollWithin),
+		fmt.Sprintf("prices: cross %g probe %g; may cancel %t copy %t probe %t",
+			set.CrossZonePrice, set.HealthCheckPrice, set.CancelAllowed, set.HedgingAllowed, set.HealthChecksAllowed),
+		fmt.Sprintf("come back %g attempts %d cold %g over %g warm %g over for %g",
+			set.MaxRetryAfter, set.MaxAttempts, set.SlowStartFloor, set.OverloadFactor, set.SlowStartWindow, set.OverloadWindow),
+		fmt.Sprintf("control %d in place %t caps %v stages %v free %g per class %t guarded %d keys stay %t reported %g",
+			int(set.Control), set.InPlace, set.ExposureCaps, set.Stages, set.FreeAttempts, set.ExposurePerClass,
+			set.GuardedStages, set.StickyKeys, set.FlagShare),
+		fmt.Sprintf("votes: life %g wait %g on %d back %d hold %d; tally every %g",
+			set.VoteTTL, set.VoteWait, set.AdvanceQuorum, set.RollbackQuorum, set.HoldQuorum, set.CountInterval),
+	}
+	for _, class := range set.Classes {
+		lines = append(lines, fmt.Sprintf("class %q target %g effect %d scope %d remembered %g", string(class.Name),
+			class.LatencyObjective, int(class.Idempotency), int(class.RetryScope), class.DedupWindow))
+	}
+	for _, tenant := range set.Tenants {
 		lines = append(lines, fmt.Sprintf("tenant %q", string(tenant)))
 	}
 	return "    " + strings.Join(lines, "\n    ")
--- a/internal/simwire/benchwire_test.go
+++ b/internal/simwire/lines_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// Each line becomes one event with every field in its place.
+// Each kind of line decodes into its event, with every field in its place.
 func TestLines(t *testing.T) {
 	load := &decision.Load{Util: 0.5, Queue: 3}
-	for _, tc := range []struct {
+	for _, test := range []struct {
 		line string
 		want decision.Event
 	}{
@@ -27,46 +27,50 @@
 		{"aborted\t3\t7", decision.ClientDisconnected{Request: 7}},
 		{"tick_due\t3\t9", decision.TimerFired{Token: 9}},
 		{"message\t3\t2\t6869", decision.PeerMessage{From: 2, Data: []byte("hi")}},
-		{"stage\t3\t310\t42\t-\t0\t0.28\t1\tcompleted", decision.StageUpdate{Age: 310, Build: 42, ExposureCap: 0.28, Stage: 1}},
+		{"stage\t3\t310\t42\t-\t0\t0.28\t1\tcompleted", decision.StageUpdate{
+			Age: 310, Build: 42, ExposureCap: 0.28, Stage: 1,
+		}},
 		{"stage\t3\t-\t42\t1\t1\t-\t-\tsaturated", decision.StageUpdate{
 			Build: 42, Phase: decision.RollingBack, IsVoteResult: true,
 			VoteResult: decision.VoteThrottled,
 		}},
-		{"metrics\t3\t42\tread\t20\t2\t31.5\t900", decision.ControllerCounts{Build: 42, Class: "read", Count: 20, Failed: 2, Mean: 31.5, Age: 900}},
+		{"metrics\t3\t42\tread\t20\t2\t31.5\t900", decision.ControllerCounts{
+			Build: 42, Class: "read", Count: 20, Failed: 2, Mean: 31.5, Age: 900,
+		}},
 		{"reported_wrong\t3\tn1\tread\t1200", decision.ResponseFlagged{Endpoint: "n1", Class: "read", Age: 1200}},
 		{"backends_changed\t3\trefused\t5\t-", decision.EndpointsChanged{Kind: decision.PollRejected, Version: 5}},
 	} {
-		var d Decoder
-		in, err := d.Line(tc.line)
-		if err != nil || in.Instance != 3 || fmt.Sprintf("%#v", in.Event) != fmt.Sprintf("%#v", tc.want) {
-			t.Errorf("%q: %+v, %v, want %+v", tc.line, in, err, tc.want)
+		got, err := new(Decoder).Line(test.line)
+		if err != nil || got.Instance != 3 || fmt.Sprintf("%#v", got.Event) != fmt.Sprintf("%#v", test.want) {
+			t.Errorf("%q: %+v, %v, want %+v", test.line, got, err, test.want)
 		}
 	}
-	in, err := new(Decoder).Line("ping_result\t3\tn1\toverdue\t250\tcpu:0.5,waiting:3")
-	if got, ok := in.Event.(decision.HealthCheckEnded); err != nil || !ok || got.Outcome != decision.TimedOut || *got.Load != *load {
-		t.Errorf("probe: %+v, %v", in, err)
+	incoming, err := new(Decoder).Line("ping_result\t3\tn1\toverdue\t250\tcpu:0.5,waiting:3")
+	got, ok := incoming.Event.(decision.HealthCheckEnded)
+	if err != nil || !ok || got.Outcome != decision.TimedOut || *got.Load != *load {
+		t.Errorf("health check: %+v, %v", incoming, err)
 	}
 }
 
-// A list is read once and named by later lines.
+// An endpoint list is read once, and later lines refer to it by its number.
 func TestLists(t *testing.T) {
-	var d Decoder
+	var decoder Decoder
 	for i, line := range []string{"sheet\t1\t1", "node\t2\t7000\ta\t42\tk\tdraining\t1.5\tn1"} {
-		if in, err := d.Line(line); in != nil || err != nil || d.Pending() != (i == 0) {
-			t.Fatalf("%q: %+v, %v", line, in, err)
+		if got, err := decoder.Line(line); got != nil || err != nil || decoder.Pending() != (i == 0) {
+			t.Fatalf("%q: %+v, %v", line, got, err)
 		}
 	}
-	in, err := d.Line("backends_changed\t3\tall\t5\t1")
+	got, err := decoder.Line("backends_changed\t3\tall\t5\t1")
 	want := decision.EndpointsChanged{Kind: decision.FullSnapshot, Version: 5, Endpoints: []decision.Endpoint{{
 		ID: "n1", Cell: 2, Started: 7000, Zone: "a",
 		Build: 42, MachineType: "k", State: decision.Draining, Capacity: 1.5,
 	}}}
-	if err != nil || fmt.Sprint(in.Event) != fmt.Sprint(want) {
-		t.Errorf("got %+v, %v, want %+v", in, err, want)
+	if err != nil || fmt.Sprint(got.Event) != fmt.Sprint(want) {
+		t.Errorf("got %+v, %v, want %+v", got, err, want)
 	}
 }
 
-// A mistake on the wire names the message and what was expected.
+// The error of a malformed line says what was expected.
 func TestBadLines(t *testing.T) {
 	for line, want := range map[string]string{
 		"what\t1":                              "unknown message",
@@ -85,8 +89,9 @@
 	}
 }
 
+// Each action encodes as its line.
 func TestActions(t *testing.T) {
-	for _, tc := range []struct {
+	for _, test := range []struct {
 		action decision.Action
 		want   string
 	}{
@@ -104,8 +109,8 @@
 		{decision.ResolveEndpoints{}, "lookup\t3\n"},
 		{decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteRollback}, "cast_vote\t3\t42\t1\t3\n"},
 	} {
-		if got := string(Append(nil, 3, tc.action)); got != tc.want {
-			t.Errorf("%#v: %q, want %q", tc.action, got, tc.want)
+		if got := string(Append(nil, 3, test.action)); got != test.want {
+			t.Errorf("%#v: %q, want %q", test.action, got, test.want)
 		}
 	}
 }
