--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/batches_test.go
@@ -14,12 +14,13 @@
 
 const list = "sheet\t0\t1\nnode\t1\t-\ta\t7\tk\tup\t1\t10.0.0.1:80\nbackends_changed\t0\tremembered\t1\t0\n"
 
+// A batch gets its reply; a malformed one ends the program with an error that names the line.
 func TestServe(t *testing.T) {
 	request := "req\t0\t5\tread\t-\t-\t300.0\t-\t9\n"
-	for _, c := range []struct{ name, in, out, err string }{
+	for _, test := range []struct{ name, in, out, err string }{
 		{"empty batch", "sync\t1.5\ncommit\n", "end\n", ""},
 		{
-			"a hit, with unknown settings and option bits", "sync\t1.0\n" + born + list + request + "commit\n",
+			"a request, with unknown settings and option bits", "sync\t1.0\n" + born + list + request + "commit\n",
 			"assign\t0\t5\t10.0.0.1:80", "",
 		},
 		{"events for an instance that is down", "sync\t1.0\n" + born + "down\t0\n" + request + "commit\n", "end\n", ""},
@@ -28,7 +29,7 @@
 			"fault\t0\tsettings.rules.cold-from: missing", "",
 		},
 		{
-			"absurd setting", "sync\t1.0\n" + strings.Replace(born, "factor=2.5", "factor=NaN", 1) + "commit\n",
+			"setting out of range", "sync\t1.0\n" + strings.Replace(born, "factor=2.5", "factor=NaN", 1) + "commit\n",
 			"fault\t0\tsettings.rules.overload-factor", "",
 		},
 		{"unknown message", "sync\t1.0\nhello\t1\ncommit\n", "", `line 2: unknown message "hello"`},
@@ -42,14 +43,14 @@
 		{"batch ends inside a list", "sync\t1.0\nsheet\t0\t2\ncommit\n", "", "line 3:"},
 		{"list number", "sync\t1.0\nsheet\t16\t0\ncommit\n", "", "line 2: sheet: field 1"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			var out bytes.Buffer
-			err := serve(strings.NewReader(c.in), &out)
-			if c.err == "" && err != nil || c.err != "" && (err == nil || !strings.HasPrefix(err.Error(), c.err)) {
-				t.Errorf("error %v, want %q", err, c.err)
+			err := serve(strings.NewReader(test.in), &out)
+			if test.err == "" && err != nil || test.err != "" && (err == nil || !strings.HasPrefix(err.Error(), test.err)) {
+				t.Errorf("error %v, want %q", err, test.err)
 			}
-			if !strings.Contains(out.String(), c.out) || c.err != "" && out.Len() > 0 {
-				t.Errorf("output %q, want %q", out.String(), c.out)
+			if !strings.Contains(out.String(), test.out) || test.err != "" && out.Len() > 0 {
+				t.Errorf("output %q, want %q", out.String(), test.out)
 			}
 		})
 	}
