--- /dev/null
+++ b/decision/admission_test.go
@@ -0,0 +1,107 @@
+package decision
+
+import (
+	"fmt"
+	"testing"
+)
+
+// After an attempt that did not succeed, the request class decides whether the request may be retried and
+// in which zone. A request that may not be retried fails.
+func TestRetryScopes(t *testing.T) {
+	released := StageUpdate{Build: 8, Phase: Released, Stage: 2, ExposureCap: 1}
+	for _, test := range []struct {
+		class    ClassName
+		outcome  Outcome
+		after    Millis // the attempt's duration
+		zone     string // "": any, "-": none, "same": that of the first attempt
+		response string
+	}{
+		{"read", EndpointFailed, 20, "", ""},
+		{"read", ConnectionBroken, 20, "", ""},
+		{"pay", EndpointFailed, 20, "-", "fail"},
+		{"pay", ConnectionBroken, 20, "-", "fail"},
+		{"pay", TimedOut, 20, "-", "fail"},
+		{"pay", Canceled, 20, "-", "fail"},
+		{"pay", EndpointRejected, 20, "", ""},
+		{"pay", Unreachable, 20, "", ""},
+		{"mark", EndpointFailed, 20, "same", ""},
+		{"mark", EndpointRejected, 20, "", ""},
+		{"mark", EndpointFailed, 995, "-", "fail"}, // the endpoints have forgotten the key
+		{"unknown", EndpointFailed, 20, "-", "fail"},
+	} {
+		t.Run(fmt.Sprint(test.class, test.outcome, test.after), func(t *testing.T) {
+			sim := start(t, released, nil)
+			req, first := sim.request(test.class, "")
+			if first == "" {
+				t.Fatal("no first attempt")
+			}
+			sim.now += test.after
+			sim.endAttempt(req, 0, test.outcome, test.after)
+			sim.advance(600)
+			retried := sim.attemptedAt(req, 1)
+			if (retried == "") != (test.zone == "-") || test.zone == "same" && retried[0] != first[0] {
+				t.Errorf("first %q, then %q", first, retried)
+			}
+			if _, got := sim.responses(req); test.zone == "-" && got != test.response {
+				t.Errorf("response %q, want %q", got, test.response)
+			}
+		})
+	}
+}
+
+// A retry of a request that is idempotent with a key, and whose earlier attempt may have run, must be sent
+// while the endpoints remember the key. Other attempts may be sent until the client gives up.
+func TestSendBy(t *testing.T) {
+	for _, test := range []struct {
+		class ClassName
+		ends  []Outcome // of the attempts before
+		want  Millis    // after the first attempt; 0: no bound
+	}{
+		{"mark", nil, 0},
+		{"mark", []Outcome{Unreachable}, 0},
+		{"mark", []Outcome{ConnectionBroken}, 990},
+		{"mark", []Outcome{ConnectionBroken, ConnectionBroken}, 990},
+		{"mark", []Outcome{Unreachable, ConnectionBroken}, 1010}, // the second was sent 20 ms later
+		{"read", []Outcome{ConnectionBroken}, 0},
+		{"pay", []Outcome{EndpointRejected}, 0},
+	} {
+		t.Run(fmt.Sprint(test.class, test.ends), func(t *testing.T) {
+			sim := start(t, StageUpdate{Build: 8, Phase: Released, Stage: 2, ExposureCap: 1}, nil)
+			req, _ := sim.request(test.class, "")
+			began := sim.now
+			for i, outcome := range test.ends {
+				sim.now += 20
+				sim.endAttempt(req, i, outcome, 20)
+			}
+			if sim.attemptedAt(req, len(test.ends)) == "" {
+				t.Fatal("no retry")
+			}
+			last := sim.actions[len(sim.actions)-1].(StartAttempt)
+			if want := test.want; want > 0 && last.SendBy != began+want || want == 0 && last.SendBy != 0 {
+				t.Errorf("SendBy %g, want %g after the first attempt", last.SendBy-began, want)
+			}
+		})
+	}
+}
+
+// In guarded stages only idempotent requests go to the candidate.
+func TestGuardedStage(t *testing.T) {
+	for _, test := range []struct {
+		stage int
+		class ClassName
+		may   bool
+	}{
+		{0, "read", true},
+		{0, "mark", false},
+		{0, "pay", false},
+		{0, "unknown", false},
+		{1, "mark", true},
+		{1, "pay", true},
+	} {
+		sim := start(t, trialUpdate(test.stage, 1), func(s *Settings) { s.GuardedStages = 1 })
+		sim.replaceEndpoints(newEndpoint("a2", 8))
+		if _, to := sim.request(test.class, ""); (to != "") != test.may {
+			t.Errorf("stage %d %s: sent to %q", test.stage, test.class, to)
+		}
+	}
+}
--- /dev/null
+++ b/decision/controllercounts_test.go
@@ -0,0 +1,51 @@
+package decision
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+)
+
+// The rollout controller's counts stand in for outcomes: equal builds advance, a failing or slow one is
+// rolled back. Requests that endpoints do not respond to under both builds are no reason.
+func TestControllerCounts(t *testing.T) {
+	for _, test := range []struct {
+		name                            string
+		baselineFailed, candidateFailed int // of 40
+		candidateMean                   Millis
+		errors                          bool
+		want                            string
+	}{
+		{"alike", 0, 0, 50, true, "1"},
+		{"failing", 0, 20, 50, true, "3"},
+		{"no response, of both", 20, 20, 50, false, "1"},
+		{"no response, more of the candidate", 10, 20, 50, false, "1"},
+		{"slow", 0, 0, 150, true, "3"},
+	} {
+		sim := start(t, releasedUpdate(7), func(s *Settings) { s.CountInterval = 500 })
+		list := []Endpoint{newEndpoint("a1", 7), newEndpoint("b1", 7)}
+		for i := range 20 {
+			list = append(list, newEndpoint(EndpointID(fmt.Sprint("a3", i)), 8))
+		}
+		sim.replaceEndpoints(list...)
+		if test.errors {
+			sim.balancer.trial.unsuccessful.Bad = 40
+		}
+		for i := range 10 {
+			if i == 4 {
+				sim.handle(trialUpdate(0, 0.1))
+			}
+			sim.advance(500)
+			sim.handle(ControllerCounts{Build: 7, Class: "read", Count: 40, Failed: test.baselineFailed, Mean: 50})
+			if i >= 5 {
+				sim.handle(ControllerCounts{
+					Build: 8, Class: "read", Count: 40, Failed: test.candidateFailed, Mean: test.candidateMean,
+				})
+			}
+		}
+		got := strings.TrimLeft(sim.votes(), "0")
+		if !strings.HasPrefix(got, test.want) || test.want == "" && got != "" {
+			t.Errorf("%s: votes %q, want %q", test.name, got, test.want)
+		}
+	}
+}
--- /dev/null
+++ b/decision/crosszone_test.go
@@ -0,0 +1,91 @@
+package decision
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+)
+
+// Where the endpoints of one zone are overloaded, an instance with little traffic sees too few outcomes of
+// each to notice that the other zone is not. Outcomes by zone move requests over: half of them at most, and
+// none to a zone that is slow itself, fails, or is quicker by less than the price of crossing.
+func TestCrossZone(t *testing.T) {
+	const zoneSize, requests = 30, 400
+	succeeds := func(after Millis) func() (Outcome, Millis) {
+		return func() (Outcome, Millis) { return Succeeded, after }
+	}
+	unreachable := func() (Outcome, Millis) { return Unreachable, 250 }
+	const half = maxCrossZoneShare + (1-maxCrossZoneShare)/2
+	for _, test := range []struct {
+		name        string
+		home, away  func() (Outcome, Millis)
+		price       float64
+		least, most float64 // share of the requests that cross
+	}{
+		{"home overloaded", succeeds(400), succeeds(60), 0.02, 0.25, half},
+		{"both quick", succeeds(60), succeeds(60), 0.02, 0, 0.1},
+		{"both overloaded", succeeds(400), succeeds(400), 0.02, 0, 0.2},
+		{"home overloaded, high price", succeeds(400), succeeds(60), 0.5, 0, 0.1},
+		{"home overloaded, other zone unreachable", succeeds(400), unreachable, 0.02, 0, 0.15},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			sim := start(t, releasedUpdate(7), func(s *Settings) {
+				manyInstances(s)
+				s.CrossZonePrice = test.price
+			})
+			var endpoints []Endpoint
+			for i := range zoneSize {
+				endpoints = append(endpoints,
+					newEndpoint(EndpointID(fmt.Sprintf("a%02d", i)), 7),
+					newEndpoint(EndpointID(fmt.Sprintf("b%02d", i)), 7))
+			}
+			sim.replaceEndpoints(endpoints...)
+			crossed := 0
+			for i := range requests {
+				req, to := sim.request("read", "")
+				sim.advance(300)
+				end := test.home
+				if strings.HasPrefix(string(to), "b") {
+					end = test.away
+					if i >= requests/2 { // by then it has enough outcomes
+						crossed++
+					}
+				}
+				outcome, after := end()
+				sim.endAttempt(req, 0, outcome, after)
+				if retried := sim.attemptedAt(req, 1); retried != "" {
+					sim.endAttempt(req, 1, Succeeded, after)
+				}
+			}
+			if share := float64(crossed) / (requests / 2); share < test.least || share > test.most {
+				t.Errorf("a share of %.3f crosses, want %.2f to %.2f", share, test.least, test.most)
+			}
+			if sim.balancer.crossZone.share > maxCrossZoneShare {
+				t.Errorf("crossing %v", sim.balancer.crossZone.share)
+			}
+		})
+	}
+}
+
+// An instance that knows the response times of each endpoint chooses by these. Moving requests by zone as
+// well would give the builds different shares of the zones, and make a good candidate look slow.
+func TestCrossZoneWithKnownEndpoints(t *testing.T) {
+	for name, test := range map[string]struct {
+		rate        float64 // responses a ms of each endpoint
+		least, most float64
+	}{
+		"few responses of each endpoint":  {0.00001, 0.3, maxCrossZoneShare},
+		"many responses of each endpoint": {0.02, 0, 0.05},
+	} {
+		t.Run(name, func(t *testing.T) {
+			sim := start(t, releasedUpdate(8), func(s *Settings) { s.CrossZonePrice = 0.02 })
+			for range 200 {
+				sim.balancer.crossZone.latency, sim.balancer.load.serviceRate = [2]Millis{400, 60}, test.rate
+				sim.balancer.tick()
+			}
+			if sim.balancer.crossZone.share < test.least || sim.balancer.crossZone.share > test.most {
+				t.Errorf("crossing %.3f, want %v to %v", sim.balancer.crossZone.share, test.least, test.most)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/decision/exposure_test.go
@@ -0,0 +1,111 @@
+package decision
+
+import (
+	"testing"
+)
+
+// In every window of time, attempts at the candidate are at most the free attempts and the exposure limit
+// times the requests. This holds for windows that begin between two requests too.
+func TestExposure(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		update StageUpdate
+		cap    float64 // that binds
+	}{
+		{"first stage", trialUpdate(0, 0.1), 0.1},
+		{"middle", trialUpdate(1, 0.5), 0.5},
+		{"awkward share", trialUpdate(1, 0.84), 0.84},
+		{"last", trialUpdate(2, 1), 1},
+		{"no stage update yet", StageUpdate{}, 0.1},
+		{"unannounced", StageUpdate{Build: 7, Phase: Released, Stage: 2, ExposureCap: 1}, 0.1},
+		{"rolling back", StageUpdate{Build: 8, Phase: RollingBack, ExposureCap: 0}, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			sim := start(t, test.update, nil)
+			sim.replaceEndpoints(newEndpoint("a2", 8)) // no endpoint of the baseline
+			requests, attempts := exposureOf(sim)
+			for i := range attempts {
+				for j := i; j < len(attempts); j++ {
+					from, to := attempts[i], attempts[j]
+					count := countBetween(requests, from, to)
+					if float64(j-i+1) > 1+test.cap*float64(count)+1e-9 {
+						t.Fatalf("%d attempts for %d requests from %v to %v", j-i+1, count, from, to)
+					}
+				}
+			}
+			if test.cap == 0 && len(attempts) > 0 ||
+				test.cap > 0 && len(attempts) < int(250*test.cap*test.cap) {
+				t.Errorf("%d attempts", len(attempts))
+			}
+		})
+	}
+}
+
+// exposureOf sends requests, some at the same time and some followed by a timer, and returns the times of
+// these and of the attempts, which succeed at once.
+func exposureOf(sim *harness) (requests, attempts []Millis) {
+	for i := range 300 {
+		sim.now += []Millis{0, 0, 3, 40, 0, 7}[i%6]
+		sim.lastID++
+		events := []Event{RequestReceived{Request: sim.lastID, Class: "read", TTL: 1000}, TimerFired{}}
+		requests = append(requests, sim.now)
+		for _, event := range events[:1+i%2] {
+			for _, action := range sim.handle(event) {
+				started, ok := action.(StartAttempt)
+				if !ok {
+					continue
+				}
+				attempts = append(attempts, sim.now)
+				sim.handle(AttemptEnded{
+					Request: started.Request, Outcome: Succeeded, Endpoint: started.Endpoint, After: 5,
+					RequestEnded: true,
+				})
+			}
+		}
+	}
+	return requests, attempts
+}
+
+func countBetween(times []Millis, from, to Millis) (count int) {
+	for _, at := range times {
+		if at >= from && at <= to {
+			count++
+		}
+	}
+	return count
+}
+
+// Where the exposure limit holds for each class, an attempt of one class leaves the tokens of the others.
+func TestExposurePerClass(t *testing.T) {
+	for _, perClass := range []bool{false, true} {
+		sim := start(t, trialUpdate(0, 0.1), func(s *Settings) { s.ExposurePerClass = perClass })
+		sim.replaceEndpoints(newEndpoint("a2", 8))
+		req, first := sim.request("read", "")
+		sim.endAttempt(req, 0, Succeeded, 20)
+		if _, second := sim.request("pay", ""); first != "a2" || (second == "a2") != perClass {
+			t.Errorf("per class %v: %q then %q", perClass, first, second)
+		}
+	}
+}
+
+// The share that operators withhold from candidates lowers the exposure limit.
+func TestWithheld(t *testing.T) {
+	for _, test := range []struct {
+		share       float64
+		least, most int
+	}{{0, 80, 101}, {0.8, 30, 41}, {1, 0, 0}} {
+		sim := start(t, trialUpdate(1, 0.5), func(s *Settings) { s.WithheldShare = test.share })
+		n := 0
+		for range 200 {
+			req, to := sim.request("read", "")
+			if to == "a2" || to == "b2" {
+				n++
+			}
+			sim.advance(20)
+			sim.endAttempt(req, 0, Succeeded, 20)
+		}
+		if n < test.least || n > test.most {
+			t.Errorf("withheld %g: %d of 200 requests went to the candidate", test.share, n)
+		}
+	}
+}
--- /dev/null
+++ b/decision/failures_test.go
@@ -0,0 +1,94 @@
+package decision
+
+import (
+	"fmt"
+	"ottershed/internal/stats"
+	"testing"
+)
+
+// Failures at one of several candidate endpoints are a fault of that endpoint, not of the build.
+func TestOneFailingEndpoint(t *testing.T) {
+	for _, test := range []struct {
+		bad  []float64 // failures among 30 outcomes, by candidate endpoint
+		back bool
+	}{
+		{[]float64{20, 0}, false},
+		{[]float64{10, 10}, true},
+		{[]float64{20}, true},
+		{[]float64{20, 0, 0, 0, 0}, false},
+	} {
+		sim := start(t, trialUpdate(1, 0.5), nil)
+		var list []Endpoint
+		for i := range test.bad {
+			list = append(list, newEndpoint(EndpointID(fmt.Sprint("a", i)), 8))
+		}
+		sim.replaceEndpoints(append(list, newEndpoint("a9", 7))...)
+		sim.balancer.endpoints.byID["a9"].outcomes[0].Good = 90
+		for i, bad := range test.bad {
+			outcomes := &sim.balancer.endpoints.byID[list[i].ID].outcomes[0]
+			outcomes.Good, outcomes.Bad = 30-bad, bad
+		}
+		for _, left := range []bool{false, true} { // of the baseline's endpoints, the last one
+			if left {
+				sim.replaceEndpoints(list...)
+			}
+			if found := sim.balancer.failureEvidence(); (found.strength >= 1) != test.back {
+				t.Errorf("%v, left %v: statistic %v", test.bad, left, found.strength)
+			}
+		}
+	}
+}
+
+// A single candidate endpoint that fails proves nothing while an endpoint of the baseline fails alike, nor
+// while it is the only one of several that has outcomes.
+func TestSingleCandidateEndpoint(t *testing.T) {
+	for _, test := range []struct {
+		baseline float64 // failures among 30 outcomes of one of two endpoints
+		others   int     // candidate endpoints without outcomes
+		back     bool
+	}{{0, 0, true}, {1, 0, true}, {25, 0, false}, {0, 3, false}} {
+		sim := start(t, trialUpdate(0, 0.1), nil)
+		list := []Endpoint{newEndpoint("a1", 7), newEndpoint("b1", 7), newEndpoint("a2", 8)}
+		for i := range test.others {
+			list = append(list, newEndpoint(EndpointID(fmt.Sprint("b", 2+i)), 8))
+		}
+		sim.replaceEndpoints(list...)
+		for id, bad := range map[EndpointID]float64{"a1": test.baseline, "b1": 0, "a2": 25} {
+			sim.balancer.endpoints.byID[id].outcomes[0] = stats.Count{Good: 30 - bad, Bad: bad}
+		}
+		if found := sim.balancer.failureEvidence(); (found.strength >= 1) != test.back {
+			t.Errorf("baseline fails %v times, %d others: statistic %v", test.baseline, test.others, found.strength)
+		}
+	}
+}
+
+// An instance with little traffic has one outcome of most endpoints. Leaving out the endpoints with most
+// failures must not remove all failures that it has seen.
+func TestFailuresAcrossInstances(t *testing.T) {
+	for _, test := range []struct {
+		bad  [8]float64 // failures, by candidate endpoint
+		each float64    // outcomes of each endpoint
+		back bool
+	}{
+		{[8]float64{1, 1, 1}, 1, true},
+		{[8]float64{1}, 1, false},
+		{[8]float64{20}, 20, false}, // only one endpoint fails
+		{[8]float64{6, 7, 6, 8, 6, 7, 6, 7}, 20, true},
+	} {
+		sim := start(t, trialUpdate(0, 0.1), func(s *Settings) { s.Instances, s.RollbackQuorum = 20, 2 })
+		endpoints := []Endpoint{newEndpoint("b9", 7)}
+		for i := range test.bad {
+			endpoints = append(endpoints, newEndpoint(EndpointID(fmt.Sprint("a", i)), 8))
+		}
+		sim.replaceEndpoints(endpoints...)
+		overall := sim.balancer.classes.overall
+		sim.balancer.endpoints.byID["b9"].outcomes[overall.index].Good = 20
+		for i, bad := range test.bad {
+			candidate := sim.balancer.endpoints.byID[endpoints[i+1].ID]
+			candidate.outcomes[overall.index] = stats.Count{Good: test.each - bad, Bad: bad}
+		}
+		if found := sim.balancer.failureEvidence(); (found.strength >= 1) != test.back {
+			t.Errorf("%v of %v: statistic %v", test.bad, test.each, found.strength)
+		}
+	}
+}
--- a/decision/fleet_test.go
+++ b/decision/fleet_test.go
@@ -8,37 +8,36 @@
 	"testing"
 )
 
-// fleet is many marshals on one fake clock against a scripted platform. Nothing but it is shared.
+// fleet is many balancers on one fake clock against a simulated platform. They share nothing but that.
 type fleet struct {
-	t         *testing.T
 	now       Millis
 	events    schedule
 	balancers []*Balancer
-	perform   func(who int, a Action) // what the platform does with an action
+	perform   func(instance int, action Action) // what the platform does with an action
 	endpoints map[EndpointID]*fakeEndpoint
 	random    stats.Random
 	lastID    RequestID
 	requests  map[RequestID]*clientRequest
-	results   map[string]int     // how hits ended, since it was last emptied
-	attempts  map[EndpointID]int // forwards, since it was last emptied
+	results   map[string]int     // of requests, since the last reset
+	attempts  map[EndpointID]int // since the last reset
 }
 
-// asked is a hit as its client sees it.
+// clientRequest is a request as its client sees it.
 type clientRequest struct {
 	at, deadline Millis
-	inFlight     []bool // by forward
+	inFlight     []bool // by attempt
 	done         bool
 }
 
-// stand is a scripted node with a few cores and a line before them.
+// fakeEndpoint is a simulated endpoint: a queue and a few cores.
 type fakeEndpoint struct {
 	Endpoint
 	cores       []Millis // busy until
-	slowdown    float64  // times the work
-	unreachable bool     // connections never come up
+	slowdown    float64  // factor on the work
+	unreachable bool     // connections are never established
 }
 
-// due is something that happens at a time, in the order of its making where times are equal.
+// scheduled is something that happens at a time. Where times are equal the order is that of scheduling.
 type scheduled struct {
 	at    Millis
 	order int
@@ -47,259 +46,305 @@
 
 type schedule []scheduled
 
-func (d schedule) Len() int { return len(d) }
-func (d schedule) Less(i, j int) bool {
-	return d[i].at < d[j].at || d[i].at == d[j].at && d[i].order < d[j].order
+// Len, Less, Swap, Push and Pop are those of heap.Interface.
+
+func (s schedule) Len() int { return len(s) }
+
+func (s schedule) Less(i, j int) bool {
+	return s[i].at < s[j].at || s[i].at == s[j].at && s[i].order < s[j].order
 }
-func (d schedule) Swap(i, j int) { d[i], d[j] = d[j], d[i] }
-func (d *schedule) Push(x any)   { *d = append(*d, x.(scheduled)) }
-func (d *schedule) Pop() any {
-	last := (*d)[len(*d)-1]
-	*d = (*d)[:len(*d)-1]
+
+func (s schedule) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
+
+func (s *schedule) Push(x any) { *s = append(*s, x.(scheduled)) }
+
+func (s *schedule) Pop() any {
+	last := (*s)[len(*s)-1]
+	*s = (*s)[:len(*s)-1]
 	return last
 }
 
 var scheduledCount int
 
-func (f *fleet) at(when Millis, do func()) {
+// at schedules something.
+func (f *fleet) at(when Millis, run func()) {
 	scheduledCount++
-	heap.Push(&f.events, scheduled{when, scheduledCount, do})
+	heap.Push(&f.events, scheduled{when, scheduledCount, run})
 }
 
-// tell gives a marshal an event and carries out what it wants.
-func (f *fleet) deliver(who int, e Event) {
-	for _, a := range f.balancers[who].Handle(f.now, e) {
-		if wake, ok := a.(WakeAt); ok {
-			f.at(wake.At, func() { f.deliver(who, TimerFired{Token: wake.Token}) })
+// deliver hands a balancer an event and carries out its actions.
+func (f *fleet) deliver(instance int, event Event) {
+	for _, action := range f.balancers[instance].Handle(f.now, event) {
+		if wake, ok := action.(WakeAt); ok {
+			f.at(wake.At, func() { f.deliver(instance, TimerFired{Token: wake.Token}) })
 		} else {
-			f.perform(who, a)
+			f.perform(instance, action)
 		}
 	}
 }
 
-// run lets all that is due until a time happen.
+// run runs what is scheduled until a time.
 func (f *fleet) run(until Millis) {
 	for len(f.events) > 0 && f.events[0].at <= until {
-		d := heap.Pop(&f.events).(scheduled)
-		f.now = d.at
-		d.run()
+		next := heap.Pop(&f.events).(scheduled)
+		f.now = next.at
+		next.run()
 	}
 	f.now = until
 }
 
-// newFleet starts so many marshals at once with a list of nodes.
-func newFleet(t *testing.T, n int, endpoints []Endpoint, change func(*Settings)) *fleet {
+// newFleet starts so many balancers at once with an endpoint list.
+func newFleet(t *testing.T, size int, endpoints []Endpoint, change func(*Settings)) *fleet {
+	t.Helper()
 	f := &fleet{
-		t: t, now: 100000, perform: func(int, Action) {}, endpoints: map[EndpointID]*fakeEndpoint{}, random: stats.Random{Seed: 1},
-		requests: map[RequestID]*clientRequest{},
+		now: 100000, perform: func(int, Action) {}, endpoints: map[EndpointID]*fakeEndpoint{},
+		random: stats.Random{Seed: 1}, requests: map[RequestID]*clientRequest{},
 	}
-	f.empty()
-	for i := range n {
-		s := Settings{
-			Instances: n, Zone: "a", ClockGranularity: 1, MaxAttempts: 5, CancelAllowed: true, MaxRetryAfter: 500,
-			SlowStartFloor: 0.35, OverloadFactor: 3, SlowStartWindow: 2700, OverloadWindow: 1000, InPlace: true,
-			ExposureCaps: []float64{0.112, 0.84, 1}, Stages: []float64{0.08, 0.6, 1}, FreeAttempts: 1, VoteTTL: 6000, VoteWait: 800,
-			AdvanceQuorum: max(1, n*6/10), RollbackQuorum: max(1, n*8/100),
-			Classes: []RequestClass{{Name: "read", LatencyObjective: 700, Idempotency: Idempotent}},
-		}
+	f.resetCounts()
+	for i := range size {
+		settings := fleetSettings(size)
 		if change != nil {
-			change(&s)
+			change(&settings)
 		}
-		f.balancers = append(f.balancers, New(s, uint64(i)*0x9e3779b97f4a7c15+7))
+		f.balancers = append(f.balancers, New(settings, uint64(i)*0x9e3779b97f4a7c15+7))
 	}
-	for i := range n {
+	for i := range size {
 		f.at(f.now, func() { f.deliver(i, EndpointsChanged{Kind: CachedSnapshot, Endpoints: endpoints}) })
 	}
 	return f
 }
 
-// stands makes scripted nodes, each with so many cores, and the list of them.
-func (f *fleet) addEndpoints(n, cores int, build Build) (list []Endpoint) {
-	for range n {
+func fleetSettings(size int) Settings {
+	return Settings{
+		Instances: size, Zone: "a", ClockGranularity: 1, MaxAttempts: 5, CancelAllowed: true, MaxRetryAfter: 500,
+		SlowStartFloor: 0.35, OverloadFactor: 3, SlowStartWindow: 2700, OverloadWindow: 1000, InPlace: true,
+		ExposureCaps: []float64{0.112, 0.84, 1}, Stages: []float64{0.08, 0.6, 1}, FreeAttempts: 1,
+		VoteTTL: 6000, VoteWait: 800, AdvanceQuorum: max(1, size*6/10), RollbackQuorum: max(1, size*8/100),
+		Classes: []RequestClass{{Name: "read", LatencyObjective: fleetObjective, Idempotency: Idempotent}},
+	}
+}
+
+// addEndpoints adds endpoints of a build and returns the list of them.
+func (f *fleet) addEndpoints(count int, build Build) (list []Endpoint) {
+	for range count {
 		i := len(f.endpoints)
-		s := &fakeEndpoint{Endpoint: Endpoint{
+		added := &fakeEndpoint{Endpoint: Endpoint{
 			ID: EndpointID(fmt.Sprintf("s%02d", i)), Zone: Zone("ab"[i%2 : i%2+1]), Build: build, MachineType: "k",
-			Capacity: float64(cores),
-		}, cores: make([]Millis, cores), slowdown: 1}
-		f.endpoints[s.ID] = s
-		list = append(list, s.Endpoint)
+			Capacity: coresPerEndpoint,
+		}, cores: make([]Millis, coresPerEndpoint), slowdown: 1}
+		f.endpoints[added.ID] = added
+		list = append(list, added.Endpoint)
 	}
 	return list
 }
 
-// tellAll hands changes of the list to all marshals.
-func (f *fleet) deliverAll(e Event) {
-	for i := range f.balancers {
-		f.deliver(i, e)
+// deliverAll hands all balancers an event.
+func (f *fleet) deliverAll(event Event) {
+	for instance := range f.balancers {
+		f.deliver(instance, event)
 	}
 }
 
-func (f *fleet) empty() { f.results, f.attempts = map[string]int{}, map[EndpointID]int{} }
+// resetCounts starts to count results and attempts from 0.
+func (f *fleet) resetCounts() {
+	f.results = map[string]int{}
+	f.attempts = map[EndpointID]int{}
+}
 
-const work = 110.0 // ms on one core, the mean
+const (
+	fleetObjective   Millis = 700
+	clientTimeout    Millis = 2000
+	meanWork                = 110.0 // ms on one core
+	coresPerEndpoint        = 3
+)
 
-// serve carries forwards and counts how hits end.
-func (f *fleet) serve(who int, a Action) {
-	switch a := a.(type) {
+// serve carries out actions on requests, and counts the results.
+func (f *fleet) serve(instance int, action Action) {
+	switch action := action.(type) {
 	case StartAttempt:
-		f.attempts[a.Endpoint]++
-		h, n, start := f.requests[a.Request], f.endpoints[a.Endpoint], f.now
-		no := len(h.inFlight)
-		h.inFlight = append(h.inFlight, true)
-		end := func(how Outcome) {
-			if !h.inFlight[no] {
-				return
-			}
-			if h.inFlight[no] = false; how == Succeeded && !h.done {
-				if h.done = true; f.now <= h.at+700 {
-					f.results["in time"]++
-				}
-			}
-			f.deliver(who, AttemptEnded{Request: a.Request, Attempt: no, Outcome: how, Endpoint: a.Endpoint, After: f.now - start, RequestEnded: h.done})
-		}
-		f.at(h.deadline, func() { end(TimedOut) })
-		if n.unreachable {
-			f.at(f.now+250, func() { end(Unreachable) })
+		f.startAttempt(instance, action)
+	case Cancel:
+		f.cancel(instance, action)
+	case Reject:
+		f.requests[action.Request].done = true
+		f.results["rejected"]++
+	case Fail:
+		f.requests[action.Request].done = true
+		f.results["failed"]++
+	}
+}
+
+func (f *fleet) startAttempt(instance int, start StartAttempt) {
+	f.attempts[start.Endpoint]++
+	request, endpoint, startedAt := f.requests[start.Request], f.endpoints[start.Endpoint], f.now
+	attempt := len(request.inFlight)
+	request.inFlight = append(request.inFlight, true)
+	end := func(outcome Outcome) {
+		if !request.inFlight[attempt] {
 			return
 		}
-		free := 0
-		for i, until := range n.cores {
-			if until < n.cores[free] {
-				free = i
+		request.inFlight[attempt] = false
+		if outcome == Succeeded && !request.done {
+			request.done = true
+			if f.now <= request.at+fleetObjective {
+				f.results["in time"]++
 			}
 		}
-		warm := 1.0
-		if age := f.now - n.Started; n.Started > 0 && age < 2700 {
-			warm = 0.35 + 0.65*age/2700
-		}
-		n.cores[free] = max(start, n.cores[free]) - math.Log(1-f.random.Next())*work*n.slowdown/warm
-		f.at(n.cores[free], func() { end(Succeeded) })
-	case Cancel:
-		if h := f.requests[a.Request]; h.inFlight[a.Attempt] {
-			h.inFlight[a.Attempt] = false
-			f.at(f.now, func() {
-				f.deliver(who, AttemptEnded{Request: a.Request, Attempt: a.Attempt, Outcome: Canceled, RequestEnded: h.done})
-			})
+		f.deliver(instance, AttemptEnded{
+			Request: start.Request, Attempt: attempt, Outcome: outcome, Endpoint: start.Endpoint,
+			After: f.now - startedAt, RequestEnded: request.done,
+		})
+	}
+	f.at(request.deadline, func() { end(TimedOut) })
+	if endpoint.unreachable {
+		f.at(f.now+250, func() { end(Unreachable) })
+		return
+	}
+	f.at(f.work(endpoint), func() { end(Succeeded) })
+}
+
+// work puts a request on the core that is free first, and returns when it is done. Warming endpoints are
+// slower.
+func (f *fleet) work(endpoint *fakeEndpoint) Millis {
+	free := 0
+	for i, until := range endpoint.cores {
+		if until < endpoint.cores[free] {
+			free = i
 		}
-	case Reject:
-		f.requests[a.Request].done = true
-		f.results["bounced"]++
-	case Fail:
-		f.requests[a.Request].done = true
-		f.results["errored"]++
 	}
+	speed := 1.0
+	if age := f.now - endpoint.Started; endpoint.Started > 0 && age < 2700 {
+		speed = 0.35 + 0.65*age/2700
+	}
+	duration := math.Log(1-f.random.Next()) * meanWork * endpoint.slowdown / speed
+	endpoint.cores[free] = max(f.now, endpoint.cores[free]) - duration
+	return endpoint.cores[free]
+}
+
+func (f *fleet) cancel(instance int, action Cancel) {
+	request := f.requests[action.Request]
+	if !request.inFlight[action.Attempt] {
+		return
+	}
+	request.inFlight[action.Attempt] = false
+	f.at(f.now, func() {
+		f.deliver(instance, AttemptEnded{
+			Request: action.Request, Attempt: action.Attempt, Outcome: Canceled, RequestEnded: request.done,
+		})
+	})
 }
 
-// clients has so many hits a second come to the whole fleet for a while, one of them at each marshal as likely.
+// clients sends requests at a rate to the whole fleet for a while, each to any instance.
 func (f *fleet) clients(perSecond float64, until Millis) {
-	var come func()
-	come = func() {
+	var arrive func()
+	arrive = func() {
 		if f.now >= until {
 			return
 		}
 		f.lastID++
-		f.requests[f.lastID] = &clientRequest{at: f.now, deadline: f.now + 2000}
-		f.results["taken"]++
-		f.deliver(int(f.random.Next()*float64(len(f.balancers))), RequestReceived{Request: f.lastID, Class: "read", TTL: 2000})
-		f.at(f.now-math.Log(1-f.random.Next())*1000/perSecond, come)
+		f.requests[f.lastID] = &clientRequest{at: f.now, deadline: f.now + clientTimeout}
+		f.results["received"]++
+		instance := int(f.random.Next() * float64(len(f.balancers)))
+		f.deliver(instance, RequestReceived{Request: f.lastID, Class: "read", TTL: clientTimeout})
+		f.at(f.now-math.Log(1-f.random.Next())*1000/perSecond, arrive)
 	}
-	f.at(f.now, come)
+	f.at(f.now, arrive)
 }
 
-// Half of the nodes are lost and come back cold. Each marshal of a large fleet hears of a node every few seconds only:
-// what it held against those that came back, and what it gave up of its own, must not outlast them by long.
+// Half of the endpoints are lost and come back warming. An instance of a large fleet has an outcome of an
+// endpoint only every few seconds: what it knew before the fault must not exclude endpoints long after it.
 func TestFleetReadmitsEndpoints(t *testing.T) {
-	f := newFleet(t, 80, nil, nil)
-	list := f.addEndpoints(60, 3, 7)
-	f.run(f.now)
-	f.deliverAll(EndpointsChanged{Kind: FullSnapshot, Endpoints: list})
-	f.deliverAll(StageUpdate{Build: 7, Phase: Released, Stage: 2, ExposureCap: 1})
-	f.perform = f.serve
-	f.clients(900, f.now+24000)
-	f.run(f.now + 4000)
+	fleet := newFleet(t, 80, nil, nil)
+	list := fleet.addEndpoints(60, 7)
+	fleet.run(fleet.now)
+	fleet.deliverAll(EndpointsChanged{Kind: FullSnapshot, Endpoints: list})
+	fleet.deliverAll(StageUpdate{Build: 7, Phase: Released, Stage: 2, ExposureCap: 1})
+	fleet.perform = fleet.serve
+	fleet.clients(900, fleet.now+24000)
+	fleet.run(fleet.now + 4000)
 	var lost, back []Endpoint
-	for _, n := range list[:30] {
-		f.endpoints[n.ID].unreachable = true
-		n.State = Removed
-		lost = append(lost, n)
+	for _, endpoint := range list[:30] {
+		fleet.endpoints[endpoint.ID].unreachable = true
+		endpoint.State = Removed
+		lost = append(lost, endpoint)
 	}
-	f.run(f.now + 2000)
-	f.deliverAll(EndpointsChanged{Kind: Delta, Endpoints: lost})
-	f.run(f.now + 3000)
-	for _, n := range list[:30] {
-		n.Started = f.now
-		f.endpoints[n.ID].unreachable, f.endpoints[n.ID].Started = false, f.now
-		back = append(back, n)
+	fleet.run(fleet.now + 2000)
+	fleet.deliverAll(EndpointsChanged{Kind: Delta, Endpoints: lost})
+	fleet.run(fleet.now + 3000)
+	for _, endpoint := range list[:30] {
+		endpoint.Started = fleet.now
+		fleet.endpoints[endpoint.ID].unreachable, fleet.endpoints[endpoint.ID].Started = false, fleet.now
+		back = append(back, endpoint)
 	}
-	f.deliverAll(EndpointsChanged{Kind: Delta, Endpoints: back})
-	f.run(f.now + 6000)
-	f.empty()
-	f.run(f.now + 5000)
+	fleet.deliverAll(EndpointsChanged{Kind: Delta, Endpoints: back})
+	fleet.run(fleet.now + 6000)
+	fleet.resetCounts()
+	fleet.run(fleet.now + 5000)
 	shares := [2]int{}
-	for i, n := range list {
-		shares[i/30] += f.attempts[n.ID]
+	for i, endpoint := range list {
+		shares[i/30] += fleet.attempts[endpoint.ID]
 	}
-	if part := float64(f.results["in time"]) / float64(f.results["taken"]); part < 0.93 {
-		t.Errorf("%.2f of the hits in time 6 to 11 s after the nodes were back: %v", part, f.results)
+	if part := float64(fleet.results["in time"]) / float64(fleet.results["received"]); part < 0.93 {
+		t.Errorf("%.2f of the requests in time 6 to 11 s after the endpoints were back: %v", part, fleet.results)
 	}
 	if part := float64(shares[0]) / float64(shares[0]+shares[1]); part < 0.4 {
-		t.Errorf("those that came back get %.2f of the forwards", part)
+		t.Errorf("those that came back get %.2f of the attempts", part)
 	}
 }
 
-// A new stage swaps half of the fleet for cold nodes of the build on trial. Those that a thin marshal has no forward for
-// just now must neither stay empty nor push their part onto the few warm ones of that build, which would look slow.
+// A new stage replaces half of the fleet by warming endpoints of the candidate. Those must not stay empty,
+// nor may their share go to the few warm endpoints of the candidate, which would look slow.
 func TestFleetSpreadsOverSlowStart(t *testing.T) {
-	f := newFleet(t, 80, nil, nil)
-	list := f.addEndpoints(60, 3, 7)
-	f.run(f.now)
-	f.deliverAll(EndpointsChanged{Kind: FullSnapshot, Endpoints: list})
-	f.deliverAll(StageUpdate{Build: 7, Phase: Released, Stage: 2, ExposureCap: 1})
-	f.perform = f.serve
-	f.clients(900, f.now+60000)
-	f.run(f.now + 3000)
-	f.deliverAll(StageUpdate{Build: 8, Phase: InTrial, Stage: 0, ExposureCap: 0.112})
-	warm := f.addEndpoints(5, 3, 8)
-	f.deliverAll(EndpointsChanged{Kind: Delta, Endpoints: warm})
-	f.run(f.now + 6000)
-	f.deliverAll(StageUpdate{Build: 8, Phase: InTrial, Stage: 1, ExposureCap: 0.84})
-	warming := f.addEndpoints(31, 3, 8)
+	fleet := newFleet(t, 80, nil, nil)
+	list := fleet.addEndpoints(60, 7)
+	fleet.run(fleet.now)
+	fleet.deliverAll(EndpointsChanged{Kind: FullSnapshot, Endpoints: list})
+	fleet.deliverAll(StageUpdate{Build: 7, Phase: Released, Stage: 2, ExposureCap: 1})
+	fleet.perform = fleet.serve
+	fleet.clients(900, fleet.now+60000)
+	fleet.run(fleet.now + 3000)
+	fleet.deliverAll(StageUpdate{Build: 8, Phase: InTrial, Stage: 0, ExposureCap: 0.112})
+	warm := fleet.addEndpoints(5, 8)
+	fleet.deliverAll(EndpointsChanged{Kind: Delta, Endpoints: warm})
+	fleet.run(fleet.now + 6000)
+	fleet.deliverAll(StageUpdate{Build: 8, Phase: InTrial, Stage: 1, ExposureCap: 0.84})
+	warming := fleet.addEndpoints(31, 8)
 	for i := range warming {
-		warming[i].Started, f.endpoints[warming[i].ID].Started = f.now, f.now
+		warming[i].Started, fleet.endpoints[warming[i].ID].Started = fleet.now, fleet.now
 		list[i].State = Draining
 	}
-	f.deliverAll(EndpointsChanged{Kind: Delta, Endpoints: append(warming, list[:36]...)})
+	fleet.deliverAll(EndpointsChanged{Kind: Delta, Endpoints: append(warming, list[:36]...)})
 	for second := range 3 {
-		f.empty()
-		f.run(f.now + 1000)
+		fleet.resetCounts()
+		fleet.run(fleet.now + 1000)
 		per := map[Build]float64{}
-		for _, n := range warm {
-			per[8] += float64(f.attempts[n.ID]) / float64(len(warm))
+		for _, endpoint := range warm {
+			per[8] += float64(fleet.attempts[endpoint.ID]) / float64(len(warm))
 		}
-		for _, n := range list[36:] {
-			per[7] += float64(f.attempts[n.ID]) / float64(len(list[36:]))
+		for _, endpoint := range list[36:] {
+			per[7] += float64(fleet.attempts[endpoint.ID]) / float64(len(list[36:]))
 		}
 		if per[8] > 1.5*per[7] || per[8] > 30 {
-			t.Errorf("second %d: %.0f forwards to each warm node of the build on trial, %.0f to each of the earlier one", second,
-				per[8], per[7])
+			t.Errorf("second %d: %.0f attempts to each warm endpoint of the candidate, %.0f to each of the baseline",
+				second, per[8], per[7])
 		}
 		got := 0.0
-		for _, n := range warming {
-			got += float64(f.attempts[n.ID]) / float64(len(warming))
+		for _, endpoint := range warming {
+			got += float64(fleet.attempts[endpoint.ID]) / float64(len(warming))
 		}
-		if least := []float64{3, 7, 9}[second]; got < least { // they can do 9 to 27
-			t.Errorf("second %d: %.1f forwards to each cold node", second, got)
+		if least := []float64{3, 7, 9}[second]; got < least { // they can serve 9 to 27
+			t.Errorf("second %d: %.1f attempts to each warming endpoint", second, got)
 		}
 	}
 }
 
-// Discovery takes calls in turn and works on each, also when its caller has been refused meanwhile. All marshals of a
-// fleet start at once: none may be without its watch for long, and few calls may be in vain.
+// Discovery serves calls in turn, also those that have timed out. All instances of a fleet start at once:
+// each must have its watch soon, and with few calls in vain.
 func TestFleetPollsEndpoints(t *testing.T) {
 	for name, test := range map[string]struct {
 		instances int
-		perCall   Millis // of the service's time
-		within    Millis // all must be watching
+		perCall   Millis // service time
+		within    Millis // all must watch by then
 		calls     float64
 	}{
 		"a handful":           {3, 60, 1000, 1},
@@ -309,58 +354,34 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			const timeout, within = 2000, 10000
-			f := newFleet(t, test.instances, nil, func(s *Settings) { s.PollEndpoints, s.PollWithin = true, within })
-			free, calls, start := f.now, 0, f.now // the service is busy until free
+			fleet := newFleet(t, test.instances, nil, func(s *Settings) {
+				s.PollEndpoints, s.PollWithin = true, within
+			})
+			free, calls, start := fleet.now, 0, fleet.now // when the service is free
 			watching := map[int]Millis{}
-			f.perform = func(who int, a Action) {
-				if _, ok := a.(WatchEndpoints); !ok {
+			fleet.perform = func(instance int, action Action) {
+				if _, ok := action.(WatchEndpoints); !ok {
 					return
 				}
 				calls++
-				free = max(free, f.now) + test.perCall
-				if wait := free - f.now; wait <= timeout {
-					f.at(free, func() { watching[who] = f.now; f.deliver(who, EndpointsChanged{Kind: Delta}) })
+				free = max(free, fleet.now) + test.perCall
+				if wait := free - fleet.now; wait <= timeout {
+					fleet.at(free, func() {
+						watching[instance] = fleet.now
+						fleet.deliver(instance, EndpointsChanged{Kind: Delta})
+					})
 				} else if wait <= 2*timeout {
-					f.at(f.now+timeout, func() { f.deliver(who, EndpointsChanged{Kind: PollRejected}) })
+					fleet.at(fleet.now+timeout, func() { fleet.deliver(instance, EndpointsChanged{Kind: PollRejected}) })
 				} else {
-					free -= test.perCall // not even taken
-					f.at(f.now+1, func() { f.deliver(who, EndpointsChanged{Kind: PollRejected}) })
+					free -= test.perCall // rejected at once
+					fleet.at(fleet.now+1, func() { fleet.deliver(instance, EndpointsChanged{Kind: PollRejected}) })
 				}
 			}
-			f.run(start + test.within)
+			fleet.run(start + test.within)
 			if len(watching) < test.instances || float64(calls) > test.calls*float64(test.instances) {
-				t.Errorf("%d of %d marshals watch after %.0f ms, by %d calls", len(watching), test.instances, test.within, calls)
+				t.Errorf("%d of %d instances watch after %.0f ms, by %d calls", len(watching), test.instances, test.within,
+					calls)
 			}
 		})
 	}
 }
-
-// A refused call waits longer each time, within what the settings bound, and not as long as the one beside it.
-func TestRejectedPollsBackOff(t *testing.T) {
-	sim := start(t, StageUpdate{}, func(s *Settings) { s.PollEndpoints, s.PollWithin = true, 8000 })
-	var waits []Millis
-	sim.advance(8000) // the first call is out
-	sim.handle(EndpointsChanged{Kind: Delta})
-	sim.balancer.polling.lastAt = sim.now
-	for range 9 {
-		refused := sim.now
-		sim.actions = nil
-		sim.handle(EndpointsChanged{Kind: PollRejected})
-		for len(sim.actions) == 0 || sim.actions[len(sim.actions)-1] != (WatchEndpoints{On: true}) {
-			if sim.advance(sim.balancer.tickInterval); sim.now > refused+20000 {
-				t.Fatal("never asked again")
-			}
-		}
-		waits = append(waits, sim.now-refused)
-	}
-	if waits[0] < 100 || waits[3] < 2*waits[0] || waits[8] < 4000 || waits[8] > 8000+sim.balancer.tickInterval ||
-		math.Abs(waits[8]-waits[7]) < 1e-9 {
-		t.Errorf("waits of %.0f ms", waits)
-	}
-	sim.handle(EndpointsChanged{Kind: Delta}) // it was taken
-	refused := sim.now
-	sim.handle(EndpointsChanged{Kind: PollRejected})
-	if sim.balancer.polling.nextAt-refused > waits[8] {
-		t.Errorf("waits %.0f ms after a call that was taken", sim.balancer.polling.nextAt-refused)
-	}
-}
--- a/decision/helpers_test.go
+++ b/decision/helpers_test.go
@@ -5,36 +5,40 @@
 	"testing"
 )
 
-// rig plays events to one marshal and keeps what it answered.
+// harness hands events to one balancer and records its actions.
 type harness struct {
 	t         *testing.T
 	balancer  *Balancer
 	now       Millis
 	actions   []Action
-	delivered int // actions that answer has looked at
+	responded int // actions that respond has seen
 	lastID    RequestID
 }
 
-// start makes a marshal in zone a with four nodes: a1 and b1 on build 7, a2 and b2 on build 8.
+// start makes a balancer in zone a with four endpoints: a1 and b1 on build 7, a2 and b2 on build 8.
 func start(t *testing.T, update StageUpdate, change func(*Settings)) *harness {
-	s := Settings{
-		Instances: 2, Zone: "a", ClockGranularity: 5, MaxAttempts: 4, CancelAllowed: true,
-		MaxRetryAfter: 300, SlowStartFloor: 0.4, OverloadFactor: 2.5, SlowStartWindow: 4000, OverloadWindow: 1000,
-		ExposureCaps: []float64{0.1, 0.5, 1}, Stages: []float64{0.1, 0.4, 1}, FreeAttempts: 1, VoteTTL: 6000, VoteWait: 1000,
+	t.Helper()
+	settings := Settings{
+		Instances: 2, Zone: "a", ClockGranularity: 5, MaxAttempts: 4, CancelAllowed: true, MaxRetryAfter: 300,
+		SlowStartFloor: 0.4, OverloadFactor: 2.5, SlowStartWindow: 4000, OverloadWindow: 1000,
+		ExposureCaps: []float64{0.1, 0.5, 1}, Stages: []float64{0.1, 0.4, 1}, FreeAttempts: 1,
+		VoteTTL: 6000, VoteWait: 1000,
 		Classes: []RequestClass{
 			{Name: "read", LatencyObjective: 400, Idempotency: Idempotent},
-			{Name: "mark", LatencyObjective: 400, Idempotency: IdempotentWithKey, RetryScope: ScopeZone, DedupWindow: 1000},
+			{
+				Name: "mark", LatencyObjective: 400, Idempotency: IdempotentWithKey, RetryScope: ScopeZone,
+				DedupWindow: 1000,
+			},
 			{Name: "pay", LatencyObjective: 400, Idempotency: NonIdempotent},
 		},
 	}
 	if change != nil {
-		change(&s)
+		change(&settings)
 	}
-	sim := &harness{t: t, balancer: New(s, 1), now: 10000}
-	sim.handle(EndpointsChanged{
-		Kind:      CachedSnapshot,
-		Endpoints: []Endpoint{newEndpoint("a1", 7), newEndpoint("a2", 8), newEndpoint("b1", 7), newEndpoint("b2", 8)},
-	})
+	sim := &harness{t: t, balancer: New(settings, 1), now: 10000}
+	sim.handle(EndpointsChanged{Kind: CachedSnapshot, Endpoints: []Endpoint{
+		newEndpoint("a1", 7), newEndpoint("a2", 8), newEndpoint("b1", 7), newEndpoint("b2", 8),
+	}})
 	if update.Build > 0 {
 		sim.handle(update)
 	}
@@ -42,17 +46,23 @@
 	return sim
 }
 
-func newEndpoint(id EndpointID, b Build) Endpoint {
-	return Endpoint{ID: id, Zone: Zone(id[:1]), Cell: Cell(id[0]), Build: b, MachineType: "k", Capacity: 1}
+// newEndpoint is an endpoint in the zone that its id begins with.
+func newEndpoint(id EndpointID, build Build) Endpoint {
+	return Endpoint{ID: id, Zone: Zone(id[:1]), Cell: Cell(id[0]), Build: build, MachineType: "k", Capacity: 1}
+}
+
+// replaceEndpoints sends a snapshot of these endpoints alone.
+func (sim *harness) replaceEndpoints(endpoints ...Endpoint) {
+	sim.handle(EndpointsChanged{Kind: FullSnapshot, Endpoints: endpoints})
 }
 
-func (sim *harness) handle(e Event) []Action {
-	got := sim.balancer.Handle(sim.now, e)
-	sim.actions = append(sim.actions, got...)
-	return got
+func (sim *harness) handle(event Event) []Action {
+	actions := sim.balancer.Handle(sim.now, event)
+	sim.actions = append(sim.actions, actions...)
+	return actions
 }
 
-// wait lets time pass in looks around.
+// advance lets time pass, a tick at a time.
 func (sim *harness) advance(span Millis) {
 	for end := sim.now + span; sim.now < end; {
 		sim.now += sim.balancer.tickInterval
@@ -60,19 +70,19 @@
 	}
 }
 
-// hit takes a hit and returns its id and the node that it went to, if any.
-func (r *harness) request(g ClassName, key Key) (RequestID, EndpointID) {
-	r.lastID++
-	r.handle(RequestReceived{Request: r.lastID, Class: g, Key: key, TTL: 1000})
-	return r.lastID, r.attemptedAt(r.lastID, 0)
+// request sends a request and returns its id, and the endpoint of its first attempt if one was started.
+func (sim *harness) request(class ClassName, key Key) (RequestID, EndpointID) {
+	sim.lastID++
+	sim.handle(RequestReceived{Request: sim.lastID, Class: class, Key: key, TTL: 1000})
+	return sim.lastID, sim.attemptedAt(sim.lastID, 0)
 }
 
-// sent is the node of a hit's forward by its number.
-func (r *harness) attemptedAt(h RequestID, attempt int) EndpointID {
-	for _, a := range r.actions {
-		if f, ok := a.(StartAttempt); ok && f.Request == h {
+// attemptedAt returns the endpoint of an attempt, counted from 0; empty if it was not started.
+func (sim *harness) attemptedAt(id RequestID, attempt int) EndpointID {
+	for _, action := range sim.actions {
+		if started, ok := action.(StartAttempt); ok && started.Request == id {
 			if attempt == 0 {
-				return f.Endpoint
+				return started.Endpoint
 			}
 			attempt--
 		}
@@ -80,54 +90,103 @@
 	return ""
 }
 
-func (r *harness) endAttempt(h RequestID, attempt int, outcome Outcome, after Millis) {
-	r.handle(AttemptEnded{
-		Request: h, Attempt: attempt, Outcome: outcome, Endpoint: r.attemptedAt(h, attempt), After: after,
+func (sim *harness) endAttempt(id RequestID, attempt int, outcome Outcome, after Millis) {
+	sim.handle(AttemptEnded{
+		Request: id, Attempt: attempt, Outcome: outcome, Endpoint: sim.attemptedAt(id, attempt), After: after,
 		RequestEnded: outcome == Succeeded,
 	})
 }
 
-// answer delivers what was forwarded since it was last called and counts the forwards to a node.
-func (r *harness) respond(endpoint EndpointID, after Millis) (n int) {
-	for ; r.delivered < len(r.actions); r.delivered++ {
-		if f, ok := r.actions[r.delivered].(StartAttempt); ok {
-			r.handle(AttemptEnded{Request: f.Request, Outcome: Succeeded, Endpoint: f.Endpoint, After: after, RequestEnded: true})
-			if f.Endpoint == endpoint {
-				n++
-			}
+// respond ends all attempts since its last call as succeeded, and counts those at one endpoint.
+func (sim *harness) respond(endpoint EndpointID, after Millis) (attempts int) {
+	for ; sim.responded < len(sim.actions); sim.responded++ {
+		started, ok := sim.actions[sim.responded].(StartAttempt)
+		if !ok {
+			continue
+		}
+		sim.handle(AttemptEnded{
+			Request: started.Request, Outcome: Succeeded, Endpoint: started.Endpoint, After: after, RequestEnded: true,
+		})
+		if started.Endpoint == endpoint {
+			attempts++
 		}
 	}
-	return n
+	return attempts
 }
 
-// answers counts the final answers that the marshal gave a hit, and names the last.
-func (r *harness) responses(h RequestID) (n int, last string) {
-	for _, a := range r.actions {
-		switch a := a.(type) {
+// responses counts the balancer's own responses to a request, and names the last one.
+func (sim *harness) responses(id RequestID) (count int, last string) {
+	for _, action := range sim.actions {
+		switch action := action.(type) {
 		case Reject:
-			if a.Request == h {
-				n, last = n+1, "bounce"
+			if action.Request == id {
+				count++
+				last = "reject"
 			}
 		case Fail:
-			if a.Request == h {
-				n, last = n+1, "fail"
+			if action.Request == id {
+				count++
+				last = "fail"
 			}
 		}
 	}
-	return n, last
+	return count, last
 }
 
-// votes are the verdicts cast, in order.
-func (r *harness) votes() string {
+// votes returns the verdicts cast, in order, a digit each.
+func (sim *harness) votes() string {
 	out := ""
-	for _, a := range r.actions {
-		if v, ok := a.(Vote); ok {
-			out += fmt.Sprint(int(v.Verdict))
+	for _, action := range sim.actions {
+		if vote, ok := action.(Vote); ok {
+			out += fmt.Sprint(int(vote.Verdict))
 		}
 	}
 	return out
 }
 
-func trialUpdate(stage int, cap float64) StageUpdate {
-	return StageUpdate{Build: 8, Phase: InTrial, Stage: stage, ExposureCap: cap}
+// trialUpdate says that build 8 is the candidate.
+func trialUpdate(stage int, exposureCap float64) StageUpdate {
+	return StageUpdate{Build: 8, Phase: InTrial, Stage: stage, ExposureCap: exposureCap}
+}
+
+// releasedUpdate says that a build is released.
+func releasedUpdate(build Build) StageUpdate {
+	return StageUpdate{Build: build, Phase: Released, ExposureCap: 1}
+}
+
+// judgedHarness feeds outcomes of both builds, those of the candidate from candidate; nil: like the
+// baseline.
+func judgedHarness(t *testing.T, change func(*Settings), candidate func(i int) (Outcome, Millis)) *harness {
+	t.Helper()
+	sim := start(t, StageUpdate{Build: 7, Phase: Released, ExposureCap: 1}, change)
+	play := func(n int, of func(i int) (Outcome, Millis)) {
+		for i := range n {
+			id, to := sim.request("read", "")
+			if to == "" {
+				sim.advance(100)
+				continue
+			}
+			outcome, after := Succeeded, Millis(20+i*7%13)
+			if of != nil && sim.balancer.endpoints.byID[to].Build == 8 {
+				outcome, after = of(i)
+			}
+			sim.advance(40)
+			sim.endAttempt(id, 0, outcome, after)
+			if retried := sim.attemptedAt(id, 1); retried != "" {
+				sim.endAttempt(id, 1, Succeeded, 25)
+			}
+		}
+	}
+	play(120, nil)
+	sim.handle(trialUpdate(1, 0.5))
+	play(300, candidate)
+	return sim
+}
+
+// manyInstances sets hundreds of instances, each with little traffic: what one observes is next to nothing,
+// what all observe is proof.
+func manyInstances(s *Settings) {
+	s.Instances = 300
+	s.AdvanceQuorum = 180
+	s.RollbackQuorum = 24
 }
--- /dev/null
+++ b/decision/outlier_test.go
@@ -0,0 +1,108 @@
+package decision
+
+import (
+	"testing"
+)
+
+// The one request that probes an ejected endpoint stays there until it has its response. Migrated at once,
+// it would never end an ejection.
+func TestEjectedEndpointProbed(t *testing.T) {
+	sim := start(t, releasedUpdate(8), nil)
+	sim.replaceEndpoints(newEndpoint("a2", 8))
+	sim.balancer.eject(sim.balancer.endpoints.byID["a2"])
+	sim.advance(300)
+	req, to := sim.request("read", "")
+	sim.advance(60)
+	sim.endAttempt(req, 0, Succeeded, 60)
+	if to != "a2" || sim.balancer.endpoints.byID["a2"].ejections != 0 {
+		t.Errorf("sent to %q, ejections %d", to, sim.balancer.endpoints.byID["a2"].ejections)
+	}
+	for _, a := range sim.actions {
+		if _, ok := a.(Cancel); ok {
+			t.Error("canceled")
+		}
+	}
+}
+
+// While endpoints refuse connections at once, idle ones are closed, so that other instances find a free
+// one. A handshake that times out is no refusal, and closing connections would lead to more handshakes.
+func TestCloseIdle(t *testing.T) {
+	for _, test := range []struct {
+		after  Millis // duration of the attempt
+		closes bool
+	}{{0.5, true}, {250, false}} {
+		sim := start(t, releasedUpdate(8), nil)
+		for i := range 20 {
+			sim.advance(100)
+			req, to := sim.request("read", "")
+			if i%4 == 0 && to != "" {
+				sim.endAttempt(req, 0, Unreachable, test.after)
+			}
+			sim.respond("", 20)
+		}
+		closed := 0
+		for _, a := range sim.actions {
+			if _, ok := a.(CloseIdle); ok {
+				closed++
+			}
+		}
+		if (closed > 0) != test.closes {
+			t.Errorf("unreachable after %v: %d closed", test.after, closed)
+		}
+	}
+}
+
+// A malformed response does not eject its endpoint, and its request is retried only where it may run twice.
+func TestMalformedResponse(t *testing.T) {
+	for _, test := range []struct {
+		class    ClassName
+		attempts int
+		last     string
+	}{{"read", 2, ""}, {"mark", 2, ""}, {"pay", 1, "fail"}} {
+		sim := start(t, releasedUpdate(8), nil)
+		req, id := sim.request(test.class, "")
+		sim.endAttempt(req, 0, MalformedResponse, 50)
+		_, last := sim.responses(req)
+		if last != test.last || (sim.attemptedAt(req, 1) != "") != (test.attempts == 2) {
+			t.Errorf("%s: response %q, then sent to %q", test.class, last, sim.attemptedAt(req, 1))
+		}
+		endpoint := sim.balancer.endpoints.byID[id]
+		ejected := endpoint.ejections != 0 || endpoint.ejectedUntil > sim.now
+		weight := sim.balancer.slowStartWeight(endpoint)
+		if ejected || sim.balancer.outliers.lastFaultAt == sim.now || weight < 1 {
+			t.Errorf("%s: ejections %d, ejected for %v, slow-start weight %v", test.class, endpoint.ejections,
+				endpoint.ejectedUntil-sim.now, weight)
+		}
+	}
+}
+
+// Where connections break at all endpoints alike, a break or two eject none of them. Where none did, the
+// first one does. A connection that is not established in time always does.
+func TestBrokenConnections(t *testing.T) {
+	broken := AttemptEnded{Outcome: ConnectionBroken}
+	refused := AttemptEnded{Outcome: Unreachable}
+	failed := AttemptEnded{Outcome: EndpointFailed}
+	for name, test := range map[string]struct {
+		share    float64
+		outcomes []AttemptEnded
+		ejected  bool
+	}{
+		"the first break":         {0, []AttemptEnded{broken}, true},
+		"breaks are usual":        {0.1, []AttemptEnded{broken, broken}, false},
+		"many in a row":           {0.1, []AttemptEnded{broken, refused, refused, refused, refused}, true},
+		"with a response between": {0.1, []AttemptEnded{broken, broken, failed, broken, broken}, false},
+		"never established":       {0.1, []AttemptEnded{{Outcome: Unreachable, After: 250}}, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			sim := start(t, releasedUpdate(8), nil)
+			sim.balancer.outliers.brokenShare = test.share
+			endpoint := sim.balancer.endpoints.byID["a2"]
+			for _, e := range test.outcomes {
+				sim.balancer.observeEndpoint(endpoint, e)
+			}
+			if endpoint.ejections > 0 != test.ejected {
+				t.Errorf("ejected %d times", endpoint.ejections)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/decision/verdict_test.go
@@ -0,0 +1,180 @@
+package decision
+
+import (
+	"ottershed/internal/stats"
+	"slices"
+	"testing"
+)
+
+// A vote without full groups that exposes the whole fleet takes outcomes of warm endpoints: while endpoints
+// warm up, a slow build does not show.
+func TestBlindVote(t *testing.T) {
+	for _, test := range []struct {
+		stage, outcomes, warm int
+		want                  Verdict
+	}{
+		{0, 5, 0, VoteAdvance},
+		{0, 1, 0, VoteNone},
+		{1, 6, 0, VoteNone},
+		{1, 6, 11, VoteAdvance},
+		{2, 30, 9, VoteNone},
+	} {
+		sim := start(t, trialUpdate(test.stage, 0.5), func(s *Settings) { s.Instances = 3 })
+		overall := sim.balancer.classes.overall
+		sim.balancer.endpoints.byID["a2"].outcomes[overall.index].Good = float64(test.outcomes)
+		overall.candidate.Fill = make([]float64, test.warm)
+		sim.balancer.now += blindVoteDelay
+		if got := sim.balancer.verdict(); got.verdict != test.want {
+			t.Errorf("%+v: %v, %s", test, got.verdict, got.reason)
+		}
+	}
+}
+
+// Slowness of all endpoints rolls a build back during its trial and for some time after its release, but
+// not later.
+func TestAllSlower(t *testing.T) {
+	for _, test := range []struct {
+		phase Phase
+		age   Millis
+		want  Verdict
+	}{{InTrial, 60000, VoteRollback}, {Released, 5000, VoteRollback}, {Released, 60000, VoteNone}} {
+		sim := start(t, StageUpdate{Build: 8, Phase: test.phase, Stage: 2, ExposureCap: 1, Age: test.age}, nil)
+		sim.balancer.classes.overall.slowdown.rejections = 8 * rejectionsToRollback
+		if got := sim.balancer.verdict(); got.verdict != test.want {
+			t.Errorf("%+v: %v, %s", test, got.verdict, got.reason)
+		}
+	}
+}
+
+// Lost endpoints overload the others. So slowness rolls no build back until a slow-start window after the
+// last fault, nor while an endpoint is found unreachable again and again: an instance with little traffic
+// tries it seldom.
+func TestSlowDuringFault(t *testing.T) {
+	for _, test := range []struct {
+		ago    Millis
+		found  int // faults in a row
+		ticked bool
+		want   Verdict
+	}{
+		{0, 1, false, VoteNone},
+		{3900, 1, false, VoteNone},
+		{4000, 1, true, VoteRollback},
+		{9000, 2, true, VoteNone},
+	} {
+		sim := start(t, trialUpdate(1, 0.5), nil)
+		sim.balancer.classes.ordered[0].rejections = rejectionsToRollback
+		for range test.found {
+			faulty := sim.balancer.endpoints.byID["b1"]
+			sim.balancer.observeEndpoint(faulty, AttemptEnded{Outcome: Unreachable, After: 250})
+			faulty.ejectedUntil = 0
+		}
+		if sim.balancer.now += test.ago; test.ticked {
+			sim.balancer.tick()
+		}
+		if got := sim.balancer.verdict(); got.verdict != test.want {
+			t.Errorf("%+v: %v, %s", test, got.verdict, got.reason)
+		}
+	}
+}
+
+// An endpoint that is unresponsive once is no fault that explains slowness. A candidate that slows all
+// endpoints causes such silence itself.
+func TestOneSilentEndpoint(t *testing.T) {
+	sim := start(t, trialUpdate(1, 0.5), nil)
+	sim.balancer.classes.ordered[0].rejections = rejectionsToRollback
+	endpoint := sim.balancer.endpoints.byID["b1"]
+	endpoint.inFlight, endpoint.lastResponseAt = 1, sim.now-10000
+	sim.balancer.tick()
+	if got := sim.balancer.verdict(); endpoint.ejections != 1 || got.verdict != VoteRollback {
+		t.Errorf("ejected %d times: %v, %s", endpoint.ejections, got.verdict, got.reason)
+	}
+}
+
+// While most of the capacity is warming up, as in the last stage of an in-place rollout, slowness rolls no
+// build back, for the few warm endpoints take everything. Once they are warm, it does.
+func TestSlowStartTurnover(t *testing.T) {
+	for _, test := range []struct {
+		age  Millis // of the candidate's endpoints
+		want Verdict
+	}{{500, VoteNone}, {2000, VoteNone}, {3500, VoteRollback}, {9000, VoteRollback}} {
+		sim := start(t, trialUpdate(2, 1), nil)
+		for _, id := range []EndpointID{"a1", "b1"} { // the baseline has drained
+			sim.balancer.endpoints.byID[id].State = Draining
+		}
+		for _, id := range []EndpointID{"a2", "b2"} {
+			sim.balancer.endpoints.byID[id].warmingSince = sim.balancer.now - test.age
+		}
+		sim.balancer.classes.ordered[0].rejections = rejectionsToRollback
+		sim.balancer.tick()
+		if sim.balancer.now += 4500; test.age < 9000 {
+			for _, id := range []EndpointID{"a2", "b2"} {
+				sim.balancer.endpoints.byID[id].warmingSince = sim.balancer.now - test.age
+			}
+		}
+		sim.balancer.tick()
+		if got := sim.balancer.verdict(); got.verdict != test.want {
+			t.Errorf("%+v: %v, %s", test, got.verdict, got.reason)
+		}
+	}
+}
+
+// An instance with little traffic has next to no outcomes of its own, while all of them together have
+// proof. One that has seen nothing votes to advance. One that has seen a failure, or response times that
+// tend to be slower, does not, and withdraws its vote.
+func TestVotesAtLowTraffic(t *testing.T) {
+	slow, like := slices.Repeat([]float64{1.6}, 4), slices.Repeat([]float64{1.1}, 4)
+	was := []float64{0.8, 1, 1, 1, 1.2}
+	for _, test := range []struct {
+		name                string
+		stage               int
+		good, bad           float64
+		baseline, candidate []float64
+		change              func(*Settings)
+		want                Verdict
+	}{
+		{"no outcomes, first stage", 0, 0, 0, was, nil, manyInstances, VoteAdvance},
+		{"one failure of three", 0, 2, 1, was, nil, manyInstances, VoteRollback}, // none of the baseline's
+		{"one failure of twelve", 0, 11, 1, was, nil, manyInstances, VoteNone},
+		{"one failure of forty", 0, 39, 1, was, nil, manyInstances, VoteAdvance},
+		{"too few outcomes", 1, 3, 0, was, nil, manyInstances, VoteNone},
+		{"times alike", 1, 4, 0, was, like, manyInstances, VoteAdvance},
+		{"slower times", 1, 4, 0, was, slow, manyInstances, VoteNone},
+		{"one failure of thirty, few instances", 0, 29, 1, was, nil, nil, VoteAdvance},
+		{"slower times, few instances", 1, 30, 0, was, slices.Repeat([]float64{1.6}, 5), nil, VoteAdvance},
+		{"no baseline", 1, 4, 0, nil, slow, manyInstances, VoteAdvance},
+	} {
+		sim := start(t, trialUpdate(test.stage, 0.5), test.change)
+		overall := sim.balancer.classes.overall
+		sim.balancer.endpoints.byID["a1"].outcomes[overall.index] = stats.Count{Good: 30}
+		sim.balancer.endpoints.byID["a2"].outcomes[overall.index] = stats.Count{Good: test.good, Bad: test.bad}
+		overall.baselineAtStageStart = test.baseline
+		overall.candidate.Fill = test.candidate
+		sim.balancer.ballot.vote.Verdict = VoteAdvance // cast already
+		sim.balancer.now += blindVoteDelay
+		if got := sim.balancer.verdict(); got.verdict != test.want {
+			t.Errorf("%s: %v, %s", test.name, got.verdict, got.reason)
+		}
+	}
+}
+
+// A fault of endpoints voids the suspicion that response times raise, for the others are overloaded. Where
+// the vote would raise the exposure, it does not.
+func TestSuspectsCandidateDuringFault(t *testing.T) {
+	for _, test := range []struct {
+		stage int
+		fault bool
+		want  Verdict
+	}{{2, true, VoteAdvance}, {2, false, VoteNone}, {1, true, VoteNone}} {
+		sim := start(t, trialUpdate(test.stage, 1), manyInstances)
+		overall := sim.balancer.classes.overall
+		overall.baselineAtStageStart = slices.Repeat([]float64{1}, 5)
+		overall.candidate.Fill = slices.Repeat([]float64{3}, 5)
+		sim.balancer.now += blindVoteDelay
+		if test.fault {
+			sim.balancer.outliers.lastFaultAt = sim.balancer.now - 1
+		}
+		if got := sim.balancer.verdict(); got.verdict != test.want {
+			t.Errorf("%+v: %v, %s", test, got.verdict, got.reason)
+		}
+	}
+}
