--- a/internal/cluster/lease/golden_test.go
+++ b/internal/cluster/lease/golden_test.go
@@ -8,6 +8,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
+// goldenLease is a lease with every field set.
 func goldenLease() Lease {
 	return Lease{
 		ID: "trial/a", Holder: Holder{Name: "a", Incarnation: 0xfedcba9876543210}, Token: 11, ExpiresAt: 5000.5,
@@ -15,39 +16,42 @@
 	}
 }
 
-func goldenEnded() Abandoned {
+func goldenAbandoned() Abandoned {
 	return Abandoned{ID: "trial/d", Token: 8, Holder: "a", Reason: "can't be read", At: 3000.75}
 }
 
 // Commands are entries of the replicated log.
 func TestStoredCommands(t *testing.T) {
-	for name, verb := range map[string]Operation{"claim": Acquire, "keep": Renew, "take": TakeOver, "merge": Merge, "release": Release, "end": Abandon} {
+	operations := map[string]Operation{
+		"claim": Acquire, "keep": Renew, "take": TakeOver, "merge": Merge, "release": Release, "end": Abandon,
+	}
+	for name, operation := range operations {
 		command := Command{
-			Operation: verb, ID: "trial/b", Holder: Holder{Name: "a", Incarnation: 5}, Token: 10, TTL: 1500.5,
+			Operation: operation, ID: "trial/b", Holder: Holder{Name: "a", Incarnation: 5}, Token: 10, TTL: 1500.5,
 			Checkpoint: []byte("seen"), Into: "trial/a", IntoToken: 11, CheckpointSeq: 4, Reason: "can't be read",
 		}
 		golden.RoundTrip(t, "command_"+name+".msgpack", command, msgpack.Marshal, msgpack.Unmarshal)
 	}
 }
 
-// A reply is the log's answer to a command.
+// Replies are what the log returns for a command.
 func TestReplyOnTheWire(t *testing.T) {
 	reply := Reply{Rejection: "held by another", Lease: goldenLease()}
 	golden.RoundTrip(t, "reply.msgpack", reply, msgpack.Marshal, msgpack.Unmarshal)
 }
 
-// The list of leases is what a server of the log answers.
+// The list of leases is what a server of the log returns.
 func TestListOnTheWire(t *testing.T) {
-	list := List{Now: 4500.5, Leases: []Lease{goldenLease()}, Abandoned: []Abandoned{goldenEnded()}}
+	list := List{Now: 4500.5, Leases: []Lease{goldenLease()}, Abandoned: []Abandoned{goldenAbandoned()}}
 	golden.RoundTrip(t, "list.json", list, json.Marshal, json.Unmarshal)
 }
 
-// The book is the leases' part of a snapshot.
-func TestStoredBook(t *testing.T) {
+// The table is a part of the log's snapshots.
+func TestStoredTable(t *testing.T) {
 	lease, second := goldenLease(), goldenLease()
 	second.ID, second.Token = "trial/b", 10
 	stored := &Table{
-		leases: map[ID]*Lease{lease.ID: &lease, second.ID: &second}, abandoned: []Abandoned{goldenEnded()},
+		leases: map[ID]*Lease{lease.ID: &lease, second.ID: &second}, abandoned: []Abandoned{goldenAbandoned()},
 		lastToken: 12, now: 4500.5,
 	}
 	golden.Filled(t, "lease", lease)
@@ -57,9 +61,9 @@
 		t.Fatal(err)
 	}
 	golden.Compare(t, "book.msgpack", raw)
-	back := NewTable()
-	if err := back.Restore(golden.Read(t, "book.msgpack")); err != nil {
+	restored := NewTable()
+	if err := restored.Restore(golden.Read(t, "book.msgpack")); err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "book.msgpack", back, stored)
+	golden.Equal(t, "book.msgpack", restored, stored)
 }
--- a/internal/cluster/lease/wire_golden_test.go
+++ b/internal/cluster/lease/log_golden_test.go
@@ -10,17 +10,18 @@
 
 // wireLease is a lease with every field set.
 var wireLease = Lease{
-	ID: "trial/n0", Holder: Holder{Name: "n0", Incarnation: 1 << 63}, Token: 9, ExpiresAt: 1234.5, Checkpoint: []byte("seen"),
-	CheckpointAt: 1000.5, Merged: []Grant{{ID: "trial/n1", Token: 3}, {ID: "trial/n2", Token: 4}}, CheckpointSeq: 7,
+	ID: "trial/n0", Holder: Holder{Name: "n0", Incarnation: 1 << 63}, Token: 9, ExpiresAt: 1234.5,
+	Checkpoint: []byte("seen"), CheckpointAt: 1000.5, CheckpointSeq: 7,
+	Merged: []Grant{{ID: "trial/n1", Token: 3}, {ID: "trial/n2", Token: 4}},
 }
 
-// The bytes of commands, answers and snapshots in the replicated log, and the list that servers answer with, are those of
-// the golden file. Servers of different versions read each other's, and stores last over restarts.
+// The bytes of commands, replies and snapshots in the replicated log, and the list that servers return, are those of
+// the golden file: servers of different versions read each other's, and stores outlive restarts.
 func TestGoldenLog(t *testing.T) {
-	book := NewTable()
-	book.leases["trial/n0"], book.lastToken, book.now = &wireLease, 10, 2000.5
-	book.abandoned = []Abandoned{{ID: "trial/n4", Token: 2, Holder: "n0", Reason: "unreadable", At: 900.5}}
-	snapshot, err := book.Encode()
+	table := NewTable()
+	table.leases["trial/n0"], table.lastToken, table.now = &wireLease, 10, 2000.5
+	table.abandoned = []Abandoned{{ID: "trial/n4", Token: 2, Holder: "n0", Reason: "unreadable", At: 900.5}}
+	snapshot, err := table.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,13 +31,13 @@
 	})) +
 		golden.Section("reply", packed(t, &Reply{Rejection: "why", Lease: wireLease})) +
 		golden.Section("snapshot", golden.Quote(snapshot)) +
-		golden.Section("list", plain(t, List{Now: 2000.5, Leases: []Lease{wireLease}, Abandoned: book.abandoned}))
+		golden.Section("list", plain(t, List{Now: 2000.5, Leases: []Lease{wireLease}, Abandoned: table.abandoned}))
 	if err := golden.Check("testdata/log.golden", []byte(observed)); err != nil {
 		t.Error(err)
 	}
 }
 
-// packed is a value as the log holds it.
+// packed encodes a value as the log stores it.
 func packed(t *testing.T, value any) string {
 	t.Helper()
 	raw, err := msgpack.Marshal(value)
@@ -46,7 +47,7 @@
 	return golden.Quote(raw) + "\n"
 }
 
-// plain is a value as servers answer with it.
+// plain encodes a value as servers return it.
 func plain(t *testing.T, value any) string {
 	t.Helper()
 	raw, err := json.MarshalIndent(value, "", "  ")
--- /dev/null
+++ b/internal/cluster/lease/table.go
@@ -0,0 +1,198 @@
+package lease
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+)
+
+// Table holds all leases. Its clock is the replicated log's (quorum.Clock), which no machine's wall clock enters; it
+// never goes back. A Table is not safe for concurrent use.
+type Table struct {
+	leases    map[ID]*Lease
+	abandoned []Abandoned // the newest last, up to maxAbandoned
+	lastToken Token       // the highest that was granted
+	now       Millis      // the highest time of a command
+}
+
+// List is the table as others may read it.
+type List struct {
+	Now       Millis      `json:"Now"`    // the log's time at its newest entry; it may lag, and never leads
+	Leases    []Lease     `json:"Leases"` // without their checkpoints, by ID
+	Abandoned []Abandoned `json:"Ended"`  // the newest last
+}
+
+// NewTable makes an empty table.
+func NewTable() *Table { return &Table{leases: map[ID]*Lease{}} }
+
+// Now is the log's time at the newest command.
+func (t *Table) Now() Millis { return t.now }
+
+// List returns all leases, without checkpoints, and those that were abandoned.
+func (t *Table) List() List { return List{t.now, t.Leases(), slices.Clone(t.abandoned)} }
+
+// Leases returns all leases by ID, without checkpoints.
+func (t *Table) Leases() []Lease {
+	var out []Lease
+	for _, id := range slices.Sorted(maps.Keys(t.leases)) {
+		l := *t.leases[id]
+		l.Checkpoint = nil
+		out = append(out, l)
+	}
+	return out
+}
+
+// Get returns a lease with its checkpoint, and whether there is one.
+func (t *Table) Get(id ID) (Lease, bool) {
+	l := t.leases[id]
+	if l == nil {
+		return Lease{}, false
+	}
+	return *l, true
+}
+
+// Apply carries out the next command of the log, at the log's time.
+func (t *Table) Apply(command *Command, at Millis) Reply {
+	t.now = max(t.now, at)
+	if fault := command.check(); fault != "" {
+		return Reply{Rejection: fault}
+	}
+	l := t.leases[command.ID]
+	switch command.Operation {
+	case Acquire:
+		return t.acquire(l, command)
+	case Renew:
+		return t.renew(l, command)
+	case TakeOver:
+		return t.takeOver(l, command)
+	case Merge:
+		return t.merge(l, command)
+	case Release:
+		return t.release(l, command)
+	default: // check admits no other
+		return t.abandon(l, command)
+	}
+}
+
+// acquire grants an instance its own lease. A new process of the instance need not wait until the lease expires: the
+// earlier process has ended, or is fenced by the new token.
+func (t *Table) acquire(l *Lease, c *Command) Reply {
+	if l != nil && l.Holder.Name != c.Holder.Name && !l.Expired(t.now) {
+		return Reply{Rejection: fmt.Sprintf("%s is held by %s under token %d", c.ID, l.Holder.Name, l.Token)}
+	}
+	if l == nil && len(t.leases) >= maxLeases {
+		return Reply{Rejection: "no room for more pieces"}
+	}
+	return t.grant(l, c)
+}
+
+// takeOver grants another instance's lease once it has expired. Repeated by the holder, whose reply was lost, it
+// returns the lease as it is.
+func (t *Table) takeOver(l *Lease, c *Command) Reply {
+	switch {
+	case l == nil:
+		return Reply{Rejection: fmt.Sprintf("%s is no piece any more", c.ID)}
+	case l.Holder == c.Holder:
+		return Reply{Lease: *l}
+	case !l.Expired(t.now):
+		remaining := l.ExpiresAt - t.now
+		return Reply{Rejection: fmt.Sprintf("%s is held by %s under token %d for %.0f ms more", c.ID, l.Holder.Name, l.Token,
+			remaining)}
+	}
+	return t.grant(l, c)
+}
+
+// grant gives a lease to the command's holder under a new token. The checkpoint stays, for the holder to resume from.
+func (t *Table) grant(l *Lease, c *Command) Reply {
+	if l == nil {
+		l = &Lease{ID: c.ID}
+		t.leases[c.ID] = l
+	}
+	t.lastToken++
+	l.Holder = c.Holder
+	l.Token = t.lastToken
+	l.ExpiresAt = t.now + c.TTL
+	l.CheckpointSeq = 0
+	return Reply{Lease: *l}
+}
+
+// renew extends a lease and writes the checkpoint, if the command has one that is no older than the lease's: a
+// checkpoint that was gathered before a merge may arrive after it, and would drop the merged work.
+func (t *Table) renew(l *Lease, c *Command) Reply {
+	if !heldUnder(l, c.Holder, c.Token) {
+		return staleToken(l, c.ID, c.Holder, c.Token)
+	}
+	l.ExpiresAt = t.now + c.TTL
+	if c.Checkpoint != nil && c.CheckpointSeq >= l.CheckpointSeq {
+		l.writeCheckpoint(c.Checkpoint, c.CheckpointSeq, t.now)
+	}
+	return Reply{}
+}
+
+// merge ends a lease and writes a checkpoint with its work to the holder's own lease. Both are one entry of the log: in
+// two entries, a holder that dies between them would lose the work, or leave it in two checkpoints.
+func (t *Table) merge(l *Lease, command *Command) Reply {
+	if t.wasMerged(command) {
+		return Reply{}
+	}
+	if !heldUnder(l, command.Holder, command.Token) {
+		return staleToken(l, command.ID, command.Holder, command.Token)
+	}
+	into := t.leases[command.Into]
+	if !heldUnder(into, command.Holder, command.IntoToken) {
+		return staleToken(into, command.Into, command.Holder, command.IntoToken)
+	}
+	into.ExpiresAt = t.now + command.TTL
+	into.writeCheckpoint(command.Checkpoint, command.CheckpointSeq, t.now)
+	into.Merged = append(append(into.Merged, l.Merged...), Grant{command.ID, command.Token})
+	if over := len(into.Merged) - maxMerged; over > 0 {
+		into.Merged = slices.Clone(into.Merged[over:])
+	}
+	delete(t.leases, command.ID)
+	return Reply{}
+}
+
+// wasMerged tells whether a Merge was applied before and its reply was lost.
+func (t *Table) wasMerged(c *Command) bool {
+	into := t.leases[c.Into]
+	return heldUnder(into, c.Holder, c.IntoToken) && slices.Contains(into.Merged, Grant{c.ID, c.Token})
+}
+
+// release expires a lease, so that a successor need not wait.
+func (t *Table) release(l *Lease, c *Command) Reply {
+	if !heldUnder(l, c.Holder, c.Token) {
+		return staleToken(l, c.ID, c.Holder, c.Token)
+	}
+	l.ExpiresAt = t.now
+	return Reply{}
+}
+
+// abandon ends a lease whose work can't be resumed, and remembers the reason.
+func (t *Table) abandon(l *Lease, c *Command) Reply {
+	if t.wasAbandoned(c) {
+		return Reply{}
+	}
+	if !heldUnder(l, c.Holder, c.Token) {
+		return staleToken(l, c.ID, c.Holder, c.Token)
+	}
+	t.abandoned = append(t.abandoned, Abandoned{c.ID, c.Token, c.Holder.Name, c.Reason, t.now})
+	t.abandoned = slices.Clone(t.abandoned[max(0, len(t.abandoned)-maxAbandoned):])
+	delete(t.leases, c.ID)
+	return Reply{}
+}
+
+// wasAbandoned tells whether an Abandon was applied before and its reply was lost.
+func (t *Table) wasAbandoned(c *Command) bool {
+	return slices.ContainsFunc(t.abandoned, func(a Abandoned) bool {
+		return a.ID == c.ID && a.Token == c.Token && a.Holder == c.Holder.Name
+	})
+}
+
+// staleToken rejects a command by a holder or under a token that is not, or no longer, the lease's.
+func staleToken(l *Lease, id ID, holder Holder, token Token) Reply {
+	if l == nil {
+		return Reply{Rejection: fmt.Sprintf("%s is no piece any more; token %d is of the past", id, token)}
+	}
+	return Reply{Rejection: fmt.Sprintf("%s is held by %s under token %d, not by %s under %d", id, l.Holder.Name, l.Token,
+		holder.Name, token)}
+}
--- /dev/null
+++ b/internal/cluster/lease/table_test.go
@@ -0,0 +1,284 @@
+package lease
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"testing"
+)
+
+var (
+	a1 = Holder{"a", 1} //nolint:varnamelen // instance and incarnation
+	a2 = Holder{"a", 2} //nolint:varnamelen // instance and incarnation
+	b1 = Holder{"b", 1} //nolint:varnamelen // instance and incarnation
+	c1 = Holder{"c", 1} //nolint:varnamelen // instance and incarnation
+)
+
+// checkReply expects a rejection with a text, or an applied command where the text is empty.
+func checkReply(t *testing.T, step string, r Reply, want string) {
+	t.Helper()
+	if (r.Rejection == "") != (want == "") || !strings.Contains(r.Rejection, want) {
+		t.Errorf("%s: rejection %q, want %q", step, r.Rejection, want)
+	}
+}
+
+// The terms of a lease, one command after another, at the log's times.
+func TestTable(t *testing.T) {
+	table := NewTable()
+	const own, other = ID("trial/a"), ID("trial/b")
+	merge := func(token, into Token) Command {
+		return Command{
+			Operation: Merge, ID: own, Holder: b1, Token: token, TTL: 1000, Into: other, IntoToken: into,
+			Checkpoint: []byte("ab"),
+		}
+	}
+	for _, step := range []struct {
+		name    string
+		at      Millis
+		command Command
+		want    string // in the rejection; empty: applied
+	}{
+		{"a acquires, token 1", 0, Command{Operation: Acquire, ID: own, Holder: a1, TTL: 1000}, ""},
+		{"b acquires its own, token 2", 0, Command{Operation: Acquire, ID: other, Holder: b1, TTL: 1000}, ""},
+		{"a renews", 100, Command{Operation: Renew, ID: own, Holder: a1, Token: 1, TTL: 1000, Checkpoint: []byte("x")}, ""},
+		{
+			"another renews", 200,
+			Command{Operation: Renew, ID: own, Holder: b1, Token: 1, TTL: 1000},
+			"held by a under token 1, not by b",
+		},
+		{"takeover of a held lease", 200, Command{Operation: TakeOver, ID: own, Holder: b1, TTL: 1000}, "for 900 ms more"},
+		{
+			"acquiring a held lease", 200,
+			Command{Operation: Acquire, ID: own, Holder: b1, TTL: 1000},
+			"held by a under token 1",
+		},
+		{"takeover just before expiry", 1099, Command{Operation: TakeOver, ID: own, Holder: b1, TTL: 1000}, "for 1 ms more"},
+		{"takeover at expiry, token 3", 1100, Command{Operation: TakeOver, ID: own, Holder: b1, TTL: 1000}, ""},
+		{"takeover again, its reply lost", 1100, Command{Operation: TakeOver, ID: own, Holder: b1, TTL: 1000}, ""},
+		{
+			"takeover by a third", 1101,
+			Command{Operation: TakeOver, ID: own, Holder: c1, TTL: 1000},
+			"held by b under token 3",
+		},
+		{
+			"late renewal", 1102,
+			Command{Operation: Renew, ID: own, Holder: a1, Token: 1, TTL: 1000, Checkpoint: []byte("late")},
+			"held by b under token 3, not by a under 1",
+		},
+		{"merge under an earlier token", 1103, merge(1, 2), "not by b under 1"},
+		{"merge into a lease under a wrong token", 1103, merge(3, 9), "not by b under 9"},
+		{"merge", 1104, merge(3, 2), ""},
+		{"merge again, its reply lost", 1105, merge(3, 2), ""},
+		{
+			"takeover of a merged lease", 1106,
+			Command{Operation: TakeOver, ID: own, Holder: c1, TTL: 1000},
+			"no piece any more",
+		},
+		{
+			"renewal of a merged lease", 1107,
+			Command{Operation: Renew, ID: own, Holder: a1, Token: 1, TTL: 1000},
+			"token 1 is of the past",
+		},
+		{"a acquires anew, token 4", 1108, Command{Operation: Acquire, ID: own, Holder: a1, TTL: 1000}, ""},
+		{"a restarts, token 5", 1109, Command{Operation: Acquire, ID: own, Holder: a2, TTL: 1000}, ""},
+		{
+			"the earlier process renews", 1110,
+			Command{Operation: Renew, ID: own, Holder: a1, Token: 4, TTL: 1000},
+			"held by a under token 5",
+		},
+		{"a clock that is behind", 900, Command{Operation: TakeOver, ID: own, Holder: c1, TTL: 1000}, "for 999 ms more"},
+		{"release", 1111, Command{Operation: Release, ID: own, Holder: a2, Token: 5}, ""},
+		{"takeover after a release, token 6", 1111, Command{Operation: TakeOver, ID: own, Holder: c1, TTL: 1000}, ""},
+		{"a TTL too short", 1112, Command{Operation: Renew, ID: own, Holder: c1, Token: 6, TTL: 1}, "a lease of 1 ms"},
+		{"an ID without a kind", 1112, Command{Operation: Acquire, ID: "x", Holder: c1, TTL: 1000}, "no piece of work"},
+		{"an unknown operation", 1112, Command{Operation: 9, ID: own, Holder: c1}, "no command 9"},
+		{"no holder", 1112, Command{Operation: Acquire, ID: "trial/z", TTL: 1000}, "nobody asks"},
+		{
+			"a checkpoint too long", 1112,
+			Command{Operation: Renew, ID: own, Holder: c1, Token: 6, TTL: 1000, Checkpoint: make([]byte, MaxCheckpointBytes+1)},
+			"a checkpoint of",
+		},
+	} {
+		checkReply(t, step.name, table.Apply(&step.command, step.at), step.want)
+	}
+	l, _ := table.Get(other)
+	if string(l.Checkpoint) != "ab" || len(l.Merged) != 1 || l.Merged[0] != (Grant{own, 3}) || table.lastToken != 6 {
+		t.Errorf("%+v, token %d", l, table.lastToken)
+	}
+	checkRestored(t, table)
+}
+
+// checkRestored encodes and restores a table whose highest token is 6.
+func checkRestored(t *testing.T, table *Table) {
+	t.Helper()
+	raw, err := table.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	restored := NewTable()
+	if err := restored.Restore(raw); err != nil || fmt.Sprint(restored.Leases()) != fmt.Sprint(table.Leases()) ||
+		restored.lastToken != 6 || restored.now != table.now {
+		t.Errorf("%v, %+v", err, restored)
+	}
+	restored.lastToken = 1
+	raw, err = restored.Encode()
+	var tokenError *TokenError
+	if err != nil || !errors.As(NewTable().Restore(raw), &tokenError) {
+		t.Error("a table is restored with tokens above all that were granted")
+	}
+}
+
+// randomHistory applies random commands to a table and checks it after each.
+type randomHistory struct {
+	seed   uint64
+	chance *rand.Rand
+	table  *Table
+	at     Millis
+	last   Token                   // the highest granted
+	tokens map[ID]map[Holder]Token // the newest granted to each
+	parts  map[string]bool         // written to a checkpoint, each once
+}
+
+func newRandomHistory(seed uint64) *randomHistory {
+	return &randomHistory{
+		seed: seed, chance: rand.New(rand.NewPCG(seed, 1)), table: NewTable(), tokens: map[ID]map[Holder]Token{},
+		parts: map[string]bool{},
+	}
+}
+
+// next is a random command; its checkpoint adds the step's number to the one before, or unites two.
+func (h *randomHistory) next(step int) Command {
+	holders := []Holder{a1, b1, c1, a2}
+	holder := holders[h.chance.IntN(len(holders))]
+	id, own := TrialID([]string{"a", "b", "c"}[h.chance.IntN(3)]), TrialID(holder.Name)
+	h.at += 300 * h.chance.Float64()
+	c := Command{Operation: Operation(1 + h.chance.IntN(5)), ID: id, Holder: holder, TTL: 500, Token: h.tokens[id][holder]}
+	if c.Operation == Acquire {
+		c.ID = own
+	}
+	before, _ := h.table.Get(c.ID)
+	into, _ := h.table.Get(own)
+	switch c.Operation {
+	case Renew:
+		c.Checkpoint = fmt.Appendf(nil, "%s+%d", before.Checkpoint, step)
+	case Merge:
+		c.Into, c.IntoToken = own, h.tokens[own][holder]
+		c.Checkpoint = fmt.Appendf(nil, "%s%s", into.Checkpoint, before.Checkpoint)
+	}
+	return c
+}
+
+// applied notes what an applied command has granted or written. A token that is new must be above all before.
+func (h *randomHistory) applied(t *testing.T, step int, c *Command, r *Reply) {
+	t.Helper()
+	switch c.Operation {
+	case Renew:
+		h.parts[fmt.Sprint(step)] = true
+	case Acquire, TakeOver:
+		if h.tokens[c.ID] == nil {
+			h.tokens[c.ID] = map[Holder]Token{}
+		}
+		if again := h.tokens[c.ID][c.Holder] == r.Lease.Token; !again && r.Lease.Token <= h.last {
+			t.Fatalf("seed %d: token %d after %d", h.seed, r.Lease.Token, h.last)
+		}
+		h.last = max(h.last, r.Lease.Token)
+		h.tokens[c.ID][c.Holder] = r.Lease.Token
+	}
+}
+
+// checkParts expects each part that was written in exactly one checkpoint.
+func (h *randomHistory) checkParts(t *testing.T, step int, c *Command) {
+	t.Helper()
+	seen := map[string]int{}
+	for _, l := range h.table.leases {
+		for _, part := range strings.FieldsFunc(string(l.Checkpoint), func(r rune) bool { return r == '+' }) {
+			seen[part]++
+		}
+	}
+	for part := range h.parts {
+		if seen[part] != 1 {
+			t.Fatalf("seed %d, step %d, %+v: part %s is in %d checkpoints", h.seed, step, c, part, seen[part])
+		}
+	}
+}
+
+// Whatever commands arrive in whatever order, a lease has one holder, tokens only rise, and each outcome that was
+// checkpointed is in one checkpoint at a time.
+func TestTableAtRandom(t *testing.T) {
+	for seed := range uint64(200) {
+		history := newRandomHistory(seed)
+		for step := range 400 {
+			command := history.next(step)
+			reply := history.table.Apply(&command, history.at)
+			if reply.Rejection != "" {
+				continue
+			}
+			history.applied(t, step, &command, &reply)
+			history.checkParts(t, step, &command)
+		}
+	}
+}
+
+// A checkpoint that was gathered before a merge and arrives after it renews the lease and is not written.
+func TestLateCheckpoint(t *testing.T) {
+	table := NewTable()
+	own, other := TrialID("b"), TrialID("a")
+	for i, c := range []Command{
+		{Operation: Acquire, ID: own, Holder: b1, TTL: 1000},
+		{Operation: Acquire, ID: other, Holder: a1, TTL: 1000},
+		{Operation: Release, ID: other, Holder: a1, Token: 2},
+		{Operation: TakeOver, ID: other, Holder: b1, TTL: 1000},
+		{
+			Operation: Merge, ID: other, Holder: b1, Token: 3, TTL: 1000, Into: own, IntoToken: 1, Checkpoint: []byte("both"),
+			CheckpointSeq: 8,
+		},
+		{Operation: Renew, ID: own, Holder: b1, Token: 1, TTL: 2000, Checkpoint: []byte("mine"), CheckpointSeq: 7},
+	} {
+		if r := table.Apply(&c, float64(i)); r.Rejection != "" {
+			t.Fatalf("%d: %s", i, r.Rejection)
+		}
+	}
+	if l, _ := table.Get(own); string(l.Checkpoint) != "both" || l.ExpiresAt != 2005 {
+		t.Errorf("%+v", l)
+	}
+}
+
+// A lease whose work can't be resumed is abandoned once, by its holder, and listed; no other instance takes it over.
+func TestAbandon(t *testing.T) {
+	table := NewTable()
+	own := TrialID("a")
+	table.Apply(&Command{Operation: Acquire, ID: own, Holder: a1, TTL: 1000}, 0)
+	table.Apply(&Command{Operation: TakeOver, ID: own, Holder: b1, TTL: 1000}, 1000)
+	for _, step := range []struct {
+		name    string
+		command Command
+		want    string // in the rejection; empty: applied
+	}{
+		{
+			"by the earlier holder",
+			Command{Operation: Abandon, ID: own, Holder: a1, Token: 1, Reason: "late"},
+			"held by b under token 2",
+		},
+		{
+			"a reason too long",
+			Command{Operation: Abandon, ID: own, Holder: b1, Token: 2, Reason: strings.Repeat("x", 201)},
+			"a reason of 201 bytes",
+		},
+		{"by the holder", Command{Operation: Abandon, ID: own, Holder: b1, Token: 2, Reason: "torn"}, ""},
+		{"again, its reply lost", Command{Operation: Abandon, ID: own, Holder: b1, Token: 2, Reason: "torn"}, ""},
+		{"takeover", Command{Operation: TakeOver, ID: own, Holder: c1, TTL: 1000}, "no piece any more"},
+		{"its instance acquires it anew", Command{Operation: Acquire, ID: own, Holder: a1, TTL: 1000}, ""},
+	} {
+		checkReply(t, step.name, table.Apply(&step.command, 1500), step.want)
+	}
+	raw, err := table.Encode()
+	restored := NewTable()
+	if err == nil {
+		err = restored.Restore(raw)
+	}
+	list, want := restored.List(), Abandoned{own, 2, "b", "torn", 1500}
+	if err != nil || len(list.Abandoned) != 1 || list.Abandoned[0] != want || len(list.Leases) != 1 {
+		t.Errorf("%v: %+v", err, list)
+	}
+}
