--- a/cmd/balancer/takeover_cluster_test.go
+++ b/cmd/balancer/takeover_cluster_test.go
@@ -131,7 +131,7 @@
 		t.Fatal(err)
 	}
 	await(t, ctx, 10*time.Second, func() error { return f.CheckHeld(ctx, 0, 4) })
-	lines := awaitLogged(t, ctx, f, 1, `msg="work resumed"`, "work=trial/n2")
+	lines := awaitLogged(t, ctx, f, 1, `msg="lease merged"`, "work=trial/n2")
 	if len(lines) != 1 {
 		t.Fatalf("resumed %d times: %v", len(lines), lines)
 	}
@@ -145,7 +145,7 @@
 		t.Fatal(err)
 	}
 	await(t, ctx, 10*time.Second, func() error { return f.CheckHeld(ctx, 0, 5) })
-	if lines := awaitLogged(t, ctx, f, 2, `msg="work claimed"`, "work=trial/n2", "marshal=n2", "bytes=0"); len(lines) != 2 {
+	if lines := awaitLogged(t, ctx, f, 2, `msg="lease acquired"`, "work=trial/n2", "marshal=n2", "bytes=0"); len(lines) != 2 {
 		t.Errorf("started again it begins with nothing: %v", lines)
 	}
 	// One that is told to leave gives its work free, and another has it before its lease would have lapsed.
@@ -199,7 +199,7 @@
 		t.Fatal(err)
 	}
 	await(t, ctx, 10*time.Second, func() error {
-		if len(logged(f, `msg="work resumed"`, "work=trial/n3")) != 1 {
+		if len(logged(f, `msg="lease merged"`, "work=trial/n3")) != 1 {
 			return fmt.Errorf("not taken over")
 		}
 		return nil
@@ -215,7 +215,7 @@
 		return err
 	})
 	await(t, ctx, 10*time.Second, func() error { // its next write is refused, and it begins anew under a higher token
-		if len(logged(f, `msg="work lost"`, "marshal=n3", fmt.Sprintf("token=%d", was.Token))) != 1 {
+		if len(logged(f, `msg="lease lost"`, "marshal=n3", fmt.Sprintf("token=%d", was.Token))) != 1 {
 			return fmt.Errorf("its late write was not refused")
 		}
 		l, err := leaseOf(ctx, f, 0, "trial/n3")
@@ -287,7 +287,7 @@
 	racing.Wait()
 	f.Rules.Heal()
 	await(t, ctx, 10*time.Second, func() error { return f.CheckHeld(ctx, 0, 4) })
-	if lines := awaitLogged(t, ctx, f, 1, `msg="work resumed"`, "work=trial/n4"); len(lines) != 1 || won.Load() > 1 {
+	if lines := awaitLogged(t, ctx, f, 1, `msg="lease merged"`, "work=trial/n4"); len(lines) != 1 || won.Load() > 1 {
 		t.Errorf("%d won, resumed: %v", won.Load(), lines)
 	}
 	for i, text := range refused {
@@ -381,9 +381,9 @@
 	}
 	checkGrants(t, f)
 	checkVotesOnce(t, f)
-	resumed := logged(f, `msg="work resumed"`) // read first: what it takes is in the log before what follows from it
+	resumed := logged(f, `msg="lease merged"`) // read first: what it takes is in the log before what follows from it
 	taken := map[string]int{}
-	for _, line := range logged(f, `msg="work taken"`) {
+	for _, line := range logged(f, `msg="lease taken over"`) {
 		if m := tokenField.FindStringSubmatch(line); m != nil {
 			taken[m[1]]++
 		}
@@ -423,7 +423,7 @@
 	if seen, err := f.Responses(ctx); err != nil || seen != 50 {
 		t.Errorf("%d hits of 50 are in the evidence of all, %v", seen, err)
 	}
-	if lines := logged(f, `msg="work lost"`); len(lines) > 0 {
+	if lines := logged(f, `msg="lease lost"`); len(lines) > 0 {
 		t.Errorf("sound owners lost their work: %v", lines)
 	}
 	checkGrants(t, f)
--- /dev/null
+++ b/internal/cluster/failover/checkpoint.go
@@ -0,0 +1,96 @@
+package failover
+
+import (
+	"context"
+	"ottershed/decision"
+	"ottershed/internal/cluster/lease"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// checkpoint is what a lease holds for a successor: the instance's evidence, and evidence that was merged and that its
+// decision module had not received yet. Another version may resume from it, so the tags stay whatever the fields are
+// called.
+type checkpoint struct {
+	Parts  []decision.Evidence `msgpack:"Parts"`
+	Merged []lease.Grant       `msgpack:"Merged"` // leases whose evidence is in Parts
+}
+
+// decodeCheckpoint returns the checkpoint of a lease; one that was never written is empty.
+func decodeCheckpoint(raw []byte) (c checkpoint, err error) {
+	if len(raw) == 0 {
+		return c, nil
+	}
+	err = msgpack.Unmarshal(raw, &c)
+	return c, err
+}
+
+// slot is held while a checkpoint is gathered and written. Two at once could be written in the wrong order, and
+// evidence that was gathered before a merge would overwrite the merged one.
+type slot chan struct{}
+
+func (s slot) lock(ctx context.Context) error {
+	select {
+	case s <- struct{}{}:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+func (s slot) tryLock() bool {
+	select {
+	case s <- struct{}{}:
+		return true
+	default:
+		return false
+	}
+}
+
+func (s slot) unlock() { <-s }
+
+// gather returns the module's evidence as a checkpoint, and false where no build is on trial. The caller holds the
+// slot.
+func (mgr *Manager) gather(ctx context.Context) (checkpoint, bool) {
+	ctx, cancel := context.WithTimeout(ctx, mgr.renewInterval())
+	defer cancel()
+	evidence, onTrial := mgr.engine.Evidence(ctx)
+	if !onTrial {
+		return checkpoint{}, false
+	}
+	return checkpoint{Parts: []decision.Evidence{evidence}, Merged: mgr.own.mergedFor(evidence.Build)}, true
+}
+
+// encodedCheckpoint returns the module's evidence as it is written to the lease, nil where there is none or it is too
+// long. The caller holds the slot.
+func (mgr *Manager) encodedCheckpoint(ctx context.Context) []byte {
+	gathered, onTrial := mgr.gather(ctx)
+	if !onTrial {
+		return nil
+	}
+	raw, err := msgpack.Marshal(&gathered)
+	if err != nil || len(raw) > lease.MaxCheckpointBytes {
+		mgr.logger.WithError(err).WithField("bytes", len(raw)).Warn("checkpoint not written")
+		return nil
+	}
+	return raw
+}
+
+// resume hands the evidence of a checkpoint to the module, and returns how many responses are in it.
+func (mgr *Manager) resume(c *checkpoint) (responses int) {
+	mgr.own.addMerged(c.Merged...)
+	for i := range c.Parts {
+		mgr.engine.AcquireEvidence(c.Parts[i])
+		responses += countResponses(&c.Parts[i])
+	}
+	return responses
+}
+
+// countResponses is how many responses are in evidence, of either build.
+func countResponses(e *decision.Evidence) int {
+	sum := 0.0
+	for _, count := range e.Counts {
+		sum += count.Succeeded + count.Failed
+	}
+	return int(sum)
+}
--- a/internal/cluster/failover/wire_golden_test.go
+++ b/internal/cluster/failover/checkpoint_golden_test.go
@@ -11,8 +11,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// The bytes of a checkpoint with every field set are those of the golden file: another marshal, of another version maybe,
-// goes on from it. So is the JSON of what a marshal has seen.
+// The bytes of a checkpoint with every field set are those of the golden file, because an instance of another version
+// may resume from it. So is the JSON of an evidence summary.
 func TestGoldenCheckpoint(t *testing.T) {
 	checkpointBytes, err := msgpack.Marshal(&checkpoint{
 		Parts: []decision.Evidence{{
@@ -25,11 +25,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	seen, err := json.Marshal(EvidenceSummary{Build: 42, Stage: 1, Responses: 23})
+	summary, err := json.Marshal(EvidenceSummary{Build: 42, Stage: 1, Responses: 23})
 	if err != nil {
 		t.Fatal(err)
 	}
-	observed := golden.Section("checkpoint", golden.Quote(checkpointBytes)+"\n") + golden.Section("seen", string(seen)+"\n")
+	observed := golden.Section("checkpoint", golden.Quote(checkpointBytes)+"\n") +
+		golden.Section("seen", string(summary)+"\n")
 	if err := golden.Check("testdata/checkpoint.golden", []byte(observed)); err != nil {
 		t.Error(err)
 	}
--- a/internal/cluster/failover/golden_test.go
+++ b/internal/cluster/failover/golden_test.go
@@ -11,7 +11,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// A checkpoint is stored in the log, in leases and in snapshots.
+// Checkpoints are stored in the log, in leases and in snapshots.
 func TestStoredCheckpoint(t *testing.T) {
 	evidence := decision.Evidence{
 		Build: 8, Stage: 2,
@@ -22,7 +22,7 @@
 	golden.RoundTrip(t, "checkpoint.msgpack", stored, msgpack.Marshal, msgpack.Unmarshal)
 }
 
-// An entry of the log begins with the kind of its command.
+// Entries of the log begin with the kind of their command.
 func TestStoredEntry(t *testing.T) {
 	command := lease.Command{
 		Operation: lease.Merge, ID: "trial/b", Holder: lease.Holder{Name: "a", Incarnation: 5}, Token: 10,
@@ -34,11 +34,12 @@
 	}, func(raw []byte, to any) error { return msgpack.Unmarshal(raw[1:], to) })
 }
 
-// Lines are what the admin address answers.
-func TestLineOnTheWire(t *testing.T) {
+// Status lines and summaries are what the admin address returns.
+func TestStatusOnTheWire(t *testing.T) {
 	line := LeaseStatus{
-		Lease: "trial/a", Holder: "a", Incarnation: 0xfedcba9876543210, Token: 11, RemainingMS: 500.5, Expired: true, CheckpointAt: 4000.25,
-		CheckpointAge: 250.5, Merged: []lease.Grant{{ID: "trial/c", Token: 9}}, HolderState: membership.Suspect, AbandonReason: "can't be read",
+		Lease: "trial/a", Holder: "a", Incarnation: 0xfedcba9876543210, Token: 11, RemainingMS: 500.5, Expired: true,
+		CheckpointAt: 4000.25, CheckpointAge: 250.5, Merged: []lease.Grant{{ID: "trial/c", Token: 9}},
+		HolderState: membership.Suspect, AbandonReason: "can't be read",
 	}
 	golden.RoundTrip(t, "line.json", line, json.Marshal, json.Unmarshal)
 	golden.RoundTrip(t, "seen.json", EvidenceSummary{Build: 8, Stage: 2, Responses: 42}, json.Marshal, json.Unmarshal)
--- /dev/null
+++ b/internal/cluster/failover/manager_test.go
@@ -0,0 +1,285 @@
+package failover
+
+import (
+	"context"
+	"errors"
+	"io"
+	"ottershed/decision"
+	"ottershed/internal/clock"
+	"ottershed/internal/cluster/lease"
+	"ottershed/internal/cluster/membership"
+	"ottershed/internal/rollout"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+var errCommandLost = errors.New("the command is lost")
+
+// fakeLog is a log of one server, whose time the test sets.
+type fakeLog struct {
+	mu        sync.Mutex
+	part      StateMachine
+	now       float64
+	intercept func(*lease.Command) error // before a command, without the lock; an error loses the command
+}
+
+func (l *fakeLog) Command(_ context.Context, _ byte, raw []byte) ([]byte, error) {
+	var command lease.Command
+	if err := msgpack.Unmarshal(raw, &command); err != nil {
+		return nil, err
+	}
+	l.mu.Lock()
+	intercept := l.intercept
+	l.mu.Unlock()
+	if intercept != nil {
+		if err := intercept(&command); err != nil {
+			return nil, err
+		}
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.part.Apply(0, l.now, raw), nil
+}
+
+func (l *fakeLog) Get(_ context.Context, _ string, to any) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	*to.(*lease.List) = l.part.table.List()
+	return nil
+}
+
+func (l *fakeLog) apply(t *testing.T, c lease.Command) {
+	t.Helper()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if r := l.part.table.Apply(&c, l.now); r.Rejection != "" {
+		t.Fatalf("%+v: %s", c, r.Rejection)
+	}
+}
+
+func (l *fakeLog) get(id lease.ID) (lease.Lease, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.part.table.Get(id)
+}
+
+func (l *fakeLog) setIntercept(intercept func(*lease.Command) error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.intercept = intercept
+}
+
+func (l *fakeLog) advance(ms float64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.now += ms
+}
+
+// fakeEngine has evidence of so many responses, to which it adds what it acquires.
+type fakeEngine struct {
+	mu        sync.Mutex
+	responses float64
+	notified  int // events handled
+}
+
+func (e *fakeEngine) Evidence(context.Context) (decision.Evidence, bool) {
+	return evidenceOf(e.count()), true
+}
+
+func (e *fakeEngine) AcquireEvidence(evidence decision.Evidence) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, c := range evidence.Counts {
+		e.responses += c.Succeeded
+	}
+}
+
+func (e *fakeEngine) RevokeEvidence() {}
+
+func (e *fakeEngine) HandleEvent(decision.Event) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.notified++
+}
+
+func (e *fakeEngine) count() float64 {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.responses
+}
+
+// evidenceOf is evidence of so many responses.
+func evidenceOf(responses float64) decision.Evidence {
+	return decision.Evidence{Build: 8, Counts: []decision.EndpointCount{{Endpoint: "a", Build: 8, Succeeded: responses}}}
+}
+
+// fakeCluster is a controller that ignores votes, and a membership in which b lives and a is dead.
+type fakeCluster struct{}
+
+func (fakeCluster) VoteFenced(decision.Vote, []rollout.Fence) {}
+
+func (fakeCluster) View() *membership.View {
+	return &membership.View{Self: "b", Members: []membership.Member{
+		{Name: "b"},
+		{Name: "a", State: membership.Dead},
+	}}
+}
+
+func (fakeCluster) Changes() <-chan membership.Change { return nil }
+
+func newManager(log Log, engine Engine, ttl time.Duration) *Manager {
+	logger := logrus.New()
+	logger.SetOutput(io.Discard)
+	cfg := Config{Name: "b", Incarnation: 2, TTL: ttl}
+	return New(cfg, log, engine, fakeCluster{}, fakeCluster{}, clock.New(), logger)
+}
+
+// startManager runs a manager of instance b until it holds its own lease, beside a dead instance's lease with a
+// checkpoint.
+func startManager(t *testing.T, ttl time.Duration, theirs []byte) (*fakeLog, *fakeEngine, *Manager) {
+	t.Helper()
+	log := &fakeLog{part: StateMachine{table: lease.NewTable()}}
+	dead := lease.Holder{Name: "a", Incarnation: 1}
+	log.apply(t, lease.Command{Operation: lease.Acquire, ID: "trial/a", Holder: dead, TTL: 1000})
+	log.apply(t, lease.Command{
+		Operation: lease.Renew, ID: "trial/a", Holder: dead, Token: 1, TTL: 1000, Checkpoint: theirs,
+	})
+	engine := &fakeEngine{responses: 3}
+	manager := newManager(log, engine, ttl)
+	ctx, cancel := context.WithCancel(t.Context())
+	var running sync.WaitGroup
+	running.Go(func() { manager.Run(ctx) })
+	t.Cleanup(func() {
+		cancel()
+		running.Wait()
+	})
+	waitFor(t, "its own lease is held", func() bool { _, held := log.get("trial/b"); return held })
+	return log, engine, manager
+}
+
+func waitFor(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("not within ten seconds: ", what)
+		}
+	}
+}
+
+// While a merge waits for its reply, the instance renews its own lease, and writes no checkpoint that lacks what it is
+// about to take over.
+func TestRenewsDuringTakeover(t *testing.T) {
+	theirs, err := msgpack.Marshal(&checkpoint{Parts: []decision.Evidence{evidenceOf(40)}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	log, engine, _ := startManager(t, 400*time.Millisecond, theirs)
+	merging, free, once := make(chan struct{}), make(chan struct{}), sync.Once{}
+	renewals := make(chan int, 1000) // bytes of their checkpoints
+	log.setIntercept(func(c *lease.Command) error {
+		switch c.Operation {
+		case lease.Merge:
+			once.Do(func() { close(merging) })
+			<-free
+		case lease.Renew:
+			renewals <- len(c.Checkpoint)
+		}
+		return nil
+	})
+	log.advance(1001) // the dead instance's lease has expired
+	<-merging
+	for len(renewals) > 0 {
+		<-renewals
+	}
+	for range 8 { // twice the TTL
+		if n := <-renewals; n > 0 {
+			t.Errorf("a checkpoint of %d bytes was written while another's evidence was being merged", n)
+		}
+	}
+	close(free)
+	waitFor(t, "merged", func() bool { _, there := log.get("trial/a"); return !there })
+	waitFor(t, "evidence acquired", func() bool { return engine.count() == 43 })
+	waitFor(t, "checkpoints again", func() bool { return <-renewals > 0 })
+	l, _ := log.get("trial/b")
+	united, err := decodeCheckpoint(l.Checkpoint)
+	if err != nil || len(united.Merged) != 1 {
+		t.Errorf("%v: %+v", err, united)
+	}
+	sum := 0
+	for _, e := range united.Parts {
+		sum += countResponses(&e)
+	}
+	if sum != 43 {
+		t.Errorf("%d responses are in its checkpoint", sum)
+	}
+}
+
+// A checkpoint that can't be read abandons its lease, once, even where the first command is lost, and is listed.
+func TestUnreadableCheckpoint(t *testing.T) {
+	log, engine, manager := startManager(t, 200*time.Millisecond, []byte("not a checkpoint"))
+	lost := false
+	log.setIntercept(func(c *lease.Command) error {
+		if c.Operation == lease.Abandon && !lost {
+			lost = true
+			return errCommandLost
+		}
+		return nil
+	})
+	log.advance(1001)
+	waitFor(t, "abandoned", func() bool { _, there := log.get("trial/a"); return !there })
+	lines, err := manager.Status(t.Context())
+	if err != nil || len(lines) != 2 || lines[1].Holder != "b" ||
+		!strings.Contains(lines[1].AbandonReason, "can't be read") {
+		t.Errorf("%v: %+v", err, lines)
+	}
+	if n := engine.count(); n != 3 {
+		t.Errorf("%v responses", n)
+	}
+	if l, _ := log.get("trial/b"); l.Token != 2 {
+		t.Errorf("its own lease: %+v", l)
+	}
+}
+
+// Without a valid lease a rollback vote is sent, and a vote that advances or holds a build is not.
+func TestVotesUnderLease(t *testing.T) {
+	engine := &fakeEngine{}
+	manager := newManager(&fakeLog{part: StateMachine{table: lease.NewTable()}}, engine, time.Second)
+	for _, test := range []struct {
+		verdict decision.Verdict
+		want    int // votes reported as failed, with those before
+	}{{decision.VoteAdvance, 1}, {decision.VoteHold, 2}, {decision.VoteRollback, 2}, {decision.VoteNone, 2}} {
+		manager.Vote(decision.Vote{Verdict: test.verdict})
+		if engine.notified != test.want {
+			t.Errorf("verdict %v: %d votes reported as failed, want %d", test.verdict, engine.notified, test.want)
+		}
+	}
+}
+
+// Callers tell by type why a takeover failed.
+func TestTakeoverErrors(t *testing.T) {
+	_, _, manager := startManager(t, 200*time.Millisecond, []byte("not a checkpoint"))
+	if err := manager.TakeOver(t.Context(), "trial/b"); !errors.Is(err, ErrOwnLease) {
+		t.Errorf("its own lease: %v", err)
+	}
+	var rejection *RejectedError
+	if err := manager.TakeOver(t.Context(), "trial/a"); !errors.As(err, &rejection) ||
+		!strings.Contains(rejection.Reason, "for 1000 ms more") {
+		t.Errorf("a lease that has not expired: %v", err)
+	}
+}
+
+// A takeover that can't resume the work reports that it abandoned the lease.
+func TestAbandonedTakeover(t *testing.T) {
+	log, _, manager := startManager(t, time.Minute, []byte("not a checkpoint")) // so long that no takeover is automatic
+	log.advance(1001)
+	var abandoned *AbandonedError
+	if err := manager.TakeOver(t.Context(), "trial/a"); !errors.As(err, &abandoned) ||
+		!strings.Contains(abandoned.Reason, "can't be read") {
+		t.Errorf("%v", err)
+	}
+}
--- /dev/null
+++ b/internal/cluster/failover/release.go
@@ -0,0 +1,30 @@
+package failover
+
+import (
+	"context"
+	"ottershed/internal/cluster/lease"
+
+	"github.com/sirupsen/logrus"
+)
+
+// ReleaseAll writes a last checkpoint and releases this instance's lease, so that a successor takes it over at once.
+func (mgr *Manager) ReleaseAll(ctx context.Context) {
+	if mgr.checkpointSlot.lock(ctx) != nil {
+		return
+	}
+	defer mgr.checkpointSlot.unlock()
+	raw := mgr.encodedCheckpoint(ctx)
+	session := mgr.own.current()
+	if !session.Valid(mgr.clock.Now()) {
+		return
+	}
+	renewal := mgr.own.nextCommand(raw)
+	release := lease.Command{Operation: lease.Release, ID: session.ID, Holder: session.Holder, Token: session.Token()}
+	for _, command := range []*lease.Command{&renewal, &release} {
+		if _, err := mgr.propose(ctx, command); err != nil {
+			mgr.logger.WithError(err).Warn("lease not released")
+			return
+		}
+	}
+	mgr.logger.WithFields(logrus.Fields{"work": session.ID, "token": uint64(session.Token())}).Info("lease released")
+}
--- /dev/null
+++ b/internal/cluster/failover/renew.go
@@ -0,0 +1,43 @@
+package failover
+
+import (
+	"context"
+	"ottershed/internal/cluster/lease"
+
+	"github.com/sirupsen/logrus"
+)
+
+// renew acquires this instance's lease, or renews it with a checkpoint. While a takeover holds the checkpoint slot the
+// lease is renewed without one.
+func (mgr *Manager) renew(ctx context.Context) {
+	var raw []byte
+	if mgr.checkpointSlot.tryLock() {
+		defer mgr.checkpointSlot.unlock()
+		raw = mgr.encodedCheckpoint(ctx)
+	}
+	command := mgr.own.nextCommand(raw)
+	reply, err := mgr.propose(ctx, &command)
+	switch {
+	case err != nil:
+		if ctx.Err() == nil {
+			mgr.logger.WithError(err).Debug("lease not renewed")
+		}
+	case command.Operation == lease.Acquire && reply.Rejection != "":
+		mgr.logger.WithFields(logrus.Fields{"work": command.ID, "refused": reply.Rejection}).Debug("lease not acquired")
+	case command.Operation == lease.Acquire:
+		mgr.acquired(&reply.Lease)
+	}
+}
+
+// acquired resumes from the checkpoint of the lease that was granted.
+func (mgr *Manager) acquired(l *lease.Lease) {
+	mgr.logger.WithFields(logrus.Fields{
+		"work": mgr.own.current().ID, "token": uint64(l.Token), "bytes": len(l.Checkpoint),
+	}).Info("lease acquired")
+	resumed, err := decodeCheckpoint(l.Checkpoint)
+	if err != nil {
+		mgr.logger.WithError(err).Error("checkpoint unreadable")
+		return
+	}
+	mgr.resume(&resumed)
+}
--- /dev/null
+++ b/internal/cluster/failover/statemachine.go
@@ -0,0 +1,71 @@
+package failover
+
+import (
+	"net/http"
+	"ottershed/internal/cluster/lease"
+	"ottershed/internal/cluster/quorum"
+	"ottershed/internal/cluster/raftlog"
+	"sync"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// StateMachine is the lease table at a server of the log, which applies the commands of leases to it. It is safe for
+// concurrent use.
+type StateMachine struct {
+	mu    sync.Mutex
+	table *lease.Table
+}
+
+// NewStateMachine makes an empty one, registers it with the server's log, and serves its list of leases.
+func NewStateMachine(n *raftlog.Node) *StateMachine {
+	m := &StateMachine{table: lease.NewTable()}
+	n.Register(Kind, m)
+	n.Handle("GET "+leasePath, func(w http.ResponseWriter, _ *http.Request) {
+		raftlog.WriteJSON(w, m.list())
+	})
+	return m
+}
+
+func (m *StateMachine) list() lease.List {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.table.List()
+}
+
+// Apply carries out a command of the log, at the log's time, and returns the encoded reply.
+func (m *StateMachine) Apply(_ uint64, at quorum.Millis, raw []byte) []byte {
+	var command lease.Command
+	reply := lease.Reply{Rejection: "not a command"}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if err := msgpack.Unmarshal(raw, &command); err == nil {
+		reply = m.table.Apply(&command, at)
+	}
+	encoded, err := msgpack.Marshal(&reply)
+	if err != nil {
+		panic(err) // a reply has no field that can't be encoded
+	}
+	return encoded
+}
+
+// LogTime is the log's time at the newest command.
+func (m *StateMachine) LogTime() quorum.Millis {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.table.Now()
+}
+
+// Snapshot returns the encoded table.
+func (m *StateMachine) Snapshot() ([]byte, error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.table.Encode()
+}
+
+// Restore replaces the table by one that Snapshot returned.
+func (m *StateMachine) Restore(raw []byte) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.table.Restore(raw)
+}
--- a/internal/cluster/lease/table.go
+++ b/internal/cluster/lease/table.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Table holds all leases. Its clock is the replicated log's (quorum.Clock), which no machine's wall clock enters; it
-// never goes back. A Table is not safe for concurrent use.
+// Table holds all leases. Its clock is the replicated log's, which no machine's wall clock enters; it never goes back. A
+// Table is not safe for concurrent use.
 type Table struct {
 	leases    map[ID]*Lease
 	abandoned []Abandoned // the newest last, up to maxAbandoned
--- a/internal/testbed/measure_takeover.go
+++ b/internal/testbed/measure_takeover.go
@@ -28,8 +28,8 @@
 }
 
 var (
-	resumedLine = regexp.MustCompile(`time="([^"]+)".* msg="work resumed" .* work=(\S+)`)
-	grantLine   = regexp.MustCompile(`msg="work (?:claimed|taken)".* token=(\d+) `)
+	resumedLine = regexp.MustCompile(`time="([^"]+)".* msg="lease merged" .* work=(\S+)`)
+	grantLine   = regexp.MustCompile(`msg="lease (?:acquired|taken over)".* token=(\d+) `)
 )
 
 // HitWork is how long nodes work on a hit while marshals are killed under load.
