--- a/internal/cluster/policy/golden_test.go
+++ b/internal/cluster/policy/golden_test.go
@@ -27,18 +27,18 @@
 	return state
 }
 
-// A proposal is an entry of the replicated log.
+// A proposal is stored as an entry of the replicated log.
 func TestStoredProposal(t *testing.T) {
 	golden.RoundTrip(t, "proposal.msgpack", *goldenProposal("second", 1), msgpack.Marshal, msgpack.Unmarshal)
 }
 
-// An outcome is the log's answer to a proposal.
+// An outcome is what the server that committed a proposal sends back to the proposer.
 func TestOutcomeOnTheWire(t *testing.T) {
 	outcome := Outcome{Version: 7, Duplicate: true, Rejection: "not the newest"}
 	golden.RoundTrip(t, "outcome.json", outcome, json.Marshal, json.Unmarshal)
 }
 
-// A policy's text is the body of records.
+// The form of a policy for the log is stored in records; parsing it again gives the same bytes.
 func TestStoredPolicy(t *testing.T) {
 	share := 0.25
 	policy := Policy{Note: "a trial", Halt: true, TrialShare: &share, Settings: json.RawMessage(`{"pace":1}`)}
@@ -51,7 +51,7 @@
 	golden.Equal(t, "policy.json", *parsed, policy)
 }
 
-// The version that was run last is kept in the store.
+// The record of the applied version is stored by each process.
 func TestStoredRecord(t *testing.T) {
 	record, _ := goldenState(t).Latest()
 	golden.Filled(t, "record", record)
@@ -67,7 +67,7 @@
 	golden.Equal(t, "record.bin", *back, record)
 }
 
-// All versions are policy's part of a snapshot.
+// A snapshot of the log has the kept records.
 func TestStoredState(t *testing.T) {
 	state := goldenState(t)
 	golden.Filled(t, "records", state.records)
--- a/internal/cluster/policy/policy.go
+++ b/internal/cluster/policy/policy.go
@@ -1,10 +1,8 @@
-// Package policystore decides which version of the fleet's policy there is and which one a marshal may run, free of I/O:
-// proposals come in the order in which a log has committed them, and each gets the next version or is refused, alike
-// everywhere. internal/cluster/policysync gives it the log and the marshal; docs/policy.md says what was weighed.
 package policy
 
 import (
 	"bytes"
+	"cmp"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -12,75 +10,108 @@
 	"strings"
 )
 
-// Version numbers policies: 1 is the first, 0 none.
-type Version uint64
+// Limits on the text of a policy and on the proposal that carries it.
+const (
+	maxPolicyBytes = 64 << 10 // bytes of the text as given
+	maxNoteBytes   = 400      // bytes
+	maxIDBytes     = 64       // bytes of a proposal's ID
+)
 
-// Policy is what the operators ask of all marshals, beside the figures that the platform hands to each.
+// Policy is what operators ask of all processes of a fleet, in addition to each one's configuration.
 type Policy struct {
-	// Note says what the change is for.
+	// Note says what the change is for. Required, 1 to 400 bytes.
 	Note string `json:"note"`
-	// Halt has no marshal vote a build on; votes back stay open.
+	// Halt stops votes to advance; votes to roll back are still cast. Default false.
 	Halt bool `json:"halt,omitempty"`
-	// TrialShare bounds the share of hits that goes to builds on trial, 0 to 1; none: the desk's cap alone does.
+	// TrialShare limits the share of requests that goes to a candidate, 0 to 1. Default none: the exposure limit of the
+	// rollout controller applies alone. A higher value brings evidence sooner and exposes more requests.
 	TrialShare *float64 `json:"trial-share,omitempty"`
-	// Settings go over those of the configuration, by the same names. Those of path groups and sockets can't be changed so.
+	// Settings override those of the configuration, by the same names. Default none. Those of services, tenants, zone,
+	// granularity and sockets can't be overridden.
 	Settings json.RawMessage `json:"settings,omitempty"`
 }
 
-const (
-	maxPolicyBytes = 64 << 10 // bytes
-	maxNoteBytes   = 400
-	maxIDBytes     = 64
-)
+// KeyError is a fault in a policy's text.
+type KeyError struct {
+	Key string // where the fault is; "policy" for the text as a whole
+	Err error  // what is wrong there
+}
+
+func (e *KeyError) Error() string { return e.Key + ": " + e.Err.Error() }
+
+// Unwrap returns what is wrong at the key.
+func (e *KeyError) Unwrap() error { return e.Err }
 
-// Parse reads a policy's text, and returns it with its form for the log: one line, so that the same policy has the
-// same sum everywhere. An error names the key.
+func keyErrorf(key, format string, args ...any) error {
+	return &KeyError{Key: key, Err: fmt.Errorf(format, args...)}
+}
+
+// Parse reads a policy's text. It returns the policy and its form for the log, which is one line, so that equal
+// policies have equal checksums at all servers. An error is a [*KeyError].
 func Parse(raw []byte) (*Policy, []byte, error) {
 	if len(raw) > maxPolicyBytes {
-		return nil, nil, fmt.Errorf("policy: want %d bytes at most, got %d", maxPolicyBytes, len(raw))
+		return nil, nil, keyErrorf("policy", "want %d bytes at most, got %d", maxPolicyBytes, len(raw))
 	}
-	p := &Policy{}
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.DisallowUnknownFields()
-	err := d.Decode(p)
-	var wrong *json.UnmarshalTypeError
-	var syntax *json.SyntaxError
-	switch {
-	case errors.As(err, &wrong):
-		return nil, nil, fmt.Errorf("%s: got %s", cmpOr(wrong.Field, "policy"), wrong.Value)
-	case errors.As(err, &syntax):
-		return nil, nil, fmt.Errorf("policy: line %d: %w", 1+bytes.Count(raw[:min(len(raw), int(syntax.Offset))], []byte("\n")), err)
-	case err != nil:
-		if _, field, unknown := strings.Cut(err.Error(), "unknown field "); unknown {
-			return nil, nil, fmt.Errorf("%s: not a key that is known", strings.Trim(field, `"`))
-		}
-		return nil, nil, fmt.Errorf("policy: %w", err)
+	parsed, err := decodeOne(raw)
+	if err != nil {
+		return nil, nil, err
 	}
-	if _, err := d.Token(); !errors.Is(err, io.EOF) {
-		return nil, nil, errors.New("policy: more follows behind its end")
+	if err := parsed.validate(); err != nil {
+		return nil, nil, err
 	}
-	if p.Note == "" || len(p.Note) > maxNoteBytes {
-		return nil, nil, fmt.Errorf("note: want 1 to %d bytes that say what the change is for, got %d", maxNoteBytes, len(p.Note))
+	body, err := json.Marshal(parsed)
+	if err != nil {
+		return nil, nil, keyErrorf("policy", "%w", err)
 	}
-	if s := p.TrialShare; s != nil && (*s < 0 || *s > 1) {
-		return nil, nil, fmt.Errorf("trial-share: want 0 to 1, got %g", *s)
+	return parsed, body, nil
+}
+
+// decodeOne decodes a text that holds one policy and nothing else.
+func decodeOne(raw []byte) (*Policy, error) {
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	parsed := &Policy{}
+	if err := decoder.Decode(parsed); err != nil {
+		return nil, decodingError(raw, err)
 	}
-	if len(p.Settings) > 0 {
-		var tree map[string]json.RawMessage
-		if err := json.Unmarshal(p.Settings, &tree); err != nil || tree == nil {
-			return nil, nil, errors.New("settings: want an object")
-		}
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
+		return nil, keyErrorf("policy", "more follows behind its end")
 	}
-	body, err := json.Marshal(p)
-	if err != nil {
-		return nil, nil, fmt.Errorf("policy: %w", err)
+	return parsed, nil
+}
+
+// decodingError names the key or the line of what the decoder rejected.
+func decodingError(raw []byte, err error) error {
+	var wrongType *json.UnmarshalTypeError
+	if errors.As(err, &wrongType) {
+		return keyErrorf(cmp.Or(wrongType.Field, "policy"), "got %s", wrongType.Value)
+	}
+	var syntax *json.SyntaxError
+	if errors.As(err, &syntax) {
+		read := raw[:min(len(raw), int(syntax.Offset))]
+		return keyErrorf("policy", "line %d: %w", 1+bytes.Count(read, []byte("\n")), err)
+	}
+	// encoding/json has no type for this error, only its text.
+	if _, field, unknown := strings.Cut(err.Error(), "unknown field "); unknown {
+		return keyErrorf(strings.Trim(field, `"`), "not a key that is known")
 	}
-	return p, body, nil
+	return keyErrorf("policy", "%w", err)
 }
 
-func cmpOr(a, b string) string {
-	if a != "" {
-		return a
+// validate checks the ranges of the values.
+func (p *Policy) validate() error {
+	if p.Note == "" || len(p.Note) > maxNoteBytes {
+		return keyErrorf("note", "want 1 to %d bytes that say what the change is for, got %d", maxNoteBytes, len(p.Note))
+	}
+	if share := p.TrialShare; share != nil && (*share < 0 || *share > 1) {
+		return keyErrorf("trial-share", "want 0 to 1, got %g", *share)
+	}
+	if len(p.Settings) == 0 {
+		return nil
+	}
+	var keys map[string]json.RawMessage
+	if err := json.Unmarshal(p.Settings, &keys); err != nil || keys == nil {
+		return keyErrorf("settings", "want an object")
 	}
-	return b
+	return nil
 }
--- a/internal/cluster/policy/wire_golden_test.go
+++ b/internal/cluster/policy/wire_golden_test.go
@@ -8,11 +8,12 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// The bytes of proposals, outcomes, records and snapshots are those of the golden file. Servers of different versions read
-// each other's, and stores last over restarts.
+// The bytes of policies, proposals, outcomes, records and snapshots are those of the golden file: servers of different
+// releases read each other's, and a new release reads the store of the one before.
 func TestGoldenLog(t *testing.T) {
 	share := 0.5
-	body, err := json.Marshal(Policy{Note: "why", Halt: true, TrialShare: &share, Settings: json.RawMessage(`{"zone":"a"}`)})
+	settings := json.RawMessage(`{"zone":"a"}`)
+	body, err := json.Marshal(Policy{Note: "why", Halt: true, TrialShare: &share, Settings: settings})
 	if err != nil {
 		t.Fatal(err)
 	}
