--- a/cmd/balancer/policy_cluster_test.go
+++ b/cmd/balancer/policy_cluster_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-var runsLine = regexp.MustCompile(`msg="policy runs".* version=(\d+) was=(\d+)`)
+var runsLine = regexp.MustCompile(`msg="policy applied".* version=(\d+) was=(\d+)`)
 
 // inOrder checks a marshal's log: each version it ran is above all that it ran before, over all its runs.
 func checkVersionOrder(t *testing.T, f *testbed.Fleet, i int) {
@@ -146,7 +146,7 @@
 	for _, i := range []int{3, 4} {
 		log := f.Process(i).Output()
 		log = log[strings.LastIndex(log, `msg="policy on"`):]
-		if runs, open := strings.Index(log, `msg="policy runs"`), strings.Index(log, `msg="policy caught up"`); runs < 0 || open < runs {
+		if runs, open := strings.Index(log, `msg="policy applied"`), strings.Index(log, `msg="policy caught up"`); runs < 0 || open < runs {
 			t.Errorf("%s caught up before it ran the version:\n%s", f.Names()[i], log)
 		}
 	}
@@ -357,7 +357,7 @@
 		if strings.Contains(log, "was=4") || !strings.Contains(log, "taken in again") {
 			t.Errorf("%s: not taken in anew:\n%s", name, log)
 		}
-		if whole := f.Process(2).Output(); !strings.Contains(whole[strings.LastIndex(whole, `msg="membership on"`):], "store was torn") {
+		if whole := f.Process(2).Output(); !strings.Contains(whole[strings.LastIndex(whole, `msg="membership on"`):], "store is corrupt") {
 			t.Errorf("%s: not found torn", name)
 		}
 	}
--- /dev/null
+++ b/internal/cluster/policysync/applier.go
@@ -0,0 +1,222 @@
+package policysync
+
+import (
+	"context"
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/raftlog"
+	"strconv"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+)
+
+const appliedKey = "policy" // of the applied version in the store
+
+// applier holds the versions that are known to the process and applies the latest that policy.TrialAdmission lets it.
+type applier struct {
+	apply func(policy.Decision) error // see Hooks
+	store *raftlog.Store
+	log   logrus.FieldLogger
+
+	mu        sync.Mutex // guards all below, and is held over apply so that decisions arrive in order
+	state     policy.State
+	admission policy.TrialAdmission
+	changed   chan struct{} // closed and replaced when a version is applied
+}
+
+func newApplier(apply func(policy.Decision) error, store *raftlog.Store, log logrus.FieldLogger) *applier {
+	return &applier{apply: apply, store: store, log: log, changed: make(chan struct{})}
+}
+
+// applyStored applies the version that the process had applied before it restarted, or none.
+func (a *applier) applyStored() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	stored, err := a.readStored()
+	if err != nil {
+		a.log.WithError(err).Error("policy: the stored version can't be read")
+	}
+	a.admission.Restore(stored)
+	if err := a.apply(a.admission.Current()); err != nil {
+		a.admission.Fail(err)
+		a.log.WithError(err).Error("policy: the stored version can't be applied")
+	}
+}
+
+// readStored returns the record of the applied version from the store; nil where there is none.
+func (a *applier) readStored() (*policy.Record, error) {
+	raw, err := a.store.GetUser(appliedKey)
+	if err != nil || raw == nil {
+		return nil, err
+	}
+	return policy.DecodeRecord(raw)
+}
+
+func (a *applier) writeStored(r *policy.Record) error {
+	raw, err := policy.EncodeRecord(r)
+	if err != nil {
+		return err
+	}
+	return a.store.PutUser(appliedKey, raw)
+}
+
+// caughtUp notes that the process holds all that was committed at some moment after its start: it applies the latest
+// version and admits trials. Only the first call has an effect.
+func (a *applier) caughtUp() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if !a.admission.MarkCaughtUp() {
+		return
+	}
+	a.applyLatest()
+	if a.admission.Current().TrialsAdmitted {
+		if err := a.apply(a.admission.Current()); err != nil {
+			a.log.WithError(err).Error("policy can't be applied")
+			a.admission.Fail(err)
+		}
+	}
+	a.logDecision("policy caught up")
+}
+
+// applyLatest applies the latest version, unless the process has to wait for it or has applied it. Requires the lock.
+func (a *applier) applyLatest() {
+	latest, exists := a.state.Latest()
+	if !exists || !a.admission.ShouldApply(latest) {
+		return
+	}
+	// The version is stored before it is applied. In the other order, a process that ends in between would come back
+	// with the version before, after it had acted on this one.
+	if err := a.writeStored(&latest); err != nil {
+		a.log.WithError(err).Error("policy: the applied version can't be stored")
+	}
+	previous := a.admission.Current()
+	a.admission.Applied(latest)
+	log := a.log.WithFields(logrus.Fields{
+		"version": uint64(latest.Version), "was": uint64(previous.Record.Version), "sum": formatSum(latest.Sum),
+	})
+	if err := a.apply(a.admission.Current()); err != nil {
+		a.admission.Fail(err)
+		log.WithError(err).Error("policy can't be applied: no part in trials")
+		a.applyWithoutTrials(previous.Record)
+	} else {
+		log.Info("policy applied")
+	}
+	close(a.changed)
+	a.changed = make(chan struct{})
+}
+
+// applyWithoutTrials goes back to the settings of the previous version, with trials closed. Requires the lock.
+func (a *applier) applyWithoutTrials(previous policy.Record) {
+	if err := a.apply(policy.Decision{Record: previous}); err != nil {
+		a.log.WithError(err).Error("policy: the previous version can't be applied either")
+	}
+}
+
+// retry applies the version that could not be applied, if there is one.
+func (a *applier) retry() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.admission.Failure() == "" {
+		return
+	}
+	a.admission.ClearFailure()
+	if err := a.apply(a.admission.Current()); err != nil {
+		a.admission.Fail(err)
+		a.log.WithError(err).Error("policy still can't be applied")
+		return
+	}
+	a.logDecision("policy can be applied again")
+}
+
+// logDecision requires the lock.
+func (a *applier) logDecision(message string) {
+	current := a.admission.Current()
+	a.log.WithFields(logrus.Fields{
+		"version": uint64(current.Record.Version), "open": current.TrialsAdmitted,
+	}).Info(message)
+}
+
+// commit applies a committed proposal to the versions; nil is an entry that is no proposal.
+func (a *applier) commit(proposal *policy.Proposal) policy.Outcome {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	out := policy.Outcome{Rejection: "not a proposal"}
+	if proposal != nil {
+		out = a.state.Apply(proposal)
+	}
+	a.applyLatest()
+	return out
+}
+
+// add adds records of a server and applies the latest. Records before a faulty one are applied.
+func (a *applier) add(records []policy.Record) error {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	changed, err := a.state.Append(records)
+	if changed {
+		a.applyLatest()
+	}
+	return err
+}
+
+func (a *applier) encode() ([]byte, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.state.Encode()
+}
+
+func (a *applier) restore(raw []byte) error {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if err := a.state.Restore(raw); err != nil {
+		return err
+	}
+	a.applyLatest()
+	return nil
+}
+
+// since returns the known records that are newer than v, the latest version, and a channel that is closed when another
+// version is applied.
+func (a *applier) since(v policy.Version) ([]policy.Record, policy.Version, <-chan struct{}) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.state.Since(v), a.state.Version(), a.changed
+}
+
+// awaitSince is since, but waits for a newer record for as long as maxWait. An error is that of ctx.
+func (a *applier) awaitSince(
+	ctx context.Context, v policy.Version, maxWait time.Duration,
+) ([]policy.Record, policy.Version, error) {
+	timeout := time.NewTimer(maxWait)
+	defer timeout.Stop()
+	for {
+		records, latest, changed := a.since(v)
+		if len(records) > 0 {
+			return records, latest, nil
+		}
+		select {
+		case <-changed:
+		case <-timeout.C:
+			return records, latest, nil
+		case <-ctx.Done():
+			return nil, 0, ctx.Err()
+		}
+	}
+}
+
+// appliedState is what the process has of the policy at one moment.
+type appliedState struct {
+	latest   policy.Version // that the process knows, applied or not
+	decision policy.Decision
+	failure  string // see policy.TrialAdmission.Failure
+}
+
+func (a *applier) current() appliedState {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return appliedState{latest: a.state.Version(), decision: a.admission.Current(), failure: a.admission.Failure()}
+}
+
+// formatSum is the form of a record's checksum in status, history and log lines: hexadecimal.
+func formatSum(sum uint64) string { return strconv.FormatUint(sum, 16) }
--- /dev/null
+++ b/internal/cluster/policysync/follow.go
@@ -0,0 +1,96 @@
+package policysync
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/raftlog"
+	"time"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+const (
+	longPoll = 10 * time.Second // a server answers a poll after so long where there is no newer version
+
+	pollRetryDivisor = 4 // a failed poll is followed by a pause of the election timeout divided by this
+)
+
+// The tags of the messages below, and of the types that they contain, name the parts on the wire. They stay whatever
+// the fields are called: processes of different releases poll each other.
+
+// sinceRequest is a watcher's poll.
+type sinceRequest struct {
+	Self    MemberStatus   `msgpack:"Self"`    // the watcher's own status
+	Version policy.Version `msgpack:"Version"` // the latest that the watcher knows
+	Confirm bool           `msgpack:"Confirm"` // the response has to contain all that is committed now
+}
+
+// sinceResponse is a server's response to a poll.
+type sinceResponse struct {
+	Records   []policy.Record `msgpack:"Records"` // newer than the watcher's version, oldest first
+	Newest    policy.Version  `msgpack:"Newest"`
+	Confirmed bool            `msgpack:"Confirmed"` // the server holds all that was committed when it got the poll
+}
+
+// errNotConfirmed is a server that can't reach a leader, or not in time.
+var errNotConfirmed = errors.New("the server could not confirm that its log is up to date")
+
+// follow polls one server for new versions until ctx ends, and the next one after each failure.
+func (n *Node) follow(ctx context.Context) {
+	failures := 0
+	for ctx.Err() == nil {
+		server := n.cfg.Servers[failures%len(n.cfg.Servers)]
+		err := n.poll(ctx, server.Address)
+		if err == nil || ctx.Err() != nil {
+			continue
+		}
+		failures++
+		n.log.WithError(err).WithField("server", server.Name).Debug("policy: poll failed")
+		select {
+		case <-ctx.Done():
+		case <-time.After(n.cfg.ElectionTimeout / pollRetryDivisor):
+		}
+	}
+}
+
+// poll polls one server and applies what is new. It asks for confirmation as long as trials are closed here.
+func (n *Node) poll(ctx context.Context, address string) error {
+	current := n.applier.current()
+	request := sinceRequest{
+		Self: n.memberStatus(current), Version: current.latest, Confirm: !current.decision.TrialsAdmitted,
+	}
+	response, err := n.callSince(ctx, address, &request)
+	if err != nil {
+		return err
+	}
+	if err := n.applier.add(response.Records); err != nil {
+		return err
+	}
+	if response.Confirmed {
+		n.applier.caughtUp()
+	} else if request.Confirm {
+		return errNotConfirmed
+	}
+	return nil
+}
+
+func (n *Node) callSince(ctx context.Context, address string, request *sinceRequest) (*sinceResponse, error) {
+	raw, err := msgpack.Marshal(request)
+	if err != nil {
+		return nil, err
+	}
+	ctx, cancel := context.WithTimeout(ctx, longPoll+confirmElectionTimeouts*n.cfg.ElectionTimeout+requestTimeout)
+	defer cancel()
+	var body []byte
+	if err := raftlog.Call(ctx, n.httpClient, address, http.MethodPost, "/policy/since", raw, &body); err != nil {
+		return nil, err
+	}
+	response := &sinceResponse{}
+	if err := msgpack.Unmarshal(body, response); err != nil {
+		return nil, fmt.Errorf("%s: %w", address, err)
+	}
+	return response, nil
+}
--- /dev/null
+++ b/internal/cluster/policysync/propose.go
@@ -0,0 +1,168 @@
+package policysync
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/raftlog"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/google/uuid"
+	"github.com/sirupsen/logrus"
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+const maxProposeWait = 15 * time.Second // for a proposal, its checks included
+
+// ProposeRequest is an operator's proposal.
+type ProposeRequest struct {
+	Policy json.RawMessage `json:"policy"`
+	// ID is that of an earlier request whose result is not known. Default: a new one.
+	ID string `json:"id,omitempty"`
+	// Base rejects the proposal unless this is the latest version. Default: any.
+	Base *policy.Version `json:"base,omitempty"`
+	// WaitMS limits the wait for the result, in milliseconds; the proposal is not committed later. Default and upper
+	// limit 15 s. A higher value lets a proposal wait for a new leader.
+	WaitMS int64 `json:"wait_ms,omitempty"`
+}
+
+// ProposeResult is the result of a proposal that became a version.
+type ProposeResult struct {
+	ID        string         `json:"id"`
+	Version   policy.Version `json:"version"`
+	Duplicate bool           `json:"again,omitempty"` // an earlier request with the ID had become the version
+}
+
+// RejectedError is a proposal that the log has committed and that became no version. Nothing has changed.
+type RejectedError struct{ Reason string }
+
+func (e *RejectedError) Error() string { return e.Reason }
+
+// UnknownResultError is a proposal that may have been committed or may not.
+type UnknownResultError struct {
+	ID  string // to propose it again with
+	Err error  // why the result is not known
+}
+
+func (e *UnknownResultError) Error() string {
+	return fmt.Sprintf("whether it was committed is not known; propose it again with --id %s: %v", e.ID, e.Err)
+}
+
+// Unwrap returns why the result is not known.
+func (e *UnknownResultError) Unwrap() error { return e.Err }
+
+// Propose takes a ProposeRequest as JSON, checks its policy here and at all servers that can be reached, commits it to
+// the log and returns a ProposeResult. An [*UnknownResultError] leaves the result open; after any other error nothing
+// has changed and nothing will.
+func (n *Node) Propose(ctx context.Context, body []byte) (any, error) {
+	var request ProposeRequest
+	if err := json.Unmarshal(body, &request); err != nil {
+		return nil, fmt.Errorf("proposal: %w", err)
+	}
+	// The wait includes the checks, and the log rejects a proposal after its end. Otherwise a proposal that a network
+	// partition delayed could be committed after its proposer had been notified of a failure.
+	ctx, cancel := context.WithTimeout(ctx, request.wait())
+	defer cancel()
+	policyBody, err := n.checkPolicy(ctx, request.Policy)
+	if err != nil {
+		return nil, err
+	}
+	proposal := n.newProposal(&request, policyBody)
+	out, err := n.commit(ctx, proposal)
+	if err != nil {
+		return nil, err
+	}
+	n.log.WithFields(logrus.Fields{
+		"version": uint64(out.Version), "id": proposal.ID, "again": out.Duplicate,
+	}).Info("policy proposed")
+	return ProposeResult{ID: proposal.ID, Version: out.Version, Duplicate: out.Duplicate}, nil
+}
+
+func (r *ProposeRequest) wait() time.Duration {
+	wait := time.Duration(r.WaitMS) * time.Millisecond
+	if wait <= 0 {
+		return maxProposeWait
+	}
+	return min(wait, maxProposeWait)
+}
+
+// checkPolicy returns a policy's form for the log, or an error where it can't be applied here or at a server that
+// can be reached.
+func (n *Node) checkPolicy(ctx context.Context, text []byte) ([]byte, error) {
+	_, body, err := policy.Parse(text)
+	if err != nil {
+		return nil, err
+	}
+	if err := n.check(body); err != nil {
+		return nil, err
+	}
+	if err := n.checkAtServers(ctx, body); err != nil {
+		return nil, err
+	}
+	return body, nil
+}
+
+// checkAtServers asks the other servers whether a policy fits their configuration. A server that can't be reached does
+// not count: where the policy does not fit, that server takes no part in trials and reports why.
+func (n *Node) checkAtServers(ctx context.Context, body []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
+	defer cancel()
+	faults := make([]string, len(n.cfg.Servers)) // by server, so that their order in the error is fixed
+	var requests sync.WaitGroup
+	for i, server := range n.cfg.Servers {
+		if server.Name == n.cfg.Name {
+			continue
+		}
+		requests.Go(func() {
+			var fault string
+			err := raftlog.Call(ctx, n.httpClient, server.Address, http.MethodPost, "/policy/check", body, &fault)
+			if err == nil && fault != "" {
+				faults[i] = server.Name + ": " + fault
+			}
+		})
+	}
+	requests.Wait()
+	faults = slices.DeleteFunc(faults, func(fault string) bool { return fault == "" })
+	if len(faults) > 0 {
+		return errors.New(strings.Join(faults, "; "))
+	}
+	return nil
+}
+
+func (n *Node) newProposal(request *ProposeRequest, policyBody []byte) *policy.Proposal {
+	proposal := &policy.Proposal{ID: request.ID, By: n.cfg.Name, At: n.clock.Now(), Body: policyBody}
+	if proposal.ID == "" {
+		proposal.ID = uuid.NewString()
+	}
+	if request.Base != nil {
+		proposal.Based = true
+		proposal.Base = *request.Base
+	}
+	return proposal
+}
+
+// commit puts a proposal into the log and waits for its result.
+func (n *Node) commit(ctx context.Context, proposal *policy.Proposal) (*policy.Outcome, error) {
+	command, err := msgpack.Marshal(proposal)
+	if err != nil {
+		return nil, err
+	}
+	reply, err := n.Command(ctx, Kind, command)
+	if err != nil {
+		return nil, &UnknownResultError{ID: proposal.ID, Err: err}
+	}
+	out := &policy.Outcome{}
+	if err := json.Unmarshal(reply, out); err != nil {
+		return nil, &UnknownResultError{ID: proposal.ID, Err: err}
+	}
+	if out.Rejection != "" {
+		return nil, &RejectedError{Reason: out.Rejection}
+	}
+	return out, nil
+}
--- /dev/null
+++ b/internal/cluster/policysync/statemachine.go
@@ -0,0 +1,34 @@
+package policysync
+
+import (
+	"encoding/json"
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/quorum"
+
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// Kind is the first byte of the log's entries that are policy proposals.
+const Kind byte = 'p'
+
+// stateMachine applies the log's entries of [Kind]. It is a raftlog.StateMachine.
+type stateMachine struct{ applier *applier }
+
+// Apply applies a proposal and returns its policy.Outcome as JSON.
+func (m stateMachine) Apply(_ uint64, _ quorum.Millis, command []byte) []byte {
+	proposal := &policy.Proposal{}
+	if err := msgpack.Unmarshal(command, proposal); err != nil {
+		proposal = nil
+	}
+	raw, err := json.Marshal(m.applier.commit(proposal))
+	if err != nil {
+		panic(err) // can't happen: an Outcome has three plain fields
+	}
+	return raw
+}
+
+// Snapshot returns the kept versions.
+func (m stateMachine) Snapshot() ([]byte, error) { return m.applier.encode() }
+
+// Restore replaces the kept versions by those of a snapshot.
+func (m stateMachine) Restore(raw []byte) error { return m.applier.restore(raw) }
--- /dev/null
+++ b/internal/cluster/policysync/status.go
@@ -0,0 +1,133 @@
+package policysync
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/raftlog"
+	"slices"
+	"strings"
+	"sync"
+)
+
+// roleWatcher is the Role of a process that keeps no log; those of servers are raftlog.Status.Role.
+const roleWatcher = "watcher"
+
+// MemberStatus is the status of one process.
+type MemberStatus struct {
+	Name           string         `json:"name" msgpack:"Name"`
+	Role           string         `json:"role" msgpack:"Role"` // leader, follower, candidate, placing, watcher
+	Version        policy.Version `json:"version" msgpack:"Version"`
+	Sum            string         `json:"sum" msgpack:"Sum"`                   // of it and all before, hexadecimal
+	TrialsAdmitted bool           `json:"open" msgpack:"Open"`                 // requests may go to a candidate
+	Failure        string         `json:"failed,omitempty" msgpack:"Failed"`   // why the latest version can't be applied
+	Unreachable    string         `json:"missing,omitempty" msgpack:"Missing"` // why there is no status
+	ReportedAt     float64        `json:"at_ms,omitempty" msgpack:"At"`        // Unix milliseconds
+}
+
+// FleetStatus is the answer to `ottershed policy status`.
+type FleetStatus struct {
+	Members     []MemberStatus  `json:"marshals"`      // by name
+	Log         *raftlog.Status `json:"log,omitempty"` // nil at a watcher
+	StoredBytes int64           `json:"stored_bytes"`  // of this process's store
+}
+
+// localStatus is what a server knows without asking others.
+type localStatus struct {
+	Self     MemberStatus   `json:"self"`
+	Watchers []MemberStatus `json:"watchers"`
+}
+
+// HistoryEntry is one version in the answer to `ottershed policy history`.
+type HistoryEntry struct {
+	Version  policy.Version  `json:"version"`
+	ID       string          `json:"id"`
+	Proposer string          `json:"by"`
+	At       float64         `json:"at_ms"` // Unix milliseconds
+	Sum      string          `json:"sum"`   // hexadecimal
+	Policy   json.RawMessage `json:"policy"`
+}
+
+// Self is the status of this process.
+func (n *Node) Self() MemberStatus { return n.memberStatus(n.applier.current()) }
+
+func (n *Node) memberStatus(current appliedState) MemberStatus {
+	applied := current.decision.Record
+	m := MemberStatus{
+		Name: n.cfg.Name, Role: roleWatcher, Version: applied.Version, Sum: formatSum(applied.Sum),
+		TrialsAdmitted: current.decision.TrialsAdmitted, Failure: current.failure, ReportedAt: n.clock.Now(),
+	}
+	if n.raft != nil {
+		m.Role = n.raft.Status().Role
+	}
+	return m
+}
+
+func (n *Node) local() localStatus { return localStatus{Self: n.Self(), Watchers: n.watchers.list()} }
+
+// FleetStatus returns the status of the fleet, as far as this process can learn it now, and of its own log.
+func (n *Node) FleetStatus(ctx context.Context) FleetStatus {
+	status := FleetStatus{Members: n.members(ctx), StoredBytes: n.store.Bytes()}
+	if n.raft != nil {
+		log := n.raft.Status()
+		status.Log = &log
+	}
+	return status
+}
+
+// members returns the status of all processes that are known to a server that can be reached, by name.
+func (n *Node) members(ctx context.Context) []MemberStatus {
+	latest := map[string]MemberStatus{}
+	for _, local := range n.collectLocal(ctx) {
+		latest[local.Self.Name] = local.Self
+		for _, m := range local.Watchers {
+			if other, exists := latest[m.Name]; !exists || other.ReportedAt < m.ReportedAt {
+				latest[m.Name] = m
+			}
+		}
+	}
+	if n.raft == nil {
+		latest[n.cfg.Name] = n.Self()
+	}
+	var all []MemberStatus
+	for _, m := range latest {
+		all = append(all, m)
+	}
+	slices.SortFunc(all, func(a, b MemberStatus) int { return strings.Compare(a.Name, b.Name) })
+	return all
+}
+
+// collectLocal asks all servers at once.
+func (n *Node) collectLocal(ctx context.Context) []localStatus {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
+	defer cancel()
+	all := make([]localStatus, len(n.cfg.Servers))
+	var requests sync.WaitGroup
+	for i, server := range n.cfg.Servers {
+		if server.Name == n.cfg.Name {
+			all[i] = n.local()
+			continue
+		}
+		requests.Go(func() {
+			err := raftlog.Call(ctx, n.httpClient, server.Address, http.MethodGet, "/policy/local", nil, &all[i])
+			if err != nil {
+				all[i] = localStatus{Self: MemberStatus{Name: server.Name, Unreachable: err.Error()}}
+			}
+		})
+	}
+	requests.Wait()
+	return all
+}
+
+// History returns the versions that this process keeps, oldest first.
+func (n *Node) History() []HistoryEntry {
+	records, _, _ := n.applier.since(0)
+	entries := []HistoryEntry{} // an empty history is [] in JSON
+	for _, r := range records {
+		entries = append(entries, HistoryEntry{
+			Version: r.Version, ID: r.ID, Proposer: r.By, At: r.At, Sum: formatSum(r.Sum), Policy: r.Body,
+		})
+	}
+	return entries
+}
--- a/internal/cluster/policysync/wire_golden_test.go
+++ b/internal/cluster/policysync/wire_golden_test.go
@@ -9,10 +9,13 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// What a marshal that follows asks a server, what it is answered, and what a server tells of those that follow it, are those
-// of the golden file: marshals of different versions ask each other.
+// The messages between watchers, servers and operators have the bytes of the golden file: processes of different
+// releases exchange them.
 func TestGoldenMessages(t *testing.T) {
-	self := MemberStatus{Name: "n0", Role: "watcher", Version: 7, Sum: "ab", TrialsAdmitted: true, Failure: "why", Unreachable: "lost", ReportedAt: 8.5}
+	self := MemberStatus{
+		Name: "n0", Role: "watcher", Version: 7, Sum: "ab", TrialsAdmitted: true, Failure: "why", Unreachable: "lost",
+		ReportedAt: 8.5,
+	}
 	version := policy.Version(7)
 	observed := ""
 	for _, message := range []struct {
--- a/internal/testbed/measure_policy.go
+++ b/internal/testbed/measure_policy.go
@@ -27,7 +27,7 @@
 
 // logged finds the time of a log line.
 var (
-	runsLine     = regexp.MustCompile(`time="([^"]+)".* msg="policy runs".* version=(\d+) `)
+	runsLine     = regexp.MustCompile(`time="([^"]+)".* msg="policy applied".* version=(\d+) `)
 	caughtUpLine = regexp.MustCompile(`time="([^"]+)".* msg="policy caught up"`)
 )
 
