--- a/internal/cluster/failover/keeper.go
+++ b/internal/cluster/failover/keeper.go
@@ -10,8 +10,8 @@
 	"ottershed/decision"
 	"ottershed/internal/clock"
 	"ottershed/internal/cluster/lease"
+	"ottershed/internal/cluster/logclock"
 	"ottershed/internal/cluster/membership"
-	"ottershed/internal/cluster/quorum"
 	"ottershed/internal/cluster/raftlog"
 	"ottershed/internal/rollout"
 	"sync"
@@ -528,7 +528,7 @@
 }
 
 // Apply takes a command.
-func (m *StateMachine) Apply(_ uint64, at quorum.Millis, command []byte) []byte {
+func (m *StateMachine) Apply(_ uint64, at logclock.Millis, command []byte) []byte {
 	var c lease.Command
 	r := lease.Reply{Rejection: "not a command"}
 	m.mu.Lock()
@@ -544,7 +544,7 @@
 }
 
 // LogTime is the log's time as far as the book has kept it.
-func (m *StateMachine) LogTime() quorum.Millis {
+func (m *StateMachine) LogTime() logclock.Millis {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.Now()
--- a/internal/cluster/lease/book.go
+++ b/internal/cluster/lease/book.go
@@ -111,7 +111,7 @@
 	Abandoned []Abandoned `json:"Ended"`  // the newest last
 }
 
-// Book holds all leases. Its clock is the log's, which no machine's wall clock enters (quorum.Clock), and never goes back.
+// Book holds all leases. Its clock is the log's, which no machine's wall clock enters (logclock.Clock), and never goes back.
 type Table struct {
 	leases    map[ID]*Lease
 	abandoned []Abandoned
--- a/internal/cluster/lease/clocks_test.go
+++ b/internal/cluster/lease/clocks_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"math/rand/v2"
-	"ottershed/internal/cluster/quorum"
+	"ottershed/internal/cluster/logclock"
 	"testing"
 )
 
@@ -29,9 +29,9 @@
 				own: Session{ID: TrialID(name), Holder: Holder{name, 1}, TTL: span},
 			})
 		}
-		b, c, at, lead := NewTable(), quorum.Clock{}, 0.0, 0
+		b, c, at, lead := NewTable(), logclock.Clock{}, 0.0, 0
 		apply := func(cmd *Command) Reply {
-			return b.Apply(cmd, c.Advance(quorum.Stamp{Process: uint64(lead + 1), Uptime: all[lead].clock(at)}))
+			return b.Apply(cmd, c.Advance(logclock.Stamp{Process: uint64(lead + 1), Uptime: all[lead].clock(at)}))
 		}
 		died, taken := -1.0, -1.0
 		for at < 60_000 {
--- a/internal/cluster/quorum/golden_test.go
+++ b/internal/cluster/logclock/golden_test.go
@@ -1,4 +1,4 @@
-package quorum
+package logclock
 
 import (
 	"ottershed/internal/golden"
--- a/internal/cluster/policysync/statemachine.go
+++ b/internal/cluster/policysync/statemachine.go
@@ -2,8 +2,8 @@
 
 import (
 	"encoding/json"
+	"ottershed/internal/cluster/logclock"
 	"ottershed/internal/cluster/policy"
-	"ottershed/internal/cluster/quorum"
 
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -15,7 +15,7 @@
 type stateMachine struct{ applier *applier }
 
 // Apply applies a proposal and returns its policy.Outcome as JSON.
-func (m stateMachine) Apply(_ uint64, _ quorum.Millis, command []byte) []byte {
+func (m stateMachine) Apply(_ uint64, _ logclock.Millis, command []byte) []byte {
 	proposal := &policy.Proposal{}
 	if err := msgpack.Unmarshal(command, proposal); err != nil {
 		proposal = nil
--- a/internal/cluster/raftlog/golden_test.go
+++ b/internal/cluster/raftlog/golden_test.go
@@ -10,6 +10,7 @@
 	"net/http/httptest"
 	"os"
 	"ottershed/internal/cluster/lease"
+	"ottershed/internal/cluster/logclock"
 	"ottershed/internal/cluster/policy"
 	"ottershed/internal/cluster/quorum"
 	"ottershed/internal/golden"
@@ -33,7 +34,7 @@
 // policyPart and leasePart do as those of internal/cluster/policysync and internal/cluster/failover.
 type policyPart struct{ policy.State }
 
-func (p *policyPart) Apply(_ uint64, _ quorum.Millis, command []byte) []byte {
+func (p *policyPart) Apply(_ uint64, _ logclock.Millis, command []byte) []byte {
 	var proposal policy.Proposal
 	if err := msgpack.Unmarshal(command, &proposal); err != nil {
 		return []byte(err.Error())
@@ -45,7 +46,7 @@
 
 type leasePart struct{ lease.Table }
 
-func (p *leasePart) Apply(_ uint64, at quorum.Millis, raw []byte) []byte {
+func (p *leasePart) Apply(_ uint64, at logclock.Millis, raw []byte) []byte {
 	var command lease.Command
 	if err := msgpack.Unmarshal(raw, &command); err != nil {
 		return []byte(err.Error())
@@ -117,7 +118,7 @@
 		if _, ok := c.command.(policy.Proposal); ok {
 			kind = policyKind
 		}
-		stamp := quorum.Stamp{Process: 0xfedcba9876543210, Uptime: 1000.5 + 10*float64(i)}
+		stamp := logclock.Stamp{Process: 0xfedcba9876543210, Uptime: 1000.5 + 10*float64(i)}
 		entries = append(entries, &raft.Log{
 			Index: uint64(i) + 4, Term: 2, Type: raft.LogCommand,
 			Data: prependStamp(stamp, append([]byte{kind}, raw...)), Extensions: []byte("extension"),
--- a/internal/cluster/raftlog/node.go
+++ b/internal/cluster/raftlog/node.go
@@ -15,6 +15,7 @@
 	"net"
 	"net/http"
 	"ottershed/internal/clock"
+	"ottershed/internal/cluster/logclock"
 	"ottershed/internal/cluster/quorum"
 	"path/filepath"
 	"slices"
@@ -51,9 +52,9 @@
 }
 
 // Part is what the log is for: it takes its commands in the log's order, alike at every server; at is the log's time in
-// milliseconds, see quorum.Clock. Apply, Snapshot and Restore are never called at once.
+// milliseconds, see logclock.Clock. Apply, Snapshot and Restore are never called at once.
 type StateMachine interface {
-	Apply(index uint64, at quorum.Millis, command []byte) (answer []byte)
+	Apply(index uint64, at logclock.Millis, command []byte) (answer []byte)
 	Snapshot() ([]byte, error)
 	Restore(raw []byte) error
 }
@@ -525,7 +526,7 @@
 type fsm struct {
 	mu       sync.Mutex
 	machines map[byte]StateMachine
-	logClock quorum.Clock // the log's
+	logClock logclock.Clock // the log's
 	// last is the index of the newest command that the parts have taken. Danger: raft's own AppliedIndex counts entries
 	// as applied that still wait for them; a server that went by it caught up before it held anything.
 	lastApplied atomic.Uint64
@@ -538,7 +539,7 @@
 		return []byte(nil)
 	}
 	stamp, command, ok := cutStamp(l.Data)
-	var at quorum.Millis
+	var at logclock.Millis
 	switch {
 	case ok:
 		at = f.logClock.Advance(stamp)
@@ -561,7 +562,7 @@
 )
 
 // timed is a part that has kept the log's time, from before the log did.
-type clocked interface{ LogTime() quorum.Millis }
+type clocked interface{ LogTime() logclock.Millis }
 
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	f.mu.Lock()
@@ -607,7 +608,7 @@
 			}
 		}
 	}
-	f.logClock = quorum.Clock{}
+	f.logClock = logclock.Clock{}
 	if at := all[clockKey]; at != nil {
 		if err := msgpack.Unmarshal(at, &f.logClock); err != nil {
 			return fmt.Errorf("snapshot: %w", err)
--- a/internal/cluster/raftlog/propose.go
+++ b/internal/cluster/raftlog/propose.go
@@ -8,7 +8,7 @@
 	"io"
 	"math"
 	"net/http"
-	"ottershed/internal/cluster/quorum"
+	"ottershed/internal/cluster/logclock"
 	"strconv"
 	"strings"
 	"sync"
@@ -30,7 +30,7 @@
 const stampBytes = 16
 
 // sealStamp writes a stamp before a command.
-func prependStamp(s quorum.Stamp, command []byte) []byte {
+func prependStamp(s logclock.Stamp, command []byte) []byte {
 	out := make([]byte, 0, 1+stampBytes+len(command))
 	out = append(out, stampedEntry)
 	out = binary.BigEndian.AppendUint64(out, s.Process)
@@ -39,18 +39,18 @@
 }
 
 // cutStamp takes it off again; false: there is none.
-func cutStamp(entry []byte) (quorum.Stamp, []byte, bool) {
+func cutStamp(entry []byte) (logclock.Stamp, []byte, bool) {
 	if len(entry) < 2+stampBytes || entry[0] != stampedEntry {
-		return quorum.Stamp{}, entry, false
+		return logclock.Stamp{}, entry, false
 	}
-	s := quorum.Stamp{Process: binary.BigEndian.Uint64(entry[1:]), Uptime: math.Float64frombits(binary.BigEndian.Uint64(entry[9:]))}
+	s := logclock.Stamp{Process: binary.BigEndian.Uint64(entry[1:]), Uptime: math.Float64frombits(binary.BigEndian.Uint64(entry[9:]))}
 	return s, entry[1+stampBytes:], !math.IsNaN(s.Uptime) && !math.IsInf(s.Uptime, 0)
 }
 
 // tickets are what a proposer knows of servers' clocks, by address, and who led last.
 type leaderReadings struct {
 	mu        sync.Mutex
-	byAddress map[string]quorum.LeaderReading
+	byAddress map[string]logclock.LeaderReading
 	leader    string
 }
 
@@ -66,14 +66,14 @@
 	r.leader = name
 }
 
-func (r *leaderReadings) get(address string) quorum.LeaderReading {
+func (r *leaderReadings) get(address string) logclock.LeaderReading {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.byAddress[address]
 }
 
 // hear keeps the reading that an answer carried.
-func (r *leaderReadings) receive(address, header string, now quorum.Millis) bool {
+func (r *leaderReadings) receive(address, header string, now logclock.Millis) bool {
 	process, ran, ok := strings.Cut(header, ":")
 	id, err := strconv.ParseUint(process, 16, 64)
 	reading, rerr := strconv.ParseFloat(ran, 64)
@@ -83,9 +83,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.byAddress == nil {
-		r.byAddress = map[string]quorum.LeaderReading{}
+		r.byAddress = map[string]logclock.LeaderReading{}
 	}
-	r.byAddress[address] = quorum.LeaderReading{Stamp: quorum.Stamp{Process: id, Uptime: reading}, ReceivedAt: now}
+	r.byAddress[address] = logclock.LeaderReading{Stamp: logclock.Stamp{Process: id, Uptime: reading}, ReceivedAt: now}
 	return true
 }
 
@@ -180,8 +180,8 @@
 }
 
 // stamp is this process's reading of its own clock.
-func (n *Node) stamp() quorum.Stamp {
-	return quorum.Stamp{Process: n.processID, Uptime: n.clock.Uptime()}
+func (n *Node) stamp() logclock.Stamp {
+	return logclock.Stamp{Process: n.processID, Uptime: n.clock.Uptime()}
 }
 
 // tooLate tells whether a proposal's proposer has given up by now, as far as it can be told; known: it could be.
--- a/internal/cluster/raftlog/propose_test.go
+++ b/internal/cluster/raftlog/propose_test.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"net/http/httptest"
 	"ottershed/internal/clock"
-	"ottershed/internal/cluster/quorum"
+	"ottershed/internal/cluster/logclock"
 	"strings"
 	"testing"
 	"time"
@@ -18,17 +18,17 @@
 
 // timesPart notes the log's time of each command.
 type timesMachine struct {
-	times []quorum.Millis
-	time  quorum.Millis
+	times []logclock.Millis
+	time  logclock.Millis
 }
 
-func (p *timesMachine) Apply(_ uint64, at quorum.Millis, command []byte) []byte {
+func (p *timesMachine) Apply(_ uint64, at logclock.Millis, command []byte) []byte {
 	p.times, p.time = append(p.times, at), at
 	return command
 }
 func (p *timesMachine) Snapshot() ([]byte, error) { return []byte("s"), nil }
 func (p *timesMachine) Restore([]byte) error      { return nil }
-func (p *timesMachine) LogTime() quorum.Millis    { return p.time }
+func (p *timesMachine) LogTime() logclock.Millis  { return p.time }
 
 func entry(m *fsm, data []byte, at time.Time) any {
 	return m.Apply(&raft.Log{Type: raft.LogCommand, Data: data, AppendedAt: at})
@@ -41,13 +41,13 @@
 	m := &fsm{machines: map[byte]StateMachine{'x': p}}
 	day := time.Unix(1_700_000_000, 0)
 	entry(m, []byte("xold"), day)
-	for i, s := range []quorum.Stamp{{Process: 5, Uptime: 100}, {Process: 5, Uptime: 350}, {Process: 6, Uptime: 9e6}} {
+	for i, s := range []logclock.Stamp{{Process: 5, Uptime: 100}, {Process: 5, Uptime: 350}, {Process: 6, Uptime: 9e6}} {
 		if got := entry(m, prependStamp(s, []byte("xnew")), day.Add(time.Duration(i)*time.Hour)); string(got.([]byte)) != "new" {
 			t.Errorf("the part got %q", got)
 		}
 	}
 	base := 1.7e12
-	if want := []quorum.Millis{base, base, base + 250, base + 250}; fmt.Sprint(p.times) != fmt.Sprint(want) {
+	if want := []logclock.Millis{base, base, base + 250, base + 250}; fmt.Sprint(p.times) != fmt.Sprint(want) {
 		t.Errorf("at %v, want %v", p.times, want)
 	}
 	for _, torn := range []string{"t", "t12345678", "t12345678\x7f\xf8\x00\x00\x00\x00\x00\x01x"} {
--- a/internal/cluster/raftlog/wire_golden_test.go
+++ b/internal/cluster/raftlog/wire_golden_test.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 	"maps"
-	"ottershed/internal/cluster/quorum"
+	"ottershed/internal/cluster/logclock"
 	"ottershed/internal/golden"
 	"slices"
 	"testing"
@@ -14,14 +14,14 @@
 // onePart is a part of the log that holds a fixed text.
 type onePart struct{}
 
-func (onePart) Apply(uint64, quorum.Millis, []byte) []byte { return nil }
-func (onePart) Snapshot() ([]byte, error)                  { return []byte("held"), nil }
-func (onePart) Restore([]byte) error                       { return nil }
+func (onePart) Apply(uint64, logclock.Millis, []byte) []byte { return nil }
+func (onePart) Snapshot() ([]byte, error)                    { return []byte("held"), nil }
+func (onePart) Restore([]byte) error                         { return nil }
 
 // What servers of the log ask each other, a stamped entry, and a snapshot's clock, are those of the golden file. A snapshot is a
 // table in no order, so its parts are listed by name.
 func TestGoldenMessages(t *testing.T) {
-	stamp := quorum.Stamp{Process: 1 << 63, Uptime: 1234.5}
+	stamp := logclock.Stamp{Process: 1 << 63, Uptime: 1234.5}
 	observed := golden.Section("a stamped entry", golden.Quote(prependStamp(stamp, []byte("xcommand")))+"\n")
 	for _, message := range []struct {
 		title string
@@ -44,9 +44,9 @@
 }
 
 // snapshotParts lists what a snapshot holds.
-func snapshotParts(t *testing.T, stamp quorum.Stamp) string {
+func snapshotParts(t *testing.T, stamp logclock.Stamp) string {
 	t.Helper()
-	m := &fsm{machines: map[byte]StateMachine{'x': onePart{}}, logClock: quorum.Clock{Now: 2000.5, Last: stamp}}
+	m := &fsm{machines: map[byte]StateMachine{'x': onePart{}}, logClock: logclock.Clock{Now: 2000.5, Last: stamp}}
 	m.lastApplied.Store(7)
 	taken, err := m.Snapshot()
 	if err != nil {
