--- a/cmd/balancer/policy_cluster_test.go
+++ b/cmd/balancer/policy_cluster_test.go
@@ -18,27 +18,54 @@
 	"time"
 )
 
-// policyCluster starts marshals that keep the policy's log, and waits until all are open.
+// policyCluster starts instances, the first of which are servers of the policy's log, and waits until trials are
+// admitted at all of them.
 func policyCluster(t *testing.T, instances, servers int, seed uint64) (*testbed.Fleet, context.Context) {
 	t.Helper()
-	f, ctx := startCluster(t, testbed.Settings{
+	fleet, ctx := startCluster(t, testbed.Settings{
 		Instances: instances, Servers: servers, ElectionTimeout: 300 * time.Millisecond, Seed: seed,
 		Key: "a key of the fleet's own", ToleratedPause: 2 * time.Second, DetectionTimeout: 6 * time.Second,
 	})
-	await(t, ctx, 20*time.Second, func() error { return checkAll(f, -1, func(i int) error { return f.Runs(ctx, i, 0) }) })
-	return f, ctx
+	awaitVersion(t, ctx, 20*time.Second, fleet, 0)
+	return fleet, ctx
+}
+
+// awaitVersion waits until all instances have applied a version, with trials admitted.
+func awaitVersion(
+	t *testing.T, ctx context.Context, within time.Duration, fleet *testbed.Fleet, version policy.Version,
+) {
+	t.Helper()
+	await(t, ctx, within, func() error {
+		return checkAll(fleet, -1, func(i int) error { return fleet.Runs(ctx, i, version) })
+	})
+}
+
+// awaitVersionAt waits until some instances have applied a version, with trials admitted.
+func awaitVersionAt(
+	t *testing.T, ctx context.Context, within time.Duration, fleet *testbed.Fleet, version policy.Version,
+	instances ...int,
+) {
+	t.Helper()
+	await(t, ctx, within, func() error {
+		for _, i := range instances {
+			if err := fleet.Runs(ctx, i, version); err != nil {
+				return err
+			}
+		}
+		return nil
+	})
 }
 
 func policyText(note string, share float64) string {
 	return fmt.Sprintf(`{"note":%q,"trial-share":%g,"settings":{"domain":{"vote-ttl-ms":4000}}}`, note, share)
 }
 
-// propose proposes at a marshal until it is committed.
-func propose(t *testing.T, ctx context.Context, f *testbed.Fleet, at int, text, id string) policy.Version {
+// propose proposes a policy at an instance until it is committed, and returns its version.
+func propose(t *testing.T, ctx context.Context, fleet *testbed.Fleet, at int, text, id string) policy.Version {
 	t.Helper()
 	var got policy.Version
 	await(t, ctx, 20*time.Second, func() error {
-		p, err := f.Propose(ctx, at, text, id)
+		p, err := fleet.Propose(ctx, at, text, id)
 		if err == nil {
 			got = p.Version
 		}
@@ -47,222 +74,268 @@
 	return got
 }
 
-// same fails the test where marshals keep different versions, or one ran versions out of order by its log.
-func awaitSameVersion(t *testing.T, ctx context.Context, f *testbed.Fleet, v policy.Version) {
+// awaitSameVersion waits until all instances have applied a version. It fails the test where their histories differ, or
+// where an instance has applied versions out of order by its log lines.
+func awaitSameVersion(t *testing.T, ctx context.Context, fleet *testbed.Fleet, version policy.Version) {
 	t.Helper()
-	await(t, ctx, 30*time.Second, func() error { return checkAll(f, -1, func(i int) error { return f.Runs(ctx, i, v) }) })
+	awaitVersion(t, ctx, 30*time.Second, fleet, version)
 	sums := map[string]bool{}
-	for i := range f.Names() {
-		m, err := f.Self(ctx, i)
+	lines := 0
+	for i := range fleet.Names() {
+		m, err := fleet.Self(ctx, i)
 		if err != nil {
 			t.Fatal(err)
 		}
 		sums[m.Sum] = true
-		checkVersionOrder(t, f, i)
+		lines += checkVersionOrder(t, fleet, i)
 	}
 	if len(sums) != 1 {
-		t.Errorf("sums differ: %v", sums)
+		t.Errorf("checksums differ: %v", sums)
+	}
+	if lines == 0 {
+		t.Error("no instance has logged a version that it applied")
 	}
 }
 
-var runsLine = regexp.MustCompile(`msg="policy applied".* version=(\d+) was=(\d+)`)
+var appliedLine = regexp.MustCompile(`msg="policy applied".* version=(\d+) was=(\d+)`)
 
-// inOrder checks a marshal's log: each version it ran is above all that it ran before, over all its runs.
-func checkVersionOrder(t *testing.T, f *testbed.Fleet, i int) {
+// checkVersionOrder checks by an instance's log lines, over all its restarts, that each version it applied is newer
+// than all that it had applied before, and returns the number of these lines.
+func checkVersionOrder(t *testing.T, fleet *testbed.Fleet, i int) (lines int) {
 	t.Helper()
 	last := 0
-	for line := range strings.Lines(f.Process(i).Output()) {
-		m := runsLine.FindStringSubmatch(line)
+	for line := range strings.Lines(fleet.Process(i).Output()) {
+		m := appliedLine.FindStringSubmatch(line)
 		if m == nil {
 			continue
 		}
-		v, _ := strconv.Atoi(m[1])
-		if v <= last {
-			t.Errorf("%s ran version %d after %d", f.Names()[i], v, last)
+		lines++
+		version, err := strconv.Atoi(m[1])
+		if err != nil {
+			t.Fatal(err)
+		}
+		if version <= last {
+			t.Errorf("%s applied version %d after %d", fleet.Names()[i], version, last)
+		}
+		last = version
+	}
+	return lines
+}
+
+// lastRun returns what an instance has logged since a message of its last start.
+func lastRun(fleet *testbed.Fleet, i int, message string) string {
+	output := fleet.Process(i).Output()
+	return output[strings.LastIndex(output, `msg="`+message+`"`):]
+}
+
+func killAll(t *testing.T, fleet *testbed.Fleet, instances ...int) {
+	t.Helper()
+	for _, i := range instances {
+		if err := fleet.Process(i).Kill(); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func startAll(t *testing.T, fleet *testbed.Fleet, instances ...int) {
+	t.Helper()
+	for _, i := range instances {
+		if err := fleet.Process(i).Start(); err != nil {
+			t.Fatal(err)
 		}
-		last = v
 	}
 }
 
-// A change made while two of five marshals are down holds at the three, and at the two before they take trial traffic.
+// A change that is made while two of five instances are down is in force at the three, and at the two before their
+// requests go to the candidate.
 func TestPolicyWhileSomeAreDown(t *testing.T) {
 	t.Parallel()
-	f, ctx := policyCluster(t, 5, 5, 11)
-	platform := f.Platform()
-	trial := platform.Endpoints()[0]
-	platform.SetBuild(trial, 2)
+	fleet, ctx := policyCluster(t, 5, 5, 11)
+	platform := fleet.Platform()
+	candidate := platform.Endpoints()[0]
+	platform.SetBuild(candidate, 2)
 	platform.Controller().SetStage(testbed.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
 	clients := testbed.NewClients()
 	defer clients.Close()
 	requests := 0
-	send := func(i, n int) (delivered int) {
-		for range n {
+	send := func(i, count int) (succeeded int) {
+		for range count {
 			requests++
-			if e, err := clients.Send(ctx, f.Listen(i), "read", fmt.Sprintf("h%d", requests)); err == nil && e.Status == 200 {
-				delivered++
+			e, err := clients.Send(ctx, fleet.Listen(i), "read", fmt.Sprintf("h%d", requests))
+			if err == nil && e.Status == 200 {
+				succeeded++
 			}
 		}
-		return delivered
+		return succeeded
 	}
-	await(t, ctx, 10*time.Second, func() error { // the build on trial is asked while no policy holds
-		if send(3, 20); trial.Requests() == 0 {
-			return fmt.Errorf("no hit went to the build on trial")
+	await(t, ctx, 10*time.Second, func() error { // without a policy, requests go to the candidate
+		if send(3, 20); candidate.Requests() == 0 {
+			return fmt.Errorf("no request went to the candidate")
 		}
 		return nil
 	})
-	for _, i := range []int{3, 4} {
-		if err := f.Process(i).Kill(); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if v := propose(t, ctx, f, 0, policyText("no trials today", 0), ""); v != 1 {
+	killAll(t, fleet, 3, 4)
+	if v := propose(t, ctx, fleet, 0, policyText("no trials today", 0), ""); v != 1 {
 		t.Errorf("version %d", v)
 	}
-	await(t, ctx, 5*time.Second, func() error {
-		return checkAll(f, -1, func(i int) error {
-			if i >= 3 {
-				return nil
-			}
-			return f.Runs(ctx, i, 1)
-		})
-	})
-	before := trial.Requests()
-	for _, i := range []int{3, 4} {
-		if err := f.Process(i).Start(); err != nil {
-			t.Fatal(err)
-		}
-	}
-	delivered := 0
-	await(t, ctx, 20*time.Second, func() error { // hits from the first moment on
-		delivered += send(3, 5) + send(4, 5)
-		if err := f.Runs(ctx, 3, 1); err != nil {
+	awaitVersionAt(t, ctx, 5*time.Second, fleet, 1, 0, 1, 2)
+	before := candidate.Requests()
+	startAll(t, fleet, 3, 4)
+	succeeded := 0
+	await(t, ctx, 20*time.Second, func() error { // requests arrive from the start of the process
+		succeeded += send(3, 5) + send(4, 5)
+		if err := fleet.Runs(ctx, 3, 1); err != nil {
 			return err
 		}
-		return f.Runs(ctx, 4, 1)
+		return fleet.Runs(ctx, 4, 1)
 	})
-	if delivered += send(3, 20) + send(4, 20); delivered < 20 || trial.Requests() != before {
-		t.Errorf("%d hits delivered; the build on trial got %d, and %d before", delivered, trial.Requests(), before)
+	succeeded += send(3, 20) + send(4, 20)
+	if succeeded < 20 || candidate.Requests() != before {
+		t.Errorf("%d requests succeeded; %d went to the candidate, and %d before", succeeded, candidate.Requests(), before)
 	}
 	for _, i := range []int{3, 4} {
-		log := f.Process(i).Output()
-		log = log[strings.LastIndex(log, `msg="policy on"`):]
-		if runs, open := strings.Index(log, `msg="policy applied"`), strings.Index(log, `msg="policy caught up"`); runs < 0 || open < runs {
-			t.Errorf("%s caught up before it ran the version:\n%s", f.Names()[i], log)
-		}
+		checkAppliedBeforeAdmission(t, fleet, i)
+	}
+	awaitSameVersion(t, ctx, fleet, 1)
+}
+
+// checkAppliedBeforeAdmission checks by its log lines that an instance applied a version before it admitted trials.
+func checkAppliedBeforeAdmission(t *testing.T, fleet *testbed.Fleet, i int) {
+	t.Helper()
+	log := lastRun(fleet, i, "policy on")
+	applied := strings.Index(log, `msg="policy applied"`)
+	caughtUp := strings.Index(log, `msg="policy caught up"`)
+	if applied < 0 || caughtUp < applied {
+		t.Errorf("%s caught up before it applied the version:\n%s", fleet.Names()[i], log)
 	}
-	awaitSameVersion(t, ctx, f, 1)
 }
 
-// The leader is killed in the middle of a proposal: the change is committed at all or at none.
+// The leader is killed during a proposal: the change is committed at all instances or at none.
 func TestPolicyLeaderKilled(t *testing.T) {
 	t.Parallel()
-	f, ctx := policyCluster(t, 5, 5, 12)
-	version := policy.Version(0)
+	fleet, ctx := policyCluster(t, 5, 5, 12)
 	for round := range 6 {
-		leader := 0
-		await(t, ctx, 10*time.Second, func() error {
-			s, err := f.PolicyStatus(ctx, round%5)
-			if err == nil {
-				leader, err = strconv.Atoi(strings.TrimPrefix(s.Log.Leader, "n")) // none for a moment
-			}
-			return err
-		})
-		asked := (leader + 1 + round%4) % 5
-		id := fmt.Sprintf("round-%d", round)
-		ended := make(chan error, 1)
-		go func() {
-			ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
-			defer cancel()
-			_, err := f.Propose(ctx, asked, policyText(id, 0.5), id)
-			ended <- err
-		}()
-		time.Sleep(time.Duration(round) * 3 * time.Millisecond) // the kill comes at another moment of the proposal in each round
-		if err := f.Process(leader).Kill(); err != nil {
-			t.Fatal(err)
-		}
-		perr := <-ended
-		if err := f.Process(leader).Start(); err != nil {
-			t.Fatal(err)
+		killLeaderDuringProposal(t, ctx, fleet, round)
+	}
+}
+
+// killLeaderDuringProposal starts with as many versions as rounds have passed, and ends with one more.
+func killLeaderDuringProposal(t *testing.T, ctx context.Context, fleet *testbed.Fleet, round int) {
+	t.Helper()
+	before := policy.Version(round)
+	leader := awaitPolicyLeader(t, ctx, fleet, round%5)
+	proposer := (leader + 1 + round%4) % 5
+	requestID := fmt.Sprintf("round-%d", round)
+	text := policyText(requestID, 0.5)
+	ended := make(chan error, 1)
+	go func() {
+		ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
+		defer cancel()
+		_, err := fleet.Propose(ctx, proposer, text, requestID)
+		ended <- err
+	}()
+	time.Sleep(time.Duration(round) * 3 * time.Millisecond) // in each round the kill comes later in the proposal
+	killAll(t, fleet, leader)
+	proposeErr := <-ended
+	startAll(t, fleet, leader)
+	after := awaitAgreement(t, ctx, fleet)
+	if after > before+1 || proposeErr == nil && after != before+1 {
+		t.Errorf("round %d: version %d after %d, and the proposer got %v", round, after, before, proposeErr)
+	}
+	// Proposed again with its id it becomes one version, the same where it had become one.
+	again := propose(t, ctx, fleet, proposer, text, requestID)
+	if after == before+1 && again != after || after == before && again != before+1 {
+		t.Errorf("round %d: proposed again it is version %d; the latest was %d", round, again, after)
+	}
+	awaitSameVersion(t, ctx, fleet, before+1)
+}
+
+// awaitPolicyLeader asks an instance until it knows the leader.
+func awaitPolicyLeader(t *testing.T, ctx context.Context, fleet *testbed.Fleet, asked int) (leader int) {
+	t.Helper()
+	await(t, ctx, 10*time.Second, func() error {
+		s, err := fleet.PolicyStatus(ctx, asked)
+		if err == nil {
+			leader, err = strconv.Atoi(strings.TrimPrefix(s.Log.Leader, "n")) // empty during an election
 		}
-		var newest policy.Version
-		await(t, ctx, 20*time.Second, func() error { // all agree, on whichever it is
-			for i := range f.Names() {
-				m, err := f.Self(ctx, i)
-				if err != nil {
-					return err
-				}
-				if !m.TrialsAdmitted || i > 0 && m.Version != newest {
-					return fmt.Errorf("%s runs %d, open %v; others %d", m.Name, m.Version, m.TrialsAdmitted, newest)
-				}
-				newest = m.Version
+		return err
+	})
+	return leader
+}
+
+// awaitAgreement waits until all instances have applied the same version, with trials admitted, and returns it.
+func awaitAgreement(t *testing.T, ctx context.Context, fleet *testbed.Fleet) policy.Version {
+	t.Helper()
+	var agreed policy.Version
+	await(t, ctx, 20*time.Second, func() error {
+		for i := range fleet.Names() {
+			m, err := fleet.Self(ctx, i)
+			if err != nil {
+				return err
 			}
-			return nil
-		})
-		if newest > version+1 || perr == nil && newest != version+1 {
-			t.Errorf("round %d: version %d after %d, and the proposer heard %v", round, newest, version, perr)
-		}
-		// Asked again by its id it gets one version, the same where it had one.
-		if v := propose(t, ctx, f, asked, policyText(id, 0.5), id); newest == version+1 && v != newest || newest == version && v != version+1 {
-			t.Errorf("round %d: proposed again it is version %d; %d held", round, v, newest)
+			if !m.TrialsAdmitted || i > 0 && m.Version != agreed {
+				return fmt.Errorf("%s at %d, trials admitted %v; others at %d", m.Name, m.Version, m.TrialsAdmitted, agreed)
+			}
+			agreed = m.Version
 		}
-		version++
-		awaitSameVersion(t, ctx, f, version)
-	}
+		return nil
+	})
+	return agreed
 }
 
-// A minority that is cut off goes on by the version that was committed last, and learns of nothing new until it is back.
-func TestPolicyMinorityCutOff(t *testing.T) {
+// A minority that is partitioned keeps the version that it has applied, and gets no other until it is connected again.
+func TestPolicyMinorityPartitioned(t *testing.T) {
 	t.Parallel()
-	f, ctx := policyCluster(t, 5, 5, 13)
-	propose(t, ctx, f, 0, policyText("first", 0.5), "")
-	awaitSameVersion(t, ctx, f, 1)
-	f.Partition(true, 0, 1)
-	if v := propose(t, ctx, f, 3, policyText("second", 0.4), ""); v != 2 {
+	fleet, ctx := policyCluster(t, 5, 5, 13)
+	propose(t, ctx, fleet, 0, policyText("first", 0.5), "")
+	awaitSameVersion(t, ctx, fleet, 1)
+	fleet.Partition(true, 0, 1)
+	if v := propose(t, ctx, fleet, 3, policyText("second", 0.4), ""); v != 2 {
 		t.Errorf("version %d", v)
 	}
 	short, cancel := context.WithTimeout(ctx, 4*time.Second)
-	if p, err := f.Propose(short, 0, policyText("from the minority", 1), "minority"); err == nil {
+	if p, err := fleet.Propose(short, 0, policyText("from the minority", 1), "minority"); err == nil {
 		t.Errorf("the minority committed %+v", p)
 	}
 	cancel()
 	for _, i := range []int{0, 1} {
-		if err := f.Runs(ctx, i, 1); err != nil {
+		if err := fleet.Runs(ctx, i, 1); err != nil {
 			t.Error(err)
 		}
 	}
 	for _, i := range []int{2, 3, 4} {
-		await(t, ctx, 5*time.Second, func() error { return f.Runs(ctx, i, 2) })
+		awaitVersionAt(t, ctx, 5*time.Second, fleet, 2, i)
 	}
-	// One that starts anew in the minority serves, but takes no part in trials until it is back.
-	if err := f.Process(1).Restart(0); err != nil {
+	// An instance that restarts in the minority serves requests and takes no part in trials until it is connected again.
+	if err := fleet.Process(1).Restart(0); err != nil {
 		t.Fatal(err)
 	}
 	clients := testbed.NewClients()
 	defer clients.Close()
 	await(t, ctx, 10*time.Second, func() error {
-		e, err := clients.Send(ctx, f.Listen(1), "read", fmt.Sprint(time.Now().UnixNano()))
+		e, err := clients.Send(ctx, fleet.Listen(1), "read", fmt.Sprint(time.Now().UnixNano()))
 		if err == nil && e.Status != 200 {
 			err = fmt.Errorf("status %d", e.Status)
 		}
 		return err
 	})
-	if m, err := f.Self(ctx, 1); err != nil || m.TrialsAdmitted || m.Version != 1 {
-		t.Errorf("started in the minority: %+v, %v", m, err)
+	if m, err := fleet.Self(ctx, 1); err != nil || m.TrialsAdmitted || m.Version != 1 {
+		t.Errorf("restarted in the minority: %+v, %v", m, err)
 	}
-	f.Partition(false, 0, 1)
-	await(t, ctx, 20*time.Second, func() error { return checkAll(f, -1, func(i int) error { return f.Runs(ctx, i, 2) }) })
-	awaitSameVersion(t, ctx, f, 2)
+	fleet.Partition(false, 0, 1)
+	awaitVersion(t, ctx, 20*time.Second, fleet, 2)
+	awaitSameVersion(t, ctx, fleet, 2)
 }
 
-// 200 proposals at random marshals under random faults: each is committed once, all end with the same, and none ran versions
-// out of order.
+// 200 proposals at random instances under random faults: each becomes one version, all instances end with the same
+// history, and none applies versions out of order.
 func TestPolicyRandomFaults(t *testing.T) {
 	t.Parallel()
-	f, ctx := policyCluster(t, 5, 5, 14)
-	script := faultinject.Random(14, f.Names(), 35*time.Second, 35, 2)
+	fleet, ctx := policyCluster(t, 5, 5, 14)
+	script := faultinject.Random(14, fleet.Names(), 35*time.Second, 35, 2)
 	t.Logf("script:\n%v", script)
 	played := make(chan error, 1)
-	go func() { played <- f.FaultEnvironment().Play(ctx, script) }()
+	go func() { played <- fleet.FaultEnvironment().Play(ctx, script) }()
 	const proposals, proposers = 200, 5
 	var proposing sync.WaitGroup
 	for p := range proposers {
@@ -271,10 +344,10 @@
 			for n := range proposals / proposers {
 				id := fmt.Sprintf("p%d-%d", p, n)
 				text := policyText(id, float64(chance.IntN(100))/100)
-				err := testbed.Poll(ctx, func() error { // until it is known that it was committed
+				err := testbed.Poll(ctx, func() error { // until the result is known
 					ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 					defer cancel()
-					_, err := f.Propose(ctx, chance.IntN(5), text, id)
+					_, err := fleet.Propose(ctx, chance.IntN(5), text, id)
 					return err
 				})
 				if err != nil {
@@ -289,31 +362,32 @@
 		t.Fatal(err)
 	}
 	proposing.Wait()
-	awaitSameVersion(t, ctx, f, proposals)
-	past, err := f.History(ctx, 0)
+	awaitSameVersion(t, ctx, fleet, proposals)
+	history, err := fleet.History(ctx, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ids := map[string]bool{}
-	for _, p := range past {
-		ids[p.ID] = true
+	for _, entry := range history {
+		ids[entry.ID] = true
 	}
-	if len(past) != proposals || len(ids) != proposals {
-		t.Errorf("%d versions of %d proposals", len(past), len(ids))
+	if len(history) != proposals || len(ids) != proposals {
+		t.Errorf("%d versions of %d proposals", len(history), len(ids))
 	}
 }
 
-// A store that was not written whole is found out at the next start and taken from the others; what it held is never run.
-func TestPolicyTornStore(t *testing.T) {
+// A store that was not written completely is found at the next start and restored from the other servers; nothing that
+// it held is applied.
+func TestPolicyCorruptStore(t *testing.T) {
 	t.Parallel()
-	f, ctx := policyCluster(t, 3, 3, 15)
+	fleet, ctx := policyCluster(t, 3, 3, 15)
 	for v := range 5 {
-		propose(t, ctx, f, v%3, policyText(fmt.Sprint("version ", v+1), 0.5), "")
+		propose(t, ctx, fleet, v%3, policyText(fmt.Sprint("version ", v+1), 0.5), "")
 	}
-	awaitSameVersion(t, ctx, f, 5)
-	for _, tc := range []struct {
-		name string
-		tear func(raw []byte) []byte
+	awaitSameVersion(t, ctx, fleet, 5)
+	for _, damage := range []struct {
+		name    string
+		corrupt func(raw []byte) []byte
 	}{
 		{"cut short", func(raw []byte) []byte { return raw[:2*os.Getpagesize()+100] }},
 		{"a byte of a value", func(raw []byte) []byte {
@@ -327,53 +401,54 @@
 		}},
 		{"nothing left", func([]byte) []byte { return nil }},
 	} {
-		name := tc.name
-		if err := f.Process(2).Kill(); err != nil {
-			t.Fatal(err)
-		}
-		path := filepath.Join(f.Store(2), "store.db")
+		killAll(t, fleet, 2)
+		path := filepath.Join(fleet.Store(2), "store.db")
 		raw, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(path, tc.tear(raw), 0o600); err != nil {
+		if err := os.WriteFile(path, damage.corrupt(raw), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if err := f.Process(2).Start(); err != nil {
-			t.Fatal(err)
-		}
-		await(t, ctx, 20*time.Second, func() error {
-			if err := f.Runs(ctx, 2, 5); err != nil {
-				return fmt.Errorf("%s: %w", name, err)
-			}
-			s, err := f.PolicyStatus(ctx, 2)
-			if err == nil && len(s.Log.Voters) != 3 {
-				err = fmt.Errorf("%s: voters %v", name, s.Log.Voters)
-			}
-			return err
-		})
-		log := f.Process(2).Output()
-		log = log[strings.LastIndex(log, `msg="policy on"`):]
+		startAll(t, fleet, 2)
+		awaitVoterAgain(t, ctx, fleet, damage.name)
+		log := lastRun(fleet, 2, "policy on")
 		if strings.Contains(log, "was=4") || !strings.Contains(log, "taken in again") {
-			t.Errorf("%s: not taken in anew:\n%s", name, log)
+			t.Errorf("%s: not readmitted:\n%s", damage.name, log)
 		}
-		if whole := f.Process(2).Output(); !strings.Contains(whole[strings.LastIndex(whole, `msg="membership on"`):], "store is corrupt") {
-			t.Errorf("%s: not found torn", name)
+		if !strings.Contains(lastRun(fleet, 2, "membership on"), "store is corrupt") {
+			t.Errorf("%s: the store is not found to be corrupt", damage.name)
 		}
 	}
-	if v := propose(t, ctx, f, 2, policyText("after all", 1), ""); v != 6 {
+	if v := propose(t, ctx, fleet, 2, policyText("after all", 1), ""); v != 6 {
 		t.Errorf("version %d", v)
 	}
 }
 
-// Marshals that are no servers follow them; a bad policy changes nothing anywhere.
+// awaitVoterAgain waits until instance 2 has applied version 5 and is one of three voters.
+func awaitVoterAgain(t *testing.T, ctx context.Context, fleet *testbed.Fleet, name string) {
+	t.Helper()
+	await(t, ctx, 20*time.Second, func() error {
+		if err := fleet.Runs(ctx, 2, 5); err != nil {
+			return fmt.Errorf("%s: %w", name, err)
+		}
+		s, err := fleet.PolicyStatus(ctx, 2)
+		if err == nil && len(s.Log.Voters) != 3 {
+			err = fmt.Errorf("%s: voters %v", name, s.Log.Voters)
+		}
+		return err
+	})
+}
+
+// Instances that are no servers are watchers and apply what the servers commit; a wrong policy changes nothing
+// anywhere.
 func TestPolicyWatchers(t *testing.T) {
 	t.Parallel()
-	f, ctx := policyCluster(t, 5, 3, 16)
-	if v := propose(t, ctx, f, 4, policyText("from a watcher", 0.5), ""); v != 1 {
+	fleet, ctx := policyCluster(t, 5, 3, 16)
+	if v := propose(t, ctx, fleet, 4, policyText("from a watcher", 0.5), ""); v != 1 {
 		t.Errorf("version %d", v)
 	}
-	await(t, ctx, 5*time.Second, func() error { return checkAll(f, -1, func(i int) error { return f.Runs(ctx, i, 1) }) })
+	awaitVersion(t, ctx, 5*time.Second, fleet, 1)
 	for text, want := range map[string]string{
 		`{"note":"x","trial-share":2}`:                           "trial-share: want 0 to 1",
 		`{"note":"x","settings":{"domain":{"caps":[0.5]}}}`:      "settings.domain.caps: its length differs",
@@ -382,11 +457,11 @@
 		`{"note":"x","settings":{"domain":{"cpas":[0.3,1]}}}`:    "settings.domain.cpas: not a figure",
 		`{"note":"x","settings":{"rules":{"cold-from":"cold"}}}`: "settings.rules.cold-from: want a number",
 	} {
-		if _, err := f.Propose(ctx, 4, text, ""); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := fleet.Propose(ctx, 4, text, ""); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: want %q, got %v", text, want, err)
 		}
 	}
-	s, err := f.PolicyStatus(ctx, 4)
+	s, err := fleet.PolicyStatus(ctx, 4)
 	if err != nil || len(s.Members) != 5 {
 		t.Fatalf("%+v, %v", s, err)
 	}
@@ -395,38 +470,30 @@
 			t.Errorf("%+v", m)
 		}
 	}
-	if err := f.Process(4).Kill(); err != nil {
-		t.Fatal(err)
-	}
-	propose(t, ctx, f, 3, policyText("while it is down", 0.4), "")
-	if err := f.Process(4).Start(); err != nil {
-		t.Fatal(err)
-	}
-	awaitSameVersion(t, ctx, f, 2)
+	killAll(t, fleet, 4)
+	propose(t, ctx, fleet, 3, policyText("while it is down", 0.4), "")
+	startAll(t, fleet, 4)
+	awaitSameVersion(t, ctx, fleet, 2)
 }
 
-// A policy that does not go with the configuration of a marshal that was down: it serves and takes no part in trials, says
-// why, and runs the policy once its configuration was mended.
-func TestPolicyThatCannotBeRun(t *testing.T) {
+// A policy that does not fit the configuration of an instance that was down: the instance serves requests, takes no
+// part in trials and reports why; it applies the policy when its configuration was corrected.
+func TestPolicyThatCannotBeApplied(t *testing.T) {
 	t.Parallel()
-	f, ctx := policyCluster(t, 3, 3, 17)
-	if err := f.Process(2).Kill(); err != nil {
-		t.Fatal(err)
-	}
-	good, err := os.ReadFile(f.File(2, "json"))
+	fleet, ctx := policyCluster(t, 3, 3, 17)
+	killAll(t, fleet, 2)
+	good, err := os.ReadFile(fleet.File(2, "json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	other := strings.Replace(string(good), `"caps":[0.3,1],"waves":[0.3,1]`, `"caps":[0.1,0.3,1],"waves":[0.1,0.3,1]`, 1)
-	if err := os.WriteFile(f.File(2, "json"), []byte(other), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	propose(t, ctx, f, 0, `{"note":"two stages","settings":{"domain":{"caps":[0.2,1]}}}`, "")
-	if err := f.Process(2).Start(); err != nil {
+	if err := os.WriteFile(fleet.File(2, "json"), []byte(other), 0o600); err != nil {
 		t.Fatal(err)
 	}
+	propose(t, ctx, fleet, 0, `{"note":"two stages","settings":{"domain":{"caps":[0.2,1]}}}`, "")
+	startAll(t, fleet, 2)
 	await(t, ctx, 20*time.Second, func() error {
-		m, err := f.Self(ctx, 2)
+		m, err := fleet.Self(ctx, 2)
 		if err == nil && (m.TrialsAdmitted || m.Version != 1 || !strings.Contains(m.Failure, "settings.domain.caps")) {
 			err = fmt.Errorf("%+v", m)
 		}
@@ -435,18 +502,18 @@
 	clients := testbed.NewClients()
 	defer clients.Close()
 	await(t, ctx, 10*time.Second, func() error {
-		e, err := clients.Send(ctx, f.Listen(2), "read", fmt.Sprint(time.Now().UnixNano()))
+		e, err := clients.Send(ctx, fleet.Listen(2), "read", fmt.Sprint(time.Now().UnixNano()))
 		if err == nil && e.Status != 200 {
 			err = fmt.Errorf("%+v", e)
 		}
 		return err
 	})
-	if err := os.WriteFile(f.File(2, "json"), good, 0o600); err != nil {
+	if err := os.WriteFile(fleet.File(2, "json"), good, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Process(2).HangUp(); err != nil {
+	if err := fleet.Process(2).HangUp(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, ctx, 10*time.Second, func() error { return f.Runs(ctx, 2, 1) })
-	awaitSameVersion(t, ctx, f, 1)
+	awaitVersionAt(t, ctx, 10*time.Second, fleet, 1, 2)
+	awaitSameVersion(t, ctx, fleet, 1)
 }
