--- a/internal/cluster/failover/statemachine.go
+++ b/internal/cluster/failover/statemachine.go
@@ -3,7 +3,7 @@
 import (
 	"net/http"
 	"ottershed/internal/cluster/lease"
-	"ottershed/internal/cluster/quorum"
+	"ottershed/internal/cluster/logclock"
 	"ottershed/internal/cluster/raftlog"
 	"sync"
 
@@ -34,7 +34,7 @@
 }
 
 // Apply carries out a command of the log, at the log's time, and returns the encoded reply.
-func (m *StateMachine) Apply(_ uint64, at quorum.Millis, raw []byte) []byte {
+func (m *StateMachine) Apply(_ uint64, at logclock.Millis, raw []byte) []byte {
 	var command lease.Command
 	reply := lease.Reply{Rejection: "not a command"}
 	m.mu.Lock()
@@ -50,7 +50,7 @@
 }
 
 // LogTime is the log's time at the newest command.
-func (m *StateMachine) LogTime() quorum.Millis {
+func (m *StateMachine) LogTime() logclock.Millis {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.Now()
--- a/internal/cluster/lease/clockskew_test.go
+++ b/internal/cluster/lease/clockskew_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"math/rand/v2"
-	"ottershed/internal/cluster/quorum"
+	"ottershed/internal/cluster/logclock"
 	"testing"
 )
 
@@ -29,7 +29,7 @@
 	instances   []*skewedInstance
 	leader      int
 	table       *Table
-	clock       quorum.Clock
+	clock       logclock.Clock
 	at          Millis // true time
 	died, taken Millis // when the first instance died and its lease was taken over; below 0: not yet
 }
@@ -47,7 +47,7 @@
 
 // apply appends a command to the log, stamped by its leader's clock.
 func (s *skewedCluster) apply(c *Command) Reply {
-	stamp := quorum.Stamp{Process: uint64(s.leader + 1), Uptime: s.instances[s.leader].clock(s.at)}
+	stamp := logclock.Stamp{Process: uint64(s.leader + 1), Uptime: s.instances[s.leader].clock(s.at)}
 	return s.table.Apply(c, s.clock.Advance(stamp))
 }
 
--- a/internal/cluster/raftlog/entry.go
+++ b/internal/cluster/raftlog/entry.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/binary"
 	"math"
-	"ottershed/internal/cluster/quorum"
+	"ottershed/internal/cluster/logclock"
 )
 
 // Kind is the first byte of a command: it names the state machine that the command belongs to.
@@ -16,7 +16,7 @@
 const stampBytes = 16 // process and uptime, eight bytes each, big endian
 
 // prependStamp encodes an entry.
-func prependStamp(s quorum.Stamp, command []byte) []byte {
+func prependStamp(s logclock.Stamp, command []byte) []byte {
 	entry := make([]byte, 0, 1+stampBytes+len(command))
 	entry = append(entry, stampedEntry)
 	entry = binary.BigEndian.AppendUint64(entry, s.Process)
@@ -25,11 +25,11 @@
 }
 
 // cutStamp decodes an entry; false if it has no valid stamp.
-func cutStamp(entry []byte) (quorum.Stamp, []byte, bool) {
+func cutStamp(entry []byte) (logclock.Stamp, []byte, bool) {
 	if len(entry) < 2+stampBytes || entry[0] != stampedEntry {
-		return quorum.Stamp{}, entry, false
+		return logclock.Stamp{}, entry, false
 	}
-	s := quorum.Stamp{
+	s := logclock.Stamp{
 		Process: binary.BigEndian.Uint64(entry[1:]),
 		Uptime:  math.Float64frombits(binary.BigEndian.Uint64(entry[9:])),
 	}
--- a/internal/cluster/raftlog/fsm.go
+++ b/internal/cluster/raftlog/fsm.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 	"fmt"
 	"io"
-	"ottershed/internal/cluster/quorum"
+	"ottershed/internal/cluster/logclock"
 	"strconv"
 	"sync"
 	"sync/atomic"
@@ -16,20 +16,20 @@
 // StateMachine applies the commands of one kind, in the order of the log, with the same result at every server. Its
 // methods are never called concurrently.
 type StateMachine interface {
-	// Apply applies a command; at is the log's time, see quorum.Clock. The reply goes to the proposer.
-	Apply(index uint64, at quorum.Millis, command []byte) (reply []byte)
+	// Apply applies a command; at is the log's time, see logclock.Clock. The reply goes to the proposer.
+	Apply(index uint64, at logclock.Millis, command []byte) (reply []byte)
 	Snapshot() ([]byte, error)
 	Restore(raw []byte) error
 }
 
 // clocked is a state machine with a time of its own in its snapshots, from releases before the log had one.
-type clocked interface{ LogTime() quorum.Millis }
+type clocked interface{ LogTime() logclock.Millis }
 
 // fsm implements raft.FSM: it dispatches commands to the state machines.
 type fsm struct {
 	mu       sync.Mutex
 	machines map[Kind]StateMachine
-	logClock quorum.Clock
+	logClock logclock.Clock
 	// lastApplied is the index of the newest command that the state machines have applied. Raft's own AppliedIndex also
 	// counts entries that are still queued for them; a rejoining server would be promoted before it holds everything.
 	lastApplied atomic.Uint64
@@ -57,7 +57,7 @@
 
 // decode advances the log's time to an entry and returns its command with the kind in front; false for an entry with an
 // invalid stamp, which no leader writes.
-func (f *fsm) decode(entry *raft.Log) (quorum.Millis, []byte, bool) {
+func (f *fsm) decode(entry *raft.Log) (logclock.Millis, []byte, bool) {
 	stamp, command, stamped := cutStamp(entry.Data)
 	switch {
 	case stamped:
@@ -143,7 +143,7 @@
 // restoreClock restores the log's time; without one, from a release before entries had stamps, it starts at the time of
 // the state machines.
 func (f *fsm) restoreClock(raw []byte) error {
-	f.logClock = quorum.Clock{}
+	f.logClock = logclock.Clock{}
 	if raw != nil {
 		if err := msgpack.Unmarshal(raw, &f.logClock); err != nil {
 			return fmt.Errorf("snapshot: %w", err)
--- a/internal/cluster/raftlog/propose.go
+++ b/internal/cluster/raftlog/propose.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"io"
 	"net/http"
-	"ottershed/internal/cluster/quorum"
+	"ottershed/internal/cluster/logclock"
 	"strconv"
 	"strings"
 	"sync"
@@ -56,7 +56,7 @@
 // leaderReadings is what a proposer knows of the servers: readings of their clocks, and who led last.
 type leaderReadings struct {
 	mu        sync.Mutex
-	byAddress map[string]quorum.LeaderReading
+	byAddress map[string]logclock.LeaderReading
 	leader    string
 }
 
@@ -72,14 +72,14 @@
 	r.leader = name
 }
 
-func (r *leaderReadings) get(address string) quorum.LeaderReading {
+func (r *leaderReadings) get(address string) logclock.LeaderReading {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.byAddress[address]
 }
 
 // receive stores the reading in a response's clockHeader; false if there is none.
-func (r *leaderReadings) receive(address, header string, now quorum.Millis) bool {
+func (r *leaderReadings) receive(address, header string, now logclock.Millis) bool {
 	process, uptime, ok := strings.Cut(header, ":")
 	id, idErr := strconv.ParseUint(process, 16, 64)
 	reading, readingErr := strconv.ParseFloat(uptime, 64)
@@ -89,9 +89,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.byAddress == nil {
-		r.byAddress = map[string]quorum.LeaderReading{}
+		r.byAddress = map[string]logclock.LeaderReading{}
 	}
-	r.byAddress[address] = quorum.LeaderReading{Stamp: quorum.Stamp{Process: id, Uptime: reading}, ReceivedAt: now}
+	r.byAddress[address] = logclock.LeaderReading{Stamp: logclock.Stamp{Process: id, Uptime: reading}, ReceivedAt: now}
 	return true
 }
 
@@ -192,8 +192,8 @@
 }
 
 // stamp is this process's reading of its own clock.
-func (n *Node) stamp() quorum.Stamp {
-	return quorum.Stamp{Process: n.processID, Uptime: n.clock.Uptime()}
+func (n *Node) stamp() logclock.Stamp {
+	return logclock.Stamp{Process: n.processID, Uptime: n.clock.Uptime()}
 }
 
 // expired reports whether the proposer has given up by now; known is false if the deadline is not by this process's
