--- a/internal/engine/queue_test.go
+++ b/internal/engine/queue_test.go
@@ -17,13 +17,13 @@
 	settings := decision.Settings{
 		Classes: []decision.RequestClass{{LatencyObjective: 400}}, ExposureCaps: []float64{1}, Stages: []float64{1},
 	}
-	m := New(settings, 1, clock.New(), log)
-	m.ReceiveRequest(&ClientRequest{Class: "1"})
-	m.HandleEvent(decision.ResponseFlagged{Endpoint: "2"})
-	m.ReceiveRequest(&ClientRequest{Class: "3"})
-	m.UpdateEndpoints(EndpointUpdate{Version: 4})
+	engine := New(settings, 1, clock.New(), log)
+	engine.ReceiveRequest(&ClientRequest{Class: "1"})
+	engine.HandleEvent(decision.ResponseFlagged{Endpoint: "2"})
+	engine.ReceiveRequest(&ClientRequest{Class: "3"})
+	engine.UpdateEndpoints(EndpointUpdate{Version: 4})
 	got := ""
-	for msg, _ := m.queue.next(); msg.message != nil; msg, _ = m.queue.next() {
+	for msg, _ := engine.queue.next(); msg.message != nil; msg, _ = engine.queue.next() {
 		switch msg := msg.message.(type) {
 		case requestReceived:
 			got += string(msg.request.Class)
