--- a/cmd/balancer/golden_test.go
+++ b/cmd/balancer/golden_test.go
@@ -61,7 +61,7 @@
 }
 
 // The answers of the admin address are as commands of earlier programs, and scripts of operators, read them.
-func TestAdminAnswersOnTheWire(t *testing.T) {
+func TestAdminResponsesOnTheWire(t *testing.T) {
 	ask, status := served(t), goldenStatus()
 	golden.RoundTrip(t, "members.json", goldenMembers(), ask, json.Unmarshal)
 	golden.RoundTrip(t, "policy_status.json", status, ask, json.Unmarshal)
--- a/cmd/balancer/wire_golden_test.go
+++ b/cmd/balancer/wire_golden_test.go
@@ -108,7 +108,7 @@
 				t.Fatal(err)
 			}
 		}
-		address := goldenMarshal(t)
+		address := goldenInstance(t)
 		for _, s := range goldenStarts {
 			observed += golden.Section(s.title, printed(t.Context(), address, strings.Fields(s.args)))
 		}
@@ -119,7 +119,7 @@
 }
 
 // goldenMarshal answers as a running marshal does; it tells what a proposal asks for by refusing one that it doesn't expect.
-func goldenMarshal(t *testing.T) (address string) {
+func goldenInstance(t *testing.T) (address string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/decision/stream_test.go
+++ b/decision/stream_test.go
@@ -340,7 +340,7 @@
 	case decision.StartAttempt:
 		s.send(a)
 	case decision.Reject:
-		s.bounced(a)
+		s.rejected(a)
 	case decision.Fail:
 		s.requests[a.Request].done = true
 	case decision.Cancel:
@@ -350,7 +350,7 @@
 	case decision.StartHealthCheck:
 		s.probe(a.Endpoint)
 	case decision.WatchEndpoints, decision.ResolveEndpoints:
-		s.at(s.now+5+200*s.random.Float64(), s.answerWatch)
+		s.at(s.now+5+200*s.random.Float64(), s.respondToPoll)
 	case decision.Vote:
 		s.at(s.now+2+60*s.random.Float64(), func() { s.voted(a) })
 	}
@@ -418,7 +418,7 @@
 }
 
 // bounced has most clients come again after the time that they were told.
-func (s *simulation) bounced(b decision.Reject) {
+func (s *simulation) rejected(b decision.Reject) {
 	r := s.requests[b.Request]
 	r.done = true
 	if s.random.IntN(3) > 0 {
@@ -445,7 +445,7 @@
 		return
 	}
 	if how == decision.Succeeded && s.random.Float64() < s.streamed {
-		s.at(s.now+after/2, func() { s.startAnswer(r, number) })
+		s.at(s.now+after/2, func() { s.startResponse(r, number) })
 	}
 	s.at(s.now+after, func() { s.end(r, number, how) })
 }
@@ -499,7 +499,7 @@
 	return after
 }
 
-func (s *simulation) startAnswer(r *request, number int) {
+func (s *simulation) startResponse(r *request, number int) {
 	if a := r.attempts[number]; !a.ended {
 		s.handle(decision.ResponseStarted{Request: r.Request, Attempt: number, Endpoint: a.endpoint.ID, After: s.now - a.sent})
 	}
@@ -571,7 +571,7 @@
 }
 
 // answerWatch answers a call for the list.
-func (s *simulation) answerWatch() {
+func (s *simulation) respondToPoll() {
 	if s.random.Float64() < s.refusals {
 		s.handle(decision.EndpointsChanged{Kind: decision.PollRejected})
 		return
@@ -616,9 +616,9 @@
 	s.at(s.now+800, func() {
 		if i := slices.Index(s.endpoints, e); i >= 0 && e.State == decision.Draining {
 			s.endpoints = slices.Delete(s.endpoints, i, i+1)
-			if gone := e.Endpoint; s.random.IntN(3) > 0 { // else only the next whole list shows it
-				gone.State = decision.Removed
-				s.changed(gone)
+			if drained := e.Endpoint; s.random.IntN(3) > 0 { // else only the next whole list shows it
+				drained.State = decision.Removed
+				s.changed(drained)
 			}
 		}
 	})
@@ -768,9 +768,9 @@
 			s.controller.since = s.now
 		}
 	}
-	answer := s.news()
-	answer.IsVoteResult, answer.VoteResult = true, fate
-	s.handle(answer)
+	result := s.news()
+	result.IsVoteResult, result.VoteResult = true, fate
+	s.handle(result)
 }
 
 // count gives the controller's counts of all instances, for the candidate and the build before it.
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -28,7 +28,7 @@
 }
 
 // Answers and faults are as commands of earlier programs read them.
-func TestAnswersOnTheWire(t *testing.T) {
+func TestResponsesOnTheWire(t *testing.T) {
 	want := sample{Text: "x", Number: 1}
 	s := New()
 	s.Get("/sample", func() any { return want })
--- a/internal/admin/wire_golden_test.go
+++ b/internal/admin/wire_golden_test.go
@@ -21,7 +21,7 @@
 
 // The bytes of each kind of answer are those of the golden file. The value of Date and the
 // address are volatile and stand there as DATE and ADDRESS.
-func TestGoldenAnswers(t *testing.T) {
+func TestGoldenResponses(t *testing.T) {
 	address := goldenServer(t)
 	var observed strings.Builder
 	for _, c := range []struct{ title, line, headers, body string }{
