--- a/internal/cluster/failover/manager_test.go
+++ b/internal/cluster/failover/manager_test.go
@@ -74,10 +74,11 @@
 	l.intercept = intercept
 }
 
-func (l *fakeLog) advance(ms float64) {
+// expire advances the log's time past the leases that were granted for a second.
+func (l *fakeLog) expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.now += ms
+	l.now += 1001
 }
 
 // fakeEngine has evidence of so many responses, to which it adds what it acquires.
@@ -85,6 +86,7 @@
 	mu        sync.Mutex
 	responses float64
 	notified  int // events handled
+	revoked   int // how often its evidence was revoked
 }
 
 func (e *fakeEngine) Evidence(context.Context) (decision.Evidence, bool) {
@@ -99,7 +101,11 @@
 	}
 }
 
-func (e *fakeEngine) RevokeEvidence() {}
+func (e *fakeEngine) RevokeEvidence() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.revoked++
+}
 
 func (e *fakeEngine) HandleEvent(decision.Event) {
 	e.mu.Lock()
@@ -191,7 +197,7 @@
 		}
 		return nil
 	})
-	log.advance(1001) // the dead instance's lease has expired
+	log.expire() // the dead instance's lease has expired
 	<-merging
 	for len(renewals) > 0 {
 		<-renewals
@@ -230,7 +236,7 @@
 		}
 		return nil
 	})
-	log.advance(1001)
+	log.expire()
 	waitFor(t, "abandoned", func() bool { _, there := log.get("trial/a"); return !there })
 	lines, err := manager.Status(t.Context())
 	if err != nil || len(lines) != 2 || lines[1].Holder != "b" ||
@@ -276,7 +282,7 @@
 // A takeover that can't resume the work reports that it abandoned the lease.
 func TestAbandonedTakeover(t *testing.T) {
 	log, _, manager := startManager(t, time.Minute, []byte("not a checkpoint")) // so long that no takeover is automatic
-	log.advance(1001)
+	log.expire()
 	var abandoned *AbandonedError
 	if err := manager.TakeOver(t.Context(), "trial/a"); !errors.As(err, &abandoned) ||
 		!strings.Contains(abandoned.Reason, "can't be read") {
