--- /dev/null
+++ b/internal/ingress/benchmark_test.go
@@ -0,0 +1,156 @@
+package ingress
+
+import (
+	"bytes"
+	"io"
+	"net"
+	"net/http"
+	"ottershed/decision"
+	"ottershed/internal/clock"
+	"ottershed/internal/engine"
+	"ottershed/internal/settings"
+	"testing"
+
+	"github.com/sirupsen/logrus"
+)
+
+// immediateEngine gives every request its final answer during the hand-over.
+type immediateEngine struct{ result engine.Result }
+
+func (e immediateEngine) ReceiveRequest(r *engine.ClientRequest)   { r.Respond(e.result) }
+func (e immediateEngine) ClientDisconnected(*engine.ClientRequest) {}
+
+// startForBenchmark serves on loopback and returns the address.
+func startForBenchmark(b *testing.B, result engine.Result) string {
+	b.Helper()
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	server := New(immediateEngine{result}, clock.New(), decision.Settings{Classes: []decision.RequestClass{
+		{Name: "read", Idempotency: decision.Idempotent},
+		{Name: "mark", Idempotency: decision.IdempotentWithKey},
+	}}, settings.Network{LongestTimeout: 2000, ResponseSlack: 20}, 100, log)
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		b.Fatal(err)
+	}
+	served := make(chan error, 1)
+	go func() { served <- server.Serve(l) }()
+	b.Cleanup(func() {
+		if err := server.Drain(0); err != nil {
+			b.Error(err)
+		}
+		if err := <-served; err != nil {
+			b.Error(err)
+		}
+	})
+	return l.Addr().String()
+}
+
+// rawClient sends prepared bytes and reads answers of a known size, without allocations of its own.
+type rawClient struct {
+	conn   net.Conn
+	buffer []byte
+}
+
+func connect(b *testing.B, address string, buffer []byte) rawClient {
+	b.Helper()
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		b.Fatal(err)
+	}
+	return rawClient{conn, buffer}
+}
+
+// exchange sends a request and reads until the answer's body is complete; it returns the answer.
+func (c rawClient) exchange(b *testing.B, request, bodyEnd []byte) []byte {
+	b.Helper()
+	if _, err := c.conn.Write(request); err != nil {
+		b.Fatal(err)
+	}
+	size := 0
+	for {
+		n, err := c.conn.Read(c.buffer[size:])
+		if err != nil {
+			b.Fatal(err)
+		}
+		size += n
+		if bytes.HasSuffix(c.buffer[:size], bodyEnd) {
+			return c.buffer[:size]
+		}
+	}
+}
+
+// benchmarkCases are the requests that the benchmarks send.
+var benchmarkCases = []struct {
+	name, request string
+	result        engine.Result
+	bodyEnd       string
+}{
+	{
+		"GET", "GET /read/1?key=17 HTTP/1.1\r\nHost: app.svc\r\nX-Time-Left: 1\r\nX-Correlation-Id: b1\r\nUser-Agent: app/1\r\n\r\n",
+		engine.Result{Response: &engine.Response{Fields: http.Header{}, Body: []byte("hi.")}},
+		"\r\n\r\nhi.",
+	},
+	{
+		"POST", "POST /mark/1 HTTP/1.1\r\nHost: app.svc\r\nX-Time-Left: 1\r\nX-Correlation-Id: b2\r\nIdempotency-Key: k\r\n" +
+			"Content-Length: 4\r\n\r\nbody",
+		engine.Result{Response: &engine.Response{Fields: http.Header{}, Body: []byte("hi.")}},
+		"\r\n\r\nhi.",
+	},
+	{
+		"rejected", "GET /read/1 HTTP/1.1\r\nHost: app.svc\r\nX-Time-Left: 1\r\nX-Correlation-Id: b3\r\n\r\n",
+		engine.Result{Kind: engine.Rejected, RetryAfter: 125},
+		"\r\n\r\n",
+	},
+	{
+		"malformed", "GET /read/1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: b4\r\n\r\n",
+		engine.Result{},
+		"X-Time-Left is no time that a client waits\n",
+	},
+	{
+		"large answer", "GET /read/1 HTTP/1.1\r\nHost: app.svc\r\nX-Time-Left: 1\r\nX-Correlation-Id: b5\r\n\r\n",
+		engine.Result{Response: &engine.Response{
+			Fields: http.Header{}, Body: append(bytes.Repeat([]byte("x"), maxBody-3), "end"...),
+		}},
+		"xend",
+	},
+}
+
+// BenchmarkRequest measures a request over a kept connection: parsing, hand-over to the engine, final response.
+func BenchmarkRequest(b *testing.B) {
+	for _, bc := range benchmarkCases {
+		if bc.name == "malformed" {
+			continue // it ends its connection
+		}
+		b.Run(bc.name, func(b *testing.B) {
+			client := connect(b, startForBenchmark(b, bc.result), make([]byte, 2*maxBody))
+			request, bodyEnd := []byte(bc.request), []byte(bc.bodyEnd)
+			client.exchange(b, request, bodyEnd)
+			b.ReportAllocs()
+			for b.Loop() {
+				client.exchange(b, request, bodyEnd)
+			}
+			if err := client.conn.Close(); err != nil {
+				b.Fatal(err)
+			}
+		})
+	}
+}
+
+// BenchmarkAccept measures a connection with one request, from accepting on; the client's dialing is a part of it.
+func BenchmarkAccept(b *testing.B) {
+	for _, bc := range benchmarkCases {
+		b.Run(bc.name, func(b *testing.B) {
+			address := startForBenchmark(b, bc.result)
+			request, bodyEnd, buffer := []byte(bc.request), []byte(bc.bodyEnd), make([]byte, 2*maxBody)
+			b.ReportAllocs()
+			for b.Loop() {
+				client := connect(b, address, buffer)
+				client.exchange(b, request, bodyEnd)
+				if err := client.conn.Close(); err != nil {
+					b.Fatal(err)
+				}
+			}
+		})
+	}
+}
