--- a/internal/ingress/benchmark_test.go
+++ b/internal/ingress/benchmark_test.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// immediateEngine gives every request its final answer during the hand-over.
+// immediateEngine gives every request its final response during the hand-over.
 type immediateEngine struct{ result engine.Result }
 
 func (e immediateEngine) ReceiveRequest(r *engine.ClientRequest)   { r.Respond(e.result) }
@@ -46,7 +46,7 @@
 	return l.Addr().String()
 }
 
-// rawClient sends prepared bytes and reads answers of a known size, without allocations of its own.
+// rawClient sends prepared bytes and reads responses of a known end, without allocations of its own.
 type rawClient struct {
 	conn   net.Conn
 	buffer []byte
@@ -61,8 +61,8 @@
 	return rawClient{conn, buffer}
 }
 
-// exchange sends a request and reads until the answer's body is complete; it returns the answer.
-func (c rawClient) exchange(b *testing.B, request, bodyEnd []byte) []byte {
+// exchange sends a request and reads until the response is complete, which ends in bodyEnd.
+func (c rawClient) exchange(b *testing.B, request, bodyEnd []byte) {
 	b.Helper()
 	if _, err := c.conn.Write(request); err != nil {
 		b.Fatal(err)
@@ -75,7 +75,7 @@
 		}
 		size += n
 		if bytes.HasSuffix(c.buffer[:size], bodyEnd) {
-			return c.buffer[:size]
+			return
 		}
 	}
 }
@@ -87,7 +87,8 @@
 	bodyEnd       string
 }{
 	{
-		"GET", "GET /read/1?key=17 HTTP/1.1\r\nHost: app.svc\r\nX-Time-Left: 1\r\nX-Correlation-Id: b1\r\nUser-Agent: app/1\r\n\r\n",
+		"GET", "GET /read/1?key=17 HTTP/1.1\r\nHost: app.svc\r\nX-Time-Left: 1\r\n" +
+			"X-Correlation-Id: b1\r\nUser-Agent: app/1\r\n\r\n",
 		engine.Result{Response: &engine.Response{Fields: http.Header{}, Body: []byte("hi.")}},
 		"\r\n\r\nhi.",
 	},
@@ -108,7 +109,7 @@
 		"X-Time-Left is no time that a client waits\n",
 	},
 	{
-		"large answer", "GET /read/1 HTTP/1.1\r\nHost: app.svc\r\nX-Time-Left: 1\r\nX-Correlation-Id: b5\r\n\r\n",
+		"large response", "GET /read/1 HTTP/1.1\r\nHost: app.svc\r\nX-Time-Left: 1\r\nX-Correlation-Id: b5\r\n\r\n",
 		engine.Result{Response: &engine.Response{
 			Fields: http.Header{}, Body: append(bytes.Repeat([]byte("x"), maxBody-3), "end"...),
 		}},
--- /dev/null
+++ b/internal/ingress/response.go
@@ -0,0 +1,52 @@
+package ingress
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"net/http"
+	"ottershed/decision"
+	"ottershed/internal/engine"
+	"strconv"
+)
+
+// refuse responds with an error and closes the connection. The status code is that of a refusalError; an error that
+// names none is a malformed request.
+func refuse(w http.ResponseWriter, err error) {
+	status := http.StatusBadRequest
+	if refusal, ok := errors.AsType[refusalError](err); ok {
+		status = refusal.status()
+	}
+	w.Header().Set("Connection", "close")
+	http.Error(w, err.Error(), status)
+}
+
+// setRetryAfter says when the client should come back, in seconds; nothing where there is no advice.
+func setRetryAfter(header http.Header, after decision.Millis) {
+	if after > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(after/1000, 'f', 3, 64))
+	}
+}
+
+// newResponse is the HTTP response for a final result.
+func newResponse(r *http.Request, result engine.Result) *http.Response {
+	res := &http.Response{
+		Request: r, StatusCode: http.StatusInternalServerError, Proto: "HTTP/1.1", ProtoMajor: 1,
+		ProtoMinor: 1, Header: http.Header{},
+	}
+	var body []byte
+	switch result.Kind {
+	case engine.Succeeded:
+		res.StatusCode = http.StatusOK
+		res.Header, body = result.Response.Fields, result.Response.Body
+		res.Header.Del("Transfer-Encoding")
+	case engine.Rejected:
+		res.StatusCode = http.StatusServiceUnavailable
+		setRetryAfter(res.Header, result.RetryAfter)
+	case engine.Failed: // the status above
+	}
+	res.Header.Set("Content-Length", strconv.Itoa(len(body)))
+	res.ContentLength = int64(len(body))
+	res.Body = io.NopCloser(bytes.NewReader(body))
+	return res
+}
--- a/internal/ingress/front_test.go
+++ b/internal/ingress/server_test.go
@@ -20,21 +20,26 @@
 	"github.com/sirupsen/logrus"
 )
 
-// fake takes hits in place of the marshal.
+// fakeEngine takes requests in place of the engine.
 type fakeEngine struct {
 	requests, disconnected chan *engine.ClientRequest
 }
 
-func (f fakeEngine) ReceiveRequest(h *engine.ClientRequest)     { f.requests <- h }
-func (f fakeEngine) ClientDisconnected(h *engine.ClientRequest) { f.disconnected <- h }
+func (server fakeEngine) ReceiveRequest(request *engine.ClientRequest) { server.requests <- request }
+
+func (server fakeEngine) ClientDisconnected(request *engine.ClientRequest) {
+	server.disconnected <- request
+}
 
 func start(t *testing.T, maxConnections int) (*Server, fakeEngine, string) {
+	t.Helper()
 	l := listen(t)
-	f, m := serve(t, l, maxConnections, nil)
-	return f, m, l.Addr().String()
+	server, fake := serve(t, l, maxConnections, nil)
+	return server, fake, l.Addr().String()
 }
 
 func listen(t *testing.T) *net.TCPListener {
+	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -42,28 +47,32 @@
 	return l.(*net.TCPListener)
 }
 
-// serve starts a front on l, prepared by the test.
+// testNetwork has the times of the servers under test.
+var testNetwork = settings.Network{LongestTimeout: 2000, ResponseSlack: 20}
+
+// serve starts a server on l, prepared by the test.
 func serve(t *testing.T, l net.Listener, maxConnections int, prepare func(*Server)) (*Server, fakeEngine) {
+	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	m := fakeEngine{make(chan *engine.ClientRequest, 100), make(chan *engine.ClientRequest, 100)}
-	f := New(m, clock.New(), decision.Settings{MaxRetryAfter: 500, Classes: []decision.RequestClass{
+	fake := fakeEngine{make(chan *engine.ClientRequest, 100), make(chan *engine.ClientRequest, 100)}
+	server := New(fake, clock.New(), decision.Settings{MaxRetryAfter: 500, Classes: []decision.RequestClass{
 		{Name: "read", Idempotency: decision.Idempotent},
 		{Name: "mark", Idempotency: decision.IdempotentWithKey},
 		{Name: "pay"},
-	}, Tenants: []decision.TenantID{"", "acme"}}, settings.Network{LongestTimeout: 2000, ResponseSlack: 20}, maxConnections, log)
+	}, Tenants: []decision.TenantID{"", "acme"}}, testNetwork, maxConnections, log)
 	if prepare != nil {
-		prepare(f)
+		prepare(server)
 	}
 	served := make(chan error, 1)
-	go func() { served <- f.Serve(l) }()
+	go func() { served <- server.Serve(l) }()
 	t.Cleanup(func() {
-		f.server.Close()
+		_ = server.httpServer.Close() // a test may have closed it
 		if err := <-served; err != nil {
 			t.Error(err)
 		}
 	})
-	return f, m
+	return server, fake
 }
 
 // client is one connection.
@@ -74,12 +83,15 @@
 }
 
 func dial(t *testing.T, address string) *client {
+	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(5 * time.Second))
+	t.Cleanup(func() { _ = c.Close() }) // a test may have closed it
+	if err := c.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
 	return &client{t, c, bufio.NewReader(c)}
 }
 
@@ -88,12 +100,31 @@
 	if !strings.Contains(headers, "X-Correlation-Id") {
 		headers += fmt.Sprintf("X-Correlation-Id: c%d\r\n", ids.Add(1))
 	}
-	fmt.Fprintf(c, "%s HTTP/1.1\r\nHost: app.svc\r\n%s\r\n%s", line, headers, body)
+	c.write(fmt.Sprintf("%s HTTP/1.1\r\nHost: app.svc\r\n%s\r\n%s", line, headers, body))
+}
+
+// write sends bytes. Where the server has closed the connection by then, that shows in what the client reads.
+func (c *client) write(text string) { _, _ = io.WriteString(c.Conn, text) }
+
+// end closes the connection.
+func (c *client) end() {
+	c.t.Helper()
+	if err := c.Close(); err != nil {
+		c.t.Error(err)
+	}
+}
+
+// readUntil sets the time by which reading ends.
+func (c *client) readUntil(at time.Time) {
+	c.t.Helper()
+	if err := c.SetReadDeadline(at); err != nil {
+		c.t.Fatal(err)
+	}
 }
 
 var ids atomic.Int64
 
-// answer reads an answer; the status is 0 if the connection ends.
+// readResponse reads a response; the status is 0 if the connection ends.
 func (c *client) readResponse() (*http.Response, string) {
 	res, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -108,27 +139,27 @@
 
 func TestMalformedRequests(t *testing.T) {
 	long := strings.Repeat("x", maxBody+1)
-	for name, tc := range map[string]struct {
+	for name, test := range map[string]struct {
 		line, headers, body string
 		status              int // 0: the connection is closed
 	}{
-		"no time":           {"GET /read/1", "", "", 400},
-		"time is a word":    {"GET /read/1", "X-Time-Left: soon\r\n", "", 400},
-		"time is no number": {"GET /read/1", "X-Time-Left: NaN\r\n", "", 400},
-		"time is up":        {"GET /read/1", "X-Time-Left: 0\r\n", "", 400},
-		"time below":        {"GET /read/1", "X-Time-Left: -1\r\n", "", 400},
-		"time absurd":       {"GET /read/1", "X-Time-Left: 1e9\r\n", "", 400},
-		"path group":        {"GET /other/1", "X-Time-Left: 1\r\n", "", 404},
-		"no path group":     {"GET //read", "X-Time-Left: 1\r\n", "", 404},
-		"POST, repeatable":  {"POST /read/1", "X-Time-Left: 1\r\nContent-Length: 0\r\n", "", 405},
-		"GET, mutating":     {"GET /pay/1", "X-Time-Left: 1\r\n", "", 405},
-		"no tag":            {"POST /mark/1", "X-Time-Left: 1\r\nContent-Length: 0\r\n", "", 400},
-		"too long":          {"POST /pay/1", fmt.Sprintf("X-Time-Left: 1\r\nContent-Length: %d\r\n", len(long)), long, 413},
-		"too long by 60 MB": {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 60000000\r\n", "", 413},
-		"length negative":   {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: -5\r\n", "", 400},
-		"length huge":       {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 99999999999999999999\r\n", "", 400},
-		"two lengths":       {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 4\r\nContent-Length: 5\r\n", "five5", 400},
-		"chunked":           {"POST /pay/1", "X-Time-Left: 1\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n", 411},
+		"no time":             {"GET /read/1", "", "", 400},
+		"time is a word":      {"GET /read/1", "X-Time-Left: soon\r\n", "", 400},
+		"time is no number":   {"GET /read/1", "X-Time-Left: NaN\r\n", "", 400},
+		"time is up":          {"GET /read/1", "X-Time-Left: 0\r\n", "", 400},
+		"time below":          {"GET /read/1", "X-Time-Left: -1\r\n", "", 400},
+		"time absurd":         {"GET /read/1", "X-Time-Left: 1e9\r\n", "", 400},
+		"request class":       {"GET /other/1", "X-Time-Left: 1\r\n", "", 404},
+		"no request class":    {"GET //read", "X-Time-Left: 1\r\n", "", 404},
+		"POST, idempotent":    {"POST /read/1", "X-Time-Left: 1\r\nContent-Length: 0\r\n", "", 405},
+		"GET, not idempotent": {"GET /pay/1", "X-Time-Left: 1\r\n", "", 405},
+		"no key":              {"POST /mark/1", "X-Time-Left: 1\r\nContent-Length: 0\r\n", "", 400},
+		"too long":            {"POST /pay/1", fmt.Sprintf("X-Time-Left: 1\r\nContent-Length: %d\r\n", len(long)), long, 413},
+		"too long by 60 MB":   {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 60000000\r\n", "", 413},
+		"length negative":     {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: -5\r\n", "", 400},
+		"length huge":         {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 99999999999999999999\r\n", "", 400},
+		"two lengths":         {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 4\r\nContent-Length: 5\r\n", "five5", 400},
+		"chunked":             {"POST /pay/1", "X-Time-Left: 1\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n", 411},
 		"a hidden request": {
 			"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n",
 			"0\r\n\r\nGET /read/1 HTTP/1.1\r\nHost: a\r\nX-Time-Left: 1\r\nX-Correlation-Id: hidden\r\n\r\n", 411,
@@ -139,55 +170,58 @@
 		"id too long":     {"GET /read/1", "X-Time-Left: 1\r\nX-Correlation-Id: " + long[:200] + "\r\n", "", 400},
 		"another host":    {"GET http://other/read/1", "X-Time-Left: 1\r\n", "", 404},
 		"odd letters":     {"GET /%72ead/1", "X-Time-Left: 1\r\n", "", 404},
-		"no such account": {"GET /read/1", "X-Time-Left: 1\r\nX-Account: new\r\n", "", 400},
+		"no such tenant":  {"GET /read/1", "X-Time-Left: 1\r\nX-Account: new\r\n", "", 400},
 		"endless head":    {"GET /read/1", "X-Filler: " + long + "\r\n", "", 431},
 		"cut off":         {"POST /pay/1", "X-Time-Left: 0.05\r\nContent-Length: 5\r\n", "four", 0},
 		"no HTTP":         {"what", "", "", 400},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, m, address := start(t, 10)
+			_, fake, address := start(t, 10)
 			c := dial(t, address)
-			c.send(tc.line, tc.headers, tc.body)
-			if res, _ := c.readResponse(); res.StatusCode != tc.status {
-				t.Errorf("status %d, want %d", res.StatusCode, tc.status)
+			c.send(test.line, test.headers, test.body)
+			if res, _ := c.readResponse(); res.StatusCode != test.status {
+				t.Errorf("status %d, want %d", res.StatusCode, test.status)
 			}
-			if len(m.requests) != 0 {
-				t.Error("it reached the marshal")
+			if len(fake.requests) != 0 {
+				t.Error("it reached the engine")
 			}
 		})
 	}
 }
 
 func TestResponses(t *testing.T) {
-	response := &engine.Response{Body: []byte("hi"), Fields: map[string][]string{"Content-Type": {"text/odd"}, "Connection": {"x"}}}
-	for name, tc := range map[string]struct {
+	response := &engine.Response{
+		Body: []byte("hi"), Fields: map[string][]string{"Content-Type": {"text/odd"}, "Connection": {"x"}},
+	}
+	for name, test := range map[string]struct {
 		result  engine.Result
 		status  int
 		retry   string
 		body    string
 		content string
 	}{
-		"delivered":          {engine.Result{Response: response}, 200, "", "hi", "text/odd"},
-		"bounced":            {engine.Result{Kind: engine.Rejected}, 503, "", "", ""},
-		"bounced, come back": {engine.Result{Kind: engine.Rejected, RetryAfter: 125}, 503, "0.125", "", ""},
-		"errored":            {engine.Result{Kind: engine.Failed}, 500, "", "", ""},
+		"succeeded":                  {engine.Result{Response: response}, 200, "", "hi", "text/odd"},
+		"rejected":                   {engine.Result{Kind: engine.Rejected}, 503, "", "", ""},
+		"rejected, with Retry-After": {engine.Result{Kind: engine.Rejected, RetryAfter: 125}, 503, "0.125", "", ""},
+		"failed":                     {engine.Result{Kind: engine.Failed}, 500, "", "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, m, address := start(t, 10)
+			_, fake, address := start(t, 10)
 			c := dial(t, address)
 			for range 2 { // on one connection
 				c.send("POST /mark/a%2fb?q=1;2", "X-Time-Left: 0.5\r\nX-Account: acme\r\nX-Repeat: 1\r\nX-Correlation-Id: c1\r\n"+
 					"X-Facts: what?\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n", "body")
-				h := <-m.requests
-				got := fmt.Sprint(h.Class, h.Tenant, h.Remaining, h.Retried, h.Request.Method, h.Request.URI, h.Request.Host,
-					h.Request.Fields["X-Correlation-Id"], h.Request.Fields["Idempotency-Key"], string(h.Request.Body))
+				request := <-fake.requests
+				raw := request.Request
+				got := fmt.Sprint(request.Class, request.Tenant, request.Remaining, request.Retried, raw.Method, raw.URI, raw.Host,
+					raw.Fields["X-Correlation-Id"], raw.Fields["Idempotency-Key"], string(raw.Body))
 				if want := "markacme500 truePOST/mark/a%2fb?q=1;2app.svc[c1] [k]body"; got != want {
-					t.Errorf("hit %s, want %s", got, want)
+					t.Errorf("request %s, want %s", got, want)
 				}
-				h.Respond(tc.result)
+				request.Respond(test.result)
 				res, body := c.readResponse()
-				if res.StatusCode != tc.status || res.Header.Get("Retry-After") != tc.retry || body != tc.body || res.Close ||
-					res.Header.Get("Content-Type") != tc.content {
+				if res.StatusCode != test.status || res.Header.Get("Retry-After") != test.retry || body != test.body || res.Close ||
+					res.Header.Get("Content-Type") != test.content {
 					t.Errorf("status %d, headers %v, body %q", res.StatusCode, res.Header, body)
 				}
 			}
@@ -195,136 +229,142 @@
 	}
 }
 
-// What a hit is about passes to the module, and stays in the request as it came.
+// What a request is about passes to the engine, and stays in the request as it came.
 func TestKey(t *testing.T) {
-	_, m, address := start(t, 10)
+	_, fake, address := start(t, 10)
 	c := dial(t, address)
 	for uri, want := range map[string]decision.Key{
 		"/read/1": "", "/read?key=0001059dfba1f517": "0001059dfba1f517", "/read?a=1&key=b&key=c": "b",
 		"/read?key": "", "/read?monkey=x&key=%2f+y": "/ y", "/read?key=a;b": "a;b", "/read?key=%zz": "%zz",
 	} {
 		c.send("GET "+uri, "X-Time-Left: 0.5\r\nX-Correlation-Id: c1\r\n", "")
-		h := <-m.requests
-		if h.Key != want || h.Request.URI != uri {
-			t.Errorf("%s: key %q, want %q; passed on as %s", uri, h.Key, want, h.Request.URI)
+		request := <-fake.requests
+		if request.Key != want || request.Request.URI != uri {
+			t.Errorf("%s: key %q, want %q; passed on as %s", uri, request.Key, want, request.Request.URI)
 		}
-		h.Respond(engine.Result{Kind: engine.Rejected})
+		request.Respond(engine.Result{Kind: engine.Rejected})
 		c.readResponse()
 	}
 }
 
-// An id is refused while a hit with it is open, and free again then.
+// An id is refused while a request with it is open, and free again then.
 func TestOpenID(t *testing.T) {
-	f, m, address := start(t, 10)
+	server, fake, address := start(t, 10)
 	clients := []*client{dial(t, address), dial(t, address), dial(t, address)}
 	for i, status := range []int{0, 409, 200} {
 		c := clients[i]
 		c.send("GET /read/1", "X-Time-Left: 1\r\nX-Correlation-Id: same\r\n", "")
 		switch status {
 		case 0:
-			<-m.requests
+			<-fake.requests
 			continue
 		case 200:
-			(<-m.requests).Respond(engine.Result{Kind: engine.Succeeded, Response: &engine.Response{Fields: map[string][]string{}}})
+			(<-fake.requests).Respond(succeeded(0)())
 		}
 		if res, _ := c.readResponse(); res.StatusCode != status {
 			t.Errorf("status %d, want %d", res.StatusCode, status)
 		}
 		if status == 409 {
-			clients[0].Close()
-			<-m.disconnected
-			for f.open() > 0 {
+			clients[0].end()
+			<-fake.disconnected
+			for server.open() > 0 {
 				time.Sleep(time.Millisecond)
 			}
 		}
 	}
 }
 
-func (f *Server) open() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.openIDs)
+func (server *Server) open() int {
+	server.openIDs.mu.Lock()
+	defer server.openIDs.mu.Unlock()
+	return len(server.openIDs.ids)
 }
 
-// Silence, half a head and half a body end in a close long before one is owed.
+// Silence, half a head and half a body end in a close long before one is due.
 func TestSlowClients(t *testing.T) {
 	for name, sent := range map[string]string{
 		"nothing": "", "half a line": "GET /re", "half a head": "GET /read/1 HTTP/1.1\r\nHost: a\r\n",
-		"half a body": "POST /pay/1 HTTP/1.1\r\nHost: a\r\nX-Time-Left: 2\r\nX-Correlation-Id: half\r\nContent-Length: 5\r\n\r\nfour",
+		"half a body": "POST /pay/1 HTTP/1.1\r\nHost: a\r\nX-Time-Left: 2\r\nX-Correlation-Id: half\r\n" +
+			"Content-Length: 5\r\n\r\nfour",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			_, m, address := start(t, 10)
+			_, fake, address := start(t, 10)
 			c := dial(t, address)
-			io.WriteString(c, sent)
-			c.SetReadDeadline(time.Now().Add(responseDue))
-			if _, err := io.ReadAll(c); err != nil || len(m.requests) > 0 {
-				t.Errorf("%v, %d hits", err, len(m.requests))
+			c.write(sent)
+			c.readUntil(time.Now().Add(responseDue))
+			if _, err := io.ReadAll(c); err != nil || len(fake.requests) > 0 {
+				t.Errorf("%v, %d requests", err, len(fake.requests))
 			}
 		})
 	}
 }
 
-// A hit that the marshal leaves without an answer gets one here, and is taken back.
+// A request that the engine leaves without a result gets a response here, and is taken back from the engine.
 func TestOverdue(t *testing.T) {
-	_, m, address := start(t, 10)
+	_, fake, address := start(t, 10)
 	c := dial(t, address)
 	c.send("GET /read/1", "X-Time-Left: 0.02\r\n", "")
-	h := <-m.requests
-	if res, _ := c.readResponse(); res.StatusCode != 500 || <-m.disconnected != h {
+	request := <-fake.requests
+	if res, _ := c.readResponse(); res.StatusCode != 500 || <-fake.disconnected != request {
 		t.Errorf("status %d", res.StatusCode)
 	}
 }
 
 func TestClientDisconnected(t *testing.T) {
 	for name, disconnect := range map[string]func(*client){
-		"closes": func(c *client) { c.Close() },
-		"resets": func(c *client) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
+		"closes": (*client).end,
+		"resets": func(c *client) {
+			if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
+				c.t.Error(err)
+			}
+			c.end()
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, m, address := start(t, 10)
+			_, fake, address := start(t, 10)
 			c := dial(t, address)
 			c.send("GET /read/1", "X-Time-Left: 1\r\n", "")
-			h := <-m.requests
-			if disconnect(c); <-m.disconnected != h {
-				t.Error("another hit is gone")
+			request := <-fake.requests
+			if disconnect(c); <-fake.disconnected != request {
+				t.Error("another request is gone")
 			}
 		})
 	}
 }
 
-// A marshal that leaves says so, goes on taking hits for its grace, closes connections after their answers, and
-// ends when all is answered.
+// A server that drains says so, accepts requests for the grace period, closes connections after their responses, and
+// ends once every request has its response.
 func TestDrain(t *testing.T) {
-	f, m, address := start(t, 10)
-	up := func(c *client) int {
+	server, fake, address := start(t, 10)
+	readiness := func(c *client) int {
 		c.send("GET /up", "", "")
 		res, _ := c.readResponse()
 		return res.StatusCode
 	}
 	watcher, idle, busy := dial(t, address), dial(t, address), dial(t, address)
-	if up(watcher) != 200 || up(idle) != 200 {
+	if readiness(watcher) != 200 || readiness(idle) != 200 {
 		t.Error("not up")
 	}
 	busy.send("GET /read/1", "X-Time-Left: 1\r\n", "")
-	first := <-m.requests
+	first := <-fake.requests
 	drained := make(chan error)
-	go func() { drained <- f.Drain(200 * time.Millisecond) }()
-	for !f.draining.Load() {
+	go func() { drained <- server.Drain(200 * time.Millisecond) }()
+	for !server.state.reached(draining) {
 		time.Sleep(time.Millisecond)
 	}
-	if status := up(watcher); status != 503 {
+	if status := readiness(watcher); status != 503 {
 		t.Errorf("up says %d", status)
 	}
 	late := dial(t, address)
 	late.send("GET /read/2", "X-Time-Left: 1\r\n", "")
-	for i, h := range []*engine.ClientRequest{first, <-m.requests} {
+	for i, request := range []*engine.ClientRequest{first, <-fake.requests} {
 		select {
-		case <-drained:
-			t.Error("left with a hit open")
+		case err := <-drained:
+			t.Errorf("ended with a request open: %v", err)
 		default:
 		}
-		h.Respond(engine.Result{Kind: engine.Failed})
+		request.Respond(engine.Result{Kind: engine.Failed})
 		if res, _ := []*client{busy, late}[i].readResponse(); res.StatusCode != 500 || !res.Close {
 			t.Errorf("status %d, closes %v", res.StatusCode, res.Close)
 		}
@@ -339,15 +379,15 @@
 
 // While hundreds connect and say nothing, usual clients keep their connections, and new ones are served.
 func TestSilentClients(t *testing.T) {
-	f, m, address := start(t, 16)
+	server, fake, address := start(t, 16)
 	ask := func(c *client) {
 		t.Helper()
 		c.send("GET /read/1", "X-Time-Left: 1\r\n", "")
 		select {
-		case h := <-m.requests:
-			h.Respond(engine.Result{Kind: engine.Failed})
+		case request := <-fake.requests:
+			request.Respond(engine.Result{Kind: engine.Failed})
 		case <-time.After(responseDue):
-			t.Fatal("no hit came")
+			t.Fatal("no request came")
 		}
 		if res, _ := c.readResponse(); res.StatusCode != 500 {
 			t.Errorf("status %d", res.StatusCode)
@@ -356,10 +396,10 @@
 	for range 10 {
 		dial(t, address)
 	}
-	for f.limiter.count() < 10 {
+	for server.limiter.count() < 10 {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(newConnectionGrace) // they are past their moment
+	time.Sleep(newConnectionGrace) // they are past their grace period
 	usual := []*client{dial(t, address), dial(t, address), dial(t, address), dial(t, address)}
 	for _, c := range usual {
 		ask(c)
@@ -379,62 +419,62 @@
 	}
 }
 
-// With too many connections the longest idle one is closed, and hits beyond are bounced.
+// With too many connections the longest idle one is closed, and requests beyond are rejected.
 func TestFull(t *testing.T) {
-	f, m, address := start(t, 2)
+	server, fake, address := start(t, 2)
 	clients := []*client{dial(t, address), dial(t, address)}
-	for i, c := range clients { // one after the other: a client has its answer before its connection counts as idle
+	for i, c := range clients { // one after the other: a client has its response before its connection counts as idle
 		c.send("GET /up", "", "")
-		for c.readResponse(); f.limiter.resting() <= i; {
+		for c.readResponse(); server.limiter.resting() <= i; {
 			time.Sleep(time.Millisecond)
 		}
 	}
 	clients = append(clients, dial(t, address))
 	clients[2].send("GET /read/1", "X-Time-Left: 1\r\n", "")
-	h := <-m.requests
+	request := <-fake.requests
 	if res, _ := clients[0].readResponse(); res.StatusCode != 0 {
 		t.Error("the longest idle one is still there")
 	}
 	clients[1].send("GET /read/2", "X-Time-Left: 1\r\n", "")
-	h2 := <-m.requests
+	h2 := <-fake.requests
 	over := dial(t, address)
-	for f.limiter.count() < 3 {
+	for server.limiter.count() < 3 {
 		time.Sleep(time.Millisecond)
 	}
 	over.send("GET /read/3", "X-Time-Left: 1\r\n", "")
 	if res, _ := over.readResponse(); res.StatusCode != 503 || !res.Close || res.Header.Get("Retry-After") != "0.500" {
 		t.Errorf("beyond: status %d, %v", res.StatusCode, res.Header)
 	}
-	for _, h := range []*engine.ClientRequest{h, h2} {
-		h.Respond(engine.Result{Kind: engine.Rejected})
+	for _, request := range []*engine.ClientRequest{request, h2} {
+		request.Respond(engine.Result{Kind: engine.Rejected})
 	}
 	for _, c := range clients[1:] {
 		if res, _ := c.readResponse(); res.StatusCode != 503 {
 			t.Errorf("status %d", res.StatusCode)
 		}
-		c.Close()
+		c.end()
 	}
-	for f.limiter.count() > 0 {
+	for server.limiter.count() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	if f.limiter.idle.Len() != 0 {
+	if server.limiter.conns.idle.Len() != 0 {
 		t.Error("idle connections are left")
 	}
 }
 
-func (g *connLimiter) resting() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.idle.Len()
+func (l *connLimiter) resting() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.conns.idle.Len()
 }
 
-func (g *connLimiter) count() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return len(g.conns)
+func (l *connLimiter) count() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.conns.positions)
 }
 
-// slow is a listener whose end is seen late.
+// slow is a listener whose end http.Server sees late.
 type slow struct{ net.Listener }
 
 func (s slow) Accept() (net.Conn, error) {
@@ -445,7 +485,8 @@
 	return c, err
 }
 
-// A front that owes nothing leaves without an error, however late its server sees that the listener is closed.
+// A server that has nothing left to respond to drains without an error, however late http.Server sees that the listener
+// is closed.
 func TestDrainAtOnce(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -453,15 +494,15 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := New(fakeEngine{}, clock.New(), decision.Settings{}, settings.Network{LongestTimeout: 2000, ResponseSlack: 20}, 10, log)
+	server := New(fakeEngine{}, clock.New(), decision.Settings{}, testNetwork, 10, log)
 	served := make(chan error, 1)
-	go func() { served <- f.Serve(slow{l}) }()
+	go func() { served <- server.Serve(slow{l}) }()
 	c := dial(t, l.Addr().String())
 	c.send("GET /up", "Connection: close\r\n", "")
-	for c.readResponse(); f.limiter.closeQuiet() > 0; {
+	for c.readResponse(); server.limiter.closeQuiet() > 0; {
 		time.Sleep(time.Millisecond)
 	}
-	if err := f.Drain(0); err != nil {
+	if err := server.Drain(0); err != nil {
 		t.Error(err)
 	}
 	if err := <-served; err != nil {
@@ -475,30 +516,30 @@
 	let chan struct{}
 }
 
-func (g gated) Accept() (net.Conn, error) {
-	<-g.let
-	return g.TCPListener.Accept()
+func (l gated) Accept() (net.Conn, error) {
+	<-l.let
+	return l.TCPListener.Accept()
 }
 
-// leave has the front leave at once, and waits until it accepts nothing more or has begun to.
-func drain(f *Server) chan error {
+// drain has the server drain at once, and waits until it accepts nothing more or has begun to.
+func drain(server *Server) chan error {
 	drained := make(chan error, 1)
-	go func() { drained <- f.Drain(0) }()
-	for !f.limiter.isClosed() {
+	go func() { drained <- server.Drain(0) }()
+	for !server.limiter.acceptingEnded() {
 		time.Sleep(time.Millisecond)
 	}
 	return drained
 }
 
-// A hit on a connection that still waits in the system's queue when the marshal ends accepting gets its answer.
+// A request on a connection that still waits in the system's queue when the server ends accepting gets its response.
 func TestDrainWithQueue(t *testing.T) {
 	l := gated{listen(t), make(chan struct{})}
-	f, _ := serve(t, l, 10, nil)
+	server, _ := serve(t, l, 10, nil)
 	clients := []*client{dial(t, l.Addr().String()), dial(t, l.Addr().String()), dial(t, l.Addr().String())}
 	for _, c := range clients {
 		c.send("GET /read/1", "X-Time-Left: 1\r\n", "")
 	}
-	drained := drain(f)
+	drained := drain(server)
 	close(l.let)
 	for _, c := range clients {
 		if res, _ := c.readResponse(); res.StatusCode != 503 || !res.Close || res.Header.Get("Retry-After") == "" {
@@ -510,12 +551,13 @@
 	}
 }
 
-// A marshal doesn't end between accepting a connection and the server's count of it.
+// A server doesn't end between accepting a connection and http.Server's count of it.
 func TestDrainBeforeCounted(t *testing.T) {
 	came, let := make(chan struct{}), make(chan struct{})
 	l := listen(t)
-	f, _ := serve(t, l, 10, func(f *Server) {
-		f.server.ConnContext = func(ctx context.Context, _ net.Conn) context.Context { // the server's last step before
+	server, _ := serve(t, l, 10, func(server *Server) {
+		server.httpServer.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
+			// http.Server's last step before it counts the connection
 			close(came)
 			<-let
 			return ctx
@@ -524,8 +566,8 @@
 	c := dial(t, l.Addr().String())
 	c.send("GET /read/1", "X-Time-Left: 1\r\n", "")
 	<-came
-	drained := drain(f)
-	if n := f.limiter.count(); n != 1 {
+	drained := drain(server)
+	if n := server.limiter.count(); n != 1 {
 		t.Errorf("%d connections counted, want the one that was accepted", n)
 	}
 	close(let)
@@ -537,73 +579,73 @@
 	}
 }
 
-// What comes while the marshal ends: the rest of a hit is answered at once; a client that has connected and not asked yet
-// has its moment; one whose time is long gets its answer.
+// What comes while the server is closing: a request whose head was read in part is rejected at once; a new connection
+// has its grace period; a request with a long deadline gets its response.
 func TestDrainHalfway(t *testing.T) {
 	l := listen(t)
-	f, m := serve(t, l, 10, nil)
+	server, fake := serve(t, l, 10, nil)
 	half, long := dial(t, l.Addr().String()), dial(t, l.Addr().String())
 	long.send("GET /read/1", "X-Time-Left: 2\r\n", "")
-	request := <-m.requests
-	io.WriteString(half, "GET /read/1 HTTP/1.1\r\nX-Time-Le")
-	for f.limiter.requestPending() < 2 {
+	request := <-fake.requests
+	half.write("GET /read/1 HTTP/1.1\r\nX-Time-Le")
+	for server.limiter.requestPending() < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	new := dial(t, l.Addr().String())
-	for f.limiter.count() < 3 {
+	for server.limiter.count() < 3 {
 		time.Sleep(time.Millisecond)
 	}
-	drained := drain(f)
+	drained := drain(server)
 	new.send("GET /read/1", "X-Time-Left: 1\r\n", "")
-	io.WriteString(half, "ft: 1\r\nHost: h\r\nX-Correlation-Id: half\r\n\r\n")
+	half.write("ft: 1\r\nHost: h\r\nX-Correlation-Id: half\r\n\r\n")
 	for name, c := range map[string]*client{"half a hit": half, "a new connection": new} {
 		if res, _ := c.readResponse(); res.StatusCode != 503 || !res.Close {
 			t.Errorf("%s: status %d, closes %v", name, res.StatusCode, res.Close)
 		}
 	}
 	select {
-	case <-drained:
-		t.Error("left with a hit open")
+	case err := <-drained:
+		t.Errorf("ended with a request open: %v", err)
 	default:
 	}
-	request.Respond(engine.Result{Kind: engine.Succeeded, Response: &engine.Response{Fields: map[string][]string{}, Body: []byte("hi")}})
+	request.Respond(engine.Result{Response: &engine.Response{Fields: map[string][]string{}, Body: []byte("hi")}})
 	if res, body := long.readResponse(); res.StatusCode != 200 || body != "hi" {
-		t.Errorf("the long hit: status %d, %q", res.StatusCode, body)
+		t.Errorf("the long request: status %d, %q", res.StatusCode, body)
 	}
 	if err := <-drained; err != nil {
 		t.Error(err)
 	}
 }
 
-// A new connection on which nothing has come has its moment, also when the marshal leaves.
+// A new connection on which nothing has come has its grace period, also when the server drains.
 func TestMoment(t *testing.T) {
 	l := listen(t)
-	f, _ := serve(t, l, 10, nil)
+	server, _ := serve(t, l, 10, nil)
 	dial(t, l.Addr().String())
-	for f.limiter.count() < 1 {
+	for server.limiter.count() < 1 {
 		time.Sleep(time.Millisecond)
 	}
-	for _, tc := range []struct {
+	for _, test := range []struct {
 		age  time.Duration
 		left int
 	}{{-time.Hour, 1}, {newConnectionGrace, 0}} {
-		f.limiter.mu.Lock()
-		for c, p := range f.limiter.conns {
-			p.since = time.Now().Add(-tc.age)
-			f.limiter.conns[c] = p
+		server.limiter.mu.Lock()
+		for c, p := range server.limiter.conns.positions {
+			p.since = time.Now().Add(-test.age)
+			server.limiter.conns.positions[c] = p
 		}
-		f.limiter.mu.Unlock()
-		if n := f.limiter.closeQuiet(); n != tc.left {
-			t.Errorf("%v after it came: %d left, want %d", tc.age, n, tc.left)
+		server.limiter.mu.Unlock()
+		if n := server.limiter.closeQuiet(); n != test.left {
+			t.Errorf("%v after it came: %d left, want %d", test.age, n, test.left)
 		}
 	}
 }
 
-// asked is how many connections have something unanswered on them.
-func (g *connLimiter) requestPending() (n int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for c := range g.conns {
+// requestPending is how many connections carry a request without a response.
+func (l *connLimiter) requestPending() (n int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.conns.positions {
 		if c.(*sockopt.Conn).RequestPending() {
 			n++
 		}
@@ -611,28 +653,28 @@
 	return n
 }
 
-// A marshal that is told to leave before it serves ends in good order and takes nothing.
+// A server that is drained before it serves ends in good order and takes nothing.
 func TestDrainBeforeServing(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := New(fakeEngine{}, clock.New(), decision.Settings{}, settings.Network{LongestTimeout: 2000, ResponseSlack: 20}, 10, log)
-	if err := f.Drain(0); err != nil {
+	server := New(fakeEngine{}, clock.New(), decision.Settings{}, testNetwork, 10, log)
+	if err := server.Drain(0); err != nil {
 		t.Error(err)
 	}
 	l := listen(t)
-	if err := f.Serve(l); err != nil {
+	if err := server.Serve(l); err != nil {
 		t.Error(err)
 	}
 	if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
-		c.Close()
+		_ = c.Close() // the test has failed
 		t.Error("accepts")
 	}
 }
 
-// Until it is ready a marshal says no and bounces hits, with when to come back; none reaches the module.
+// Until it is ready a server responds 503 on /up and rejects requests with Retry-After; none reaches the engine.
 func TestNotReady(t *testing.T) {
 	l := listen(t)
-	f, m := serve(t, l, 10, (*Server).SetNotReady)
+	server, fake := serve(t, l, 10, (*Server).SetNotReady)
 	ask := func(line string) *http.Response {
 		c := dial(t, l.Addr().String())
 		c.send(line, "X-Time-Left: 1\r\n", "")
@@ -643,10 +685,10 @@
 		t.Errorf("up says %d", res.StatusCode)
 	}
 	if res := ask("GET /read/1"); res.StatusCode != 503 || res.Header.Get("Retry-After") != "0.500" {
-		t.Errorf("a hit: %d, %v", res.StatusCode, res.Header)
+		t.Errorf("a request: %d, %v", res.StatusCode, res.Header)
 	}
-	if f.SetReady(); len(m.requests) != 0 {
-		t.Error("a hit reached the module")
+	if server.SetReady(); len(fake.requests) != 0 {
+		t.Error("a request reached the engine")
 	}
 	if res := ask("GET /up"); res.StatusCode != 200 {
 		t.Errorf("ready, up says %d", res.StatusCode)
