--- a/internal/ingress/refusal.go
+++ b/internal/ingress/refusal.go
@@ -2,7 +2,7 @@
 
 import "net/http"
 
-// refusalError is the reason for which a request is answered here and never handed to the engine. Its connection is
+// refusalError is the reason for which a request is refused and never handed to the engine. Its connection is
 // closed: where the framing is in doubt, the bytes that follow may be a part of the request or hide another one.
 type refusalError int
 
--- a/internal/upstream/benchmark_test.go
+++ b/internal/upstream/benchmark_test.go
@@ -37,54 +37,63 @@
 
 // BenchmarkAttempt measures one attempt over a kept loopback connection: acquire, write, read, classify, release.
 func BenchmarkAttempt(b *testing.B) {
-	for _, bc := range []struct {
+	for _, bench := range []struct {
 		name, response string
 		want           decision.Outcome
 		body           []byte
 		end            string
 	}{
-		{"GET", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Backend-Load: inflight=7,queue=2,util=0.61\r\n\r\nhi", decision.Succeeded, nil, "\r\n\r\n"},
+		{
+			"GET", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Backend-Load: inflight=7,queue=2,util=0.61\r\n\r\nhi",
+			decision.Succeeded, nil, "\r\n\r\n",
+		},
 		{"POST", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", decision.Succeeded, []byte("body"), "body"},
-		{"rejected", "HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", decision.EndpointRejected, nil, "\r\n\r\n"},
+		{
+			"rejected", "HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", decision.EndpointRejected, nil,
+			"\r\n\r\n",
+		},
 	} {
-		b.Run(bc.name, func(b *testing.B) {
-			l, err := net.Listen("tcp", "127.0.0.1:0")
+		b.Run(bench.name, func(b *testing.B) {
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.Cleanup(func() {
-				if err := l.Close(); err != nil {
+				if err := listener.Close(); err != nil {
 					b.Error(err)
 				}
 			})
 			go func() {
 				for {
-					conn, err := l.Accept()
+					conn, err := listener.Accept()
 					if err != nil {
 						return
 					}
-					go serveConstant(conn, []byte(bc.end), []byte(bc.response))
+					go serveConstant(conn, []byte(bench.end), []byte(bench.response))
 				}
 			}()
 			log := logrus.New()
 			log.SetOutput(io.Discard)
 			pool := NewPool(clock.New(), settings.Network{IdleAfter: 60_000, ConnectTimeout: 1000}, 4, log)
-			pool.reuseDelay = 0
-			address := l.Addr().String()
+			pool.times.reuseDelay = 0
+			address := listener.Addr().String()
 			pool.SetAddress("n", address)
 			ends := make(chan engine.AttemptResult, 1)
 			attempt := engine.Attempt{
 				Endpoint: "n", Address: address, OnEnd: func(r engine.AttemptResult) { ends <- r },
-				Request: &engine.Request{Method: bc.name, URI: "/read/1?key=17", Host: "app.svc", Body: bc.body, Fields: map[string][]string{
-					"X-Correlation-Id": {"c1"}, "X-Time-Left": {"1"}, "User-Agent": {"app/1"},
-				}},
+				Request: &engine.Request{
+					Method: bench.name, URI: "/read/1?key=17", Host: "app.svc", Body: bench.body,
+					Fields: map[string][]string{
+						"X-Correlation-Id": {"c1"}, "X-Time-Left": {"1"}, "User-Agent": {"app/1"},
+					},
+				},
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				attempt.Deadline = pool.clock.Now() + 5000
 				pool.StartAttempt(attempt)
-				if end := <-ends; end.Outcome != bc.want {
-					b.Fatalf("outcome %d, want %d", end.Outcome, bc.want)
+				if end := <-ends; end.Outcome != bench.want {
+					b.Fatalf("outcome %d, want %d", end.Outcome, bench.want)
 				}
 			}
 			if stats := pool.Stats(); stats.Opened != 1 {
--- /dev/null
+++ b/internal/upstream/encode.go
@@ -0,0 +1,31 @@
+package upstream
+
+import (
+	"bytes"
+	"io"
+	"maps"
+	"net/http"
+	"net/url"
+	"ottershed/decision"
+	"ottershed/internal/engine"
+	"strconv"
+)
+
+// encodeRequest is a request as it is written, with the time that is left for it.
+func encodeRequest(r *engine.Request, remaining decision.Millis) []byte {
+	header := maps.Clone(http.Header(r.Fields)) // the value set below takes a new slice
+	if header == nil {
+		header = http.Header{}
+	}
+	header.Set("X-Time-Left", strconv.FormatFloat(max(0, remaining)/1000, 'f', 3, 64))
+	req := &http.Request{
+		Method: r.Method, URL: &url.URL{Opaque: r.URI}, Host: r.Host, Header: header,
+		ContentLength: int64(len(r.Body)),
+	}
+	if len(r.Body) > 0 {
+		req.Body = io.NopCloser(bytes.NewReader(r.Body))
+	}
+	var b bytes.Buffer
+	_ = req.Write(&b) // a buffer takes everything
+	return b.Bytes()
+}
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -14,7 +14,7 @@
 	"testing"
 )
 
-// goldenRequests are requests as the front hands them over.
+// goldenRequests are requests as ingress hands them over.
 var goldenRequests = []struct {
 	title   string
 	request engine.Request
@@ -37,7 +37,10 @@
 	}},
 	{"POST that is marked, and a client's repeat", engine.Request{
 		Method: "POST", URI: "/subscribe", Host: "app.svc", Body: []byte("x"),
-		Fields: map[string][]string{"Idempotency-Key": {"mark-1"}, "X-Repeat": {"1"}, "X-Resume": {"1"}, "X-Correlation-Id": {"c4"}},
+		Fields: map[string][]string{
+			"Idempotency-Key": {"mark-1"}, "X-Repeat": {"1"}, "X-Resume": {"1"},
+			"X-Correlation-Id": {"c4"},
+		},
 	}},
 	{"GET with headers of one connection", engine.Request{
 		Method: "GET", URI: "/level-read/7", Host: "app.svc",
@@ -51,8 +54,8 @@
 // timeLeft is the header whose figure depends on when the test runs; its form does not.
 var timeLeft = regexp.MustCompile(`X-Time-Left: \d+\.\d{3}\r\n`)
 
-// The bytes of a request as a raw listener reads them are those of the golden file. The figure of X-Time-Left is volatile
-// and stands there as TIME.
+// The bytes of a request as a raw listener reads them are those of the golden file. The figure of X-Time-Left is
+// volatile and stands there as TIME.
 func TestGoldenRequests(t *testing.T) {
 	var observed strings.Builder
 	for _, c := range goldenRequests {
@@ -84,13 +87,13 @@
 		if err != nil {
 			return
 		}
-		defer c.Close()
+		defer end(c)
 		read <- readRequest(c)
 	}()
-	p, ends := newPool(4), make(chan engine.AttemptResult, 1)
-	p.SetAddress("n", l.Addr().String())
-	p.StartAttempt(engine.Attempt{
-		Endpoint: "n", Address: l.Addr().String(), Deadline: p.clock.Now() + deadline, Request: request,
+	pool, ends := newPool(4), make(chan engine.AttemptResult, 1)
+	pool.SetAddress("n", l.Addr().String())
+	pool.StartAttempt(engine.Attempt{
+		Endpoint: "n", Address: l.Addr().String(), Deadline: pool.clock.Now() + deadline, Request: request,
 		OnEnd: func(e engine.AttemptResult) { ends <- e },
 	})
 	if end := <-ends; end.Outcome != decision.Succeeded {
@@ -99,7 +102,7 @@
 	return <-read
 }
 
-// readRequest reads one request, answers it, and returns all that came before the other side closed.
+// readRequest reads one request, responds to it, and returns all that came before the other side closed.
 func readRequest(c net.Conn) []byte {
 	var all bytes.Buffer
 	r := bufio.NewReader(io.TeeReader(c, &all))
@@ -111,7 +114,7 @@
 		_, err = io.WriteString(c, strings.Replace(ok, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
 	}
 	if err == nil {
-		io.Copy(io.Discard, r) // what follows the request, if anything does
+		_, _ = io.Copy(io.Discard, r) // what follows the request, if anything does, until the other side closes
 	}
 	return all.Bytes()
 }
--- a/internal/upstream/requests_test.go
+++ b/internal/upstream/requests_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() { _ = c.Close() }) // a test may have closed it
 	if _, err := io.ReadFull(c, make([]byte, 4)); err != nil {
 		t.Fatal(err)
 	}
@@ -38,15 +38,15 @@
 	pause time.Duration
 }
 
-func (s sips) Read(b []byte) (int, error) {
-	time.Sleep(s.pause)
-	return s.Conn.Read(b[:min(1, len(b))])
+func (server sips) Read(b []byte) (int, error) {
+	time.Sleep(server.pause)
+	return server.Conn.Read(b[:min(1, len(b))])
 }
 
 // An endpoint that reads its request a byte at a time holds the attempt no longer than its deadline; a request that was
-// not written whole by then never ran, and one that was is answered.
+// not written whole by then never ran, and one that was is responded to.
 func TestSlowReader(t *testing.T) {
-	for name, tc := range map[string]struct {
+	for name, test := range map[string]struct {
 		size  int
 		pause time.Duration
 		left  decision.Millis
@@ -57,27 +57,27 @@
 		"not whole in time": {unread, time.Millisecond, 300, decision.Unreachable, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPool(4)
-			l, ends, began := narrow(t, p), make(chan engine.AttemptResult, 1), time.Now()
-			p.SetAddress("n", l.Addr().String())
-			p.StartAttempt(engine.Attempt{
-				Endpoint: "n", Address: l.Addr().String(), Deadline: p.clock.Now() + tc.left,
-				Request: &engine.Request{Method: "POST", URI: "/pay/x", Host: "h", Body: make([]byte, tc.size)},
+			pool := newPool(4)
+			l, ends, began := narrow(t, pool), make(chan engine.AttemptResult, 1), time.Now()
+			pool.SetAddress("n", l.Addr().String())
+			pool.StartAttempt(engine.Attempt{
+				Endpoint: "n", Address: l.Addr().String(), Deadline: pool.clock.Now() + test.left,
+				Request: &engine.Request{Method: "POST", URI: "/pay/x", Host: "h", Body: make([]byte, test.size)},
 				OnEnd:   func(e engine.AttemptResult) { ends <- e },
 			})
 			endpoint := accept(t, l)
 			go func() {
-				all := io.MultiReader(strings.NewReader("POST"), sips{endpoint, tc.pause}) // accept has read the method
+				all := io.MultiReader(strings.NewReader("POST"), sips{endpoint, test.pause}) // accept has read the method
 				request, err := http.ReadRequest(bufio.NewReader(all))
 				if err != nil {
 					return
 				}
-				if n, _ := io.Copy(io.Discard, request.Body); n == int64(tc.size) {
+				if n, _ := io.Copy(io.Discard, request.Body); n == int64(test.size) {
 					say(ok)(endpoint, request)
 				}
 			}()
-			checkEnd(t, p, <-ends, tc.want, tc.held)
-			if took := time.Since(began); tc.held == 0 && (took < 290*time.Millisecond || took > soon) {
+			checkEnd(t, pool, <-ends, test.want, test.held)
+			if took := time.Since(began); test.held == 0 && (took < 290*time.Millisecond || took > soon) {
 				t.Errorf("ended after %v", took)
 			}
 		})
@@ -85,24 +85,25 @@
 }
 
 // bound carries an attempt that may be sent for so many ms only, on a kept connection if there is a rested one.
-func (p *Pool) bound(address string, sendBy decision.Millis, body int) engine.AttemptResult {
-	return p.runAttempt(context.Background(), engine.Attempt{
+func (pool *Pool) bound(address string, sendBy decision.Millis, body int) engine.AttemptResult {
+	return pool.runAttempt(context.Background(), engine.Attempt{
 		Endpoint: "n", Address: address, SendBy: sendBy, Deadline: sendBy + 1000,
 		Request: &engine.Request{Method: "POST", URI: "/mark/x", Host: "h", Body: make([]byte, body)},
-	}, p.targetAt("n", address))
+	}, pool.targetAt("n", address))
 }
 
 // until waits for a moment of the pool's clock.
-func (p *Pool) until(at decision.Millis) {
-	for p.clock.Now() < at {
+func (pool *Pool) until(at decision.Millis) {
+	for pool.clock.Now() < at {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// The last moment to send binds the sending alone: an attempt that is sent before it, on a kept connection or a new one,
-// may be answered after it. At that moment itself nothing is sent any more, though a kept connection stands ready.
+// The last moment to send binds the sending alone: an attempt that is sent before it, on a kept connection or a new
+// one, may be responded to after it. At that moment itself nothing is sent any more, though a kept connection stands
+// ready.
 func TestSendByBinds(t *testing.T) {
-	for name, tc := range map[string]struct {
+	for name, test := range map[string]struct {
 		left decision.Millis
 		cool time.Duration // for so long a kept connection is not used
 		want decision.Outcome
@@ -114,16 +115,16 @@
 		"at that moment, new connection":  {0, time.Hour, decision.NotSent, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPool(4)
+			pool := newPool(4)
 			var sendBy atomic.Int64
-			s := newFakeEndpoint(t, func(c net.Conn, r *http.Request) { p.until(float64(sendBy.Load())); say(ok)(c, r) })
-			address := s.Addr().String()
-			p.attempt(address, "GET", 1000, nil)
-			p.reuseDelay = tc.cool
-			sendBy.Store(int64(p.clock.Now() + tc.left))
-			end := p.bound(address, float64(sendBy.Load()), 0)
-			if sent := s.requests.Load() - 1; end.Outcome != tc.want || sent != tc.sent {
-				t.Errorf("ended %d, want %d; sent %d times", end.Outcome, tc.want, sent)
+			server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) { pool.until(float64(sendBy.Load())); say(ok)(c, r) })
+			address := server.Addr().String()
+			pool.attempt(address, "GET", 1000, nil)
+			pool.times.reuseDelay = test.cool
+			sendBy.Store(int64(pool.clock.Now() + test.left))
+			end := pool.bound(address, float64(sendBy.Load()), 0)
+			if sent := server.requests.Load() - 1; end.Outcome != test.want || sent != test.sent {
+				t.Errorf("ended %d, want %d; sent %d times", end.Outcome, test.want, sent)
 			}
 		})
 	}
@@ -132,35 +133,35 @@
 // An attempt whose kept connection turns out to be dead when the last moment to send has passed gets no new one: the
 // endpoint that it went to first has forgotten it by then, and it would run twice.
 func TestSendByBeforeNewConnection(t *testing.T) {
-	s, p := newFakeEndpoint(t, say(ok)), newPool(4)
-	address, sendBy := s.Addr().String(), 0.0
-	hook(p, func() {}, func() error {
+	server, pool := newFakeEndpoint(t, say(ok)), newPool(4)
+	address, sendBy := server.Addr().String(), 0.0
+	hook(pool, func() {}, func() error {
 		if sendBy == 0 {
 			return nil
 		}
-		p.until(sendBy)
+		pool.until(sendBy)
 		return syscall.EPIPE
 	})
-	p.attempt(address, "GET", 1000, nil)
-	p.rested("n")
-	sendBy = p.clock.Now() + 200
-	checkEnd(t, p, p.bound(address, sendBy, 0), decision.NotSent, 0)
-	if n := p.Stats(); n.Opened != 1 || s.requests.Load() != 1 {
-		t.Errorf("opened %d connections, sent %d times", n.Opened, s.requests.Load())
+	pool.attempt(address, "GET", 1000, nil)
+	pool.rested()
+	sendBy = pool.clock.Now() + 200
+	checkEnd(t, pool, pool.bound(address, sendBy, 0), decision.NotSent, 0)
+	if n := pool.Stats(); n.Opened != 1 || server.requests.Load() != 1 {
+		t.Errorf("opened %d connections, sent %d times", n.Opened, server.requests.Load())
 	}
 }
 
-// A request of which a part is written when the last moment to send comes is not written on: the endpoint, which runs it
-// when it is whole, would not remember that it ran before. That says nothing of the endpoint.
+// A request of which a part is written when the last moment to send comes is not written on: the endpoint, which runs
+// it when it is whole, would not remember that it ran before. That says nothing of the endpoint.
 func TestSendByWhileWritten(t *testing.T) {
-	p := newPool(4)
-	l, ends, sendBy := narrow(t, p), make(chan engine.AttemptResult, 1), p.clock.Now()+200
-	p.SetAddress("n", l.Addr().String())
-	go func() { ends <- p.bound(l.Addr().String(), sendBy, unread) }()
+	pool := newPool(4)
+	l, ends, sendBy := narrow(t, pool), make(chan engine.AttemptResult, 1), pool.clock.Now()+200
+	pool.SetAddress("n", l.Addr().String())
+	go func() { ends <- pool.bound(l.Addr().String(), sendBy, unread) }()
 	endpoint := accept(t, l)
-	p.until(sendBy + 20)
+	pool.until(sendBy + 20)
 	if rest, _ := io.ReadAll(endpoint); len(rest) >= unread {
 		t.Errorf("the whole request came after the last moment to send it")
 	}
-	checkEnd(t, p, <-ends, decision.NotSent, 0)
+	checkEnd(t, pool, <-ends, decision.NotSent, 0)
 }
