--- a/cmd/balancer/cluster_test.go
+++ b/cmd/balancer/cluster_test.go
@@ -8,6 +8,7 @@
 	"ottershed/internal/cluster/membership"
 	"ottershed/internal/testbed"
 	"ottershed/internal/testbed/faultinject"
+	standin "ottershed/internal/testbed/platform"
 	"strings"
 	"testing"
 	"time"
@@ -27,7 +28,7 @@
 // cluster starts marshals as processes, with all of them found by all.
 func startCluster(t *testing.T, set testbed.Settings) (*testbed.Fleet, context.Context) {
 	t.Helper()
-	platform, err := testbed.NewPlatform(3)
+	platform, err := standin.New(3)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/balancer/lease_cluster_test.go
+++ b/cmd/balancer/lease_cluster_test.go
@@ -11,6 +11,7 @@
 	"ottershed/internal/cluster/lease"
 	"ottershed/internal/testbed"
 	"ottershed/internal/testbed/faultinject"
+	standin "ottershed/internal/testbed/platform"
 	"regexp"
 	"slices"
 	"strconv"
@@ -36,7 +37,7 @@
 		ToleratedPause: 500 * time.Millisecond, DetectionTimeout: 2500 * time.Millisecond, Clocks: clocks,
 	})
 	fleet.Platform().SetBuild(fleet.Platform().Endpoints()[0], 2)
-	fleet.Platform().Controller().SetStage(testbed.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
+	fleet.Platform().Controller().SetStage(standin.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
 	await(t, ctx, 20*time.Second, func() error { return fleet.CheckHeld(ctx, 0, 5) })
 	return fleet, ctx
 }
--- a/cmd/balancer/policy_cluster_test.go
+++ b/cmd/balancer/policy_cluster_test.go
@@ -9,6 +9,7 @@
 	"ottershed/internal/cluster/policy"
 	"ottershed/internal/testbed"
 	"ottershed/internal/testbed/faultinject"
+	standin "ottershed/internal/testbed/platform"
 	"path/filepath"
 	"regexp"
 	"strconv"
@@ -154,7 +155,7 @@
 	platform := fleet.Platform()
 	candidate := platform.Endpoints()[0]
 	platform.SetBuild(candidate, 2)
-	platform.Controller().SetStage(testbed.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
+	platform.Controller().SetStage(standin.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
 	clients := testbed.NewClients()
 	defer clients.Close()
 	requests := 0
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -12,6 +12,7 @@
 	"ottershed/internal/cluster/membership/sim"
 	"ottershed/internal/testbed"
 	"ottershed/internal/testbed/faultinject"
+	"ottershed/internal/testbed/platform"
 	"path/filepath"
 	"slices"
 	"time"
@@ -102,7 +103,7 @@
 	if err != nil {
 		return set, nil, err
 	}
-	platform, err := testbed.NewPlatform(3)
+	platform, err := platform.New(3)
 	if err != nil {
 		os.RemoveAll(dir)
 		return set, nil, err
@@ -222,7 +223,7 @@
 	defer end()
 	set.LeaseTTL, set.Servers = cmd.Duration("lease"), min(cmd.Int("servers"), cmd.Int("marshals"))
 	set.Platform.SetBuild(set.Platform.Endpoints()[0], 2)
-	set.Platform.Controller().SetStage(testbed.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
+	set.Platform.Controller().SetStage(platform.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
 	f, err := testbed.Start(set)
 	if err != nil {
 		return err
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -15,6 +15,7 @@
 	"ottershed/internal/cluster/policy"
 	"ottershed/internal/cluster/policysync"
 	"ottershed/internal/testbed/faultinject"
+	"ottershed/internal/testbed/platform"
 	"path/filepath"
 	"slices"
 	"strings"
@@ -30,7 +31,7 @@
 	Clocks    []string // of the marshals in turn, as clock.LabEnv has it, such as "-1h 1.1"; none: they tell the truth
 	Instances int
 	Seed      uint64 // of the faults
-	Platform  *Platform
+	Platform  *platform.Platform
 
 	ToleratedPause   time.Duration
 	DetectionTimeout time.Duration
@@ -99,7 +100,7 @@
 }
 
 // Town is the stand-ins of the fleet.
-func (f *Fleet) Platform() *Platform { return f.settings.Platform }
+func (f *Fleet) Platform() *platform.Platform { return f.settings.Platform }
 
 // Names are the marshals' names.
 func (f *Fleet) Names() []string { return f.names }
--- a/internal/testbed/measure_takeover.go
+++ b/internal/testbed/measure_takeover.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
+	"ottershed/internal/testbed/platform"
 	"regexp"
 	"strconv"
 	"strings"
@@ -102,7 +103,7 @@
 func MeasureTakeover(ctx context.Context, set Settings, rounds, kills int) (*TakeoverResult, error) {
 	set.Servers = set.Instances
 	set.Platform.SetBuild(set.Platform.Endpoints()[0], 2)
-	set.Platform.Controller().SetStage(Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
+	set.Platform.Controller().SetStage(platform.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
 	f, err := Start(set)
 	if err != nil {
 		return nil, err
