--- a/cmd/testbed/days.go
+++ b/cmd/testbed/days.go
@@ -4,7 +4,7 @@
 	"context"
 	"fmt"
 	"os"
-	"ottershed/internal/testbed"
+	"ottershed/internal/testbed/days"
 
 	"github.com/urfave/cli/v3"
 )
@@ -26,15 +26,15 @@
 				Name: "columns", Usage: "of the chart",
 				Value: []string{"taken", "delivered", "bounced", "errored", "gone", "opened"},
 			},
-		}, Action: days,
+		}, Action: runDays,
 	}
 }
 
-func days(_ context.Context, cmd *cli.Command) error {
+func runDays(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 1 {
 		return fmt.Errorf("days: want one folder of logs, got %d", cmd.Args().Len())
 	}
-	d, err := testbed.ReadDay(cmd.Args().First())
+	d, err := days.Read(cmd.Args().First())
 	if err != nil {
 		return err
 	}
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -11,6 +11,7 @@
 	"ottershed/internal/cluster/membership"
 	"ottershed/internal/cluster/membership/sim"
 	"ottershed/internal/testbed"
+	"ottershed/internal/testbed/chart"
 	"ottershed/internal/testbed/faultinject"
 	"ottershed/internal/testbed/platform"
 	"path/filepath"
@@ -74,15 +75,15 @@
 		}
 	}
 	if path := cmd.String("chart"); path != "" {
-		var lines []testbed.Line
+		var lines []chart.Line
 		for _, r := range results {
 			seconds := make([]float64, len(r.Each))
 			for i, ms := range r.Each {
 				seconds[i] = ms / 1000
 			}
-			lines = append(lines, testbed.Line{Name: fmt.Sprintf("%d %s, loss %.0f%%", r.Members, r.Kind, 100*lossOfDeaths(r)), Figures: seconds})
+			lines = append(lines, chart.Line{Name: fmt.Sprintf("%d %s, loss %.0f%%", r.Members, r.Kind, 100*lossOfDeaths(r)), Figures: seconds})
 		}
-		return testbed.Distribution(path, "from a kill until another declares it dead", "seconds", lines)
+		return chart.Distribution(path, "from a kill until another declares it dead", "seconds", lines)
 	}
 	return nil
 }
@@ -144,7 +145,7 @@
 
 func policy(ctx context.Context, cmd *cli.Command) error {
 	var results []*testbed.PolicyResult
-	var lines []testbed.Line
+	var lines []chart.Line
 	for _, n := range cmd.IntSlice("processes") {
 		set, end, err := fleetSettings(cmd, n)
 		if err != nil {
@@ -156,11 +157,11 @@
 			return err
 		}
 		results = append(results, r)
-		lines = append(lines, testbed.Line{Name: fmt.Sprintf("%d marshals", n), Figures: r.Each})
+		lines = append(lines, chart.Line{Name: fmt.Sprintf("%d marshals", n), Figures: r.Each})
 	}
 	fmt.Print(testbed.PolicyTable(results))
 	if path := cmd.String("chart"); path != "" {
-		return testbed.Distribution(path, "from a proposal until all marshals run it", "milliseconds", lines)
+		return chart.Distribution(path, "from a proposal until all marshals run it", "milliseconds", lines)
 	}
 	return nil
 }
@@ -188,8 +189,8 @@
 	}
 	fmt.Print(testbed.TakeoverTable([]*testbed.TakeoverResult{r}))
 	if path := cmd.String("chart"); path != "" {
-		return testbed.Distribution(path, "from an owner's death until another goes on", "milliseconds",
-			[]testbed.Line{{Name: fmt.Sprintf("lease %v, detect-within %v", set.LeaseTTL, set.DetectionTimeout), Figures: r.Each}})
+		return chart.Distribution(path, "from an owner's death until another goes on", "milliseconds",
+			[]chart.Line{{Name: fmt.Sprintf("lease %v, detect-within %v", set.LeaseTTL, set.DetectionTimeout), Figures: r.Each}})
 	}
 	return nil
 }
