--- a/internal/alias/alias.go
+++ b/internal/alias/alias.go
@@ -1,5 +1,5 @@
-// Package alias keeps the earlier names of the programs working: a program of an earlier name says what it is called now
-// and becomes the program of that name.
+// Package alias keeps the earlier names of the programs working. A program of an earlier name has a main function that calls
+// Become with the present name.
 package alias
 
 import (
@@ -9,11 +9,11 @@
 	"syscall"
 )
 
-// exitFailure is the exit code where the program can't be started.
+// exitFailure is the exit code of a program that can't start the one of its present name.
 const exitFailure = 1
 
-// Become replaces the process by the program of this name from the same directory, with the same arguments and
-// environment. It returns only by ending the process.
+// Become prints the present name on standard error and replaces the process by the program of that name in the same directory,
+// with the same arguments and environment. Where that fails, it prints why and exits. It does not return.
 func Become(program string) {
 	earlier := filepath.Base(os.Args[0])
 	err := become(program)
@@ -21,6 +21,7 @@
 	os.Exit(exitFailure)
 }
 
+// become does the same, and returns the error where that fails.
 func become(program string) error {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/alias/alias_test.go
+++ b/internal/alias/alias_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// runAs is the variable with the name of the program that the test's own program becomes.
 const runAs = "ALIAS_TEST_RUN_AS"
 
 func TestMain(m *testing.M) {
@@ -16,7 +17,7 @@
 	os.Exit(m.Run())
 }
 
-// A program of an earlier name names the new one on standard error, and passes on arguments, output and exit code.
+// A program of an earlier name prints the present one on standard error, and passes on arguments, output and exit code.
 func TestBecome(t *testing.T) {
 	self, err := os.ReadFile(os.Args[0])
 	if err != nil {
@@ -39,7 +40,7 @@
 	}
 }
 
-// A program that is not there is named, with exit code 1.
+// Where the program of the present name is missing, the exit code is 1.
 func TestBecomeMissing(t *testing.T) {
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
 	cmd.Env = append(os.Environ(), runAs+"=no-such-program")
--- a/internal/golden/text.go
+++ b/internal/golden/text.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Check compares what was observed with the golden file; the error shows the first line that differs.
+// Check compares the observed text with the golden file at path. The error has the first line that differs.
 func Check(path string, observed []byte) error {
 	if *update {
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
@@ -38,7 +38,7 @@
 	return "equal"
 }
 
-// lineAt is a line of a text, empty behind its end.
+// lineAt returns a line of a text, or an empty one past its end.
 func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
@@ -46,7 +46,7 @@
 	return ""
 }
 
-// Quote shows bytes as they are on the wire: one quoted text for each line, its line end included.
+// Quote returns bytes in readable form: a quoted string for each line, its line end included.
 func Quote(raw []byte) string {
 	var b strings.Builder
 	for _, line := range strings.SplitAfter(string(raw), "\n") {
@@ -58,5 +58,5 @@
 	return b.String()
 }
 
-// Section is a part of a golden file under its title.
+// Section returns a part of a golden file under its title.
 func Section(title, text string) string { return "== " + title + "\n" + text }
--- a/internal/golden/text_test.go
+++ b/internal/golden/text_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// A file passes only if it is the same to the last byte; one that is missing never passes.
+// A text passes only if it equals the file to the last byte; a missing file never passes.
 func TestCheck(t *testing.T) {
-	storing := *update
-	*update = false // also where the other tests store
-	t.Cleanup(func() { *update = storing })
+	rewriting := *update
+	*update = false // also where the run rewrites the files of other tests
+	t.Cleanup(func() { *update = rewriting })
 	path := filepath.Join(t.TempDir(), "stored.golden")
 	if Check(path, nil) == nil {
 		t.Error("a missing file passes")
@@ -18,17 +18,25 @@
 	if err := os.WriteFile(path, []byte("one\ntwo\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for observed, same := range map[string]bool{
-		"one\ntwo\n": true, "one\ntwo": false, "one\nTwo\n": false,
-		"one\ntwo\n\n": false, "": false,
+	for name, test := range map[string]struct {
+		observed string
+		same     bool
+	}{
+		"same":              {"one\ntwo\n", true},
+		"no last line end":  {"one\ntwo", false},
+		"a letter differs":  {"one\nTwo\n", false},
+		"one line end more": {"one\ntwo\n\n", false},
+		"empty":             {"", false},
 	} {
-		if err := Check(path, []byte(observed)); (err == nil) != same {
-			t.Errorf("%q: %v", observed, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			if err := Check(path, []byte(test.observed)); (err == nil) != test.same {
+				t.Errorf("%q: %v", test.observed, err)
+			}
+		})
 	}
 }
 
-// Every byte of a line is visible, line ends and bytes that are no text included.
+// Every byte of a line is visible, line ends and bytes that are not UTF-8 included.
 func TestQuote(t *testing.T) {
 	if got, want := Quote([]byte("a\r\nb\xff")), "\"a\\r\\n\"\n\"b\\xff\"\n"; got != want {
 		t.Errorf("got %q, want %q", got, want)
