--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -14,7 +14,7 @@
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/internal/engine/messages.go
+++ b/internal/engine/messages.go
@@ -82,11 +82,16 @@
 	}
 }
 
+// evidenceSource is a module that hands over what it has observed. The decision module is one; those of tests need not be.
+type evidenceSource interface {
+	Evidence() (decision.Evidence, bool)
+}
+
+var _ evidenceSource = (*decision.Balancer)(nil)
+
 // evidence returns what the module has observed of the candidate; nil if there is none.
 func (c *core) evidence() *decision.Evidence {
-	source, ok := c.module.(interface {
-		Evidence() (decision.Evidence, bool)
-	})
+	source, ok := c.module.(evidenceSource)
 	if !ok {
 		return nil
 	}
--- a/internal/engine/stats.go
+++ b/internal/engine/stats.go
@@ -26,6 +26,13 @@
 	Status       decision.Status
 }
 
+// statusReporter is a module that says how things stand. The decision module is one; those of tests need not be.
+type statusReporter interface {
+	Status() decision.Status
+}
+
+var _ statusReporter = (*decision.Balancer)(nil)
+
 // statsCounter counts, and knows the latency objectives for it.
 type statsCounter struct {
 	counters   Stats
@@ -35,8 +42,8 @@
 // currentStats returns the counters, with the module's status if it has one.
 func (c *core) currentStats() Stats {
 	stats := c.stats.counters
-	if source, ok := c.module.(interface{ Sight() decision.Status }); ok {
-		stats.Status = source.Sight()
+	if reporter, ok := c.module.(statusReporter); ok {
+		stats.Status = reporter.Status()
 	}
 	return stats
 }
