--- a/internal/testbed/faultinject/die_other.go
+++ /dev/null
@@ -1,7 +0,0 @@
-//go:build !linux
-
-package faultnet
-
-import "syscall"
-
-func dieWithParent() *syscall.SysProcAttr { return nil }
--- /dev/null
+++ b/internal/testbed/faultinject/parse.go
@@ -0,0 +1,163 @@
+package faultinject
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+	"unicode"
+	"unicode/utf8"
+)
+
+// SyntaxError is a mistake in a script and where it is.
+type SyntaxError struct {
+	Line   int // from 1
+	Column int // of the word that is wrong, in characters from 1; after the last word where one is missing
+	Err    error
+}
+
+func (e *SyntaxError) Error() string {
+	return fmt.Sprintf("script line %d, column %d: %v", e.Line, e.Column, e.Err)
+}
+
+func (e *SyntaxError) Unwrap() error { return e.Err }
+
+// word is a word of a script and its place, as in SyntaxError.
+type word struct {
+	text         string
+	line, column int
+}
+
+// errorf is a mistake at the word.
+func (w word) errorf(format string, args ...any) error {
+	return &SyntaxError{Line: w.line, Column: w.column, Err: fmt.Errorf(format, args...)}
+}
+
+// ParseScript reads a script in the language that the package's description states. Its errors are *SyntaxError.
+func ParseScript(text string) (Script, error) {
+	var script Script
+	number := 0
+	for line := range strings.Lines(text) {
+		number++
+		line, _, _ = strings.Cut(line, "#")
+		words, end := splitWords(line, number)
+		if len(words) == 0 {
+			continue
+		}
+		step, err := parseStep(words, end)
+		if err != nil {
+			return nil, err
+		}
+		script = append(script, step)
+	}
+	slices.SortStableFunc(script, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
+	return script, nil
+}
+
+// splitWords splits a line at its spaces; end is the place after the last word.
+func splitWords(line string, number int) (words []word, end word) {
+	rest := line
+	column := 1
+	for {
+		trimmed := strings.TrimLeftFunc(rest, unicode.IsSpace)
+		column += utf8.RuneCountInString(rest[:len(rest)-len(trimmed)])
+		if trimmed == "" {
+			return words, end
+		}
+		length := strings.IndexFunc(trimmed, unicode.IsSpace)
+		if length < 0 {
+			length = len(trimmed)
+		}
+		words = append(words, word{text: trimmed[:length], line: number, column: column})
+		column += utf8.RuneCountInString(trimmed[:length])
+		end = word{line: number, column: column}
+		rest = trimmed[length:]
+	}
+}
+
+// parseStep reads the words of one line, of which there is at least one.
+func parseStep(words []word, end word) (Step, error) {
+	var step Step
+	at, err := time.ParseDuration(words[0].text)
+	if err != nil || at < 0 {
+		return step, words[0].errorf("want a time first, got %q", words[0].text)
+	}
+	if len(words) < 3 {
+		return step, end.errorf("want a time, what to do, and to whom")
+	}
+	step.At, step.Verb = at, Verb(words[1].text)
+	arguments := words[2:]
+	parse, want := grammar(step.Verb, arguments)
+	if parse == nil {
+		return step, words[1].errorf("nothing is called %q", step.Verb)
+	}
+	if len(arguments) > want {
+		return step, arguments[want].errorf("%s takes %d words, got %d", step.Verb, want, len(arguments))
+	}
+	if len(arguments) < want {
+		return step, end.errorf("%s takes %d words, got %d", step.Verb, want, len(arguments))
+	}
+	err = parse(&step, arguments)
+	return step, err
+}
+
+// argumentParser reads the words after a verb into a step.
+type argumentParser func(*Step, []word) error
+
+// grammar is how many words a verb takes, and how they are read; nil where there is no such verb.
+func grammar(verb Verb, arguments []word) (parse argumentParser, words int) {
+	switch verb {
+	case Cut:
+		return parseLink, 3
+	case Heal:
+		if arguments[0].text == "all" {
+			return parseNothing, 1
+		}
+		return parseLink, 3
+	case Loss:
+		return parseLoss, 1
+	case Delay:
+		return parseDelay, 2
+	case Stall, Resume, Kill, Start, Restart:
+		return parseTarget, 1
+	}
+	return nil, 0
+}
+
+func parseNothing(*Step, []word) error { return nil }
+
+func parseTarget(step *Step, arguments []word) error {
+	step.Target = arguments[0].text
+	return nil
+}
+
+func parseLink(step *Step, arguments []word) error {
+	arrow := arguments[1]
+	if arrow.text != ">" && arrow.text != "-" {
+		return arrow.errorf("want > or - between two names, got %q", arrow.text)
+	}
+	step.Target, step.Both, step.Peer = arguments[0].text, arrow.text == "-", arguments[2].text
+	return nil
+}
+
+func parseLoss(step *Step, arguments []word) error {
+	percent, err := strconv.ParseFloat(strings.TrimSuffix(arguments[0].text, "%"), 64)
+	if err != nil || percent < 0 || percent > 100 {
+		return arguments[0].errorf("want a share like 20%%, got %q", arguments[0].text)
+	}
+	step.Share = percent / 100
+	return nil
+}
+
+func parseDelay(step *Step, arguments []word) error {
+	for i, to := range []*time.Duration{&step.Delay, &step.Jitter} {
+		span, err := time.ParseDuration(arguments[i].text)
+		if err != nil {
+			return arguments[i].errorf("want two times: %w", err)
+		}
+		*to = span
+	}
+	return nil
+}
--- a/internal/testbed/faultinject/process.go
+++ b/internal/testbed/faultinject/process.go
@@ -11,55 +11,81 @@
 	"time"
 )
 
-// Process is a program that faults befall. Its output goes to one file, over all its runs.
+// Errors of what is asked of a process at the wrong time.
+var (
+	ErrRunning    = errors.New("the process runs already")
+	ErrNotRunning = errors.New("the process does not run")
+	ErrTimeout    = errors.New("the process has not ended in time")
+)
+
+// Process is a program that faults are injected into. It is stopped or running, and a running one may be stalled:
+//
+//	stopped -> running: Start, Restart
+//	running -> stopped: Kill, Terminate, its own end
+//	running -> stalled: Stall
+//	stalled -> running: Resume
+//	stalled -> stopped: Kill
+//
+// The fields are set before the first start.
 type Process struct {
-	Name string
-	Path string
-	Args []string
-	Env  []string // added to this process's
-	Log  string   // path of the file
+	Name string   // in errors and scripts
+	Path string   // of the program
+	Args []string // without the program's name
+	Env  []string // added to the environment of this process
+	Log  string   // path of the file that the output of all runs is appended to
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
-	exited chan struct{} // closed at the end of the present run
-	err    error
+	exited chan struct{} // closed at the end of the newest run; nil before the first
+	err    error         // of the end of the newest run
 	runs   int
 }
 
-// Start starts it; one that runs already is an error.
+// Start starts the process.
 func (p *Process) Start() error {
+	if err := p.start(); err != nil {
+		return fmt.Errorf("start %s: %w", p.Name, err)
+	}
+	return nil
+}
+
+func (p *Process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.running() {
-		return fmt.Errorf("start %s: it runs", p.Name)
+		return ErrRunning
 	}
 	out, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return fmt.Errorf("start %s: %w", p.Name, err)
+		return err
 	}
-	defer out.Close()
+	defer func() { _ = out.Close() }() // the started process has a descriptor of its own
 	cmd := exec.Command(p.Path, p.Args...)
 	cmd.Env = append(os.Environ(), p.Env...)
 	cmd.Stdout, cmd.Stderr = out, out
 	cmd.SysProcAttr = dieWithParent()
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("start %s: %w", p.Name, err)
+		return err
 	}
-	ended := make(chan struct{})
-	p.cmd, p.exited, p.runs = cmd, ended, p.runs+1
-	go func() {
-		err := cmd.Wait()
-		p.mu.Lock()
-		if p.cmd == cmd {
-			p.err = err
-		}
-		p.mu.Unlock()
-		close(ended)
-	}()
+	exited := make(chan struct{})
+	p.cmd, p.exited = cmd, exited
+	p.runs++
+	go p.wait(cmd, exited)
 	return nil
 }
 
-// running holds with the lock held.
+// wait records the end of a run.
+func (p *Process) wait(cmd *exec.Cmd, exited chan<- struct{}) {
+	err := cmd.Wait()
+	p.mu.Lock()
+	if p.cmd == cmd {
+		p.err = err
+	}
+	p.mu.Unlock()
+	close(exited)
+}
+
+// running tells whether the process runs. The caller has the lock.
 func (p *Process) running() bool {
 	if p.exited == nil {
 		return false
@@ -72,21 +98,21 @@
 	}
 }
 
-// Running tells whether it has been started and has not ended.
+// Running tells whether the process has been started and has not ended.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.running()
 }
 
-// Runs is how often it was started.
+// Runs is how often the process was started.
 func (p *Process) Runs() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.runs
 }
 
-// PID is its number, 0 where it does not run.
+// PID is the process's id, 0 where it does not run.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,11 +122,12 @@
 	return p.cmd.Process.Pid
 }
 
+// signal sends a signal and returns a channel that is closed at the end of the run.
 func (p *Process) signal(s syscall.Signal) (<-chan struct{}, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.running() {
-		return nil, fmt.Errorf("%s: %v: it does not run", p.Name, s)
+		return nil, fmt.Errorf("%s: %v: %w", p.Name, s, ErrNotRunning)
 	}
 	if err := p.cmd.Process.Signal(s); err != nil {
 		return nil, fmt.Errorf("%s: %v: %w", p.Name, s, err)
@@ -108,36 +135,45 @@
 	return p.exited, nil
 }
 
-// Stall stops its clock; Resume lets it go on.
-func (p *Process) Stall() error  { _, err := p.signal(syscall.SIGSTOP); return err }
-func (p *Process) Resume() error { _, err := p.signal(syscall.SIGCONT); return err }
+// Stall stops the process's execution.
+func (p *Process) Stall() error {
+	_, err := p.signal(syscall.SIGSTOP)
+	return err
+}
 
-// Hang up has it read its configuration again.
-func (p *Process) HangUp() error { _, err := p.signal(syscall.SIGHUP); return err }
+// Resume lets a stalled process continue.
+func (p *Process) Resume() error {
+	_, err := p.signal(syscall.SIGCONT)
+	return err
+}
 
-// Kill ends it at once and waits for its end; one that is stalled ends, too.
+// HangUp makes the process read its configuration again.
+func (p *Process) HangUp() error {
+	_, err := p.signal(syscall.SIGHUP)
+	return err
+}
+
+// Kill ends the process at once, stalled or not, and waits for its end.
 func (p *Process) Kill() error {
-	ended, err := p.signal(syscall.SIGKILL)
+	exited, err := p.signal(syscall.SIGKILL)
 	if err != nil {
 		return err
 	}
-	<-ended
+	<-exited
 	return nil
 }
 
-// errLate is a process that does not end when it is asked to.
-var errTimeout = errors.New("it has not ended in time")
-
-// Leave asks it to end and waits for that; the error is that of its exit code, or that it took too long.
+// Terminate asks the process to end and waits for that. The error is that of its exit code, or ErrTimeout where ctx
+// ends first.
 func (p *Process) Terminate(ctx context.Context) error {
-	ended, err := p.signal(syscall.SIGTERM)
+	exited, err := p.signal(syscall.SIGTERM)
 	if err != nil {
 		return err
 	}
 	select {
-	case <-ended:
+	case <-exited:
 	case <-ctx.Done():
-		return fmt.Errorf("%s: %w", p.Name, errTimeout)
+		return fmt.Errorf("%s: %w", p.Name, ErrTimeout)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,7 +183,7 @@
 	return nil
 }
 
-// Restart kills it where it runs, waits, and starts it again.
+// Restart kills the process where it runs, waits for a span and starts it.
 func (p *Process) Restart(after time.Duration) error {
 	if p.Running() {
 		if err := p.Kill(); err != nil {
@@ -160,7 +196,7 @@
 	return p.Start()
 }
 
-// Output is all that it has written so far.
+// Output is what all runs have written so far, or the text of the error where the log can't be read.
 func (p *Process) Output() string {
 	raw, err := os.ReadFile(p.Log)
 	if err != nil {
--- a/internal/testbed/faultinject/rules.go
+++ b/internal/testbed/faultinject/rules.go
@@ -1,6 +1,3 @@
-// Package faultnet puts faults between processes on loopback: relays that stand in front of each process lose, delay,
-// double and cut what passes, and processes are stalled, killed and started again, by a script or by a seed. The decision
-// what becomes of a packet is Rules', free of I/O: the same seed gives the same fates, packet by packet of a link.
 package faultinject
 
 import (
@@ -13,13 +10,13 @@
 // Link is one direction between two processes, by their names.
 type Link struct{ From, To string }
 
-// Rule is what befalls packets of a link.
+// Rule is what happens to the packets of a link. The zero value lets all pass at once.
 type Rule struct {
-	Cut       bool    // nothing passes
-	Drop      float64 // share that is lost
-	Duplicate float64 // share that comes twice
-	Delay     time.Duration
-	Jitter    time.Duration // added, drawn evenly; packets may pass each other
+	Cut       bool          // nothing passes
+	Drop      float64       // share of packets that are lost, 0 to 1
+	Duplicate float64       // share of packets that arrive twice, 0 to 1
+	Delay     time.Duration // of each packet
+	Jitter    time.Duration // largest random addition to Delay; with it, packets may overtake each other
 }
 
 // Fate is what becomes of one packet.
@@ -28,34 +25,36 @@
 	Delay  time.Duration
 }
 
-// Rules hold the rule of each link. They may be used by many at once.
+// Rules hold the rule of each link. They are safe for concurrent use.
 type Rules struct {
 	seed uint64
 
 	mu          sync.Mutex
 	defaultRule Rule
-	links       map[Link]*link
+	links       map[Link]*linkState
 }
 
-type link struct {
-	rule   *Rule // nil: that of all
+type linkState struct {
+	rule   *Rule // nil: the default rule
 	cut    bool
-	chance stats.Random
+	random stats.Random
 }
 
-// NewRules makes rules under which all passes.
-func NewRules(seed uint64) *Rules { return &Rules{seed: seed, links: map[Link]*link{}} }
+// NewRules makes rules under which everything passes. The seed decides the fates of packets under later rules.
+func NewRules(seed uint64) *Rules { return &Rules{seed: seed, links: map[Link]*linkState{}} }
 
-func (r *Rules) linkState(l Link) *link {
-	at := r.links[l]
-	if at == nil {
-		at = &link{chance: stats.Random{Seed: r.seed<<32 ^ uint64(crc32.ChecksumIEEE([]byte(l.From+"\x00"+l.To)))}}
-		r.links[l] = at
+// state is a link's state, made at its first use. The caller has the lock.
+func (r *Rules) state(l Link) *linkState {
+	state := r.links[l]
+	if state == nil {
+		name := crc32.ChecksumIEEE([]byte(l.From + "\x00" + l.To))
+		state = &linkState{random: stats.Random{Seed: r.seed<<32 ^ uint64(name)}}
+		r.links[l] = state
 	}
-	return at
+	return state
 }
 
-// All sets the rule of links that have none of their own.
+// SetDefault sets the rule of links that have none of their own.
 func (r *Rules) SetDefault(rule Rule) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,39 +65,39 @@
 func (r *Rules) Set(l Link, rule Rule) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.linkState(l).rule = &rule
+	r.state(l).rule = &rule
 }
 
-// Cut has nothing pass on a link, or lets it pass again by its rule.
+// Cut lets nothing pass on a link (on), or lets packets pass again by the link's rule.
 func (r *Rules) Cut(l Link, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.linkState(l).cut = on
+	r.state(l).cut = on
 }
 
-// Heal takes all rules and cuts away.
+// Heal removes all rules and cuts.
 func (r *Rules) Heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.defaultRule = Rule{}
-	for _, l := range r.links {
-		l.rule, l.cut = nil, false
+	for _, state := range r.links {
+		state.rule, state.cut = nil, false
 	}
 }
 
-// Of is the rule that holds for a link now.
+// RuleFor is the rule that holds for a link now.
 func (r *Rules) RuleFor(l Link) Rule {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.effectiveRule(r.linkState(l))
+	return r.effectiveRule(r.state(l))
 }
 
-func (r *Rules) effectiveRule(l *link) Rule {
+func (r *Rules) effectiveRule(state *linkState) Rule {
 	rule := r.defaultRule
-	if l.rule != nil {
-		rule = *l.rule
+	if state.rule != nil {
+		rule = *state.rule
 	}
-	rule.Cut = rule.Cut || l.cut
+	rule.Cut = rule.Cut || state.cut
 	return rule
 }
 
@@ -106,16 +105,17 @@
 func (r *Rules) Next(l Link) Fate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at := r.linkState(l)
-	rule := r.effectiveRule(at)
-	// Danger: drawn only where a rule asks for it, a packet's fate would hang on what held for those before it.
-	lost, twice, late := at.chance.Next(), at.chance.Next(), at.chance.Next()
-	if rule.Cut || lost < rule.Drop {
+	state := r.state(l)
+	rule := r.effectiveRule(state)
+	// All three are drawn for each packet, whatever the rule: otherwise a packet's fate would depend on the rules
+	// that held for the packets before it.
+	loss, duplicate, jitter := state.random.Next(), state.random.Next(), state.random.Next()
+	if rule.Cut || loss < rule.Drop {
 		return Fate{}
 	}
-	f := Fate{Copies: 1, Delay: rule.Delay + time.Duration(late*float64(rule.Jitter))}
-	if twice < rule.Duplicate {
-		f.Copies = 2
+	fate := Fate{Copies: 1, Delay: rule.Delay + time.Duration(jitter*float64(rule.Jitter))}
+	if duplicate < rule.Duplicate {
+		fate.Copies = 2
 	}
-	return f
+	return fate
 }
--- /dev/null
+++ b/internal/testbed/faultinject/script_test.go
@@ -0,0 +1,103 @@
+package faultinject
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestScript(t *testing.T) {
+	const text = `1s stall n1   # a remark
+500ms cut n0 > n1
+
+2s cut n0 - n2
+3s loss 20%
+4s delay 10ms 5ms
+5s heal n0 > n1
+6s resume n1
+7s kill n2
+8s start n2
+9s restart n0
+10s heal all`
+	s, err := ParseScript(text)
+	if err != nil || len(s) != 11 || s[0].Verb != Cut || !s[2].Both || s[3].Share != 0.2 {
+		t.Fatalf("%v, %v", s, err)
+	}
+	if again, err := ParseScript(s.String()); err != nil || again.String() != s.String() {
+		t.Errorf("%v\n%v", again, err)
+	}
+}
+
+// A mistake is reported with its line and column.
+func TestScriptMistakes(t *testing.T) {
+	for text, column := range map[string]int{
+		"soon stall n1":      1,
+		"1s":                 3,
+		"1s stall":           9,
+		"1s wreck n1":        4,
+		"1s cut n0 n1":       13,
+		"1s cut n0 = n1":     11,
+		"1s cut n0 > n1 n2":  16,
+		"1s heal all n1":     13,
+		"1s loss much":       9,
+		"1s loss 120%":       9,
+		"1s loss -1%":        9,
+		"1s delay 10ms":      14,
+		"1s delay a b":       10,
+		"1s delay 10ms b":    15,
+		"-1s stall n1":       1,
+		"1s stall n1 n2":     13,
+		"  1s  wreck\tn1 #x": 7,
+		"1s cut ü ö é":       10,
+	} {
+		_, err := ParseScript("# first\n" + text)
+		if err == nil || !strings.Contains(err.Error(), "line 2") {
+			t.Errorf("%q: %v", text, err)
+		}
+		if syntax, ok := errors.AsType[*SyntaxError](err); !ok || syntax.Line != 2 || syntax.Column != column ||
+			!strings.Contains(err.Error(), fmt.Sprintf("column %d:", column)) {
+			t.Errorf("%q: %v, want column %d", text, err, column)
+		}
+	}
+}
+
+// A drawn script ends healed, with all processes running, and is drawn alike from the same seed.
+func TestRandom(t *testing.T) {
+	names := []string{"a", "b", "c", "d", "e"}
+	for seed := range uint64(50) {
+		script := Random(seed, names, time.Minute, 40, 2)
+		if script.String() != Random(seed, names, time.Minute, 40, 2).String() {
+			t.Fatal("not drawn alike")
+		}
+		if again, err := ParseScript(script.String()); err != nil || again.String() != script.String() {
+			t.Fatalf("seed %d: %v\n%v", seed, err, script)
+		}
+		down := map[string]Verb{}
+		for _, step := range script {
+			switch back, isDown := down[step.Target]; step.Verb {
+			case Stall, Kill:
+				if down[step.Target] = step.Verb; isDown || len(down) > 2 {
+					t.Errorf("seed %d: %v while down: %v", seed, step, down)
+				}
+			case Resume, Start:
+				if !isDown || (back == Stall) != (step.Verb == Resume) {
+					t.Errorf("seed %d: %v after %q", seed, step, back)
+				}
+				delete(down, step.Target)
+			}
+		}
+		if len(down) > 0 || script[len(script)-1-countDown(script)].Verb != Heal {
+			t.Errorf("seed %d: left %v", seed, down)
+		}
+	}
+}
+
+// countDown is how many steps follow the last heal.
+func countDown(s Script) (n int) {
+	for i := len(s) - 1; s[i].Verb != Heal; i-- {
+		n++
+	}
+	return n
+}
