--- a/internal/testbed/days/day.go
+++ b/internal/testbed/days/day.go
@@ -91,7 +91,7 @@
 		summaries += count
 	}
 	if summaries == 0 {
-		return nil, fmt.Errorf("day: no summary in %s: marshals write them with serve --summary 1s", dir)
+		return nil, fmt.Errorf("day: no summary in %s: balancers write them with serve --summary 1s", dir)
 	}
 	day.averageLevels()
 	return day, nil
--- a/internal/testbed/faultinject/packets.go
+++ b/internal/testbed/faultinject/packets.go
@@ -89,12 +89,12 @@
 		p.mu.Lock()
 		sender := p.names[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		p.mu.Unlock()
-		p.forward(relay, buffer[:n], p.rules.Next(Link{sender, relay.name}))
+		p.deliver(relay, buffer[:n], p.rules.Next(Link{sender, relay.name}))
 	}
 }
 
-// forward sends the copies of a packet, at once or after their delay.
-func (p *Packets) forward(relay *packetRelay, packet []byte, fate Fate) {
+// deliver sends the copies of a packet, at once or after their delay.
+func (p *Packets) deliver(relay *packetRelay, packet []byte, fate Fate) {
 	for range fate.Copies {
 		if fate.Delay <= 0 {
 			relay.send(packet)
