--- a/cmd/testbed/days.go
+++ b/cmd/testbed/days.go
@@ -11,47 +11,54 @@
 
 func daysCommand() *cli.Command {
 	return &cli.Command{
-		Name: "days", Usage: "read the logs of all marshals of a played day, second by second over the whole fleet",
-		ArgsUsage: "DIR", Description: "DIR holds one .log file a marshal, as `ottershed serve --summary 1s` writes them.",
+		Name: "days", Usage: "read the logs of all balancers of a day, second by second over the whole cluster",
+		ArgsUsage: "DIR",
+		Description: "DIR holds one .log file an instance, as `balancer serve --summary 1s` writes them. Prints a\n" +
+			"table of what all instances together did in each second; docs/operators/days.md explains its columns.\n\n" +
+			"Example: a row for five seconds, then the other log lines, and a chart of two columns:\n\n" +
+			"   bin/testbed days logs --step 5 --lines --chart day.svg --columns taken,delivered",
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "step", Usage: "seconds in a row of the table", Value: 1, Validator: func(n int) error {
-				if n < 1 {
-					return fmt.Errorf("want 1 or more, got %d", n)
-				}
-				return nil
-			}},
-			&cli.BoolFlag{Name: "lines", Usage: "then what marshals said beside their summaries, without its figures"},
+			&cli.IntFlag{Name: "step", Usage: "`SECONDS` in a row of the table, at least 1", Value: 1, Validator: atLeastOne},
+			&cli.BoolFlag{Name: "lines", Usage: "then list the other log lines, with # in place of numbers"},
 			&cli.StringFlag{Name: "chart", Usage: "draw columns over the day to `FILE`, .svg or .png"},
 			&cli.StringSliceFlag{
-				Name: "columns", Usage: "of the chart",
+				Name: "columns", Usage: "`NAMES` of the columns of the chart",
 				Value: []string{"taken", "delivered", "bounced", "errored", "gone", "opened"},
 			},
-		}, Action: runDays,
+		},
+		Action: readDays,
 	}
 }
 
-func runDays(_ context.Context, cmd *cli.Command) error {
+func atLeastOne(n int) error {
+	if n < 1 {
+		return fmt.Errorf("want 1 or more, got %d", n)
+	}
+	return nil
+}
+
+func readDays(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 1 {
 		return fmt.Errorf("days: want one folder of logs, got %d", cmd.Args().Len())
 	}
-	d, err := days.Read(cmd.Args().First())
+	day, err := days.Read(cmd.Args().First())
 	if err != nil {
 		return err
 	}
-	if err := d.Table(os.Stdout, cmd.Int("step")); err != nil {
+	if err := day.Table(os.Stdout, cmd.Int("step")); err != nil {
 		return err
 	}
 	if cmd.Bool("lines") {
 		fmt.Println()
-		if err := d.Lines(os.Stdout); err != nil {
+		if err := day.Lines(os.Stdout); err != nil {
 			return err
 		}
 	}
-	if d.Skipped > 0 {
-		fmt.Fprintf(os.Stderr, "otterlab: %d lines could not be read and are left out\n", d.Skipped)
+	if day.Skipped > 0 {
+		report(fmt.Sprintf("%d lines could not be read and are left out", day.Skipped))
 	}
 	if path := cmd.String("chart"); path != "" {
-		return d.Chart(path, cmd.StringSlice("columns"))
+		return day.Chart(path, cmd.StringSlice("columns"))
 	}
 	return nil
 }
--- /dev/null
+++ b/cmd/testbed/members.go
@@ -0,0 +1,139 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"ottershed/internal/cluster/membership"
+	"ottershed/internal/cluster/membership/sim"
+	"ottershed/internal/testbed/chart"
+	"ottershed/internal/testbed/experiment"
+	"ottershed/internal/testbed/fleet"
+	"time"
+
+	"github.com/urfave/cli/v3"
+)
+
+const (
+	simulatedDelay    experiment.Millis = 2      // of a packet
+	maxSimulatedWatch experiment.Millis = 10_000 // simulated clusters are so large that a short time shows enough
+)
+
+func membersCommand() *cli.Command {
+	return &cli.Command{
+		Name: "members", Usage: "measure how soon the death of an instance is detected, how often falsely, and at what cost",
+		Description: "Kills instances one after another and measures when the others declare them dead; then loses\n" +
+			"packets and counts running instances that are declared dead. Clusters of processes are measured first, then\n" +
+			"larger ones of failure detectors alone in simulated time. Prints a row for each, as it is ready.\n\n" +
+			"Example: five processes and a thousand simulated members:\n\n" +
+			"   bin/testbed members --processes 5 --simulated 1000 --rounds 3 --watch 20s",
+		Flags: append(
+			sharedFlags(),
+			&cli.IntSliceFlag{
+				Name: "processes", Usage: "`SIZES` of the clusters of processes; 0: none", Value: []int{5, 20, 50},
+			},
+			&cli.IntSliceFlag{
+				Name: "simulated", Usage: "`SIZES` of the clusters in simulated time; 0: none", Value: []int{1000, 10000},
+			},
+			&cli.IntFlag{Name: "rounds", Usage: "`NUMBER` of kills in each cluster", Value: 5},
+			&cli.FloatSliceFlag{
+				Name: "simulated-loss", Value: []float64{0.05, 0.2},
+				Usage: "`SHARES` of packets lost in simulated clusters all the time, each measured beside no loss",
+			},
+			&cli.FloatFlag{
+				Name: "loss", Usage: "`SHARE` of packets lost among processes while false deaths are counted", Value: 0.2,
+			},
+			&cli.DurationFlag{Name: "watch", Usage: "`TIME` over which false deaths are counted", Value: time.Minute},
+		),
+		Action: measureMembers,
+	}
+}
+
+func measureMembers(ctx context.Context, cmd *cli.Command) error {
+	fmt.Print(experiment.MembersHead())
+	processes, err := measureProcesses(ctx, cmd)
+	if err != nil {
+		return err
+	}
+	simulated, err := measureSimulated(cmd)
+	if err != nil {
+		return err
+	}
+	path := cmd.String("chart")
+	if path == "" {
+		return nil
+	}
+	lines := detectionLines(append(processes, simulated...))
+	return chart.Distribution(path, "from a kill until another declares it dead", "seconds", lines)
+}
+
+// measureProcesses measures and prints the clusters of processes.
+func measureProcesses(ctx context.Context, cmd *cli.Command) (results []*experiment.MembersResult, err error) {
+	for _, size := range cmd.IntSlice("processes") {
+		if size <= 0 {
+			continue
+		}
+		err := withFleet(cmd, size, func(set fleet.Settings) error {
+			rounds, loss, watch := cmd.Int("rounds"), cmd.Float("loss"), cmd.Duration("watch")
+			result, err := experiment.MeasureProcesses(ctx, set, rounds, loss, watch, report)
+			if err != nil {
+				return err
+			}
+			fmt.Print(result.Row())
+			results = append(results, result)
+			return nil
+		})
+		if err != nil {
+			return nil, err
+		}
+	}
+	return results, nil
+}
+
+// measureSimulated measures and prints the simulated clusters.
+func measureSimulated(cmd *cli.Command) (results []*experiment.MembersResult, err error) {
+	watch := min(millis(cmd.Duration("watch")), maxSimulatedWatch)
+	for _, size := range cmd.IntSlice("simulated") {
+		if size <= 0 {
+			continue
+		}
+		for _, loss := range append([]float64{0}, cmd.FloatSlice("simulated-loss")...) {
+			report(fmt.Sprintf("%d simulated, loss %.0f%%", size, 100*loss))
+			result, err := experiment.MeasureSimulated(sim.Settings{
+				Members: size, Seeds: seedCount, Seed: cmd.Uint64("seed"), Loss: loss, Delay: simulatedDelay,
+				ToleratedPause:   millis(cmd.Duration("bear-pause")),
+				DetectionTimeout: millis(cmd.Duration("detect-within")),
+				Codec:            membership.Codec{Cluster: "lab", Key: []byte(clusterKey)},
+			}, cmd.Int("rounds"), watch)
+			if err != nil {
+				return nil, err
+			}
+			fmt.Print(result.Row())
+			results = append(results, result)
+		}
+	}
+	return results, nil
+}
+
+func millis(d time.Duration) experiment.Millis { return float64(d) / float64(time.Millisecond) }
+
+// detectionLines are the curves of the chart, in seconds.
+func detectionLines(results []*experiment.MembersResult) []chart.Line {
+	lines := make([]chart.Line, 0, len(results))
+	for _, result := range results {
+		seconds := make([]float64, len(result.Each))
+		for i, ms := range result.Each {
+			seconds[i] = ms / 1000
+		}
+		name := fmt.Sprintf("%d %s, loss %.0f%%", result.Members, result.Kind, 100*lossOfDeaths(result))
+		lines = append(lines, chart.Line{Name: name, Figures: seconds})
+	}
+	return lines
+}
+
+// lossOfDeaths is the loss under which deaths were measured: among processes there was none.
+func lossOfDeaths(result *experiment.MembersResult) float64 {
+	if result.Kind == "processes" {
+		return 0
+	}
+	return result.Loss
+}
--- /dev/null
+++ b/cmd/testbed/takeover.go
@@ -0,0 +1,59 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"ottershed/internal/testbed/chart"
+	"ottershed/internal/testbed/experiment"
+	"ottershed/internal/testbed/fleet"
+	"time"
+
+	"github.com/urfave/cli/v3"
+)
+
+// instancesFlag is the size of a cluster; its name is older than the program's present terms.
+func instancesFlag() cli.Flag {
+	return &cli.IntFlag{Name: "marshals", Usage: "`NUMBER` of balancers in the cluster", Value: 5}
+}
+
+func leaseFlag() cli.Flag {
+	return &cli.DurationFlag{
+		Name: "lease", Value: 5 * time.Second,
+		Usage: "`TIME` for which a lease is granted; a shorter one is taken over sooner and renewed more often",
+	}
+}
+
+func takeoverCommand() *cli.Command {
+	return &cli.Command{
+		Name: "takeover", Usage: "measure how soon leases of a dead instance are taken over, and what kills do to requests",
+		Description: "Kills lease holders one after another and measures when another instance has merged their evidence.\n" +
+			"Then kills instances at random while clients send requests, and counts requests that were lost,\n" +
+			"answered wrongly or run twice. Prints a table at the end.\n\n" +
+			"Example: three holders, then twenty random kills:\n\n" +
+			"   bin/testbed takeover --marshals 5 --rounds 3 --kills 20 --detect-within 6s --bear-pause 2s",
+		Flags: append(
+			sharedFlags(), instancesFlag(), leaseFlag(),
+			&cli.IntFlag{Name: "rounds", Usage: "`NUMBER` of lease holders killed, one after another", Value: 10},
+			&cli.IntFlag{Name: "kills", Usage: "`NUMBER` of kills at random, under load", Value: 100},
+		),
+		Action: measureTakeover,
+	}
+}
+
+func measureTakeover(ctx context.Context, cmd *cli.Command) error {
+	return withFleet(cmd, cmd.Int("marshals"), func(set fleet.Settings) error {
+		set.LeaseTTL = cmd.Duration("lease")
+		result, err := experiment.MeasureTakeover(ctx, set, cmd.Int("rounds"), cmd.Int("kills"), report)
+		if err != nil {
+			return err
+		}
+		fmt.Print(experiment.TakeoverTable([]*experiment.TakeoverResult{result}))
+		path := cmd.String("chart")
+		if path == "" {
+			return nil
+		}
+		name := fmt.Sprintf("lease %v, detect-within %v", set.LeaseTTL, set.DetectionTimeout)
+		return chart.Distribution(path, "from an owner's death until another goes on", "milliseconds",
+			[]chart.Line{{Name: name, Figures: result.Each}})
+	})
+}
