--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"bytes"
-	"context"
 	"fmt"
 	"io"
 	"net"
@@ -14,12 +13,11 @@
 	"strings"
 	"testing"
 	"time"
-
-	"github.com/sirupsen/logrus"
 )
 
-// The request line and the headers of each kind of call are those of the golden file: for the whole list and for changes,
-// where the list is pushed and where it must be asked for. The address of the agent is volatile and stands there as ADDRESS.
+// The request line and the headers of each kind of call are those of the golden file: for a full snapshot and for
+// changes, where the list is pushed and where it is polled. The address of the agent is volatile and stands there as
+// ADDRESS.
 func TestGoldenCalls(t *testing.T) {
 	held := &engine.EndpointUpdate{Version: 7}
 	var observed strings.Builder
@@ -42,35 +40,31 @@
 	}
 }
 
-// callsOf are the first calls of so many kinds that a follower makes, each kind once: a call that is late gets another
-// beside it, with the same bytes.
+// callsOf are the first calls of so many kinds that a watcher makes, each kind once: a call without a response gets
+// another beside it, with the same bytes.
 func callsOf(t *testing.T, n settings.Network, known *engine.EndpointUpdate, kinds int) (heads []string) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = listener.Close() }() // nothing is lost with it
 	calls := make(chan string, 1000)
 	go func() {
-		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
-			go answerCalls(c, calls)
+		for c, err := listener.Accept(); err == nil; c, err = listener.Accept() {
+			go respondToCalls(c, calls)
 		}
 	}()
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	f := New(l.Addr().String(), known, n, func(engine.EndpointUpdate) {}, log)
-	f.ResumeWatch() // has the first call go out where a list is held
-	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() { f.Run(ctx); close(ended) }()
-	defer func() { cancel(); <-ended }()
+	watcher := New(listener.Addr().String(), known, n, func(engine.EndpointUpdate) {}, quiet())
+	watcher.ResumeWatch() // has the first call go out where a list is held
+	_, stop := follow(t, watcher)
+	defer stop()
 	seen := map[string]bool{}
 	for late := time.After(10 * time.Second); len(heads) < kinds; {
 		select {
 		case head := <-calls:
 			if !seen[head] {
-				heads = append(heads, strings.ReplaceAll(head, l.Addr().String(), "ADDRESS"))
+				heads = append(heads, strings.ReplaceAll(head, listener.Addr().String(), "ADDRESS"))
 			}
 			seen[head] = true
 		case <-late:
@@ -80,9 +74,10 @@
 	return heads
 }
 
-// answerCalls tells the bytes of each call that comes on a connection, and answers those for the whole list.
-func answerCalls(c net.Conn, calls chan<- string) {
-	defer c.Close()
+// respondToCalls sends the bytes of each call that comes on a connection to calls, and responds to those for a full
+// snapshot.
+func respondToCalls(c net.Conn, calls chan<- string) {
+	defer func() { _ = c.Close() }() // nothing is lost with it
 	var all bytes.Buffer
 	r := bufio.NewReader(io.TeeReader(c, &all))
 	for {
@@ -94,7 +89,9 @@
 		all.Reset()
 		if request.URL.RawQuery == "" {
 			body := list(41, true, "Ready")
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-		} // one for changes stays open, for there are none
+			if _, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body); err != nil {
+				return
+			}
+		} // one for changes stays open, since there are none
 	}
 }
