--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"maps"
 	"ottershed/decision"
@@ -11,6 +12,7 @@
 	"testing"
 )
 
+// nested is sound settings as the configuration has them.
 const nested = `{"n-instances":3,"zone":"oulu","granularity-ms":5.0,"discovery":"push","charges":{"cross-zone":0.02,"probe":0},
 "limits":{"probing":false,"cancel":true,"second-copies":false,"retry-after":true,"max-retry-after-ms":500,"most-tries":5,
 "conn-idle-ms":30000,"connect-timeout-ms":250},"rules":{"cold-from":0.35,"warm-after-ms":4500,"overload-factor":3,
@@ -19,7 +21,9 @@
 "services":[{"name":"read","aim-ms":400,"give-up-ms":1500,"idempotency":"safe"},
 {"name":"mark","aim-ms":500,"give-up-ms":2000,"idempotency":"keyed","group":"zone","window-ms":1200}]}`
 
+// flat is the nested settings by their names.
 func flat(t *testing.T) map[string]string {
+	t.Helper()
 	v, err := Flatten([]byte(nested))
 	if err != nil {
 		t.Fatal(err)
@@ -33,28 +37,42 @@
 	for k, v := range flat(t) {
 		pairs = append(pairs, k+"="+v)
 	}
-	a, err := ForModule(Pairs(pairs))
-	b, err2 := ForModule(flat(t))
-	if err != nil || err2 != nil || !reflect.DeepEqual(a, b) {
-		t.Errorf("%+v, %v; %+v, %v", a, err, b, err2)
+	fromPairs, err := ForModule(Pairs(pairs))
+	fromJSON, err2 := ForModule(flat(t))
+	if err != nil || err2 != nil || !reflect.DeepEqual(fromPairs, fromJSON) {
+		t.Errorf("%+v, %v; %+v, %v", fromPairs, err, fromJSON, err2)
 	}
 	want := []decision.RequestClass{
 		{Name: "read", LatencyObjective: 400, Idempotency: decision.Idempotent},
-		{Name: "mark", LatencyObjective: 500, Idempotency: decision.IdempotentWithKey, RetryScope: decision.ScopeZone, DedupWindow: 1200},
+		{
+			Name: "mark", LatencyObjective: 500, Idempotency: decision.IdempotentWithKey,
+			RetryScope: decision.ScopeZone, DedupWindow: 1200,
+		},
 	}
-	if !reflect.DeepEqual(a.Classes, want) || !slices.Equal(a.ExposureCaps, []float64{0.112, 0.35, 1}) || a.StickyKeys || !a.CancelAllowed ||
-		a.Instances != 3 || a.MaxRetryAfter != 500 || !a.InPlace || a.ClockGranularity != 5 || a.Zone != "oulu" {
-		t.Errorf("%+v", a)
+	if !reflect.DeepEqual(fromPairs.Classes, want) {
+		t.Errorf("classes %+v", fromPairs.Classes)
 	}
+	if !slices.Equal(fromPairs.ExposureCaps, []float64{0.112, 0.35, 1}) || fromPairs.StickyKeys ||
+		!fromPairs.CancelAllowed || !fromPairs.InPlace {
+		t.Errorf("%+v", fromPairs)
+	}
+	if fromPairs.Instances != 3 || fromPairs.MaxRetryAfter != 500 || fromPairs.ClockGranularity != 5 ||
+		fromPairs.Zone != "oulu" {
+		t.Errorf("%+v", fromPairs)
+	}
+}
+
+func TestForNetwork(t *testing.T) {
 	n, err := ForNetwork(flat(t))
-	if want := (Network{IdleAfter: 30000, ConnectTimeout: 250, ResponseSlack: 20, LongestTimeout: 2000}); err != nil || n != want {
+	want := Network{IdleAfter: 30000, ConnectTimeout: 250, ResponseSlack: 20, LongestTimeout: 2000}
+	if err != nil || n != want {
 		t.Errorf("%+v, %v", n, err)
 	}
 }
 
-// A setting that is missing or absurd is named.
+// A setting that is missing or out of bounds is named.
 func TestFaults(t *testing.T) {
-	for _, tc := range []struct{ key, value string }{
+	for _, test := range []struct{ key, value string }{
 		{"n-instances", ""},
 		{"limits.most-tries", "0"},
 		{"rules.cold-from", "1.5"},
@@ -77,23 +95,25 @@
 		{"domain.on-votes", "1e300"},
 		{"domain.vote-wait-ms", "+Inf"},
 	} {
-		t.Run(tc.key+"="+tc.value, func(t *testing.T) {
+		t.Run(test.key+"="+test.value, func(t *testing.T) {
 			v := maps.Clone(flat(t))
-			if v[tc.key] = tc.value; tc.value == "" {
-				delete(v, tc.key)
+			v[test.key] = test.value
+			if test.value == "" {
+				delete(v, test.key)
 			}
 			_, err := ForModule(v)
 			if err == nil {
 				_, err = ForNetwork(v)
 			}
-			if err == nil || !strings.Contains(err.Error(), tc.key) {
-				t.Errorf("error %v", err)
+			var fault FieldError
+			if !errors.As(err, &fault) || fault.Key != test.key {
+				t.Errorf("error %v, want one of %s", err, test.key)
 			}
 		})
 	}
 	for _, text := range []string{"", "3", "[]", `{"a":`} {
-		if _, err := Flatten(json.RawMessage(text)); err == nil {
-			t.Errorf("%q was read", text)
+		if _, err := Flatten(json.RawMessage(text)); !errors.Is(err, ErrNotObject) {
+			t.Errorf("%q: error %v, want %v", text, err, ErrNotObject)
 		}
 	}
 	if v := flat(t); fmt.Sprint(v["none"], v["empty"], v["areas"]) != "oulu" {
@@ -101,33 +121,50 @@
 	}
 }
 
-// Only figures that the module reads and a running marshal can change go over those of the configuration.
+// Only settings that the module reads and a running instance can change go over those of the configuration.
 func TestOverlay(t *testing.T) {
 	base, err := Flatten([]byte(overlayBase))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for over, want := range map[string]string{
-		`{"domain":{"vote-ttl-ms":4000}}`:     "",
-		`{"rules":{"cold-from":0.5}}`:         "",
-		`{"domain":{"caps":[0.2,1]}}`:         "",
-		`{"domain":{"caps":[0.2]}}`:           "settings.domain.caps: its length",
-		`{"zone":"b"}`:                        "settings.zone: can't change",
-		`{"granularity-ms":1}`:                "settings.granularity-ms: can't change",
-		`{"limits":{"connect-timeout-ms":1}}`: "settings.limits.connect-timeout-ms: can't change",
-		`{"services":[{"aim-ms":1}]}`:         "settings.services.0.aim-ms: can't change",
-		`{"tenants":[{"name":"x"}]}`:          "settings.tenants.0.name: can't change",
-		`{"domain":{"vote-tlt-ms":1}}`:        "settings.domain.vote-tlt-ms: not a figure",
-		`{"rules":{"cold-from":2}}`:           "settings.rules.cold-from: want a number from 0 to 1",
-		`[]`:                                  "settings: want an object",
+	for over, want := range map[string]error{
+		`{"domain":{"vote-ttl-ms":4000}}`:     nil,
+		`{"rules":{"cold-from":0.5}}`:         nil,
+		`{"domain":{"caps":[0.2,1]}}`:         nil,
+		`{"domain":{"caps":[0.2]}}`:           FieldError{"domain.caps", reasonLengthsDiffer},
+		`{"zone":"b"}`:                        FieldError{"zone", reasonNotChangeable},
+		`{"granularity-ms":1}`:                FieldError{"granularity-ms", reasonNotChangeable},
+		`{"limits":{"connect-timeout-ms":1}}`: FieldError{"limits.connect-timeout-ms", reasonNotChangeable},
+		`{"services":[{"aim-ms":1}]}`:         FieldError{"services.0.aim-ms", reasonNotChangeable},
+		`{"tenants":[{"name":"x"}]}`:          FieldError{"tenants.0.name", reasonNotChangeable},
+		`{"domain":{"vote-tlt-ms":1}}`:        FieldError{"domain.vote-tlt-ms", reasonNotASetting},
+		`{"rules":{"cold-from":2}}`:           FieldError{"rules.cold-from", `want a number from 0 to 1, got "2"`},
+		`[]`:                                  ErrNotObject,
 	} {
 		merged, err := Overlay(base, []byte(over))
-		if want == "" && (err != nil || len(merged) < len(base)) || want != "" && (err == nil || !strings.HasPrefix(err.Error(), want)) {
-			t.Errorf("%s: want %q, got %v", over, want, err)
+		if !errors.Is(err, want) || want == nil && len(merged) < len(base) {
+			t.Errorf("%s: want %v, got %v", over, want, err)
+		}
+	}
+}
+
+// The texts of errors go to the operators.
+func TestErrorTexts(t *testing.T) {
+	for want, err := range map[string]error{
+		"settings.domain.caps: its length differs from that of domain.waves": FieldError{"domain.caps", reasonLengthsDiffer},
+		"settings.zone: can't change while marshals run":                     FieldError{"zone", reasonNotChangeable},
+		"settings.x: not a figure that the marshals read":                    FieldError{"x", reasonNotASetting},
+	} {
+		if err.Error() != want {
+			t.Errorf("%q, want %q", err, want)
 		}
 	}
+	if _, err := Overlay(nil, []byte(`[]`)); !strings.HasPrefix(err.Error(), "settings: want an object") {
+		t.Errorf("%q, want the beginning %q", err, "settings: want an object")
+	}
 }
 
+// overlayBase is sound settings that others are put over.
 const overlayBase = `{"n-instances":1,"zone":"z","limits":{"most-tries":5,"conn-idle-ms":30000,"connect-timeout-ms":100},
 "rules":{"cold-from":0.35,"warm-after-ms":4500,"overload-factor":3,"overload-for-ms":1000,"answer-slack-ms":20},
 "domain":{"caps":[0.1,1],"waves":[0.1,1],"uncounted":1,"guarded-stages":0},
