--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,14 +1,19 @@
 package config
 
 import (
+	"encoding/json"
+	"errors"
 	"fmt"
+	"io/fs"
 	"os"
+	"ottershed/internal/settings"
 	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
 )
 
+// good is a sound configuration.
 const good = `{"name":"n3","listen":"127.0.0.4:8080","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 "platform":{"address":"127.2.0.2:6400","news":{"image":42,"ring":1,"progress":"testing","ceiling":0.28,"lag_ms":310}},
@@ -18,7 +23,9 @@
 "domain":{"caps":[1],"waves":[1],"uncounted":1,"guarded-stages":0},
 "services":[{"name":"read","aim-ms":400,"give-up-ms":1500,"idempotency":"safe"}]}}`
 
+// read reads a text as the configuration.
 func read(t *testing.T, text string, env map[string]string) (*Config, error) {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -56,7 +63,7 @@
 	if err != nil || first.Discovery != "127.2.0.9:1" {
 		t.Fatal(first, err)
 	}
-	for _, tc := range []struct{ old, new, discovery, fixed string }{
+	for _, test := range []struct{ old, new, discovery, restart string }{
 		{"", "", "127.2.0.1:8500", ""},
 		{`127.2.0.1:8500`, `127.2.0.7:8500`, "127.2.0.7:8500", ""},
 		{`"discovery":"127.2.0.1:8500",`, ``, "127.2.0.9:1", ""},
@@ -66,18 +73,19 @@
 		{`"give-up-ms":1500`, `"give-up-ms":900`, "127.2.0.1:8500", "settings"},
 		{`127.0.0.4:8080`, `127.0.0.4:8081`, "127.2.0.1:8500", "listen"},
 	} {
-		write(strings.Replace(good, tc.old, tc.new, 1))
+		write(strings.Replace(good, test.old, test.new, 1))
 		next, err := Reread(path, env)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if fixed := strings.Join(first.RestartOnly(next), ","); next.Discovery != tc.discovery || fixed != tc.fixed {
-			t.Errorf("%s: discovery %s, fixed %q", tc.new, next.Discovery, fixed)
+		restart := strings.Join(first.RestartOnly(next), ",")
+		if next.Discovery != test.discovery || restart != test.restart {
+			t.Errorf("%s: discovery %s, restart for %q", test.new, next.Discovery, restart)
 		}
 	}
 }
 
-// A file that is read while it is written is read again, at the start and later; one that stays a part has an end too.
+// A file that is read while it is written is read again, at the start and later; one that stays incomplete is an error.
 func TestCutShort(t *testing.T) {
 	for name, read := range map[string]func(string, func(string) string) (*Config, error){"Read": Read, "Reread": Reread} {
 		for _, part := range []int{0, 1, len(good) / 2, strings.Index(good, "true") + 2, len(good) - 1} {
@@ -87,18 +95,7 @@
 					t.Skip("no fifo here")
 				}
 				failed := make(chan error, 1)
-				go func() {
-					pipe, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once it is open to read
-					if err == nil {
-						err = os.Remove(path)
-					}
-					if err == nil {
-						err = os.WriteFile(path, []byte(good), 0o600) // for the next look
-					}
-					pipe.WriteString(good[:part])
-					pipe.Close()
-					failed <- err
-				}()
+				go func() { failed <- writeInParts(path, part) }()
 				c, err := read(path, func(string) string { return "" })
 				if err != nil || c.Name != "n3" {
 					t.Error(err)
@@ -109,14 +106,30 @@
 			})
 		}
 	}
-	if _, err := read(t, good[:len(good)/2], nil); err == nil || !strings.Contains(err.Error(), "unexpected end") {
-		t.Errorf("a file that stays a part: %v", err)
+	var syntax *json.SyntaxError
+	_, err := read(t, good[:len(good)/2], nil)
+	if !errors.As(err, &syntax) || syntax.Error() != "unexpected end of JSON input" {
+		t.Errorf("a file that stays incomplete: %v", err)
 	}
 }
 
-// What was expected is said in the file's terms.
+// writeInParts writes so much of the sound configuration into the pipe at path, and all of it into a file in its
+// place for the next time that it is read.
+func writeInParts(path string, part int) error {
+	pipe, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once it is open to read
+	if err != nil {
+		return err
+	}
+	if err = os.Remove(path); err == nil {
+		err = os.WriteFile(path, []byte(good), 0o600)
+	}
+	_, errWrite := pipe.WriteString(good[:part])
+	return errors.Join(err, errWrite, pipe.Close())
+}
+
+// What is wanted is said in the terms of the file; the texts go to the operators.
 func TestWanted(t *testing.T) {
-	for _, tc := range []struct{ old, new, want string }{
+	for _, test := range []struct{ old, new, want string }{
 		{`"cores":1.0`, `"cores":"one"`, "limits.cores: want a number, got string"},
 		{`"sockets":1024`, `"sockets":1.5`, "limits.sockets: want a whole number, got number 1.5"},
 		{`"sockets":1024`, `"sockets":10`, "limits.sockets: want 64 to 1048576, got 10"},
@@ -124,16 +137,34 @@
 		{`"cold-from":0.35`, `"cold-from":7`, `settings.rules.cold-from: want a number from 0 to 1, got "7"`},
 		{`"give-up-ms":1500`, `"give-up-ms":"x"`, `settings.services.0.give-up-ms: want a number of 1 or more, got "x"`},
 	} {
-		if _, err := read(t, strings.Replace(good, tc.old, tc.new, 1), nil); err == nil || err.Error() != tc.want {
-			t.Errorf("error %v, want %s", err, tc.want)
+		_, err := read(t, strings.Replace(good, test.old, test.new, 1), nil)
+		if err == nil || err.Error() != test.want {
+			t.Errorf("error %v, want %s", err, test.want)
 		}
 	}
 }
 
-// Each change to a good file is an error or a warning that names the key.
+// faultKey is the key at fault that an error names.
+func faultKey(err error) string {
+	var key *KeyError
+	if errors.As(err, &key) {
+		return key.Key
+	}
+	var setting settings.FieldError
+	if errors.As(err, &setting) {
+		return "settings." + setting.Key
+	}
+	var syntax *json.SyntaxError
+	if errors.As(err, &syntax) {
+		return "the file"
+	}
+	return ""
+}
+
+// Each change to a sound file is an error or a warning that names the key.
 func TestFaults(t *testing.T) {
-	for _, tc := range []struct{ old, new, names, warns string }{
-		{`{`, ``, "configuration", ""},
+	for _, test := range []struct{ old, new, names, warns string }{
+		{`{`, ``, "the file", ""},
 		{`"cores":1.0`, `"cores":"one"`, "limits.cores", ""},
 		{`"cores":1.0`, `"cores":0`, "limits.cores", ""},
 		{`"memory_mb":192`, `"memory_mb":1`, "limits.memory_mb", ""},
@@ -148,38 +179,41 @@
 		{`"index":41,`, ``, "known", ""},
 		{`"status":"Ready"`, `"status":"Odd"`, "known", ""},
 		{`"settings":{`, `"other":{`, "settings", ""},
-		{`"n-instances":3,`, ``, "n-instances", ""},
-		{`"cold-from":0.35`, `"cold-from":7`, "rules.cold-from", ""},
-		{`"give-up-ms":1500`, `"give-up-ms":"x"`, "services.0.give-up-ms", ""},
+		{`"n-instances":3,`, ``, "settings.n-instances", ""},
+		{`"cold-from":0.35`, `"cold-from":7`, "settings.rules.cold-from", ""},
+		{`"give-up-ms":1500`, `"give-up-ms":"x"`, "settings.services.0.give-up-ms", ""},
 		{`"news":{"image":42,"ring":1,"progress":"testing","ceiling":0.28,"lag_ms":310}`, `"news":null`, "", ""},
 		{`"name":"n3"`, `"name":"n3","odd":1`, "", "odd"},
 		{`"cores":1.0`, `"cores":1.0,"odd":1`, "", "limits.odd"},
 	} {
-		t.Run(tc.new, func(t *testing.T) {
-			c, err := read(t, strings.Replace(good, tc.old, tc.new, 1), nil)
+		t.Run(test.new, func(t *testing.T) {
+			c, err := read(t, strings.Replace(good, test.old, test.new, 1), nil)
 			switch {
-			case tc.names != "" && (err == nil || !strings.HasPrefix(err.Error(), "settings."+tc.names) && !strings.HasPrefix(err.Error(), tc.names)):
-				t.Errorf("error %v, want %s named", err, tc.names)
-			case tc.names == "" && err != nil:
+			case test.names != "" && faultKey(err) != test.names:
+				t.Errorf("error %v, want %s named", err, test.names)
+			case test.names == "" && err != nil:
 				t.Error(err)
-			case tc.names == "" && !strings.HasPrefix(strings.Join(c.Warnings, ","), tc.warns):
-				t.Errorf("warnings %v, want %s", c.Warnings, tc.warns)
+			case test.names == "" && !strings.HasPrefix(strings.Join(c.Warnings, ","), test.warns):
+				t.Errorf("warnings %v, want %s", c.Warnings, test.warns)
 			}
 		})
 	}
-	if _, err := Read("/none/such", func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "/none/such") {
+	var missing *fs.PathError
+	_, err := Read("/none/such", func(string) string { return "" })
+	if !errors.Is(err, fs.ErrNotExist) || !errors.As(err, &missing) || missing.Path != "/none/such" {
 		t.Errorf("error %v", err)
 	}
 }
 
+// The connections follow from the memory or the descriptors, whichever allow fewer.
 func TestBudget(t *testing.T) {
-	for _, tc := range []struct {
+	for _, test := range []struct {
 		memory  float64
 		sockets int
 		want    int
 	}{{192, 1024, 496}, {192, 4096, 512}, {2048, 4096, 2032}, {16, 64, 16}, {16, 1024, 42}} {
-		if got := (Limits{1, tc.memory, tc.sockets}).Connections(); got != tc.want {
-			t.Errorf("%g MB, %d descriptors: %d connections, want %d", tc.memory, tc.sockets, got, tc.want)
+		if got := (Limits{1, test.memory, test.sockets}).Connections(); got != test.want {
+			t.Errorf("%g MB, %d descriptors: %d connections, want %d", test.memory, test.sockets, got, test.want)
 		}
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -108,8 +108,8 @@
 	{"as it is", `"town"`, `"town"`},
 }
 
-// What is said of each broken configuration, what is warned of, and what holds where it is sound, are those of the golden
-// file, to the letter. Files are named relative to the directory that the test is in.
+// What is said of each broken configuration, what is warned of, and what holds where it is sound, are those of the
+// golden file, to the letter. Files are named relative to the directory that the test is in.
 func TestGoldenConfigurations(t *testing.T) {
 	var observed string
 	t.Run("read", func(t *testing.T) {
@@ -129,8 +129,8 @@
 	}
 }
 
-// goField is where the TOML library writes a Go type and the name of its field into an error. Both change with a rename, and
-// neither is a word of the file.
+// goField is where the TOML library writes a Go type and the name of its field into an error. Both change with a
+// rename, and neither is a word of the file.
 var goField = regexp.MustCompile(`into struct field .*\.\w+ of type`)
 
 // The same of the operator's files. Go's own names in errors of the TOML library stand there as GO-FIELD.
@@ -158,8 +158,8 @@
 	}
 }
 
-// The keys of the configuration, of the operator's file and of a policy's file, and the variables of the environment that
-// are asked for, are those of the golden file. Those under settings are listed by internal/settings.
+// The keys of the configuration, of the operator's file and of a policy's file, and the variables of the environment
+// that are asked for, are those of the golden file. Those under settings are listed by internal/settings.
 func TestGoldenKeys(t *testing.T) {
 	asked := map[string]bool{}
 	if _, err := Read("", func(name string) string { asked[name] = true; return "" }); err != nil {
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-func TestOperator(t *testing.T) {
-	const good = `[admin]
+// soundOperator is an operator's file that is sound, with membership on.
+const soundOperator = `[admin]
 listen = "127.0.0.1:8081"
 [membership]
 enabled = true
@@ -23,8 +23,14 @@
 name = "n1"
 address = "127.0.0.2:7946"
 `
-	for name, tc := range map[string]struct{ old, new, want string }{
-		"as it is":        {"", "", ""},
+
+// operatorCase is a change to the sound file, and what the error must contain; empty: the file is sound.
+type operatorCase struct{ old, new, want string }
+
+// The texts go to the operators; each names the key or the line.
+func TestOperator(t *testing.T) {
+	for name, test := range map[string]operatorCase{
+		"as it is":        {},
 		"off":             {"enabled = true", "enabled = false", ""},
 		"unknown":         {"cluster", "clutser", "line 5: membership.clutser: not a key"},
 		"not TOML":        {"enabled = true", "enabled = ", "line 4: "},
@@ -42,34 +48,46 @@
 		"cluster":         {`"town"`, `"` + strings.Repeat("t", 33) + `"`, "membership.cluster: want 32 bytes"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			dir := t.TempDir()
-			path := filepath.Join(dir, "operator.toml")
-			for file, text := range map[string]string{
-				"operator.toml": strings.Replace(good, tc.old, tc.new, 1),
-				"key":           "0123456789abcdef\n", "short": "0123", "empty": "\n",
-			} {
-				if err := os.WriteFile(filepath.Join(dir, file), []byte(text), 0o600); err != nil {
-					t.Fatal(err)
-				}
-			}
-			o, err := ReadOperator(path, "n0")
+			operator, err := test.read(t)
 			switch {
-			case tc.want != "":
-				if err == nil || !strings.Contains(err.Error(), tc.want) {
-					t.Errorf("want %q, got %v", tc.want, err)
-				}
-			case err != nil:
+			case test.want == "" && err != nil:
 				t.Error(err)
-			case name == "off" && o.Membership != nil || name != "off" && o.Membership == nil:
-				t.Errorf("%+v", o)
-			case o.Membership != nil && (o.Membership.Bind != "127.0.0.1:7946" || len(o.Membership.Codec.Key) != 16 ||
-				o.Membership.Membership.ToleratedPause != 3000 || !strings.Contains(o.String(), "packets sealed, 2 seeds")):
-				t.Errorf("%+v\n%s", o.Membership, o)
+			case test.want != "" && (err == nil || !strings.Contains(err.Error(), test.want)):
+				t.Errorf("want %q, got %v", test.want, err)
+			case test.want == "" && (name == "off") != (operator.Membership == nil):
+				t.Errorf("%+v", operator)
+			case test.want == "" && name != "off":
+				checkSoundMembership(t, operator)
 			}
 		})
 	}
 }
 
+// read reads the changed file, with key files beside it.
+func (c operatorCase) read(t *testing.T) (*Operator, error) {
+	t.Helper()
+	dir := t.TempDir()
+	for name, text := range map[string]string{
+		"operator.toml": strings.Replace(soundOperator, c.old, c.new, 1),
+		"key":           "0123456789abcdef\n", "short": "0123", "empty": "\n",
+	} {
+		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return ReadOperator(filepath.Join(dir, "operator.toml"), "n0")
+}
+
+// checkSoundMembership checks what the sound file says of membership.
+func checkSoundMembership(t *testing.T, operator *Operator) {
+	t.Helper()
+	member := operator.Membership
+	if member.Bind != "127.0.0.1:7946" || len(member.Codec.Key) != 16 || member.Membership.ToleratedPause != 3000 ||
+		!strings.Contains(operator.String(), "packets sealed, 2 seeds") {
+		t.Errorf("%+v\n%s", member, operator)
+	}
+}
+
 // The file that is shipped is sound, and switches nothing on.
 func TestOperatorAsShipped(t *testing.T) {
 	o, err := ReadOperator("../../deploy/operator.toml", "n0")
