--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -11,30 +11,30 @@
 	"testing"
 )
 
-// sample stands for any answer.
+// sample stands for any response.
 type sample struct {
 	Text   string `json:"text"`
 	Number int    `json:"number"`
 }
 
-// asked is the body that a path answers with.
-func asked(t *testing.T, s *Server, method, path string) []byte {
+// responseBody is the body of the response that a path gives.
+func responseBody(t *testing.T, server *Server, method, path string) []byte {
 	t.Helper()
 	request := httptest.NewRequest(method, "http://127.0.0.1:1"+path, strings.NewReader("{}"))
 	request.Header.Set("Content-Type", jsonType)
 	recorder := httptest.NewRecorder()
-	s.server.Handler.ServeHTTP(recorder, request)
+	server.server.Handler.ServeHTTP(recorder, request)
 	return recorder.Body.Bytes()
 }
 
-// Answers and faults are as commands of earlier programs read them.
-func TestAnswersOnTheWire(t *testing.T) {
+// Responses and errors are as commands of earlier programs read them.
+func TestResponsesOnTheWire(t *testing.T) {
 	want := sample{Text: "x", Number: 1}
-	s := New()
-	s.Get("/sample", func() any { return want })
-	s.Post("/fault", func(context.Context, []byte) (any, error) { return nil, errors.New("that can't be done") })
-	golden.Compare(t, "answer.json", asked(t, s, http.MethodGet, "/sample"))
-	golden.Compare(t, "fault.json", asked(t, s, http.MethodPost, "/fault"))
+	server := New()
+	server.Get("/sample", func() any { return want })
+	server.Post("/fault", func(context.Context, []byte) (any, error) { return nil, errors.New("that can't be done") })
+	golden.Compare(t, "answer.json", responseBody(t, server, http.MethodGet, "/sample"))
+	golden.Compare(t, "fault.json", responseBody(t, server, http.MethodPost, "/fault"))
 	var got sample
 	if err := json.Unmarshal(golden.Read(t, "answer.json"), &got); err != nil {
 		t.Fatal(err)
--- a/internal/admin/wire_golden_test.go
+++ b/internal/admin/wire_golden_test.go
@@ -19,9 +19,9 @@
 // date is the header whose value depends on when the test runs.
 var date = regexp.MustCompile(`Date: [^\r]*\r\n`)
 
-// The bytes of each kind of answer are those of the golden file. The value of Date and the
+// The bytes of each kind of response are those of the golden file. The value of Date and the
 // address are volatile and stand there as DATE and ADDRESS.
-func TestGoldenAnswers(t *testing.T) {
+func TestGoldenResponses(t *testing.T) {
 	address := goldenServer(t)
 	var observed strings.Builder
 	for _, c := range []struct{ title, line, headers, body string }{
@@ -37,17 +37,17 @@
 	} {
 		request := fmt.Sprintf("%s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n%sContent-Length: %d\r\n\r\n%s", c.line, address,
 			c.headers, len(c.body), c.body)
-		observed.WriteString(golden.Section(c.title, golden.Quote(ask(t, address, request))))
+		observed.WriteString(golden.Section(c.title, golden.Quote(exchange(t, address, request))))
 	}
 	if err := golden.Check("testdata/answers.golden", []byte(observed.String())); err != nil {
 		t.Error(err)
 	}
 }
 
-// goldenServer runs a server that has an answer of each kind.
+// goldenServer runs a server that has a response of each kind.
 func goldenServer(t *testing.T) (address string) {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,25 +62,27 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- s.Run(ctx, l) }()
+	go func() { ended <- s.Run(ctx, listener) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
 	})
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// ask sends a request and reads its answer, with what is volatile replaced.
-func ask(t *testing.T, address, request string) []byte {
+// exchange sends a request and reads its response, with what is volatile replaced.
+func exchange(t *testing.T, address, request string) []byte {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(10 * time.Second))
+	defer func() { _ = c.Close() }() // nothing is lost with it
+	if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		t.Fatal(err)
+	}
 	if _, err := io.WriteString(c, request); err != nil {
 		t.Fatal(err)
 	}
@@ -97,32 +99,44 @@
 }
 
 // The requests that the commands send are those of the golden file.
-func TestGoldenQuestions(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func TestGoldenRequests(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	asked := make(chan []byte, 2)
+	defer func() { _ = listener.Close() }() // nothing is lost with it
+	requests := make(chan []byte, 2)
 	go func() {
-		for c, err := l.Accept(); err == nil; c, err = l.Accept() {
-			var all bytes.Buffer
-			if r, err := http.ReadRequest(bufio.NewReader(io.TeeReader(c, &all))); err == nil {
-				io.Copy(io.Discard, r.Body)
-				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
-			}
-			c.Close()
-			asked <- all.Bytes()
+		for c, err := listener.Accept(); err == nil; c, err = listener.Accept() {
+			requests <- respondEmpty(t, c)
 		}
 	}()
 	observed := ""
 	for _, body := range [][]byte{nil, []byte(`{"a":1}`)} {
-		if _, err := Call(t.Context(), l.Addr().String(), "/path", body); err != nil {
+		if _, err := Call(t.Context(), listener.Addr().String(), "/path", body); err != nil {
 			t.Fatal(err)
 		}
-		observed += golden.Quote(bytes.ReplaceAll(<-asked, []byte(l.Addr().String()), []byte("ADDRESS"))) + "\n"
+		observed += golden.Quote(bytes.ReplaceAll(<-requests, []byte(listener.Addr().String()), []byte("ADDRESS"))) + "\n"
 	}
 	if err := golden.Check("testdata/questions.golden", []byte(observed)); err != nil {
 		t.Error(err)
 	}
 }
+
+// respondEmpty reads a request from a connection, responds with an empty object and returns the request's bytes.
+func respondEmpty(t *testing.T, c net.Conn) []byte {
+	t.Helper()
+	defer func() { _ = c.Close() }() // the caller's failure shows what is lost with it
+	var all bytes.Buffer
+	request, err := http.ReadRequest(bufio.NewReader(io.TeeReader(c, &all)))
+	if err != nil {
+		return all.Bytes()
+	}
+	if _, err := io.Copy(io.Discard, request.Body); err != nil {
+		t.Errorf("body not read: %v", err)
+	}
+	if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"); err != nil {
+		t.Errorf("response not sent: %v", err)
+	}
+	return all.Bytes()
+}
