--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// The statistics are those of the literature: of two groups, with ties, and over counts.
 func TestKruskalWallis(t *testing.T) {
 	inf := math.Inf(1)
 	for _, c := range []struct {
@@ -28,7 +29,8 @@
 	}
 }
 
-func TestChance(t *testing.T) {
+// Draws are uniform, and each is independent of those before it.
+func TestRandom(t *testing.T) {
 	c, sum, pairs := Random{Seed: 3}, 0.0, 0.0
 	for range 4000 {
 		a, b := c.Next(), c.Next()
@@ -38,7 +40,7 @@
 	if math.Abs(sum/8000-0.5) > 0.02 || math.Abs(pairs/4000) > 0.01 {
 		t.Errorf("mean %v, neighbours %v", sum/8000, pairs/4000)
 	}
-	// Over many instances too a draw says nothing of the next: their halves were once always linked.
+	// Over many instances too a draw does not predict the next ones.
 	for gap := range 9 {
 		alike := 0
 		for seed := range 2000 {
