--- a/cmd/balancer/summary.go
+++ b/cmd/balancer/summary.go
@@ -2,12 +2,13 @@
 
 import (
 	"context"
-	"ottershed/internal/discovery"
-	"ottershed/internal/engine"
-	"ottershed/internal/upstream"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/internal/discovery"
+	"ottershed/internal/engine"
+	"ottershed/internal/upstream"
 )
 
 const (
--- a/cmd/simadapter/batches.go
+++ b/cmd/simadapter/batches.go
@@ -7,9 +7,10 @@
 	"errors"
 	"fmt"
 	"io"
-	"ottershed/internal/simwire"
 	"strconv"
 	"strings"
+
+	"ottershed/internal/simwire"
 )
 
 const bufferSize = 1 << 20 // bytes; a batch and its reply mostly fit
--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"bytes"
-	"ottershed/internal/golden"
 	"strings"
 	"testing"
+
+	"ottershed/internal/golden"
 )
 
 // goldenBatches start two instances, give each an endpoint list and requests, and continue with outcomes, a stage update
--- a/cmd/simadapter/instances.go
+++ b/cmd/simadapter/instances.go
@@ -4,11 +4,12 @@
 
 import (
 	"fmt"
-	"ottershed/decision"
-	"ottershed/internal/simwire"
 	"path/filepath"
 	"runtime"
 	"strings"
+
+	"ottershed/decision"
+	"ottershed/internal/simwire"
 )
 
 // instances are the decision modules by the number of their instance.
--- a/cmd/testbed/days.go
+++ b/cmd/testbed/days.go
@@ -4,9 +4,10 @@
 	"context"
 	"fmt"
 	"os"
-	"ottershed/internal/testbed/days"
 
 	"github.com/urfave/cli/v3"
+
+	"ottershed/internal/testbed/days"
 )
 
 func daysCommand() *cli.Command {
--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -5,12 +5,13 @@
 	"errors"
 	"fmt"
 	"os"
+
+	"github.com/urfave/cli/v3"
+
 	"ottershed/internal/testbed/faultinject"
 	"ottershed/internal/testbed/fleet"
 	"ottershed/internal/testbed/load"
 	"ottershed/internal/testbed/platform"
-
-	"github.com/urfave/cli/v3"
 )
 
 func fleetCommand() *cli.Command {
--- a/cmd/testbed/members.go
+++ b/cmd/testbed/members.go
@@ -3,14 +3,15 @@
 import (
 	"context"
 	"fmt"
+	"time"
+
+	"github.com/urfave/cli/v3"
+
 	"ottershed/internal/cluster/membership"
 	"ottershed/internal/cluster/membership/sim"
 	"ottershed/internal/testbed/chart"
 	"ottershed/internal/testbed/experiment"
 	"ottershed/internal/testbed/fleet"
-	"time"
-
-	"github.com/urfave/cli/v3"
 )
 
 const (
--- a/cmd/testbed/policy.go
+++ b/cmd/testbed/policy.go
@@ -3,11 +3,12 @@
 import (
 	"context"
 	"fmt"
+
+	"github.com/urfave/cli/v3"
+
 	"ottershed/internal/testbed/chart"
 	"ottershed/internal/testbed/experiment"
 	"ottershed/internal/testbed/fleet"
-
-	"github.com/urfave/cli/v3"
 )
 
 func policyCommand() *cli.Command {
--- a/cmd/testbed/settings.go
+++ b/cmd/testbed/settings.go
@@ -2,12 +2,13 @@
 
 import (
 	"os"
-	"ottershed/internal/testbed/fleet"
-	"ottershed/internal/testbed/platform"
 	"path/filepath"
 	"time"
 
 	"github.com/urfave/cli/v3"
+
+	"ottershed/internal/testbed/fleet"
+	"ottershed/internal/testbed/platform"
 )
 
 const (
--- a/cmd/testbed/takeover.go
+++ b/cmd/testbed/takeover.go
@@ -3,12 +3,13 @@
 import (
 	"context"
 	"fmt"
-	"ottershed/internal/testbed/chart"
-	"ottershed/internal/testbed/experiment"
-	"ottershed/internal/testbed/fleet"
 	"time"
 
 	"github.com/urfave/cli/v3"
+
+	"ottershed/internal/testbed/chart"
+	"ottershed/internal/testbed/experiment"
+	"ottershed/internal/testbed/fleet"
 )
 
 // instancesFlag is the size of a cluster; its name is older than the program's present terms.
--- a/decision/classes.go
+++ b/decision/classes.go
@@ -1,8 +1,9 @@
 package decision
 
 import (
-	"ottershed/internal/stats"
 	"slices"
+
+	"ottershed/internal/stats"
 )
 
 // classTable holds the request classes of the settings, and two sets of samples beside them.
--- a/decision/comparison_test.go
+++ b/decision/comparison_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"math"
-	"ottershed/internal/stats"
 	"testing"
+
+	"ottershed/internal/stats"
 )
 
 // A single group that was fast by chance does not make a build look slow.
--- a/decision/controllercounts.go
+++ b/decision/controllercounts.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+
 	"ottershed/internal/stats"
 )
 
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -4,8 +4,9 @@
 	"cmp"
 	"maps"
 	"math"
-	"ottershed/internal/stats"
 	"slices"
+
+	"ottershed/internal/stats"
 )
 
 // endpointTable is the endpoint list as last received.
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -1,8 +1,9 @@
 package decision
 
 import (
-	"ottershed/internal/stats"
 	"slices"
+
+	"ottershed/internal/stats"
 )
 
 // Evidence is what an instance has seen of the newest build, in a form that another instance can take over.
--- a/decision/failures.go
+++ b/decision/failures.go
@@ -3,8 +3,9 @@
 import (
 	"cmp"
 	"math"
-	"ottershed/internal/stats"
 	"slices"
+
+	"ottershed/internal/stats"
 )
 
 const (
--- a/decision/failures_test.go
+++ b/decision/failures_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"ottershed/internal/stats"
 	"testing"
+
+	"ottershed/internal/stats"
 )
 
 // Failures at one of several candidate endpoints are a fault of that endpoint, not of the build.
--- a/decision/fleet_test.go
+++ b/decision/fleet_test.go
@@ -4,8 +4,9 @@
 	"container/heap"
 	"fmt"
 	"math"
-	"ottershed/internal/stats"
 	"testing"
+
+	"ottershed/internal/stats"
 )
 
 // fleet is many balancers on one fake clock against a simulated platform. They share nothing but that.
--- a/decision/fleetslowdown_test.go
+++ b/decision/fleetslowdown_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"math"
-	"ottershed/internal/stats"
 	"slices"
 	"testing"
+
+	"ottershed/internal/stats"
 )
 
 // Compared with the time before the trial, a group counts for each slow ratio by which it is slower, at
--- a/decision/golden_test.go
+++ b/decision/golden_test.go
@@ -5,13 +5,14 @@
 	"fmt"
 	"math"
 	"os"
-	"ottershed/decision"
-	"ottershed/internal/golden"
 	"path/filepath"
 	"strings"
 	"testing"
 
 	"github.com/cespare/xxhash/v2"
+
+	"ottershed/decision"
+	"ottershed/internal/golden"
 )
 
 const (
--- a/decision/stored_golden_test.go
+++ b/decision/stored_golden_test.go
@@ -1,10 +1,11 @@
 package decision
 
 import (
-	"ottershed/internal/golden"
 	"testing"
 
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/golden"
 )
 
 // Evidence is stored in checkpoints, and read there by instances that run another version of the program.
--- a/decision/stream_test.go
+++ b/decision/stream_test.go
@@ -5,8 +5,9 @@
 	"container/heap"
 	"fmt"
 	"math/rand/v2"
-	"ottershed/decision"
 	"slices"
+
+	"ottershed/decision"
 )
 
 // simulation is a simulated world around one instance of the load balancer: clients, endpoints, a service registry and a
--- a/decision/trial.go
+++ b/decision/trial.go
@@ -1,8 +1,9 @@
 package decision
 
 import (
-	"ottershed/internal/stats"
 	"slices"
+
+	"ottershed/internal/stats"
 )
 
 // keptBaselineOutcomes are the least outcomes of the baseline that a new stage begins with. An instance with
--- a/decision/verdict_test.go
+++ b/decision/verdict_test.go
@@ -1,9 +1,10 @@
 package decision
 
 import (
-	"ottershed/internal/stats"
 	"slices"
 	"testing"
+
+	"ottershed/internal/stats"
 )
 
 // A vote without full groups that exposes the whole fleet takes outcomes of warm endpoints: while endpoints
--- a/decision/vote_test.go
+++ b/decision/vote_test.go
@@ -1,9 +1,10 @@
 package decision
 
 import (
-	"ottershed/internal/stats"
 	"strings"
 	"testing"
+
+	"ottershed/internal/stats"
 )
 
 // Votes follow from the outcomes of both builds.
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -6,9 +6,10 @@
 	"errors"
 	"net/http"
 	"net/http/httptest"
-	"ottershed/internal/golden"
 	"strings"
 	"testing"
+
+	"ottershed/internal/golden"
 )
 
 // sample stands for any response.
--- a/internal/admin/wire_golden_test.go
+++ b/internal/admin/wire_golden_test.go
@@ -9,11 +9,12 @@
 	"io"
 	"net"
 	"net/http"
-	"ottershed/internal/golden"
 	"regexp"
 	"strings"
 	"testing"
 	"time"
+
+	"ottershed/internal/golden"
 )
 
 // date is the header whose value depends on when the test runs.
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -7,10 +7,11 @@
 
 import (
 	"os"
-	"ottershed/decision"
 	"strconv"
 	"strings"
 	"time"
+
+	"ottershed/decision"
 )
 
 // Clock tells the time in fractional milliseconds. Its methods may be called from any goroutine.
--- a/internal/cluster/failover/checkpoint.go
+++ b/internal/cluster/failover/checkpoint.go
@@ -2,10 +2,11 @@
 
 import (
 	"context"
-	"ottershed/decision"
-	"ottershed/internal/cluster/lease"
 
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/decision"
+	"ottershed/internal/cluster/lease"
 )
 
 // checkpoint is what a lease holds for a successor: the instance's evidence, and evidence that was merged and that its
--- a/internal/cluster/failover/checkpoint_golden_test.go
+++ b/internal/cluster/failover/checkpoint_golden_test.go
@@ -3,12 +3,13 @@
 import (
 	"encoding/json"
 	"math"
-	"ottershed/decision"
-	"ottershed/internal/cluster/lease"
-	"ottershed/internal/golden"
 	"testing"
 
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/decision"
+	"ottershed/internal/cluster/lease"
+	"ottershed/internal/golden"
 )
 
 // The bytes of a checkpoint with every field set are those of the golden file, because an instance of another version
--- a/internal/cluster/failover/golden_test.go
+++ b/internal/cluster/failover/golden_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"encoding/json"
+	"testing"
+
+	"github.com/vmihailenco/msgpack/v5"
+
 	"ottershed/decision"
 	"ottershed/internal/cluster/lease"
 	"ottershed/internal/cluster/membership"
 	"ottershed/internal/golden"
-	"testing"
-
-	"github.com/vmihailenco/msgpack/v5"
 )
 
 // Checkpoints are stored in the log, in leases and in snapshots.
--- a/internal/cluster/failover/manager.go
+++ b/internal/cluster/failover/manager.go
@@ -2,15 +2,16 @@
 
 import (
 	"context"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
 	"ottershed/decision"
 	"ottershed/internal/clock"
 	"ottershed/internal/cluster/lease"
 	"ottershed/internal/cluster/membership"
 	"ottershed/internal/rollout"
-	"sync"
-	"time"
-
-	"github.com/sirupsen/logrus"
 )
 
 // Log is the replicated log, at one of its servers or at an instance that follows.
--- a/internal/cluster/failover/manager_test.go
+++ b/internal/cluster/failover/manager_test.go
@@ -4,11 +4,6 @@
 	"context"
 	"errors"
 	"io"
-	"ottershed/decision"
-	"ottershed/internal/clock"
-	"ottershed/internal/cluster/lease"
-	"ottershed/internal/cluster/membership"
-	"ottershed/internal/rollout"
 	"strings"
 	"sync"
 	"testing"
@@ -16,6 +11,12 @@
 
 	"github.com/sirupsen/logrus"
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/decision"
+	"ottershed/internal/clock"
+	"ottershed/internal/cluster/lease"
+	"ottershed/internal/cluster/membership"
+	"ottershed/internal/rollout"
 )
 
 var errCommandLost = errors.New("the command is lost")
--- a/internal/cluster/failover/ownlease.go
+++ b/internal/cluster/failover/ownlease.go
@@ -1,11 +1,12 @@
 package failover
 
 import (
+	"slices"
+	"sync"
+
 	"ottershed/decision"
 	"ottershed/internal/cluster/lease"
 	"ottershed/internal/rollout"
-	"slices"
-	"sync"
 )
 
 // ownLease is this instance's lease and what its evidence includes. It is safe for concurrent use.
--- a/internal/cluster/failover/propose.go
+++ b/internal/cluster/failover/propose.go
@@ -4,11 +4,12 @@
 	"context"
 	"errors"
 	"fmt"
-	"ottershed/internal/cluster/lease"
 	"time"
 
 	"github.com/sirupsen/logrus"
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/cluster/lease"
 )
 
 // Kind marks the commands of leases in the log.
--- a/internal/cluster/failover/release.go
+++ b/internal/cluster/failover/release.go
@@ -2,9 +2,10 @@
 
 import (
 	"context"
-	"ottershed/internal/cluster/lease"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/internal/cluster/lease"
 )
 
 // ReleaseAll writes a last checkpoint and releases this instance's lease, so that a successor takes it over at once.
--- a/internal/cluster/failover/renew.go
+++ b/internal/cluster/failover/renew.go
@@ -2,9 +2,10 @@
 
 import (
 	"context"
-	"ottershed/internal/cluster/lease"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/internal/cluster/lease"
 )
 
 // renew acquires this instance's lease, or renews it with a checkpoint. While a takeover holds the checkpoint slot the
--- a/internal/cluster/failover/renew_test.go
+++ b/internal/cluster/failover/renew_test.go
@@ -1,10 +1,11 @@
 package failover
 
 import (
-	"ottershed/decision"
-	"ottershed/internal/cluster/lease"
 	"testing"
 	"time"
+
+	"ottershed/decision"
+	"ottershed/internal/cluster/lease"
 )
 
 // Each renewal numbers its checkpoint. When a renewal is rejected because another instance has the lease, the
--- a/internal/cluster/failover/statemachine.go
+++ b/internal/cluster/failover/statemachine.go
@@ -2,12 +2,13 @@
 
 import (
 	"net/http"
-	"ottershed/internal/cluster/lease"
-	"ottershed/internal/cluster/logclock"
-	"ottershed/internal/cluster/raftlog"
 	"sync"
 
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/cluster/lease"
+	"ottershed/internal/cluster/logclock"
+	"ottershed/internal/cluster/raftlog"
 )
 
 // StateMachine is the lease table at a server of the log, which applies the commands of leases to it. It is safe for
--- a/internal/cluster/failover/status.go
+++ b/internal/cluster/failover/status.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+
 	"ottershed/internal/cluster/lease"
 	"ottershed/internal/cluster/membership"
 )
--- a/internal/cluster/failover/takeover.go
+++ b/internal/cluster/failover/takeover.go
@@ -3,10 +3,11 @@
 import (
 	"context"
 	"fmt"
-	"ottershed/internal/cluster/lease"
 
 	"github.com/sirupsen/logrus"
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/cluster/lease"
 )
 
 // AbandonedError is a takeover that ended its lease because the work could not be resumed.
--- a/internal/cluster/failover/takeover_test.go
+++ b/internal/cluster/failover/takeover_test.go
@@ -1,13 +1,14 @@
 package failover
 
 import (
-	"ottershed/decision"
-	"ottershed/internal/cluster/lease"
 	"slices"
 	"testing"
 	"time"
 
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/decision"
+	"ottershed/internal/cluster/lease"
 )
 
 // A merge whose first command is lost is sent again, without a second takeover, and its checkpoint holds the evidence
--- a/internal/cluster/gossip/changes.go
+++ b/internal/cluster/gossip/changes.go
@@ -1,10 +1,11 @@
 package gossip
 
 import (
-	"ottershed/internal/cluster/membership"
 	"sync/atomic"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/internal/cluster/membership"
 )
 
 // changeQueue bounds the changes that wait for their reader.
--- a/internal/cluster/gossip/golden_test.go
+++ b/internal/cluster/gossip/golden_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"encoding/json"
-	"ottershed/internal/golden"
 	"testing"
+
+	"ottershed/internal/golden"
 )
 
 // Counters are part of a response of the admin API.
--- a/internal/cluster/gossip/transport.go
+++ b/internal/cluster/gossip/transport.go
@@ -8,12 +8,13 @@
 	"fmt"
 	"net"
 	"net/netip"
-	"ottershed/internal/clock"
-	"ottershed/internal/cluster/membership"
-	"ottershed/internal/logging"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/internal/clock"
+	"ottershed/internal/cluster/membership"
+	"ottershed/internal/logging"
 )
 
 const (
--- a/internal/cluster/lease/clockskew_test.go
+++ b/internal/cluster/lease/clockskew_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"math/rand/v2"
-	"ottershed/internal/cluster/logclock"
 	"testing"
+
+	"ottershed/internal/cluster/logclock"
 )
 
 const skewTTL Millis = 5000
--- a/internal/cluster/lease/golden_test.go
+++ b/internal/cluster/lease/golden_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"encoding/json"
-	"ottershed/internal/golden"
 	"testing"
 
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/golden"
 )
 
 // goldenLease is a lease with every field set.
--- a/internal/cluster/lease/resume_test.go
+++ b/internal/cluster/lease/resume_test.go
@@ -1,8 +1,9 @@
 package lease
 
 import (
-	"ottershed/decision"
 	"testing"
+
+	"ottershed/decision"
 )
 
 // A request that is sent again is admitted only where a second execution does no harm.
--- a/internal/cluster/lease/session_test.go
+++ b/internal/cluster/lease/session_test.go
@@ -1,8 +1,9 @@
 package lease
 
 import (
-	"ottershed/decision"
 	"testing"
+
+	"ottershed/decision"
 )
 
 // An instance votes only under a lease that is valid by its own clock, counted from the time of sending, and is told
--- a/internal/cluster/lease/successors.go
+++ b/internal/cluster/lease/successors.go
@@ -2,10 +2,11 @@
 
 import (
 	"cmp"
-	"ottershed/internal/cluster/membership"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
+
+	"ottershed/internal/cluster/membership"
 )
 
 // successorDelay is how long a successor waits for each one before it in the order, as a share of the TTL. A higher one
--- a/internal/cluster/lease/successors_test.go
+++ b/internal/cluster/lease/successors_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"ottershed/internal/cluster/membership"
 	"slices"
 	"testing"
+
+	"ottershed/internal/cluster/membership"
 )
 
 // The order of successors does not depend on the order of the names, and leases spread over all members.
--- a/internal/cluster/logclock/golden_test.go
+++ b/internal/cluster/logclock/golden_test.go
@@ -1,10 +1,11 @@
 package logclock
 
 import (
-	"ottershed/internal/golden"
 	"testing"
 
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/golden"
 )
 
 // The log's clock is stored in snapshots.
--- a/internal/cluster/membership/detector.go
+++ b/internal/cluster/membership/detector.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+
 	"ottershed/internal/stats"
 )
 
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"encoding/json"
-	"ottershed/internal/golden"
 	"testing"
+
+	"ottershed/internal/golden"
 )
 
 func goldenUpdate(state State) Update {
--- a/internal/cluster/membership/sim/events.go
+++ b/internal/cluster/membership/sim/events.go
@@ -2,6 +2,7 @@
 
 import (
 	"container/heap"
+
 	"ottershed/internal/cluster/membership"
 )
 
--- a/internal/cluster/membership/sim/sim.go
+++ b/internal/cluster/membership/sim/sim.go
@@ -8,6 +8,7 @@
 
 import (
 	"fmt"
+
 	"ottershed/internal/cluster/membership"
 	"ottershed/internal/stats"
 )
--- a/internal/cluster/membership/sim/sim_test.go
+++ b/internal/cluster/membership/sim/sim_test.go
@@ -1,8 +1,9 @@
 package sim
 
 import (
-	"ottershed/internal/cluster/membership"
 	"testing"
+
+	"ottershed/internal/cluster/membership"
 )
 
 func fleet(t *testing.T, set Settings) *Fleet {
--- a/internal/cluster/membership/wire_golden_test.go
+++ b/internal/cluster/membership/wire_golden_test.go
@@ -1,8 +1,9 @@
 package membership
 
 import (
-	"ottershed/internal/golden"
 	"testing"
+
+	"ottershed/internal/golden"
 )
 
 // The bytes of a packet with every field set, signed and not, are those of the golden file: members of different
--- a/internal/cluster/policy/golden_test.go
+++ b/internal/cluster/policy/golden_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"encoding/json"
-	"ottershed/internal/golden"
 	"testing"
 
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/golden"
 )
 
 const goldenPolicy = `{"note":"a trial","halt":true,"trial-share":0.25,"settings":{"pace":1}}`
--- a/internal/cluster/policy/wire_golden_test.go
+++ b/internal/cluster/policy/wire_golden_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"encoding/json"
-	"ottershed/internal/golden"
 	"testing"
 
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/golden"
 )
 
 // The bytes of policies, proposals, outcomes, records and snapshots are those of the golden file: servers of different
--- a/internal/cluster/policysync/applier.go
+++ b/internal/cluster/policysync/applier.go
@@ -2,13 +2,14 @@
 
 import (
 	"context"
-	"ottershed/internal/cluster/policy"
-	"ottershed/internal/cluster/raftlog"
 	"strconv"
 	"sync"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/raftlog"
 )
 
 const appliedKey = "policy" // of the applied version in the store
--- a/internal/cluster/policysync/applier_test.go
+++ b/internal/cluster/policysync/applier_test.go
@@ -5,13 +5,14 @@
 	"errors"
 	"fmt"
 	"io"
-	"ottershed/internal/cluster/policy"
-	"ottershed/internal/cluster/raftlog"
 	"slices"
 	"testing"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/raftlog"
 )
 
 // testApplier is an applier whose decisions are recorded.
--- a/internal/cluster/policysync/follow.go
+++ b/internal/cluster/policysync/follow.go
@@ -5,11 +5,12 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"ottershed/internal/cluster/policy"
-	"ottershed/internal/cluster/raftlog"
 	"time"
 
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/raftlog"
 )
 
 const (
--- a/internal/cluster/policysync/golden_test.go
+++ b/internal/cluster/policysync/golden_test.go
@@ -3,12 +3,13 @@
 import (
 	"encoding/json"
 	"net/http/httptest"
-	"ottershed/internal/cluster/policy"
-	"ottershed/internal/cluster/raftlog"
-	"ottershed/internal/golden"
 	"testing"
 
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/raftlog"
+	"ottershed/internal/golden"
 )
 
 func goldenMember(name string) MemberStatus {
--- a/internal/cluster/policysync/node.go
+++ b/internal/cluster/policysync/node.go
@@ -5,14 +5,15 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"ottershed/internal/clock"
-	"ottershed/internal/cluster/policy"
-	"ottershed/internal/cluster/raftlog"
 	"slices"
 	"sync"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/internal/clock"
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/raftlog"
 )
 
 // Timeouts as multiples of the election timeout.
--- a/internal/cluster/policysync/propose.go
+++ b/internal/cluster/policysync/propose.go
@@ -6,8 +6,6 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"ottershed/internal/cluster/policy"
-	"ottershed/internal/cluster/raftlog"
 	"slices"
 	"strings"
 	"sync"
@@ -16,6 +14,9 @@
 	"github.com/google/uuid"
 	"github.com/sirupsen/logrus"
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/raftlog"
 )
 
 const maxProposeWait = 15 * time.Second // for a proposal, its checks included
--- a/internal/cluster/policysync/server.go
+++ b/internal/cluster/policysync/server.go
@@ -3,11 +3,12 @@
 import (
 	"io"
 	"net/http"
-	"ottershed/internal/cluster/raftlog"
 	"sync"
 	"time"
 
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/cluster/raftlog"
 )
 
 const (
--- a/internal/cluster/policysync/statemachine.go
+++ b/internal/cluster/policysync/statemachine.go
@@ -2,10 +2,11 @@
 
 import (
 	"encoding/json"
-	"ottershed/internal/cluster/logclock"
-	"ottershed/internal/cluster/policy"
 
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/cluster/logclock"
+	"ottershed/internal/cluster/policy"
 )
 
 // Kind is the first byte of the log's entries that are policy proposals.
--- a/internal/cluster/policysync/status.go
+++ b/internal/cluster/policysync/status.go
@@ -4,11 +4,12 @@
 	"context"
 	"encoding/json"
 	"net/http"
-	"ottershed/internal/cluster/policy"
-	"ottershed/internal/cluster/raftlog"
 	"slices"
 	"strings"
 	"sync"
+
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/raftlog"
 )
 
 // roleWatcher is the Role of a process that keeps no log; those of servers are raftlog.Status.Role.
--- a/internal/cluster/policysync/wire_golden_test.go
+++ b/internal/cluster/policysync/wire_golden_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"encoding/json"
-	"ottershed/internal/cluster/policy"
-	"ottershed/internal/golden"
 	"testing"
 
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/golden"
 )
 
 // The messages between watchers, servers and operators have the bytes of the golden file: processes of different
--- a/internal/cluster/raftlog/client.go
+++ b/internal/cluster/raftlog/client.go
@@ -9,9 +9,10 @@
 	"io"
 	"net"
 	"net/http"
-	"ottershed/internal/clock"
 	"strings"
 	"time"
+
+	"ottershed/internal/clock"
 )
 
 const (
--- a/internal/cluster/raftlog/entry.go
+++ b/internal/cluster/raftlog/entry.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/binary"
 	"math"
+
 	"ottershed/internal/cluster/logclock"
 )
 
--- a/internal/cluster/raftlog/fsm.go
+++ b/internal/cluster/raftlog/fsm.go
@@ -4,13 +4,14 @@
 	"encoding/binary"
 	"fmt"
 	"io"
-	"ottershed/internal/cluster/logclock"
 	"strconv"
 	"sync"
 	"sync/atomic"
 
 	"github.com/hashicorp/raft"
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/cluster/logclock"
 )
 
 // StateMachine applies the commands of one kind, in the order of the log, with the same result at every server. Its
--- a/internal/cluster/raftlog/golden_test.go
+++ b/internal/cluster/raftlog/golden_test.go
@@ -9,11 +9,6 @@
 	"maps"
 	"net/http/httptest"
 	"os"
-	"ottershed/internal/cluster/lease"
-	"ottershed/internal/cluster/logclock"
-	"ottershed/internal/cluster/policy"
-	"ottershed/internal/cluster/quorum"
-	"ottershed/internal/golden"
 	"path/filepath"
 	"slices"
 	"testing"
@@ -22,6 +17,12 @@
 	"github.com/hashicorp/raft"
 	"github.com/vmihailenco/msgpack/v5"
 	"go.etcd.io/bbolt"
+
+	"ottershed/internal/cluster/lease"
+	"ottershed/internal/cluster/logclock"
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/quorum"
+	"ottershed/internal/golden"
 )
 
 // Kinds of the log's commands. Packages policysync and failover define them and import this package, so they are
--- a/internal/cluster/raftlog/join.go
+++ b/internal/cluster/raftlog/join.go
@@ -4,11 +4,12 @@
 	"context"
 	"encoding/json"
 	"net/http"
-	"ottershed/internal/cluster/quorum"
 	"time"
 
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
+
+	"ottershed/internal/cluster/quorum"
 )
 
 const (
--- a/internal/cluster/raftlog/node.go
+++ b/internal/cluster/raftlog/node.go
@@ -8,13 +8,14 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"ottershed/internal/clock"
 	"slices"
 	"strings"
 	"sync/atomic"
 
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
+
+	"ottershed/internal/clock"
 )
 
 const (
--- a/internal/cluster/raftlog/propose.go
+++ b/internal/cluster/raftlog/propose.go
@@ -6,13 +6,14 @@
 	"fmt"
 	"io"
 	"net/http"
-	"ottershed/internal/cluster/logclock"
 	"strconv"
 	"strings"
 	"sync"
 	"time"
 
 	"github.com/hashicorp/raft"
+
+	"ottershed/internal/cluster/logclock"
 )
 
 // Headers of responses to proposals.
--- a/internal/cluster/raftlog/propose_test.go
+++ b/internal/cluster/raftlog/propose_test.go
@@ -7,13 +7,14 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
-	"ottershed/internal/clock"
-	"ottershed/internal/cluster/logclock"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/hashicorp/raft"
+
+	"ottershed/internal/clock"
+	"ottershed/internal/cluster/logclock"
 )
 
 // timesMachine records the log's time of each command.
--- a/internal/cluster/raftlog/wire_golden_test.go
+++ b/internal/cluster/raftlog/wire_golden_test.go
@@ -3,12 +3,13 @@
 import (
 	"encoding/json"
 	"maps"
-	"ottershed/internal/cluster/logclock"
-	"ottershed/internal/golden"
 	"slices"
 	"testing"
 
 	"github.com/vmihailenco/msgpack/v5"
+
+	"ottershed/internal/cluster/logclock"
+	"ottershed/internal/golden"
 )
 
 // fixedMachine is a state machine with a fixed snapshot.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -2,12 +2,13 @@
 
 import (
 	"fmt"
+	"reflect"
+	"strings"
+
 	"ottershed/decision"
 	"ottershed/internal/cluster/policy"
 	"ottershed/internal/engine"
 	"ottershed/internal/settings"
-	"reflect"
-	"strings"
 )
 
 // Config is what holds for this start.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -6,11 +6,12 @@
 	"fmt"
 	"io/fs"
 	"os"
-	"ottershed/internal/settings"
 	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
+
+	"ottershed/internal/settings"
 )
 
 // good is a sound configuration.
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -9,15 +9,16 @@
 	"io"
 	"net"
 	"os"
-	"ottershed/decision"
-	"ottershed/internal/discovery"
-	"ottershed/internal/rollout"
-	"ottershed/internal/settings"
 	"reflect"
 	"slices"
 	"strconv"
 	"strings"
 	"time"
+
+	"ottershed/decision"
+	"ottershed/internal/discovery"
+	"ottershed/internal/rollout"
+	"ottershed/internal/settings"
 )
 
 // KeyError is returned for a key that is missing or wrong. Keys below settings have settings.FieldError instead.
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -3,13 +3,14 @@
 import (
 	"fmt"
 	"os"
-	"ottershed/internal/cluster/policy"
-	"ottershed/internal/golden"
 	"reflect"
 	"regexp"
 	"slices"
 	"strings"
 	"testing"
+
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/golden"
 )
 
 // goldenOperator is an operator's file that is sound.
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -3,10 +3,11 @@
 import (
 	"cmp"
 	"fmt"
-	"ottershed/internal/cluster/gossip"
-	"ottershed/internal/cluster/raftlog"
 	"strings"
 	"time"
+
+	"ottershed/internal/cluster/gossip"
+	"ottershed/internal/cluster/raftlog"
 )
 
 // Operator is what the operator's own file says, beside what the platform hands over. Each part is off by default.
--- a/internal/config/operatorfile.go
+++ b/internal/config/operatorfile.go
@@ -7,15 +7,16 @@
 	"fmt"
 	"net/netip"
 	"os"
-	"ottershed/internal/admin"
-	"ottershed/internal/cluster/gossip"
-	"ottershed/internal/cluster/membership"
-	"ottershed/internal/cluster/raftlog"
 	"path/filepath"
 	"strings"
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
+
+	"ottershed/internal/admin"
+	"ottershed/internal/cluster/gossip"
+	"ottershed/internal/cluster/membership"
+	"ottershed/internal/cluster/raftlog"
 )
 
 const (
--- a/internal/config/page_test.go
+++ b/internal/config/page_test.go
@@ -3,16 +3,17 @@
 import (
 	"maps"
 	"os"
-	"ottershed/decision"
-	"ottershed/internal/cluster/gossip"
-	"ottershed/internal/cluster/membership"
-	"ottershed/internal/cluster/raftlog"
-	"ottershed/internal/settings"
 	"reflect"
 	"regexp"
 	"slices"
 	"strings"
 	"testing"
+
+	"ottershed/decision"
+	"ottershed/internal/cluster/gossip"
+	"ottershed/internal/cluster/membership"
+	"ottershed/internal/cluster/raftlog"
+	"ottershed/internal/settings"
 )
 
 // documentedTypes are the types whose fields docs/configuration.md may name as terms.
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -7,14 +7,15 @@
 	"io"
 	"net/http"
 	"net/http/httptest"
-	"ottershed/internal/engine"
-	"ottershed/internal/settings"
 	"strings"
 	"sync"
 	"testing"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/internal/engine"
+	"ottershed/internal/settings"
 )
 
 // entry is an endpoint as it is encoded, but for its status.
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -6,9 +6,10 @@
 	"fmt"
 	"io"
 	"net/http"
-	"ottershed/internal/engine"
 	"sync/atomic"
 	"time"
+
+	"ottershed/internal/engine"
 )
 
 const maxSnapshotBytes = 1 << 20 // of a response's body
--- a/internal/discovery/delivery.go
+++ b/internal/discovery/delivery.go
@@ -1,9 +1,10 @@
 package discovery
 
 import (
+	"sync"
+
 	"ottershed/decision"
 	"ottershed/internal/engine"
-	"sync"
 )
 
 // delivery hands updates on in the order of the watches: once a watch has delivered, those before it can't.
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -7,12 +7,13 @@
 	"io"
 	"net"
 	"net/http"
-	"ottershed/internal/engine"
-	"ottershed/internal/golden"
-	"ottershed/internal/settings"
 	"strings"
 	"testing"
 	"time"
+
+	"ottershed/internal/engine"
+	"ottershed/internal/golden"
+	"ottershed/internal/settings"
 )
 
 // The request line and the headers of each kind of call are those of the golden file: for a full snapshot and for
--- a/internal/discovery/snapshot.go
+++ b/internal/discovery/snapshot.go
@@ -3,9 +3,10 @@
 import (
 	"context"
 	"errors"
-	"ottershed/internal/engine"
 	"slices"
 	"time"
+
+	"ottershed/internal/engine"
 )
 
 const (
--- a/internal/discovery/snapshot_test.go
+++ b/internal/discovery/snapshot_test.go
@@ -4,14 +4,15 @@
 	"context"
 	"errors"
 	"net/http"
-	"ottershed/internal/engine"
-	"ottershed/internal/settings"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/internal/engine"
+	"ottershed/internal/settings"
 )
 
 // An agent that was down answers none of the calls it took meanwhile: calls for a full snapshot follow each other
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -6,11 +6,12 @@
 	"errors"
 	"fmt"
 	"net/http"
-	"ottershed/decision"
-	"ottershed/internal/engine"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/decision"
+	"ottershed/internal/engine"
 )
 
 // watchState is what a watch does next. The transitions:
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"context"
-	"ottershed/internal/engine"
 	"slices"
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"ottershed/internal/engine"
 )
 
 // The response to a watch is read for as long as bytes come; one that stalls is followed by a call for a full snapshot.
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -4,15 +4,16 @@
 	"cmp"
 	"context"
 	"net/http"
-	"ottershed/internal/clock"
-	"ottershed/internal/engine"
-	"ottershed/internal/logging"
-	"ottershed/internal/settings"
 	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/internal/clock"
+	"ottershed/internal/engine"
+	"ottershed/internal/logging"
+	"ottershed/internal/settings"
 )
 
 const (
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -4,14 +4,15 @@
 	"context"
 	"fmt"
 	"net/http"
-	"ottershed/decision"
-	"ottershed/internal/engine"
-	"ottershed/internal/settings"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"ottershed/decision"
+	"ottershed/internal/engine"
+	"ottershed/internal/settings"
 )
 
 // callStep is a call that is expected, and what it gets.
--- a/internal/discovery/wire.go
+++ b/internal/discovery/wire.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+
 	"ottershed/decision"
 	"ottershed/internal/engine"
 )
--- a/internal/discovery/wire_test.go
+++ b/internal/discovery/wire_test.go
@@ -3,9 +3,10 @@
 import (
 	"encoding/json"
 	"errors"
+	"testing"
+
 	"ottershed/decision"
 	"ottershed/internal/engine"
-	"testing"
 )
 
 // isSyntaxError tells whether an error is that of a text which is not JSON.
--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -4,9 +4,10 @@
 
 import (
 	"container/heap"
-	"ottershed/decision"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/decision"
 )
 
 // perform carries out actions in order.
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -3,9 +3,9 @@
 // Addresses of the endpoints, as the endpoint list has them.
 
 import (
-	"ottershed/decision"
-
 	"github.com/sirupsen/logrus"
+
+	"ottershed/decision"
 )
 
 func (c *core) handleEndpoints(now decision.Millis, update EndpointUpdate) {
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -1,9 +1,10 @@
 package engine
 
 import (
-	"ottershed/decision"
 	"strings"
 	"testing"
+
+	"ottershed/decision"
 )
 
 func TestEndpointUpdates(t *testing.T) {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -23,11 +23,12 @@
 
 import (
 	"context"
-	"ottershed/decision"
-	"ottershed/internal/clock"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/decision"
+	"ottershed/internal/clock"
 )
 
 // Engine is the event loop with its queue.
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -3,11 +3,12 @@
 import (
 	"fmt"
 	"io"
-	"ottershed/decision"
-	"ottershed/internal/golden"
 	"testing"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/decision"
+	"ottershed/internal/golden"
 )
 
 // logged records the lines of a log.
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 	"io"
-	"ottershed/decision"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/decision"
 )
 
 // fakeModule is a module that returns the actions that a test sets, and records the events.
--- a/internal/engine/lateness.go
+++ b/internal/engine/lateness.go
@@ -3,9 +3,9 @@
 // Log line for an event loop that is behind.
 
 import (
-	"ottershed/decision"
-
 	"github.com/sirupsen/logrus"
+
+	"ottershed/decision"
 )
 
 const (
--- a/internal/engine/messages.go
+++ b/internal/engine/messages.go
@@ -3,9 +3,9 @@
 // Messages in the queue, and their handlers.
 
 import (
-	"ottershed/decision"
-
 	"github.com/sirupsen/logrus"
+
+	"ottershed/decision"
 )
 
 // message is what reaches the event loop through the queue. Each concrete type is one kind, with one handler.
--- a/internal/engine/queue.go
+++ b/internal/engine/queue.go
@@ -3,8 +3,9 @@
 // The queue to the event loop.
 
 import (
-	"ottershed/decision"
 	"sync"
+
+	"ottershed/decision"
 )
 
 // queue holds the messages that the event loop has not taken yet. It has no limit of its own: it holds at most one
--- a/internal/engine/queue_test.go
+++ b/internal/engine/queue_test.go
@@ -3,11 +3,12 @@
 import (
 	"fmt"
 	"io"
-	"ottershed/decision"
-	"ottershed/internal/clock"
 	"testing"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/decision"
+	"ottershed/internal/clock"
 )
 
 // Events pass requests that wait, and each priority keeps its order.
--- a/internal/engine/recovery.go
+++ b/internal/engine/recovery.go
@@ -4,10 +4,11 @@
 
 import (
 	"fmt"
-	"ottershed/decision"
 	"runtime/debug"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/decision"
 )
 
 const neverRestarted decision.Millis = -1
--- a/internal/engine/recovery_test.go
+++ b/internal/engine/recovery_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"ottershed/decision"
 	"strings"
 	"testing"
+
+	"ottershed/decision"
 )
 
 // A panic fails the open requests and restarts the module with the endpoint list and the stage. A second panic at the
--- a/internal/engine/requests_test.go
+++ b/internal/engine/requests_test.go
@@ -1,12 +1,13 @@
 package engine
 
 import (
-	"ottershed/decision"
 	"reflect"
 	"strings"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
+
+	"ottershed/decision"
 )
 
 type actions = []decision.Action
--- a/internal/engine/simulation_test.go
+++ b/internal/engine/simulation_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"math/rand/v2"
-	"ottershed/decision"
 	"slices"
 	"testing"
+
+	"ottershed/decision"
 )
 
 // simulation runs clients and failing endpoints around a core that holds the decision module, on a fake clock.
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -4,6 +4,7 @@
 
 import (
 	"container/heap"
+
 	"ottershed/decision"
 )
 
--- a/internal/engine/timers_test.go
+++ b/internal/engine/timers_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"ottershed/decision"
 	"testing"
+
+	"ottershed/decision"
 )
 
 func TestTimers(t *testing.T) {
--- a/internal/ingress/benchmark_test.go
+++ b/internal/ingress/benchmark_test.go
@@ -5,13 +5,14 @@
 	"io"
 	"net"
 	"net/http"
+	"testing"
+
+	"github.com/sirupsen/logrus"
+
 	"ottershed/decision"
 	"ottershed/internal/clock"
 	"ottershed/internal/engine"
 	"ottershed/internal/settings"
-	"testing"
-
-	"github.com/sirupsen/logrus"
 )
 
 // immediateEngine gives every request its final response during the hand-over.
--- a/internal/ingress/closing_test.go
+++ b/internal/ingress/closing_test.go
@@ -5,11 +5,12 @@
 	"net"
 	"net/http"
 	"os"
-	"ottershed/internal/engine"
-	"ottershed/internal/sockopt"
 	"sync"
 	"testing"
 	"time"
+
+	"ottershed/internal/engine"
+	"ottershed/internal/sockopt"
 )
 
 const (
--- a/internal/ingress/floods_test.go
+++ b/internal/ingress/floods_test.go
@@ -4,13 +4,14 @@
 	"io"
 	"net"
 	"net/http"
-	"ottershed/internal/sockopt"
 	"runtime"
 	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"ottershed/internal/sockopt"
 )
 
 // peak is the most of each that stood at once.
--- a/internal/ingress/golden_test.go
+++ b/internal/ingress/golden_test.go
@@ -6,12 +6,13 @@
 	"fmt"
 	"io"
 	"net/http"
-	"ottershed/internal/cluster/lease"
-	"ottershed/internal/engine"
-	"ottershed/internal/golden"
 	"regexp"
 	"strings"
 	"testing"
+
+	"ottershed/internal/cluster/lease"
+	"ottershed/internal/engine"
+	"ottershed/internal/golden"
 )
 
 // date is the header whose value depends on when the test runs.
--- a/internal/ingress/handover.go
+++ b/internal/ingress/handover.go
@@ -5,11 +5,12 @@
 	"io"
 	"net/http"
 	"net/http/httputil"
+	"sync"
+	"time"
+
 	"ottershed/internal/clock"
 	"ottershed/internal/cluster/lease"
 	"ottershed/internal/engine"
-	"sync"
-	"time"
 )
 
 // handoverKey finds the handover of a request in its context.
--- a/internal/ingress/limits.go
+++ b/internal/ingress/limits.go
@@ -4,11 +4,12 @@
 	"container/list"
 	"net"
 	"net/http"
-	"ottershed/internal/sockopt"
 	"sync"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/internal/sockopt"
 )
 
 // connLimiter is the listener of http.Server; it counts the connections of clients. http.Server owns and closes them,
--- a/internal/ingress/parse.go
+++ b/internal/ingress/parse.go
@@ -4,9 +4,10 @@
 	"math"
 	"net/http"
 	"net/url"
-	"ottershed/decision"
 	"strconv"
 	"strings"
+
+	"ottershed/decision"
 )
 
 // Bounds on what a client sends. A higher value takes more memory for each connection.
--- a/internal/ingress/parse_test.go
+++ b/internal/ingress/parse_test.go
@@ -4,9 +4,10 @@
 	"errors"
 	"net/http"
 	"net/http/httptest"
-	"ottershed/decision"
 	"strings"
 	"testing"
+
+	"ottershed/decision"
 )
 
 // Each refusal of the parser is the error of a request that has this fault alone, and the first of two faults counts.
--- a/internal/ingress/response.go
+++ b/internal/ingress/response.go
@@ -5,9 +5,10 @@
 	"errors"
 	"io"
 	"net/http"
+	"strconv"
+
 	"ottershed/decision"
 	"ottershed/internal/engine"
-	"strconv"
 )
 
 // refuse responds with an error and closes the connection. The status code is that of a refusalError; an error that
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -7,15 +7,16 @@
 	"net"
 	"net/http"
 	"net/http/httputil"
+	"sync/atomic"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
 	"ottershed/decision"
 	"ottershed/internal/clock"
 	"ottershed/internal/cluster/lease"
 	"ottershed/internal/engine"
 	"ottershed/internal/settings"
-	"sync/atomic"
-	"time"
-
-	"github.com/sirupsen/logrus"
 )
 
 // Times that a connection has.
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -7,17 +7,18 @@
 	"io"
 	"net"
 	"net/http"
-	"ottershed/decision"
-	"ottershed/internal/clock"
-	"ottershed/internal/engine"
-	"ottershed/internal/settings"
-	"ottershed/internal/sockopt"
 	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/decision"
+	"ottershed/internal/clock"
+	"ottershed/internal/engine"
+	"ottershed/internal/settings"
+	"ottershed/internal/sockopt"
 )
 
 // fakeEngine takes requests in place of the engine.
--- a/internal/rollout/client.go
+++ b/internal/rollout/client.go
@@ -13,12 +13,13 @@
 import (
 	"context"
 	"net"
-	"ottershed/decision"
-	"ottershed/internal/clock"
-	"ottershed/internal/logging"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/decision"
+	"ottershed/internal/clock"
+	"ottershed/internal/logging"
 )
 
 const (
--- a/internal/rollout/client_test.go
+++ b/internal/rollout/client_test.go
@@ -4,9 +4,10 @@
 	"bufio"
 	"fmt"
 	"net"
-	"ottershed/decision"
 	"strings"
 	"testing"
+
+	"ottershed/decision"
 )
 
 // An unresponsive connection is given up only when the next one receives something. If it receives something first
--- a/internal/rollout/connection.go
+++ b/internal/rollout/connection.go
@@ -7,9 +7,10 @@
 	"context"
 	"encoding/json"
 	"net"
-	"ottershed/decision"
 	"sync"
 	"time"
+
+	"ottershed/decision"
 )
 
 const maxLine = 8 << 10 // bytes of a line; a longer one ends the connection
--- a/internal/rollout/helpers_test.go
+++ b/internal/rollout/helpers_test.go
@@ -6,11 +6,12 @@
 	"fmt"
 	"io"
 	"net"
-	"ottershed/decision"
 	"testing"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/decision"
 )
 
 const stage = `{"image":42,"ring":1,"progress":"testing","ceiling":0.28,"lag_ms":310}`
--- a/internal/rollout/votes.go
+++ b/internal/rollout/votes.go
@@ -3,9 +3,10 @@
 // Casting votes; votes that wait for their result.
 
 import (
-	"ottershed/decision"
 	"sync"
 	"time"
+
+	"ottershed/decision"
 )
 
 // Fence names a lease under which a vote is cast, and its fencing token. A rollout controller that checks fences
--- a/internal/rollout/votes_test.go
+++ b/internal/rollout/votes_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"ottershed/decision"
 	"testing"
+
+	"ottershed/decision"
 )
 
 func TestVotes(t *testing.T) {
--- a/internal/rollout/wire.go
+++ b/internal/rollout/wire.go
@@ -6,6 +6,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+
 	"ottershed/decision"
 )
 
--- a/internal/rollout/wire_golden_test.go
+++ b/internal/rollout/wire_golden_test.go
@@ -4,14 +4,15 @@
 	"bufio"
 	"io"
 	"net"
-	"ottershed/decision"
-	"ottershed/internal/golden"
 	"regexp"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/decision"
+	"ottershed/internal/golden"
 )
 
 // callID is the id of a call, which depends on how many connections were opened before.
--- a/internal/rollout/wire_test.go
+++ b/internal/rollout/wire_test.go
@@ -1,12 +1,13 @@
 package rollout
 
 import (
-	"ottershed/decision"
-	"ottershed/internal/golden"
 	"strings"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
+
+	"ottershed/decision"
+	"ottershed/internal/golden"
 )
 
 // A vote goes to the rollout controller with the fences under which it was cast.
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"maps"
-	"ottershed/internal/golden"
 	"slices"
 	"strings"
 	"testing"
+
+	"ottershed/internal/golden"
 )
 
 // goldenFigures let every setting be read that there is: with none missing, a request class that is keyed, and a
--- a/internal/settings/module.go
+++ b/internal/settings/module.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+
 	"ottershed/decision"
 )
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -5,11 +5,12 @@
 	"errors"
 	"fmt"
 	"maps"
-	"ottershed/decision"
 	"reflect"
 	"slices"
 	"strings"
 	"testing"
+
+	"ottershed/decision"
 )
 
 // nested is sound settings as the configuration has them.
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -5,9 +5,10 @@
 import (
 	"encoding/hex"
 	"fmt"
-	"ottershed/decision"
 	"strconv"
 	"strings"
+
+	"ottershed/decision"
 )
 
 // Append appends an action of an instance as a line.
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -13,8 +13,9 @@
 
 import (
 	"fmt"
-	"ottershed/decision"
 	"strings"
+
+	"ottershed/decision"
 )
 
 // maxLists is how many endpoint lists a batch may number.
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -5,6 +5,7 @@
 import (
 	"encoding/hex"
 	"fmt"
+
 	"ottershed/decision"
 	"ottershed/internal/settings"
 )
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -5,9 +5,10 @@
 import (
 	"fmt"
 	"math"
-	"ottershed/decision"
 	"strconv"
 	"strings"
+
+	"ottershed/decision"
 )
 
 // absent stands for a field without a value.
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"ottershed/decision"
-	"ottershed/internal/golden"
 	"strings"
 	"testing"
+
+	"ottershed/decision"
+	"ottershed/internal/golden"
 )
 
 // bornLine starts an instance with every setting that the module reads.
--- a/internal/simwire/lines_test.go
+++ b/internal/simwire/lines_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"ottershed/decision"
 	"strings"
 	"testing"
+
+	"ottershed/decision"
 )
 
 // Each kind of line decodes into its event, with every field in its place.
--- a/internal/testbed/days/report.go
+++ b/internal/testbed/days/report.go
@@ -3,10 +3,11 @@
 import (
 	"fmt"
 	"io"
-	"ottershed/internal/testbed/chart"
 	"slices"
 	"strconv"
 	"strings"
+
+	"ottershed/internal/testbed/chart"
 )
 
 // Table writes the day in Markdown, a row for every step seconds: flows as the mean of a second of all instances
--- a/internal/testbed/experiment/membership.go
+++ b/internal/testbed/experiment/membership.go
@@ -3,13 +3,14 @@
 import (
 	"context"
 	"fmt"
+	"slices"
+	"strings"
+	"time"
+
 	"ottershed/internal/cluster/membership"
 	"ottershed/internal/testbed/faultinject"
 	"ottershed/internal/testbed/fleet"
 	"ottershed/internal/testbed/poll"
-	"slices"
-	"strings"
-	"time"
 )
 
 const (
--- a/internal/testbed/experiment/policy.go
+++ b/internal/testbed/experiment/policy.go
@@ -6,14 +6,15 @@
 	"fmt"
 	"io/fs"
 	"os"
-	"ottershed/internal/cluster/policy"
-	"ottershed/internal/testbed/fleet"
-	"ottershed/internal/testbed/poll"
 	"path/filepath"
 	"regexp"
 	"strconv"
 	"strings"
 	"time"
+
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/testbed/fleet"
+	"ottershed/internal/testbed/poll"
 )
 
 // settleTimeout is how long all instances may take to run a version.
--- a/internal/testbed/experiment/simulated.go
+++ b/internal/testbed/experiment/simulated.go
@@ -1,9 +1,10 @@
 package experiment
 
 import (
+	"time"
+
 	"ottershed/internal/cluster/membership"
 	"ottershed/internal/cluster/membership/sim"
-	"time"
 )
 
 // maxSimulatedTimes bounds MembersResult.Each of a simulated experiment.
--- a/internal/testbed/experiment/takeover.go
+++ b/internal/testbed/experiment/takeover.go
@@ -4,13 +4,14 @@
 	"context"
 	"fmt"
 	"net/http"
+	"regexp"
+	"strings"
+	"time"
+
 	"ottershed/internal/testbed/fleet"
 	"ottershed/internal/testbed/load"
 	"ottershed/internal/testbed/platform"
 	"ottershed/internal/testbed/poll"
-	"regexp"
-	"strings"
-	"time"
 )
 
 const (
--- a/internal/testbed/faultinject/random.go
+++ b/internal/testbed/faultinject/random.go
@@ -1,8 +1,9 @@
 package faultinject
 
 import (
-	"ottershed/internal/stats"
 	"time"
+
+	"ottershed/internal/stats"
 )
 
 const (
--- a/internal/testbed/faultinject/rules.go
+++ b/internal/testbed/faultinject/rules.go
@@ -2,9 +2,10 @@
 
 import (
 	"hash/crc32"
-	"ottershed/internal/stats"
 	"sync"
 	"time"
+
+	"ottershed/internal/stats"
 )
 
 // Link is one direction between two processes, by their names.
--- a/internal/testbed/fleet/faults.go
+++ b/internal/testbed/fleet/faults.go
@@ -3,8 +3,9 @@
 import (
 	"context"
 	"math/rand/v2"
-	"ottershed/internal/testbed/faultinject"
 	"time"
+
+	"ottershed/internal/testbed/faultinject"
 )
 
 // FaultEnvironment is what fault scripts are played on.
--- a/internal/testbed/fleet/files.go
+++ b/internal/testbed/fleet/files.go
@@ -3,11 +3,12 @@
 import (
 	"fmt"
 	"os"
-	"ottershed/internal/clock"
-	"ottershed/internal/testbed/faultinject"
 	"path/filepath"
 	"slices"
 	"strings"
+
+	"ottershed/internal/clock"
+	"ottershed/internal/testbed/faultinject"
 )
 
 // instanceSettings are the settings of each instance, with the number of instances to fill in: the figures of the
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -17,10 +17,11 @@
 	"fmt"
 	"net/netip"
 	"os"
-	"ottershed/internal/testbed/faultinject"
-	"ottershed/internal/testbed/platform"
 	"path/filepath"
 	"sync/atomic"
+
+	"ottershed/internal/testbed/faultinject"
+	"ottershed/internal/testbed/platform"
 )
 
 // maxInstances leaves room in the last byte of their addresses.
--- a/internal/testbed/fleet/lease.go
+++ b/internal/testbed/fleet/lease.go
@@ -4,11 +4,12 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"ottershed/internal/admin"
-	"ottershed/internal/cluster/failover"
 	"regexp"
 	"strconv"
 	"strings"
+
+	"ottershed/internal/admin"
+	"ottershed/internal/cluster/failover"
 )
 
 // grantLine finds the fencing token in a log line that grants a lease.
--- a/internal/testbed/fleet/members.go
+++ b/internal/testbed/fleet/members.go
@@ -4,6 +4,7 @@
 	"context"
 	"encoding/json"
 	"fmt"
+
 	"ottershed/internal/admin"
 	"ottershed/internal/cluster/gossip"
 	"ottershed/internal/cluster/membership"
--- a/internal/testbed/fleet/policy.go
+++ b/internal/testbed/fleet/policy.go
@@ -4,10 +4,11 @@
 	"context"
 	"encoding/json"
 	"fmt"
+	"time"
+
 	"ottershed/internal/admin"
 	"ottershed/internal/cluster/policy"
 	"ottershed/internal/cluster/policysync"
-	"time"
 )
 
 // PolicyStatus is what an instance knows of the policy versions of all instances.
--- a/internal/testbed/fleet/settings.go
+++ b/internal/testbed/fleet/settings.go
@@ -1,8 +1,9 @@
 package fleet
 
 import (
-	"ottershed/internal/testbed/platform"
 	"time"
+
+	"ottershed/internal/testbed/platform"
 )
 
 // Settings say which fleet is started.
--- a/internal/testbed/load/golden_test.go
+++ b/internal/testbed/load/golden_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"ottershed/internal/golden"
 	"testing"
+
+	"ottershed/internal/golden"
 )
 
 var goldenLoadResult = Result{
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -7,9 +7,10 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"ottershed/internal/testbed/fleet"
 	"sync"
 	"time"
+
+	"ottershed/internal/testbed/fleet"
 )
 
 // RequestLatency is how long endpoints should work on a request (platform.Endpoint.Behave) while balancers are killed
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -3,9 +3,10 @@
 import (
 	"context"
 	"net"
+	"time"
+
 	"ottershed/decision"
 	"ottershed/internal/engine"
-	"time"
 )
 
 // attemptRun is an attempt that is carried; it ends on the first connection on which it may have run.
--- a/internal/upstream/benchmark_test.go
+++ b/internal/upstream/benchmark_test.go
@@ -5,13 +5,14 @@
 	"context"
 	"io"
 	"net"
+	"testing"
+
+	"github.com/sirupsen/logrus"
+
 	"ottershed/decision"
 	"ottershed/internal/clock"
 	"ottershed/internal/engine"
 	"ottershed/internal/settings"
-	"testing"
-
-	"github.com/sirupsen/logrus"
 )
 
 // serveConstant answers every request of one connection with the same bytes, without allocations of its own. A request
--- a/internal/upstream/classify.go
+++ b/internal/upstream/classify.go
@@ -7,11 +7,12 @@
 	"math"
 	"net/http"
 	"os"
-	"ottershed/decision"
 	"strconv"
 	"strings"
 	"syscall"
 	"time"
+
+	"ottershed/decision"
 )
 
 // Faults of a response that net/http takes.
--- a/internal/upstream/classify_test.go
+++ b/internal/upstream/classify_test.go
@@ -5,10 +5,11 @@
 	"errors"
 	"io"
 	"os"
-	"ottershed/decision"
 	"syscall"
 	"testing"
 	"time"
+
+	"ottershed/decision"
 )
 
 // What one connection has made of an attempt gives its outcome, or another connection.
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -6,9 +6,10 @@
 	"io"
 	"net"
 	"net/http"
+	"time"
+
 	"ottershed/decision"
 	"ottershed/internal/engine"
-	"time"
 )
 
 // maxBody is the longest body of a response, and of what stands before it, in bytes.
--- a/internal/upstream/encode.go
+++ b/internal/upstream/encode.go
@@ -6,9 +6,10 @@
 	"maps"
 	"net/http"
 	"net/url"
+	"strconv"
+
 	"ottershed/decision"
 	"ottershed/internal/engine"
-	"strconv"
 )
 
 // encodeRequest is a request as it is written, with the time that is left for it.
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -1,8 +1,9 @@
 package upstream
 
 import (
-	"ottershed/decision"
 	"time"
+
+	"ottershed/decision"
 )
 
 // endpoint is a machine as listed. A new start, build or address makes another endpoint, also under the same id and at
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -6,12 +6,13 @@
 	"io"
 	"net"
 	"net/http"
-	"ottershed/decision"
-	"ottershed/internal/engine"
-	"ottershed/internal/golden"
 	"regexp"
 	"strings"
 	"testing"
+
+	"ottershed/decision"
+	"ottershed/internal/engine"
+	"ottershed/internal/golden"
 )
 
 // goldenRequests are requests as ingress hands them over.
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -2,11 +2,12 @@
 
 import (
 	"context"
-	"ottershed/decision"
-	"ottershed/internal/sockopt"
 	"slices"
 	"syscall"
 	"time"
+
+	"ottershed/decision"
+	"ottershed/internal/sockopt"
 )
 
 const (
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -3,14 +3,15 @@
 import (
 	"context"
 	"net"
-	"ottershed/decision"
-	"ottershed/internal/clock"
-	"ottershed/internal/engine"
-	"ottershed/internal/settings"
 	"sync"
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/decision"
+	"ottershed/internal/clock"
+	"ottershed/internal/engine"
+	"ottershed/internal/settings"
 )
 
 var _ engine.Upstream = (*Pool)(nil)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -8,10 +8,6 @@
 	"io"
 	"net"
 	"net/http"
-	"ottershed/decision"
-	"ottershed/internal/clock"
-	"ottershed/internal/engine"
-	"ottershed/internal/settings"
 	"strings"
 	"sync/atomic"
 	"syscall"
@@ -19,6 +15,11 @@
 	"time"
 
 	"github.com/sirupsen/logrus"
+
+	"ottershed/decision"
+	"ottershed/internal/clock"
+	"ottershed/internal/engine"
+	"ottershed/internal/settings"
 )
 
 // fakeEndpoint stands in for an endpoint: respond does what it likes with each request on each connection.
--- a/internal/upstream/requests_test.go
+++ b/internal/upstream/requests_test.go
@@ -6,13 +6,14 @@
 	"io"
 	"net"
 	"net/http"
-	"ottershed/decision"
-	"ottershed/internal/engine"
 	"strings"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
+
+	"ottershed/decision"
+	"ottershed/internal/engine"
 )
 
 // unread is the size of a body that a narrow endpoint's connection does not hold: a part of it stays unwritten.
--- a/internal/upstream/responses_test.go
+++ b/internal/upstream/responses_test.go
@@ -5,14 +5,15 @@
 	"io"
 	"net"
 	"net/http"
+	"syscall"
+	"testing"
+	"time"
+
 	"ottershed/decision"
 	"ottershed/internal/clock"
 	"ottershed/internal/engine"
 	"ottershed/internal/settings"
 	"ottershed/internal/sockopt"
-	"syscall"
-	"testing"
-	"time"
 )
 
 const (
