--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -598,7 +598,7 @@
 	drained := drain(server)
 	new.send("GET /read/1", "X-Time-Left: 1\r\n", "")
 	half.write("ft: 1\r\nHost: h\r\nX-Correlation-Id: half\r\n\r\n")
-	for name, c := range map[string]*client{"half a hit": half, "a new connection": new} {
+	for name, c := range map[string]*client{"half a request": half, "a new connection": new} {
 		if res, _ := c.readResponse(); res.StatusCode != 503 || !res.Close {
 			t.Errorf("%s: status %d, closes %v", name, res.StatusCode, res.Close)
 		}
--- a/internal/sockopt/conn_test.go
+++ b/internal/sockopt/conn_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// A reader that reads into a part of its buffer holds the start of a further request in the rest of it: its connection is
-// not closed as idle, however long it waits.
+// A reader that reads into a part of its buffer holds the start of a further request in the rest of it: its connection
+// is not closed as idle, however long it waits.
 func TestCloseIfIdleWithPartHeld(t *testing.T) {
 	client, server := pair(t)
 	send(client, "request, and a part of the next one")
