--- a/cmd/balancer/cluster_test.go
+++ b/cmd/balancer/cluster_test.go
@@ -5,14 +5,15 @@
 	"fmt"
 	"net"
 	"os"
+	"strings"
+	"testing"
+	"time"
+
 	"ottershed/internal/cluster/membership"
 	"ottershed/internal/testbed/faultinject"
 	"ottershed/internal/testbed/fleet"
 	standin "ottershed/internal/testbed/platform"
 	"ottershed/internal/testbed/poll"
-	"strings"
-	"testing"
-	"time"
 )
 
 // asProgram has the test's own program be ottershed: tests start several of them as processes.
--- a/cmd/balancer/golden_log_test.go
+++ b/cmd/balancer/golden_log_test.go
@@ -3,6 +3,10 @@
 import (
 	"bytes"
 	"context"
+	"path/filepath"
+	"regexp"
+	"testing"
+
 	"ottershed/internal/clock"
 	"ottershed/internal/config"
 	"ottershed/internal/discovery"
@@ -11,9 +15,6 @@
 	"ottershed/internal/logging"
 	"ottershed/internal/rollout"
 	"ottershed/internal/upstream"
-	"path/filepath"
-	"regexp"
-	"testing"
 
 	"github.com/sirupsen/logrus"
 )
--- a/cmd/balancer/golden_test.go
+++ b/cmd/balancer/golden_test.go
@@ -4,6 +4,8 @@
 	"context"
 	"encoding/json"
 	"net"
+	"testing"
+
 	"ottershed/internal/admin"
 	"ottershed/internal/cluster/failover"
 	"ottershed/internal/cluster/gossip"
@@ -13,7 +15,6 @@
 	"ottershed/internal/cluster/policysync"
 	"ottershed/internal/cluster/raftlog"
 	"ottershed/internal/golden"
-	"testing"
 )
 
 // served answers a question by the admin address.
--- a/cmd/balancer/lease_cluster_test.go
+++ b/cmd/balancer/lease_cluster_test.go
@@ -7,13 +7,6 @@
 	"fmt"
 	"net"
 	"net/http"
-	"ottershed/internal/cluster/failover"
-	"ottershed/internal/cluster/lease"
-	"ottershed/internal/testbed/faultinject"
-	"ottershed/internal/testbed/fleet"
-	"ottershed/internal/testbed/load"
-	standin "ottershed/internal/testbed/platform"
-	"ottershed/internal/testbed/poll"
 	"regexp"
 	"slices"
 	"strconv"
@@ -22,6 +15,14 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"ottershed/internal/cluster/failover"
+	"ottershed/internal/cluster/lease"
+	"ottershed/internal/testbed/faultinject"
+	"ottershed/internal/testbed/fleet"
+	"ottershed/internal/testbed/load"
+	standin "ottershed/internal/testbed/platform"
+	"ottershed/internal/testbed/poll"
 )
 
 // leaseCluster starts instances with takeover on and a candidate build at one of three endpoints, and waits until each
--- a/cmd/balancer/policy_cluster_test.go
+++ b/cmd/balancer/policy_cluster_test.go
@@ -6,12 +6,6 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
-	"ottershed/internal/cluster/policy"
-	"ottershed/internal/testbed/faultinject"
-	"ottershed/internal/testbed/fleet"
-	"ottershed/internal/testbed/load"
-	standin "ottershed/internal/testbed/platform"
-	"ottershed/internal/testbed/poll"
 	"path/filepath"
 	"regexp"
 	"strconv"
@@ -19,6 +13,13 @@
 	"sync"
 	"testing"
 	"time"
+
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/testbed/faultinject"
+	"ottershed/internal/testbed/fleet"
+	"ottershed/internal/testbed/load"
+	standin "ottershed/internal/testbed/platform"
+	"ottershed/internal/testbed/poll"
 )
 
 // policyCluster starts instances, the first of which are servers of the policy's log, and waits until trials are
--- a/cmd/balancer/serve_test.go
+++ b/cmd/balancer/serve_test.go
@@ -12,10 +12,6 @@
 	"net/http/httptest"
 	"os"
 	"os/exec"
-	"ottershed/decision"
-	"ottershed/internal/config"
-	"ottershed/internal/engine"
-	"ottershed/internal/logging"
 	"path/filepath"
 	"runtime"
 	"strings"
@@ -25,6 +21,11 @@
 	"testing"
 	"time"
 
+	"ottershed/decision"
+	"ottershed/internal/config"
+	"ottershed/internal/engine"
+	"ottershed/internal/logging"
+
 	"github.com/sirupsen/logrus"
 )
 
--- a/cmd/balancer/wire_golden_test.go
+++ b/cmd/balancer/wire_golden_test.go
@@ -7,6 +7,11 @@
 	"errors"
 	"net"
 	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
 	"ottershed/internal/admin"
 	"ottershed/internal/clock"
 	"ottershed/internal/cluster/failover"
@@ -16,10 +21,6 @@
 	"ottershed/internal/cluster/policysync"
 	"ottershed/internal/cluster/raftlog"
 	"ottershed/internal/golden"
-	"path/filepath"
-	"slices"
-	"strings"
-	"testing"
 
 	"github.com/urfave/cli/v3"
 )
--- a/decision/golden_test.go
+++ b/decision/golden_test.go
@@ -148,50 +148,50 @@
 
 // action writes one action: a fixed text for its kind and its fields in order.
 func (e encoder) action(action decision.Action) {
-	switch a := action.(type) {
+	switch action := action.(type) {
 	case decision.StartAttempt:
 		e.text("forward")
-		e.integer(int(a.Request))
-		e.text(string(a.Endpoint))
-		e.floats(a.Timeout, a.SendBy)
+		e.integer(int(action.Request))
+		e.text(string(action.Endpoint))
+		e.floats(action.Timeout, action.SendBy)
 	case decision.Reject:
 		e.text("bounce")
-		e.integer(int(a.Request))
-		e.floats(a.RetryAfter)
+		e.integer(int(action.Request))
+		e.floats(action.RetryAfter)
 	case decision.Fail:
 		e.text("fail")
-		e.integer(int(a.Request))
+		e.integer(int(action.Request))
 	case decision.Cancel:
 		e.text("cancel")
-		e.integer(int(a.Request))
-		e.integer(a.Attempt)
+		e.integer(int(action.Request))
+		e.integer(action.Attempt)
 	case decision.WakeAt:
 		e.text("wake")
-		e.integer(int(a.Token))
-		e.floats(a.At)
+		e.integer(int(action.Token))
+		e.floats(action.At)
 	case decision.StartHealthCheck:
 		e.text("probe")
-		e.text(string(a.Endpoint))
+		e.text(string(action.Endpoint))
 	case decision.CloseIdle:
 		e.text("close idle")
-		e.text(string(a.Endpoint))
+		e.text(string(action.Endpoint))
 	case decision.SendToPeer:
 		e.text("tell")
-		e.integer(int(a.To))
-		e.truth(a.All)
-		e.text(string(a.Data))
+		e.integer(int(action.To))
+		e.truth(action.All)
+		e.text(string(action.Data))
 	case decision.Log: // its text may change
 		e.text("log")
 	case decision.WatchEndpoints:
 		e.text("watch")
-		e.truth(a.On)
+		e.truth(action.On)
 	case decision.ResolveEndpoints:
 		e.text("lookup")
 	case decision.Vote:
 		e.text("vote")
-		e.integer(int(a.Build))
-		e.integer(a.Stage)
-		e.integer(int(a.Verdict))
+		e.integer(int(action.Build))
+		e.integer(action.Stage)
+		e.integer(int(action.Verdict))
 	default:
 		panic("an action of a new kind: write it to the hash here")
 	}
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -171,23 +171,23 @@
 }
 
 // countAttempt notes an attempt that starts, and takes it from all balances.
-func (b *Balancer) countAttempt(req *request, ep *endpoint) {
-	req.placement += float64(b.sideOf(ep)) // after the candidate, a retry goes to the baseline
+func (b *Balancer) countAttempt(req *request, target *endpoint) {
+	req.placement += float64(b.sideOf(target)) // after the candidate, a retry goes to the baseline
 	req.healthChecks = 0
-	ep.healthCheckedAt = 0
-	if ep.inFlight == 0 {
-		ep.lastResponseAt = b.now
+	target.healthCheckedAt = 0
+	if target.inFlight == 0 {
+		target.lastResponseAt = b.now
 	}
-	ep.inFlight++
+	target.inFlight++
 	req.inFlight++
 	b.load.inFlight++
-	started := attempt{endpoint: ep, startedAt: b.now, inFlight: true, mayHaveRun: true}
+	started := attempt{endpoint: target, startedAt: b.now, inFlight: true, mayHaveRun: true}
 	req.attempts = append(req.attempts, started)
-	if b.trialOf(ep.Build).active {
+	if b.trialOf(target.Build).active {
 		*b.exposureTokens(req)--
 	}
-	if b.warmingUp(ep) {
-		ep.slowStartCredit--
+	if b.warmingUp(target) {
+		target.slowStartCredit--
 	}
 }
 
--- a/decision/stream_test.go
+++ b/decision/stream_test.go
@@ -129,7 +129,7 @@
 	}
 	s.settings = drawSettings(random)
 	s.scenario = drawScenario(random)
-	s.shape(int(seed % themes))
+	themes[int(seed)%len(themes)](s)
 	s.instance = decision.New(s.settings, seed)
 	s.controller = controller{build: 7, phase: decision.Released, since: s.now}
 	for range s.fleet {
@@ -142,7 +142,7 @@
 func drawSettings(random *rand.Rand) decision.Settings {
 	flip := func() bool { return random.IntN(2) == 0 }
 	target := 300 + 900*random.Float64()
-	s := decision.Settings{
+	settings := decision.Settings{
 		Instances: 1 + random.IntN(8), Zone: "a", ClockGranularity: float64(1 + random.IntN(6)),
 		Tenants:       []decision.TenantID{"gold", "silver"},
 		PollEndpoints: flip(), PollWithin: 400 + 2000*random.Float64(),
@@ -154,7 +154,7 @@
 		FreeAttempts: float64(random.IntN(4)), ExposurePerClass: flip(), GuardedStages: random.IntN(3), StickyKeys: flip(),
 		FlagShare: random.Float64(), VoteTTL: 2000 + 4000*random.Float64(), VoteWait: 200 + 800*random.Float64(),
 	}
-	s.Classes = []decision.RequestClass{
+	settings.Classes = []decision.RequestClass{
 		{Name: "read", LatencyObjective: target, Idempotency: decision.Idempotent},
 		{Name: "mark-cell", LatencyObjective: target * 1.5, Idempotency: decision.IdempotentWithKey, RetryScope: decision.ScopeCell, DedupWindow: target},
 		{Name: "mark-zone", LatencyObjective: target * 1.2, Idempotency: decision.IdempotentWithKey, RetryScope: decision.ScopeZone, DedupWindow: target},
@@ -162,24 +162,24 @@
 		{Name: "pay", LatencyObjective: target * 2, Idempotency: decision.NonIdempotent},
 	}
 	if flip() {
-		s.CrossZonePrice, s.HealthCheckPrice = 0.02*random.Float64(), 0.01*random.Float64()
+		settings.CrossZonePrice, settings.HealthCheckPrice = 0.02*random.Float64(), 0.01*random.Float64()
 	}
 	if random.IntN(3) == 0 {
-		s.ExposureCaps, s.Stages = []float64{0.05, 0.2, 0.6, 1}, []float64{0.05, 0.2, 0.5, 1}
+		settings.ExposureCaps, settings.Stages = []float64{0.05, 0.2, 0.6, 1}, []float64{0.05, 0.2, 0.5, 1}
 	}
 	if random.IntN(4) == 0 {
-		s.Control = decision.ByClock
-		s.HoldQuorum = random.IntN(3)
+		settings.Control = decision.ByClock
+		settings.HoldQuorum = random.IntN(3)
 	}
 	if random.IntN(8) == 0 {
-		s.WithheldShare = 0.6
+		settings.WithheldShare = 0.6
 	}
-	s.Halt = random.IntN(10) == 0
+	settings.Halt = random.IntN(10) == 0
 	if flip() {
-		s.CountInterval = 500 + 1000*random.Float64()
+		settings.CountInterval = 500 + 1000*random.Float64()
 	}
-	s.AdvanceQuorum, s.RollbackQuorum = 1+s.Instances/2, 1+s.Instances/10
-	return s
+	settings.AdvanceQuorum, settings.RollbackQuorum = 1+settings.Instances/2, 1+settings.Instances/10
+	return settings
 }
 
 // drawScenario draws the conditions that all seeds have.
@@ -198,57 +198,101 @@
 	}
 }
 
-const themes = 12
-
-// shape gives a seed its theme.
-func (s *simulation) shape(theme int) {
-	switch theme {
-	case 0: // calm, long enough for whole rollouts
-		s.trouble, s.noise = 1e5, 0
-	case 1: // slow candidates
-		s.candidateSlow, s.badCandidates = 1.4+3*s.random.Float64(), 0.8
-	case 2: // failing candidates
-		s.candidateFail, s.badCandidates = 0.05+0.4*s.random.Float64(), 0.8
-	case 3: // the other zone is lost
-		s.zoneLostAt = s.now + 3000 + 8000*s.random.Float64()
-	case 4: // all endpoints are slower, in half of the seeds as a candidate is offered that none of them runs yet
-		s.sharedSlowAt, s.sharedSlow = s.now+3000+8000*s.random.Float64(), 2+6*s.random.Float64()
-		if s.slowOffers = s.random.IntN(2) == 0; s.slowOffers {
-			s.arrivals = 0.006 + 0.012*s.random.Float64()
-		}
-	case 5: // one of hundreds of instances, with few requests
-		s.thin(100 + s.random.IntN(300))
-	case 6: // overload
-		s.burstAt, s.fleet, s.capacity = s.now+4000, 3, 6
-		s.serviceTime *= 2
-	case 7: // thin, with bad candidates
-		s.thin(100 + s.random.IntN(700))
-		s.candidateSlow, s.candidateFail, s.badCandidates = 1+3*s.random.Float64(), 0.3*s.random.Float64(), 0.7
-		if s.random.IntN(2) == 0 { // slow, with much trouble, through all stages
-			s.candidateFail, s.badCandidates, s.trouble, s.mostWait = 0, 1, 500, 7000
-			s.settings.Control, s.settings.Halt, s.settings.SlowStartWindow = decision.ByVotes, false, 800
-		}
-	case 8: // one of dozens
-		s.thin(10 + s.random.IntN(50))
-		s.settings.AdvanceQuorum = 1 + s.settings.Instances/4
-	case 9: // candidates that slow all endpoints
-		s.trouble, s.noise, s.fleet, s.spreads = 1e5, 0, 4, true
-		s.settings.SlowStartFloor, s.rotation = 0.85, 250 // else cold endpoints explain the slowness
-		s.candidateSlow, s.badCandidates, s.mostWait = 2+4*s.random.Float64(), 0.9, 9000
-		if s.random.IntN(3) > 0 { // found out after the release
-			s.mostWait, s.pause = 500+1500*s.random.Float64(), 15000
-		}
-	case 10: // the instance's own zone is slow
-		s.homeSlowAt, s.troubleLasts = s.now+2000+4000*s.random.Float64(), 20000
-		s.homeSlow = s.settings.Classes[0].LatencyObjective * (0.3 + s.random.Float64()) / s.serviceTime
-		s.arrivals, s.fleet, s.capacity = 0.01+0.05*s.random.Float64(), 16, 60
-	case 11: // overload and silent endpoints, with short targets
-		s.hurry(20)
-		s.fleet, s.trouble, s.arrivals = 4, 300, 0.5
-		s.settings.PollWithin = 20
+// themes are what seeds are drawn around, in turn.
+var themes = []func(*simulation){
+	(*simulation).calm,
+	(*simulation).slowCandidates,
+	(*simulation).failingCandidates,
+	(*simulation).zoneLoss,
+	(*simulation).sharedSlowness,
+	(*simulation).manyInstances,
+	(*simulation).overload,
+	(*simulation).manyInstancesWithBadCandidates,
+	(*simulation).dozensOfInstances,
+	(*simulation).candidatesThatSlowAll,
+	(*simulation).slowHomeZone,
+	(*simulation).shortObjectives,
+}
+
+// calm: calm, long enough for whole rollouts.
+func (s *simulation) calm() {
+	s.trouble, s.noise = 1e5, 0
+}
+
+// slowCandidates: slow candidates.
+func (s *simulation) slowCandidates() {
+	s.candidateSlow, s.badCandidates = 1.4+3*s.random.Float64(), 0.8
+}
+
+// failingCandidates: failing candidates.
+func (s *simulation) failingCandidates() {
+	s.candidateFail, s.badCandidates = 0.05+0.4*s.random.Float64(), 0.8
+}
+
+// zoneLoss: the other zone is lost.
+func (s *simulation) zoneLoss() {
+	s.zoneLostAt = s.now + 3000 + 8000*s.random.Float64()
+}
+
+// sharedSlowness: all endpoints are slower, in half of the seeds as a candidate is offered that none of them runs yet.
+func (s *simulation) sharedSlowness() {
+	s.sharedSlowAt, s.sharedSlow = s.now+3000+8000*s.random.Float64(), 2+6*s.random.Float64()
+	if s.slowOffers = s.random.IntN(2) == 0; s.slowOffers {
+		s.arrivals = 0.006 + 0.012*s.random.Float64()
 	}
 }
 
+// manyInstances: one of hundreds of instances, with few requests.
+func (s *simulation) manyInstances() {
+	s.thin(100 + s.random.IntN(300))
+}
+
+// overload: overload.
+func (s *simulation) overload() {
+	s.burstAt, s.fleet, s.capacity = s.now+4000, 3, 6
+	s.serviceTime *= 2
+}
+
+// manyInstancesWithBadCandidates: thin, with bad candidates.
+func (s *simulation) manyInstancesWithBadCandidates() {
+	s.thin(100 + s.random.IntN(700))
+	s.candidateSlow, s.candidateFail, s.badCandidates = 1+3*s.random.Float64(), 0.3*s.random.Float64(), 0.7
+	if s.random.IntN(2) == 0 { // slow, with much trouble, through all stages
+		s.candidateFail, s.badCandidates, s.trouble, s.mostWait = 0, 1, 500, 7000
+		s.settings.Control, s.settings.Halt, s.settings.SlowStartWindow = decision.ByVotes, false, 800
+	}
+}
+
+// dozensOfInstances: one of dozens.
+func (s *simulation) dozensOfInstances() {
+	s.thin(10 + s.random.IntN(50))
+	s.settings.AdvanceQuorum = 1 + s.settings.Instances/4
+}
+
+// candidatesThatSlowAll: candidates that slow all endpoints.
+func (s *simulation) candidatesThatSlowAll() {
+	s.trouble, s.noise, s.fleet, s.spreads = 1e5, 0, 4, true
+	s.settings.SlowStartFloor, s.rotation = 0.85, 250 // else cold endpoints explain the slowness
+	s.candidateSlow, s.badCandidates, s.mostWait = 2+4*s.random.Float64(), 0.9, 9000
+	if s.random.IntN(3) > 0 { // found out after the release
+		s.mostWait, s.pause = 500+1500*s.random.Float64(), 15000
+	}
+}
+
+// slowHomeZone: the instance's own zone is slow.
+func (s *simulation) slowHomeZone() {
+	s.homeSlowAt, s.troubleLasts = s.now+2000+4000*s.random.Float64(), 20000
+	s.homeSlow = s.settings.Classes[0].LatencyObjective * (0.3 + s.random.Float64()) / s.serviceTime
+	s.arrivals, s.fleet, s.capacity = 0.01+0.05*s.random.Float64(), 16, 60
+}
+
+// shortObjectives: overload and silent endpoints, with short targets.
+func (s *simulation) shortObjectives() {
+	s.hurry(20)
+	s.fleet, s.trouble, s.arrivals = 4, 300, 0.5
+	s.settings.PollWithin = 20
+}
+
 // thin makes the instance one of many that sees a few requests a second.
 func (s *simulation) thin(instances int) {
 	s.settings.Instances = instances
@@ -337,23 +381,23 @@
 
 // perform carries out an action of the instance. It only schedules events, for an action is performed within one.
 func (s *simulation) perform(action decision.Action) {
-	switch a := action.(type) {
+	switch todo := action.(type) {
 	case decision.StartAttempt:
-		s.send(a)
+		s.send(todo)
 	case decision.Reject:
-		s.rejected(a)
+		s.rejected(todo)
 	case decision.Fail:
-		s.requests[a.Request].done = true
+		s.requests[todo.Request].done = true
 	case decision.Cancel:
-		s.cancel(a)
+		s.cancel(todo)
 	case decision.WakeAt:
-		s.at(a.At, func() { s.handle(decision.TimerFired{Token: a.Token}) })
+		s.at(todo.At, func() { s.handle(decision.TimerFired{Token: todo.Token}) })
 	case decision.StartHealthCheck:
-		s.probe(a.Endpoint)
+		s.probe(todo.Endpoint)
 	case decision.WatchEndpoints, decision.ResolveEndpoints:
 		s.at(s.now+5+200*s.random.Float64(), s.respondToPoll)
 	case decision.Vote:
-		s.at(s.now+2+60*s.random.Float64(), func() { s.voted(a) })
+		s.at(s.now+2+60*s.random.Float64(), func() { s.voted(todo) })
 	}
 }
 
@@ -431,11 +475,11 @@
 
 // send carries out an attempt and schedules its ending.
 func (s *simulation) send(f decision.StartAttempt) {
-	r, e := s.requests[f.Request], s.byID[f.Endpoint]
-	number := len(r.attempts)
-	r.attempts = append(r.attempts, &attempt{endpoint: e, sent: s.now})
-	e.inFlight++
-	how, after := s.serve(e)
+	request, server := s.requests[f.Request], s.byID[f.Endpoint]
+	number := len(request.attempts)
+	request.attempts = append(request.attempts, &attempt{endpoint: server, sent: s.now})
+	server.inFlight++
+	how, after := s.serve(server)
 	if connect := 4 * s.random.Float64(); f.SendBy > 0 && s.now+connect >= f.SendBy || s.random.IntN(400) == 0 {
 		how, after = decision.NotSent, connect
 	}
@@ -446,9 +490,9 @@
 		return
 	}
 	if how == decision.Succeeded && s.random.Float64() < s.streamed {
-		s.at(s.now+after/2, func() { s.startResponse(r, number) })
+		s.at(s.now+after/2, func() { s.startResponse(request, number) })
 	}
-	s.at(s.now+after, func() { s.end(r, number, how) })
+	s.at(s.now+after, func() { s.end(request, number, how) })
 }
 
 // serve draws how an attempt at an endpoint ends and how long it takes.
@@ -477,24 +521,24 @@
 }
 
 // serviceTimeAt draws the service time at an endpoint: by its kind, build, warmth, load and zone.
-func (s *simulation) serviceTimeAt(e *endpoint) decision.Millis {
-	after := s.serviceTime * e.slow * (0.4 + 0.6*s.random.ExpFloat64()) * (1 + float64(e.inFlight-1)/4)
-	if e.MachineType == "old" {
+func (s *simulation) serviceTimeAt(server *endpoint) decision.Millis {
+	after := s.serviceTime * server.slow * (0.4 + 0.6*s.random.ExpFloat64()) * (1 + float64(server.inFlight-1)/4)
+	if server.MachineType == "old" {
 		after *= 1.6
 	}
-	if age := s.now - e.Started; e.Started > 0 && age < s.settings.SlowStartWindow {
+	if age := s.now - server.Started; server.Started > 0 && age < s.settings.SlowStartWindow {
 		after /= s.settings.SlowStartFloor + (1-s.settings.SlowStartFloor)*age/s.settings.SlowStartWindow
 	}
 	if s.during(s.sharedSlowAt) {
 		after *= s.sharedSlow
 	}
-	if e.Zone == s.settings.Zone && s.during(s.homeSlowAt) {
+	if server.Zone == s.settings.Zone && s.during(s.homeSlowAt) {
 		after *= s.homeSlow
 	}
-	if e.bad || s.spreads && slices.ContainsFunc(s.endpoints, func(other *endpoint) bool { return other.bad }) {
+	if server.bad || s.spreads && slices.ContainsFunc(s.endpoints, func(other *endpoint) bool { return other.bad }) {
 		after *= s.candidateSlow
 	}
-	if e.Zone != s.settings.Zone {
+	if server.Zone != s.settings.Zone {
 		after += 4
 	}
 	return after
@@ -627,28 +671,28 @@
 
 // troubleEndpoint gives one endpoint a trouble for a while.
 func (s *simulation) troubleEndpoint() {
-	e := s.endpoints[s.random.IntN(len(s.endpoints))]
-	was := *e
+	victim := s.endpoints[s.random.IntN(len(s.endpoints))]
+	was := *victim
 	switch s.random.IntN(6) {
 	case 0:
-		e.silent = true
+		victim.silent = true
 	case 1:
-		e.down = true
-		s.at(s.now+300, func() { s.restartIfListed(e) })
+		victim.down = true
+		s.at(s.now+300, func() { s.restartIfListed(victim) })
 	case 2:
-		e.slow = 2 + 6*s.random.Float64()
+		victim.slow = 2 + 6*s.random.Float64()
 	case 3:
-		e.failing = 0.2 + 0.6*s.random.Float64()
+		victim.failing = 0.2 + 0.6*s.random.Float64()
 	case 4:
-		s.restart(e, e.Build)
+		s.restart(victim, victim.Build)
 	case 5:
-		s.changed(s.startEndpoint(e.Build, s.now).Endpoint)
+		s.changed(s.startEndpoint(victim.Build, s.now).Endpoint)
 		if len(s.endpoints) > 4 {
-			s.drain(e)
+			s.drain(victim)
 		}
 	}
 	s.at(s.now+500+2500*s.random.Float64(), func() {
-		e.silent, e.down, e.slow, e.failing = false, false, was.slow, was.failing
+		victim.silent, victim.down, victim.slow, victim.failing = false, false, was.slow, was.failing
 	})
 }
 
@@ -838,22 +882,22 @@
 // drawEvidence is what another instance may have seen: as this one had, with outcomes of its own and of endpoints that are
 // gone.
 func (s *simulation) drawEvidence() decision.Evidence {
-	e := decision.Evidence{Build: s.controller.build, Stage: s.controller.stage}
-	e.Build = cmp.Or(s.evidence.Build, e.Build)
-	e.Classes, e.Counts = slices.Clone(s.evidence.Classes), slices.Clone(s.evidence.Counts)
+	evidence := decision.Evidence{Build: s.controller.build, Stage: s.controller.stage}
+	evidence.Build = cmp.Or(s.evidence.Build, evidence.Build)
+	evidence.Classes, evidence.Counts = slices.Clone(s.evidence.Classes), slices.Clone(s.evidence.Counts)
 	var baseline, candidate []float64
 	for range 2 + s.random.IntN(25) {
 		baseline = append(baseline, 0.5+s.random.ExpFloat64())
 		candidate = append(candidate, 0.5+s.random.ExpFloat64()*(0.8+s.random.Float64()))
 	}
-	e.Classes = append(e.Classes,
+	evidence.Classes = append(evidence.Classes,
 		decision.ClassEvidence{Baseline: baseline, Candidate: candidate},
 		decision.ClassEvidence{Class: "read", Baseline: baseline, Candidate: candidate},
 		decision.ClassEvidence{Class: "unheard-of", Baseline: baseline})
-	e.Counts = append(e.Counts,
-		decision.EndpointCount{Endpoint: "left", Build: e.Build - 1, Class: "read", Succeeded: 9, Failed: 1},
-		decision.EndpointCount{Endpoint: "left", Build: e.Build, Class: "read", Succeeded: 9, Failed: 1},
+	evidence.Counts = append(evidence.Counts,
+		decision.EndpointCount{Endpoint: "left", Build: evidence.Build - 1, Class: "read", Succeeded: 9, Failed: 1},
+		decision.EndpointCount{Endpoint: "left", Build: evidence.Build, Class: "read", Succeeded: 9, Failed: 1},
 		decision.EndpointCount{Class: "pay", Succeeded: 4},
 		decision.EndpointCount{Endpoint: "left", Class: "unheard-of", Succeeded: 4})
-	return e
+	return evidence
 }
--- a/decision/types.go
+++ b/decision/types.go
@@ -4,20 +4,39 @@
 // chooses.
 type Millis = float64
 
-// Identifiers are types of their own, so that one kind is never passed for another.
-type (
-	RequestID   uint32 // a client's request, unique among the open ones
-	EndpointID  string // a server that requests are balanced to
-	ClassName   string // a request class
-	TenantID    string // whose request it is
-	Key         string // what a request is about; requests with one key may have to stay together
-	Zone        string // an availability zone
-	Cell        int    // a subset of a zone's endpoints that share their memory of keys
-	MachineType string // endpoints of one type have the same speed
-	Build       int    // a version of the endpoints' software; higher is newer
-	InstanceID  int    // a load balancer instance
-	Token       uint64 // of a timer; 0 is the periodic tick
-)
+// RequestID is the identifier of a client's request, unique among the open ones. Identifiers are types of their own, so
+// that one kind is never passed for another.
+type RequestID uint32
+
+// EndpointID names a server that requests are balanced to.
+type EndpointID string
+
+// ClassName names a request class.
+type ClassName string
+
+// TenantID says whose request it is.
+type TenantID string
+
+// Key is what a request is about; requests with one key may have to stay together.
+type Key string
+
+// Zone names an availability zone.
+type Zone string
+
+// Cell is a subset of a zone's endpoints that share their memory of idempotency keys.
+type Cell int
+
+// MachineType names machines of one speed.
+type MachineType string
+
+// Build is a version of the endpoints' software; a higher one is newer.
+type Build int
+
+// InstanceID is a load balancer instance.
+type InstanceID int
+
+// Token is that of a timer; 0 is the periodic tick.
+type Token uint64
 
 // Idempotency says what a second run of a request would do.
 type Idempotency int
