--- a/cmd/balancer/golden_log_test.go
+++ b/cmd/balancer/golden_log_test.go
@@ -7,6 +7,8 @@
 	"regexp"
 	"testing"
 
+	"github.com/sirupsen/logrus"
+
 	"ottershed/internal/clock"
 	"ottershed/internal/config"
 	"ottershed/internal/discovery"
@@ -15,8 +17,6 @@
 	"ottershed/internal/logging"
 	"ottershed/internal/rollout"
 	"ottershed/internal/upstream"
-
-	"github.com/sirupsen/logrus"
 )
 
 // logTime is when a line was written.
--- a/cmd/balancer/serve_test.go
+++ b/cmd/balancer/serve_test.go
@@ -21,12 +21,12 @@
 	"testing"
 	"time"
 
+	"github.com/sirupsen/logrus"
+
 	"ottershed/decision"
 	"ottershed/internal/config"
 	"ottershed/internal/engine"
 	"ottershed/internal/logging"
-
-	"github.com/sirupsen/logrus"
 )
 
 const settings = `{"n-instances":1,"zone":"z","limits":{"most-tries":5,"cancel":true,"retry-after":true,"max-retry-after-ms":20,
--- a/cmd/balancer/wire_golden_test.go
+++ b/cmd/balancer/wire_golden_test.go
@@ -12,6 +12,8 @@
 	"strings"
 	"testing"
 
+	"github.com/urfave/cli/v3"
+
 	"ottershed/internal/admin"
 	"ottershed/internal/clock"
 	"ottershed/internal/cluster/failover"
@@ -21,8 +23,6 @@
 	"ottershed/internal/cluster/policysync"
 	"ottershed/internal/cluster/raftlog"
 	"ottershed/internal/golden"
-
-	"github.com/urfave/cli/v3"
 )
 
 // The answers of a running marshal with every field set, as the admin server has them.
