--- a/internal/discovery/delivery.go
+++ b/internal/discovery/delivery.go
@@ -8,7 +8,7 @@
 
 // delivery hands updates on in the order of the watches: once a watch has delivered, those before it can't.
 type delivery struct {
-	polls    bool // updates without entries are handed on too, since they say that the call was accepted
+	emptyToo bool // updates without entries are handed on too, since they say that a polled service accepted the call
 	handle   func(engine.EndpointUpdate)
 	received chan struct{} // closed with the first update that is handed on
 
@@ -25,7 +25,7 @@
 	first = d.newest < number
 	d.newest = max(d.newest, number)
 	accepted = d.newest == number
-	if accepted && (d.polls || update.Kind == decision.FullSnapshot || len(update.Endpoints) > 0) {
+	if accepted && (d.emptyToo || update.Kind == decision.FullSnapshot || len(update.Endpoints) > 0) {
 		d.handle(update)
 		d.once.Do(func() { close(d.received) })
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -98,14 +98,15 @@
 }
 
 // New makes a Watcher of the list at address (host:port). known is the list that is held already, nil for none; only a
-// polled service is asked for changes since it. handle gets the updates one at a time.
+// polled service is asked for changes since it. handle gets the lists one at a time; a PollRejected may come beside them
+// while two watches run.
 func New(
 	address string, known *engine.EndpointUpdate, network settings.Network, handle func(engine.EndpointUpdate),
 	log logrus.FieldLogger,
 ) *Watcher {
 	watcher := &Watcher{
 		timing:   newTiming(network),
-		delivery: delivery{polls: network.PollEndpoints, handle: handle, received: make(chan struct{})},
+		delivery: delivery{emptyToo: network.PollEndpoints, handle: handle, received: make(chan struct{})},
 		commands: commands{
 			resolve: make(chan struct{}, 1), resume: make(chan struct{}, 1), moved: make(chan string),
 		},
