--- /dev/null
+++ b/cmd/balancer/platform_test.go
@@ -0,0 +1,193 @@
+package main
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"ottershed/internal/config"
+)
+
+// testSettings are those of the tests: one request class that is idempotent, and one that is not.
+const testSettings = `{"n-instances":1,"zone":"z","limits":{"most-tries":5,"cancel":true,"retry-after":true,"max-retry-after-ms":20,
+"conn-idle-ms":30000,"connect-timeout-ms":100},"rules":{"cold-from":0.35,"warm-after-ms":4500,"overload-factor":3,
+"overload-for-ms":1000,"answer-slack-ms":20},"domain":{"caps":[1],"waves":[1],"uncounted":1,"guarded-stages":0,
+"on-votes":1,"votes-to-revert":1,"vote-wait-ms":100,"vote-ttl-ms":1000},"services":[
+{"name":"read","aim-ms":100,"give-up-ms":300,"idempotency":"safe"},{"name":"pay","aim-ms":100,"give-up-ms":300,"idempotency":"unsafe"}]}`
+
+// fault is how the endpoints of a platform fail.
+type fault int32
+
+const (
+	noFault         fault = iota
+	respondsError         // status 500
+	neverResponds         // reads the request and leaves it without a response
+	dropsConnection       // closes the connection in place of a response
+	faults                // how many there are
+)
+
+// platform is stand-ins for three endpoints, discovery and the rollout controller.
+type platform struct {
+	endpoints  []*httptest.Server
+	agent      *httptest.Server
+	controller net.Listener
+	closing    sync.Once
+	done       chan struct{} // closed as the platform closes
+
+	fault           atomic.Int32 // a fault, of all endpoints
+	version         atomic.Int32 // of the endpoint list; from the second on the first endpoint drains
+	discoveryCalls  atomic.Int32
+	controllerLines atomic.Int32 // lines that the controller received
+
+	mu                sync.Mutex
+	nonIdempotentRuns map[string]int // how often endpoints received each POST, by its id
+}
+
+// newPlatform starts the stand-ins; they end with the test at the latest.
+func newPlatform(t *testing.T) *platform {
+	t.Helper()
+	p := &platform{nonIdempotentRuns: map[string]int{}, done: make(chan struct{})}
+	p.version.Store(1)
+	controller, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	p.controller = controller
+	for range 3 {
+		p.endpoints = append(p.endpoints, httptest.NewServer(http.HandlerFunc(p.serveEndpoint)))
+	}
+	p.agent = httptest.NewServer(http.HandlerFunc(p.serveEndpointList))
+	go p.serveController()
+	t.Cleanup(p.close)
+	return p
+}
+
+func (p *platform) setFault(f fault) { p.fault.Store(int32(f)) }
+
+func (p *platform) agentAddress() string { return p.agent.Listener.Addr().String() }
+
+func (p *platform) controllerAddress() string { return p.controller.Addr().String() }
+
+func (p *platform) serveEndpoint(w http.ResponseWriter, r *http.Request) {
+	if r.Method == http.MethodPost {
+		p.mu.Lock()
+		p.nonIdempotentRuns[r.Header.Get("X-Correlation-Id")]++
+		p.mu.Unlock()
+	}
+	switch fault(p.fault.Load()) {
+	case respondsError:
+		w.WriteHeader(http.StatusInternalServerError)
+	case neverResponds:
+		_, _ = io.ReadAll(r.Body) // the balancer may cancel the attempt
+		select {
+		case <-r.Context().Done():
+		case <-p.done:
+		}
+	case dropsConnection:
+		panic(http.ErrAbortHandler)
+	}
+	_, _ = io.WriteString(w, "hi") // the balancer may have cancelled the attempt
+}
+
+// serveEndpointList answers a poll at once, and a watch once its version is not the newest any more.
+func (p *platform) serveEndpointList(w http.ResponseWriter, r *http.Request) {
+	p.discoveryCalls.Add(1)
+	for r.URL.RawQuery != "" && strings.Contains(r.URL.RawQuery, fmt.Sprintf("since=%d&", p.version.Load())) {
+		select {
+		case <-r.Context().Done():
+			return
+		case <-time.After(time.Millisecond):
+		}
+	}
+	var entries []string
+	for i, server := range p.endpoints {
+		status := "Ready"
+		if i == 0 && p.version.Load() > 1 {
+			status = "Terminating"
+		}
+		entries = append(entries, fmt.Sprintf(`{"name":"n%d","address":%q,"zone":"z","type":"k","status":%q,"weight":1,"image_id":1}`,
+			i, server.Listener.Addr(), status))
+	}
+	list := fmt.Sprintf(`{"index":%d,"snapshot":true,"endpoints":[%s]}`, p.version.Load(), strings.Join(entries, ","))
+	_, _ = io.WriteString(w, list) // the balancer may have moved to another agent
+}
+
+func (p *platform) serveController() {
+	for {
+		connection, err := p.controller.Accept()
+		if err != nil {
+			return
+		}
+		go p.serveControllerConnection(connection)
+	}
+}
+
+// serveControllerConnection acknowledges each line, and sends a stage update behind it.
+func (p *platform) serveControllerConnection(connection net.Conn) {
+	defer func() { _ = connection.Close() }() // the balancer may have closed it
+	for lines := bufio.NewScanner(connection); lines.Scan(); {
+		var message struct{ ID int }
+		if err := json.Unmarshal(lines.Bytes(), &message); err != nil {
+			return // tests that wait for lines fail
+		}
+		p.controllerLines.Add(1)
+		if _, err := fmt.Fprintf(connection, `{"id":%d,"result":true}`+"\n"+
+			`{"method":"stage","params":{"image":1,"ring":0,"progress":"live","ceiling":1}}`+"\n", message.ID); err != nil {
+			return
+		}
+	}
+}
+
+// checkRunsOnce fails the test where endpoints received a non-idempotent request more than once.
+func (p *platform) checkRunsOnce(t *testing.T) {
+	t.Helper()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for id, runs := range p.nonIdempotentRuns {
+		if runs > 1 {
+			t.Errorf("non-idempotent request %s ran %d times", id, runs)
+		}
+	}
+}
+
+// close ends the stand-ins; a second call does nothing.
+func (p *platform) close() {
+	p.closing.Do(func() {
+		close(p.done)
+		_ = p.controller.Close() // nothing is left to do where it fails
+		for _, server := range append(p.endpoints, p.agent) {
+			server.CloseClientConnections()
+			server.Close()
+		}
+	})
+}
+
+// config is a configuration of an instance in front of the platform.
+func (p *platform) config(t *testing.T) *config.Config {
+	t.Helper()
+	cfg, _ := p.configFile(t)
+	return cfg
+}
+
+// configFile is the configuration and the path of its file.
+func (p *platform) configFile(t *testing.T) (*config.Config, string) {
+	t.Helper()
+	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1","platform":{"address":%q},"settings":%s}`,
+		closedAddress(t), p.agentAddress(), p.controllerAddress(), testSettings)
+	path := writeFile(t, filepath.Join(t.TempDir(), "config.json"), text)
+	cfg, err := config.Read(path, noEnvironment)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return cfg, path
+}
