--- a/cmd/balancer/reload.go
+++ b/cmd/balancer/reload.go
@@ -29,8 +29,9 @@
 	}
 }
 
-// reload takes over what a running process can: the addresses, and the settings where the new ones allow it. A file that
-// is wrong or half written leaves everything as it was.
+// reload takes over what a running process can: the addresses, and the settings, all or none of them: none
+// if a class, a tenant, the granularity or a setting of the sockets differs, or if the cluster's policy does
+// not go with them. A file that is wrong or half written leaves everything as it was.
 func (r *reloader) reload(ctx context.Context) {
 	inst := r.instance
 	next, err := r.reread()
--- a/cmd/balancer/summary.go
+++ b/cmd/balancer/summary.go
@@ -16,7 +16,7 @@
 	finalSummaryTimeout = time.Second // for the figures of the end
 )
 
-// summary writes what a marshal has done, a line every so often; none where every is 0. All counts are since the start, so
+// summary writes what an instance has done, a line every so often; none where every is 0. All counts are since the start, so
 // that a line that is lost costs the reader no more than its moment.
 type summary struct {
 	engine *engine.Engine
@@ -43,7 +43,7 @@
 	}
 }
 
-// last writes the line of a marshal that leaves.
+// writeFinal writes the summary line of an instance that stops.
 func (s summary) writeFinal() {
 	if s.every > 0 {
 		ctx, cancel := context.WithTimeout(context.Background(), finalSummaryTimeout)
--- a/decision/action.go
+++ b/decision/action.go
@@ -48,7 +48,8 @@
 // Log writes a line to the instance's log.
 type Log struct{ Text string }
 
-// WatchEndpoints polls the endpoint list; an EndpointsChanged follows.
+// WatchEndpoints asks for the endpoint list where it is polled: the first time, and again after a
+// PollRejected. An EndpointsChanged follows. On is always true.
 type WatchEndpoints struct{ On bool }
 
 // ResolveEndpoints asks for a full snapshot of the endpoint list. The balancer emits none.
--- a/decision/admission.go
+++ b/decision/admission.go
@@ -1,6 +1,6 @@
 package decision
 
-// timerMargin is how many steps of the clock limits in time are kept with to spare.
+// timerMargin is how many steps of the clock are kept as a margin before a time limit.
 const timerMargin = 2
 
 // admits is the gate before every attempt: it tells whether this request may go to this endpoint now. All
@@ -26,7 +26,7 @@
 // has no other, and one with an idempotency key keeps to the scope and the time in which endpoints remember
 // that key.
 func (b *Balancer) withinRetryScope(req *request, ep *endpoint) bool {
-	first := req.firstAttempt()
+	first := req.firstThatMayHaveRun()
 	if first == nil || req.Idempotency == Idempotent {
 		return true
 	}
--- a/decision/comparison.go
+++ b/decision/comparison.go
@@ -8,17 +8,18 @@
 
 const (
 	groupSize            = 20   // outcomes in a group
-	rejectStatistic      = 3.84 // of the rank test: two groups differ from here on, at the 0.05 level
+	rejectStatistic      = 3.84 // of the Kruskal-Wallis test (chi-squared, 1 degree of freedom, 5%): groups differ
 	slowRatio            = 1.25 // of two medians: the higher one is clearly slower from here on
 	rejectionsToRollback = 2    // rejections in a row that roll a build back where a handful of instances judge
 )
 
 // comparison compares the candidate's outcomes with the baseline's by the rank test, one closed group after
-// another. A value is a response time over the pace; a failure is infinite and ranks behind every response.
+// another. A value is a response time divided by the baseline's mean in its class and on its machine type; a
+// failure is infinite and ranks behind every response.
 type comparison struct {
 	baseline    stats.Groups
 	candidate   stats.Groups
-	agrees      bool // the candidate's last two groups do, and the last one with the baseline's
+	agrees      bool // the candidate's last two groups agree with each other, the last also with the baseline's
 	rejections  int  // groups in a row that were clearly slower
 	medianRatio float64
 }
--- a/decision/concurrency.go
+++ b/decision/concurrency.go
@@ -8,19 +8,19 @@
 	latencyTolerance  = 2.0         // response time over the base latency from which an endpoint's limit falls
 	limitFallWeight   = 0.15        // of the newest response, as it lowers an endpoint's limit
 	limitRiseWeight   = 0.15        // of an attempt, by which a limit that is used up rises
-	queuedObjective   = 2.0         // divisor: all instances keep half an objective of work at an endpoint
+	queuedObjective   = 2.0         // divisor: all instances together queue half an objective of work
 	limitHeadroom     = 1.25        // of an endpoint's limit over what it served at once
 	minEndpointLimit  = 0.15        // attempts
 	rejectionLimitCut = 1 - 0.15    // factor on an endpoint's limit when it rejects an attempt
 
-	slowResponse        = 0.25 // of the latency objective: a longer response is slow
+	slowResponseShare   = 0.25 // a response that takes longer than this share of its objective is slow
 	slowShareWeight     = 0.15 // of the newest response in a share of slow ones
 	overloadedShare     = 0.7  // share of slow responses in the best class or tenant: an overload
 	totalLimitCutWeight = 0.15 // of the newest response, as it lowers the limit over all endpoints
 	totalLimitStep      = 0.15 // attempts, by which a limit that is used up rises
-	minTotalLimit       = 1e-9 // from nothing no response would ever raise it
+	minTotalLimit       = 1e-9 // attempts; at 0 no attempt could start, so no response could raise the limit
 
-	baseLatencyCreep = 20 // slow start windows in which the base latency doubles, to first order
+	baseLatencyCreep = 20 // the base latency rises by 1/20 in a slow start window
 )
 
 // loadLimiter limits the attempts in flight, at each endpoint and over all of them, by how response times
@@ -39,7 +39,7 @@
 
 	slowShare  float64               // share of slow responses
 	slowShares []*float64            // the same by class and tenant
-	tenants    map[TenantID]*float64 // of these, the tenants'; the settings bound their number
+	tenants    map[TenantID]*float64 // of these, the tenants'; bounded only where the settings list tenants
 }
 
 func newLoadLimiter(classes classTable, latency Millis) loadLimiter {
@@ -114,7 +114,7 @@
 // and raises it as it is used up. An instance with little traffic has too few responses of each endpoint to
 // go by their limits.
 func (b *Balancer) adjustTotalLimit(req *request, after Millis) {
-	slow := min(1, math.Floor(after/req.LatencyObjective/slowResponse))
+	slow := min(1, math.Floor(after/req.LatencyObjective/slowResponseShare))
 	for _, share := range []*float64{&b.load.slowShare, req.slowShare, req.tenantSlow} {
 		*share += slowShareWeight * (slow - *share)
 	}
--- a/decision/crosszone.go
+++ b/decision/crosszone.go
@@ -3,11 +3,11 @@
 import "math"
 
 const (
-	crossGainFactor     = 4.0  // requests that cross zones, for each that this would bring in time
+	crossGainFactor     = 4.0  // share that crosses, for each share that crossing would bring in time
 	maxCrossZoneShare   = 0.5  // of the requests cross while endpoints at home can take them, at most
 	zoneLatencyWeight   = 0.15 // of the newest response
 	crossZoneCutDivisor = 2.0  // of the share, for an attempt in another zone whose connection failed
-	zoneRetryRate       = 0.15 // of the other zone's response time is forgotten in a slow start window
+	zoneRetryRate       = 0.15 // share of the gap to the base latency that closes in a slow start window
 )
 
 // crossZone decides what share of the requests is sent to another zone though endpoints at home could take
--- a/decision/failures.go
+++ b/decision/failures.go
@@ -10,7 +10,7 @@
 
 const (
 	leastFailures       = 2  // of the candidate that can prove it bad
-	singleFailureQuorum = 20 // rollback votes needed from which one failure can be proof, at half weight
+	singleFailureQuorum = 20 // RollbackQuorum from which a single failure counts, at half strength
 	leastReported       = 2  // failures by the controller's counts that can prove the candidate bad
 	worstEndpointShare  = 4  // one in so many of the candidate's endpoints, the worst, is left out
 	suspectedRatio      = 2  // share of failures over the baseline's from which there is a doubt
@@ -20,8 +20,8 @@
 type failureEvidence struct {
 	strength float64 // the strongest sign in any class, as a multiple of what proves a bad build
 	outcomes float64 // of the candidate that were seen, over all classes
-	// suspected: a failure or more at twice the baseline's share. No proof, but most of many instances see none in a
-	// good build.
+	// suspected: a failure or more at twice the baseline's share. No proof, but most of many instances see
+	// none in a good build.
 	suspected bool
 }
 
@@ -83,11 +83,11 @@
 	return counts
 }
 
-// doubtful tells whether the few failures seen speak against the candidate. It matters where the votes of
-// many are needed, which are proof together.
+// doubtful tells whether the few failures seen speak against the candidate. It is used only where so many
+// votes are needed that each instance needs no outcomes of its own to advance.
 func (b *Balancer) doubtful(counts failureCounts) bool {
 	all, baseline := counts.candidateAll, counts.baseline
-	return b.proof.blindOutcomes == 0 && all.Bad >= 1 &&
+	return b.proof.outcomesWithoutGroups == 0 && all.Bad >= 1 &&
 		all.Bad*baseline.Total() > suspectedRatio*(baseline.Bad+1)*all.Total()
 }
 
--- a/decision/fleetslowdown.go
+++ b/decision/fleetslowdown.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	slowdownGroups     = 8.0  // rejections here for each one that rolls a build back by its own outcomes
-	maxRatioWeight     = 4    // slow ratios that one group counts for, at most
-	slowdownFillTime   = 4000 // ms: a group that took as long to fill counts for all of slowdownGroups
+	slowdownGroups     = 8.0  // multiplies rejectionsNeeded: this rule needs so many times as many
+	maxRatioWeight     = 4    // factors of slowRatio that one group counts for, at most
+	slowdownFillTime   = 4000 // ms; a group that took this long to fill counts slowdownGroups times
 	arrivalRateMargin  = 1.25 // arrival rate over the one before the trial from which no group is judged
-	earlyOutcomesLeast = 5    // before the candidate's first endpoint that can show a slowdown
+	earlyOutcomesLeast = 5    // outcomes needed to judge whether endpoints were slow already
 )
 
 // fleetSlowdown compares the outcomes of both builds with those from before the trial, for a candidate that
@@ -62,9 +62,9 @@
 		stats.Median(s.early) > slowRatio*stats.Median(s.baseline.Last)
 }
 
-// weight is what the last group counts for: once for each slow ratio by which it is slower, for a very slow
-// build fills groups late, and more if it took long to fill. What many groups in a row show is that slowness
-// lasts, and one group shows that too at an instance with little traffic.
+// weight counts the last group once for each factor of slowRatio by which it is slower, four at most, times
+// one for each half second that it took to fill, eight at most. At an instance with little traffic, one
+// group that took long to fill shows as well as several groups that the slowness lasts.
 func (s *fleetSlowdown) weight(now Millis) int {
 	lasted := min(slowdownGroups, max(1, slowdownGroups*(now-s.fillStartedAt)/slowdownFillTime))
 	ratios := min(maxRatioWeight, math.Log(s.medianRatio)/math.Log(slowRatio))
--- a/decision/healthcheck.go
+++ b/decision/healthcheck.go
@@ -3,21 +3,21 @@
 import "cmp"
 
 const (
-	maxHealthChecks  = 3    // before one attempt
-	idleRatio        = 1.25 // duration of a check over that of an idle endpoint, up to which it is idle
-	missedWeight     = 0.15 * 0.15
-	missedPerPrice   = 2 // share of missed requests over the price of a health check from which checks pay off
-	checkTimeout     = 2 // steps of the clock that a request waits for a health check
-	checkTimerToken  = 1
-	fullUtilisation  = 1e-9 // the least share of idle cores, a divisor
-	baselineRiseRate = 0.15 * 0.15 * 0.25
-	baselineFallRate = 0.15 * 0.15 // with the rise, a fifth of all checks are faster than the baseline
+	maxHealthChecks  = 3                  // health checks before one attempt
+	idleRatio        = 1.25               // duration of a check over that of an idle one, up to which it is idle
+	missedWeight     = 0.15 * 0.15        // weight of the newest attempt in the share of missed requests
+	missedPerPrice   = 2                  // checks start at a missed share of so many times their price
+	checkTimeout     = 2                  // steps of the clock that a request waits for a health check
+	checkTimerToken  = 1                  // token of the wake-up at which a check times out; 0 is the tick
+	fullUtilisation  = 1e-9               // the least share of idle cores, a divisor
+	idleDurationRise = 0.15 * 0.15 * 0.25 // share by which the idle duration rises with each check
+	idleDurationFall = 0.15 * 0.15        // and falls with each faster one; it settles at the fastest fifth
 )
 
 // healthChecks is what is known of the duration of health checks.
 type healthChecks struct {
-	baseline    [2]Millis // by zone: the duration of a check of an idle endpoint
-	missedShare float64   // smoothed share of requests that were late or lost
+	idleDuration [2]Millis // by zone: the duration of a check of an idle endpoint
+	missedShare  float64   // smoothed share of requests that were late or lost
 }
 
 // observeMiss takes an attempt's outcome into the share of missed requests.
@@ -80,16 +80,16 @@
 	if ep == nil || event.Outcome != Succeeded {
 		return
 	}
-	baseline := &b.checks.baseline[b.zoneIndex(ep)]
+	baseline := &b.checks.idleDuration[b.zoneIndex(ep)]
 	*baseline = cmp.Or(*baseline, event.After)
 	ep.healthCheckRatio = event.After / *baseline
 	ep.healthCheckedAt = b.now
 	if event.Load != nil && event.Load.Util >= 0 {
 		ep.healthCheckRatio = max(ep.healthCheckRatio, 1/max(1-event.Load.Util, fullUtilisation))
 	}
-	*baseline *= 1 + baselineRiseRate
+	*baseline *= 1 + idleDurationRise
 	if ep.healthCheckRatio < 1 {
-		*baseline *= 1 - baselineFallRate
+		*baseline *= 1 - idleDurationFall
 	}
 	b.dispatch()
 }
--- a/decision/healthcheck_test.go
+++ b/decision/healthcheck_test.go
@@ -21,7 +21,7 @@
 	} {
 		sim := start(t, releasedUpdate(8),
 			func(s *Settings) { s.HealthChecksAllowed, s.HealthCheckPrice = true, 0.01 })
-		sim.balancer.checks.missedShare, sim.balancer.checks.baseline = test.missed, [2]Millis{1, 1}
+		sim.balancer.checks.missedShare, sim.balancer.checks.idleDuration = test.missed, [2]Millis{1, 1}
 		sim.request("read", "")
 		checks, best, at := 0, EndpointID(""), Millis(99)
 		for i := 0; i < len(sim.actions); i++ {
@@ -53,7 +53,7 @@
 		idle bool
 	}{{-1, true}, {0.1, true}, {0.5, false}, {0.95, false}} {
 		sim := start(t, releasedUpdate(8), nil)
-		sim.balancer.checks.baseline = [2]Millis{1, 1}
+		sim.balancer.checks.idleDuration = [2]Millis{1, 1}
 		sim.handle(HealthCheckEnded{
 			Endpoint: "a1", Outcome: Succeeded, After: 1, Load: &Load{Util: test.use, Queue: -1},
 		})
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -10,8 +10,8 @@
 	brokenWeight  = 0.15 * 0.15 // of the newest outcome in the share of broken connections
 	refusedWeight = 0.15        // of the newest outcome in the share of refused connections
 
-	baseEjectionShare = 0.15 // of the longest latency objective, doubled with each ejection in a row
-	ejectionJitter    = 0.5  // an ejection lasts between this and 1 more than this times its mean
+	baseEjectionShare = 0.15 // of the longest objective; the nth ejection in a row has 2^n times that for its mean
+	ejectionJitter    = 0.5  // an ejection lasts 0.5 to 1.5 times its mean
 	faultEjections    = 2    // ejections in a row that are a fault of the infrastructure
 
 	immediateRefusal = 0.25 // of the base latency: a connection refused sooner was refused by its host
--- a/decision/polling.go
+++ b/decision/polling.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	firstPollShare        = 0.25 // of AskWithin: the first poll is due within it
-	pollWaitShare         = 0.25 // of AskWithin: no poll is taken to have waited longer
-	minPollBackoffFactor  = 0.15 // applied twice to AskWithin: the shortest backoff
+	firstPollShare        = 0.25 // of PollWithin: the first poll is due within it
+	pollWaitShare         = 0.25 // of PollWithin: no poll is taken to have waited longer
+	minPollBackoffFactor  = 0.15 // applied twice to PollWithin: the shortest backoff
 	pollSpreadHalfAtCount = 20   // instances from which the first polls are spread over half of their time
 )
 
--- a/decision/proof.go
+++ b/decision/proof.go
@@ -8,18 +8,18 @@
 
 const (
 	rejectProbability = 0.05 // of a rejection without a difference, by rejectStatistic
-	blindOutcomesUnit = 5    // outcomes that a vote without full groups takes, times the logarithm below
-	blindQuorumEnough = 40   // votes to advance from which those instances together are proof enough
+	noGroupsOutcomes  = 5    // outcomes that a vote without full groups needs, times ln(instances / AdvanceQuorum)
+	noGroupsQuorum    = 40   // AdvanceQuorum from which an instance needs no outcomes of its own for such a vote
 )
 
-// proof is how much evidence one instance needs. Where one of hundreds of votes decides, somebody's chance
-// evidence would roll a good build back, and the instance with the luckiest outcomes would advance a bad one;
-// where many must agree, none sees as much as one of a handful would.
+// proof is how much evidence one instance needs. Where one vote of hundreds decides, each instance needs a
+// lower rate of false alarms, for one false alarm among them would decide. Where many must agree, each may
+// vote on less.
 type proof struct {
-	statistic      float64 // of the test on failures, that proves a bad build
-	rejections     int     // in a row, that roll a build back
-	holdRejections int     // in a row, that hold the clock
-	blindOutcomes  float64 // of the candidate, that a vote to advance without full groups takes; 0: none
+	statistic             float64 // of the test on failures, that proves a bad build
+	rejections            int     // in a row, that roll a build back
+	holdRejections        int     // in a row, that hold the clock
+	outcomesWithoutGroups float64 // of the candidate, that a vote to advance without full groups takes; 0: none
 }
 
 // requiredProof derives the evidence from the number of instances and the votes that decide.
@@ -28,17 +28,19 @@
 	alarm, rejections := falseAlarm(settings.RollbackQuorum, instances)
 	_, holdRejections := falseAlarm(settings.HoldQuorum, instances)
 	advance := float64(max(1, settings.AdvanceQuorum))
-	blind := blindOutcomesUnit * math.Log(instances/advance) * max(0, 1-advance/blindQuorumEnough)
+	blind := noGroupsOutcomes * math.Log(instances/advance) * max(0, 1-advance/noGroupsQuorum)
 	return proof{
-		statistic:      stats.ExceededBy(alarm),
-		rejections:     rejections,
-		holdRejections: holdRejections,
-		blindOutcomes:  blind,
+		statistic:             stats.ExceededBy(alarm),
+		rejections:            rejections,
+		holdRejections:        holdRejections,
+		outcomesWithoutGroups: blind,
 	}
 }
 
-// falseAlarm is the probability of a false alarm that an instance may take where so many votes of all
-// instances decide, and the rejections in a row that bring it down to that.
+// falseAlarm is the probability of a false alarm that each instance is allowed when so many votes of all
+// instances decide, and the rejections in a row that bring its test down to that. The factor
+// exp(-4/sqrt(votes)) keeps the sum of chance votes clearly below the quorum: the smaller the quorum, the
+// more chance varies against it.
 func falseAlarm(votes int, instances float64) (probability float64, rejections int) {
 	needed := float64(max(1, votes))
 	probability = min(rejectProbability, needed/instances*math.Exp(-4/math.Sqrt(needed)))
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -9,7 +9,7 @@
 const (
 	firstAttemptWait = 0.25 // of the latency objective: a request waits for its first attempt no longer
 	retryWait        = 1.0  // of the latency objective, from the request's start: it waits for a retry no longer
-	expiryTicks      = 2    // before the deadline, a waiting request is given up
+	expiryTicks      = 2    // ticks before its deadline at which a waiting request is given up
 	retryAfterShare  = 0.25 // of the latency objective is the Retry-After of a rejection
 )
 
@@ -40,14 +40,15 @@
 // attempt is one sending of a request to an endpoint.
 type attempt struct {
 	*endpoint
-	startedAt  Millis
-	inFlight   bool
-	mayHaveRun bool
-	superseded bool // cancelled, hedged or bound to its client; it is not moved again
+	startedAt     Millis
+	inFlight      bool
+	mayHaveRun    bool
+	noFurtherMove bool // it is not cancelled or hedged again: it was already, or it streams its response
 }
 
-// firstAttempt returns the first attempt that may have run, or nil.
-func (r *request) firstAttempt() *attempt {
+// firstThatMayHaveRun returns the first attempt that may have run, or nil. Retries keep to its time and
+// place.
+func (r *request) firstThatMayHaveRun() *attempt {
 	for i := range r.attempts {
 		if r.attempts[i].mayHaveRun {
 			return &r.attempts[i]
@@ -113,7 +114,7 @@
 // expired tells whether a waiting request is given up: nothing can come of it any more, or it has waited for
 // a share of its latency objective.
 func (b *Balancer) expired(req *request, wait float64) bool {
-	mayNotRepeat := req.Idempotency == NonIdempotent && req.firstAttempt() != nil
+	mayNotRepeat := req.Idempotency == NonIdempotent && req.firstThatMayHaveRun() != nil
 	if mayNotRepeat || len(req.attempts) >= b.settings.MaxAttempts {
 		return true
 	}
@@ -123,7 +124,7 @@
 // giveUp gives the final response at once: a rejection with Retry-After where the client may send the request
 // again without harm, else an error.
 func (b *Balancer) giveUp(req *request) {
-	if req.firstAttempt() == nil || req.Idempotency == Idempotent ||
+	if req.firstThatMayHaveRun() == nil || req.Idempotency == Idempotent ||
 		req.Idempotency == IdempotentWithKey && req.RetryScope == ScopeAll {
 		retryAfter := min(b.settings.MaxRetryAfter, req.LatencyObjective*retryAfterShare)
 		b.emit(Reject{Request: req.id, RetryAfter: retryAfter})
@@ -141,8 +142,8 @@
 		delete(b.requests.open, req.id)
 	}
 	for i := range req.attempts {
-		if att := &req.attempts[i]; att.inFlight && !att.superseded && b.settings.CancelAllowed {
-			att.superseded = true
+		if att := &req.attempts[i]; att.inFlight && !att.noFurtherMove && b.settings.CancelAllowed {
+			att.noFurtherMove = true
 			b.emit(Cancel{Request: req.id, Attempt: i})
 		}
 	}
@@ -158,7 +159,7 @@
 		return false
 	}
 	action := StartAttempt{Request: req.id, Endpoint: ep.ID}
-	if first := req.firstAttempt(); first != nil && req.Idempotency == IdempotentWithKey {
+	if first := req.firstThatMayHaveRun(); first != nil && req.Idempotency == IdempotentWithKey {
 		// Its connection may come up late, when endpoints have forgotten the key.
 		action.SendBy = b.lastRetryAt(req, first)
 	}
@@ -199,7 +200,7 @@
 		return
 	}
 	req.deadline = math.Inf(1)
-	att.superseded = true
+	att.noFurtherMove = true
 	b.responded(att.endpoint)
 }
 
@@ -232,7 +233,7 @@
 	b.dispatch()
 }
 
-// handleClientGone ends a request whose client has left.
+// handleClientDisconnect ends a request whose client has left.
 func (b *Balancer) handleClientDisconnect(event ClientDisconnected) {
 	if req := b.requests.open[event.Request]; req != nil {
 		b.finish(req)
@@ -250,9 +251,9 @@
 		}
 		if b.settings.HedgingAllowed {
 			moved := b.startAttempt(req) // it may move the slice of attempts
-			req.attempts[last].superseded = moved
+			req.attempts[last].noFurtherMove = moved
 		} else if b.settings.CancelAllowed && len(req.attempts) < b.settings.MaxAttempts {
-			req.attempts[last].superseded = true
+			req.attempts[last].noFurtherMove = true
 			b.emit(Cancel{Request: req.id, Attempt: last})
 		}
 	}
@@ -265,7 +266,7 @@
 		return false
 	}
 	att := &req.attempts[last]
-	if !att.inFlight || att.superseded {
+	if !att.inFlight || att.noFurtherMove {
 		return false
 	}
 	ejected := att.ejections > 0 && b.now < att.ejectedUntil
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -15,7 +15,7 @@
 	turn           float64
 	candidateShare float64 // of the requests, by capacity
 
-	eligible [2][]*endpoint // by zone; buffer of chooseEndpoint; nil stands for warming endpoints without credit
+	eligible [2][]*endpoint // by zone; a nil entry stands for all warming ones without credit, and chooses none
 	weights  [2][]float64   // of the eligible endpoints
 }
 
--- a/decision/samples.go
+++ b/decision/samples.go
@@ -9,7 +9,7 @@
 const (
 	latencySamples      = 40       // outcomes that a pace is the mean of
 	unsuccessfulSamples = 40       // unsuccessful attempts that are counted
-	comparableWeight    = 1 / 1.25 // slow start weight from which an endpoint's response times are compared
+	comparableWeight    = 1 / 1.25 // (0.8) slow start weight from which an endpoint's response times are compared
 )
 
 // samples are a class's outcomes during a trial.
@@ -26,7 +26,7 @@
 
 	departed stats.Count // outcomes of baseline endpoints that have left the list since the build was offered
 
-	reported       [2]stats.Count // by the controller since then: by side, as many of either
+	reported       [2]stats.Count // the controller's counts since the offer, by side, scaled to equal totals
 	baselineReport stats.Count    // of the baseline in the controller's newest period
 }
 
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -6,8 +6,8 @@
 	LatencyObjective Millis // a response is worth its full value until then, above 0
 	Idempotency      Idempotency
 	RetryScope       RetryScope // for IdempotentWithKey
-	// DedupWindow is, for IdempotentWithKey, how long endpoints remember a key, from the first attempt that may have
-	// run.
+	// DedupWindow is, for IdempotentWithKey, how long endpoints remember a key, from the first attempt that
+	// may have run.
 	DedupWindow Millis
 }
 
--- a/decision/trial.go
+++ b/decision/trial.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// beginStage begins the groups of a stage. Outcomes of the baseline are kept for the vote without full groups
+// startStage begins the groups of a stage. Outcomes of the baseline are kept for the vote without full groups
 // only: taken for a group of the new stage they would roll good builds back.
 func (b *Balancer) startStage() {
 	for _, class := range b.classes.all {
@@ -65,7 +65,7 @@
 	}
 }
 
-// beginBuild begins the counts of a build that is offered, and keeps how things were before.
+// startBuild starts counting for a newly offered build, and keeps how things were before.
 func (b *Balancer) startBuild() {
 	b.trial.arrivalRateBefore = b.trial.arrivalRate
 	for _, class := range b.classes.all {
--- a/decision/types.go
+++ b/decision/types.go
@@ -4,8 +4,8 @@
 // chooses.
 type Millis = float64
 
-// RequestID is the identifier of a client's request, unique among the open ones. Identifiers are types of their own, so
-// that one kind is never passed for another.
+// RequestID is the identifier of a client's request, unique among the open ones. Identifiers are types of
+// their own, so that one kind is never passed for another.
 type RequestID uint32
 
 // EndpointID names a server that requests are balanced to.
@@ -35,7 +35,7 @@
 // InstanceID is a load balancer instance.
 type InstanceID int
 
-// Token is that of a timer; 0 is the periodic tick.
+// Token identifies a timer; 0 is the periodic tick.
 type Token uint64
 
 // Idempotency says what a second run of a request would do.
--- a/decision/verdict.go
+++ b/decision/verdict.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	blindVoteDelay        = 4000.0 // ms into a stage, from which a vote to advance takes no full groups
-	releasedSlowdownStays = 3      // slow start windows: a slowdown counts so long after the release
-	blockingFailureShare  = 0.5    // of proof by failures, from which there is no vote to advance
+	noGroupsVoteDelay          = 4000.0 // ms after a stage's start: no full groups are needed from then on
+	slowdownCountsAfterRelease = 3      // slow start windows after the release, in which a slowdown still counts
+	blockingFailureShare       = 0.5    // of proof by failures, from which there is no vote to advance
 )
 
 // decidedVote is a verdict with its reason.
@@ -92,7 +92,7 @@
 	a.holds = a.holds || rejections >= toHold
 }
 
-// rollbackForFailures applies in every phase, after the release too.
+// rollbackForFailures applies in trial and after the release. During and after a rollback there is no vote.
 func rollbackForFailures(_ *Balancer, found *assessment) (decidedVote, bool) {
 	if found.failures.strength < 1 {
 		return decidedVote{}, false
@@ -114,7 +114,7 @@
 // rollbackForFleetSlowdown applies once all endpoints are slower than before the trial, for a while after the
 // release too.
 func rollbackForFleetSlowdown(b *Balancer, found *assessment) (decidedVote, bool) {
-	recent := b.now-b.trial.stageStartedAt < releasedSlowdownStays*b.settings.SlowStartWindow
+	recent := b.now-b.trial.stageStartedAt < slowdownCountsAfterRelease*b.settings.SlowStartWindow
 	if found.fleetSlower == nil || !found.inTrial && !recent {
 		return decidedVote{}, false
 	}
@@ -149,7 +149,7 @@
 // something blocks it.
 func advanceOnAgreement(b *Balancer, found *assessment) (decidedVote, bool) {
 	agreed := found.fullGroups > 0 && found.agree
-	stands := b.ballot.vote.Verdict == VoteAdvance && (found.fullGroups > 0 || b.proof.blindOutcomes > 0)
+	stands := b.ballot.vote.Verdict == VoteAdvance && (found.fullGroups > 0 || b.proof.outcomesWithoutGroups > 0)
 	return decidedVote{VoteAdvance, "groups agree"}, agreed || stands
 }
 
@@ -157,11 +157,12 @@
 // against the build. It takes outcomes in proportion to the share of endpoints that the vote would open.
 // Warming endpoints hide a slow build, so the vote that opens the whole fleet takes outcomes of warm ones.
 func advanceWithoutGroups(b *Balancer, found *assessment) (decidedVote, bool) {
-	if found.fullGroups > 0 || b.now-b.trial.stageStartedAt < blindVoteDelay {
+	if found.fullGroups > 0 || b.now-b.trial.stageStartedAt < noGroupsVoteDelay {
 		return decidedVote{}, false
 	}
 	next := b.nextStageShare()
-	if found.failures.outcomes < b.proof.blindOutcomes*next || found.failures.suspected || b.suspectsSlowness() {
+	tooFew := found.failures.outcomes < b.proof.outcomesWithoutGroups*next
+	if tooFew || found.failures.suspected || b.suspectsSlowness() {
 		return decidedVote{}, false
 	}
 	overall, controller := b.classes.overall, b.classes.controller
@@ -169,10 +170,10 @@
 		return decidedVote{}, false
 	}
 	warm := float64(len(overall.candidate.Fill) + len(overall.candidate.Last))
-	if next >= 1 && warm < max(1, 2*b.proof.blindOutcomes) {
+	if next >= 1 && warm < max(1, 2*b.proof.outcomesWithoutGroups) {
 		return decidedVote{}, false
 	}
-	return decidedVote{VoteAdvance, fmt.Sprintf("%.0f s without full groups", blindVoteDelay/1000)}, true
+	return decidedVote{VoteAdvance, fmt.Sprintf("%.0f s without full groups", noGroupsVoteDelay/1000)}, true
 }
 
 // nextStageShare is the share of endpoints that run the candidate in the next stage; 1 after the last one.
@@ -184,13 +185,13 @@
 	return b.settings.Stages[max(next, 0)]
 }
 
-// suspectsSlowness tells whether the few response times seen speak against the candidate, by the square root
-// of the slow ratio more than it, for few times scatter. No instance with little traffic can prove a slow
-// build, but most of hundreds are right. In the last stage such times say nothing during a fault, which
-// overloads the other endpoints.
+// suspectsSlowness tells whether the few response times seen speak against the candidate: their median is
+// above slowRatio to the power of 1.5 (1.40) times the baseline's, a wider margin than elsewhere because few
+// times scatter. No instance with little traffic can prove a slow build, but most of hundreds are right. In
+// the last stage such times say nothing during a fault, which overloads the other endpoints.
 func (b *Balancer) suspectsSlowness() bool {
 	lastStage := b.trial.update.Stage+1 >= len(b.settings.Stages)
-	if b.proof.blindOutcomes != 0 || lastStage && b.faultWithin(b.settings.SlowStartWindow) {
+	if b.proof.outcomesWithoutGroups != 0 || lastStage && b.faultWithin(b.settings.SlowStartWindow) {
 		return false
 	}
 	overall := b.classes.overall
--- a/decision/verdict_test.go
+++ b/decision/verdict_test.go
@@ -24,7 +24,7 @@
 		overall := sim.balancer.classes.overall
 		sim.balancer.endpoints.byID["a2"].outcomes[overall.index].Good = float64(test.outcomes)
 		overall.candidate.Fill = make([]float64, test.warm)
-		sim.balancer.now += blindVoteDelay
+		sim.balancer.now += noGroupsVoteDelay
 		if got := sim.balancer.verdict(); got.verdict != test.want {
 			t.Errorf("%+v: %v, %s", test, got.verdict, got.reason)
 		}
@@ -151,7 +151,7 @@
 		overall.baselineAtStageStart = test.baseline
 		overall.candidate.Fill = test.candidate
 		sim.balancer.ballot.vote.Verdict = VoteAdvance // cast already
-		sim.balancer.now += blindVoteDelay
+		sim.balancer.now += noGroupsVoteDelay
 		if got := sim.balancer.verdict(); got.verdict != test.want {
 			t.Errorf("%s: %v, %s", test.name, got.verdict, got.reason)
 		}
@@ -170,7 +170,7 @@
 		overall := sim.balancer.classes.overall
 		overall.baselineAtStageStart = slices.Repeat([]float64{1}, 5)
 		overall.candidate.Fill = slices.Repeat([]float64{3}, 5)
-		sim.balancer.now += blindVoteDelay
+		sim.balancer.now += noGroupsVoteDelay
 		if test.fault {
 			sim.balancer.outliers.lastFaultAt = sim.balancer.now - 1
 		}
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -3,20 +3,20 @@
 import "fmt"
 
 const (
-	voteCheckShare = 0.25   // of the longest latency objective: the time between two looks at the verdict ...
-	voteCheckMost  = 200.0  // ms ... at most
-	voteRenewShare = 0.85   // of its time to live: a vote is renewed at this age
-	closeLeast     = 2      // outcomes in a group that is closed before it is full
-	closeInterval  = 4000.0 // ms between two groups that are closed before they are full
+	voteCheckShare       = 0.25   // interval between verdicts: this share of the longest latency objective
+	voteCheckMost        = 200.0  // ms; its upper bound
+	voteRenewShare       = 0.85   // of its time to live: a vote is renewed at this age
+	minPartialGroup      = 2      // outcomes that a group must have to be judged before it is full
+	partialGroupInterval = 4000.0 // ms between two such groups
 )
 
 // ballot is the vote that the instance has cast.
 type ballot struct {
-	vote     Vote
-	castAt   Millis
-	accepted bool   // by the rollout controller
-	nextAt   Millis // no vote is cast before
-	closeAt  Millis // the overall group that is being filled is judged as it is from then on
+	vote           Vote
+	castAt         Millis
+	accepted       bool   // by the rollout controller
+	nextAt         Millis // no vote is cast before
+	partialGroupAt Millis // the overall group that is being filled is judged as it is from then on
 }
 
 // noteVoteResult takes the rollout controller's response to a vote. One that was not accepted is cast again
@@ -38,7 +38,7 @@
 		return
 	}
 	b.ballot.nextAt = b.now + min(b.classes.overall.LatencyObjective*voteCheckShare, voteCheckMost)
-	b.closeThinGroup()
+	b.judgePartialGroup()
 	decided := b.verdict()
 	current := b.ballot.vote.Verdict
 	if current == VoteRollback {
@@ -64,14 +64,14 @@
 	return b.ballot.accepted && b.now-b.ballot.castAt < b.settings.VoteTTL*voteRenewShare
 }
 
-// closeThinGroup judges the overall group that is being filled as it is, where an instance has too little
+// judgePartialGroup judges the overall group that is being filled as it is, where an instance has too little
 // traffic to fill one in time.
-func (b *Balancer) closeThinGroup() {
-	if b.now < b.ballot.closeAt || b.now-b.trial.stageStartedAt < blindVoteDelay {
+func (b *Balancer) judgePartialGroup() {
+	if b.now < b.ballot.partialGroupAt || b.now-b.trial.stageStartedAt < noGroupsVoteDelay {
 		return
 	}
-	b.ballot.closeAt = b.now + closeInterval
-	if overall := b.classes.overall; len(overall.candidate.Fill) >= closeLeast {
+	b.ballot.partialGroupAt = b.now + partialGroupInterval
+	if overall := b.classes.overall; len(overall.candidate.Fill) >= minPartialGroup {
 		overall.closeCandidate()
 	}
 }
--- a/decision/vote_test.go
+++ b/decision/vote_test.go
@@ -58,11 +58,11 @@
 	for _, id := range []EndpointID{"a1", "a2"} {
 		sim.balancer.endpoints.byID[id].outcomes[sim.balancer.classes.overall.index] = stats.Count{Good: 30}
 	}
-	for sim.votes() == "" && sim.now < began+10*blindVoteDelay {
+	for sim.votes() == "" && sim.now < began+10*noGroupsVoteDelay {
 		sim.advance(sim.balancer.tickInterval)
 	}
 	took := sim.now - began
-	if sim.votes() != "1" || took < blindVoteDelay || took > blindVoteDelay+2*sim.balancer.tickInterval {
+	if sim.votes() != "1" || took < noGroupsVoteDelay || took > noGroupsVoteDelay+2*sim.balancer.tickInterval {
 		t.Errorf("votes %q after %v ms, a tick every %v", sim.votes(), took, sim.balancer.tickInterval)
 	}
 }
--- a/internal/engine/lateness.go
+++ b/internal/engine/lateness.go
@@ -14,8 +14,8 @@
 	latenessPeriod decision.Millis = 5000 // that one line sums up
 )
 
-// lateness logs the longest delay of the event loop in each period. To the module, a loop that is behind looks like
-// slow endpoints.
+// lateness logs the longest delay of the event loop in each period. A loop that is behind decides late, and endpoints
+// look silent while their results wait; response times are taken where they are read and stay right.
 type lateness struct {
 	log         logrus.FieldLogger
 	bound       decision.Millis // delays up to it are not logged
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -8,7 +8,7 @@
 //
 // # Which file holds what
 //
-//	attempt.go     one attempt in steps: acquire, verify, write, read, classify, release
+//	attempt.go     one attempt in steps: verify, acquire, write, read, release, classify
 //	classify.go    the outcome that a status, an error or a moment stands for
 //	connection.go  one connection: writing a request, reading the response to it
 //	encode.go      a request as it is written
