--- a/decision/routing.go
+++ b/decision/routing.go
@@ -88,30 +88,30 @@
 func (b *Balancer) collectEligible(search *endpointSearch, zone int, part []*endpoint, overflow bool) {
 	eligible, weights := b.routing.eligible[zone][:0], b.routing.weights[zone][:0]
 	warming, withCredit := 0.0, 0.0 // capacity of warming endpoints, and of those that have credit
-	for _, candidate := range part {
-		if !b.healthy(search.request, candidate) || !b.admits(search.request, candidate) {
+	for _, target := range part {
+		if !b.healthy(search.request, target) || !b.admits(search.request, target) {
 			continue
 		}
-		slowStart := b.slowStartWeight(candidate)
-		weight := candidate.Capacity * slowStart
+		slowStart := b.slowStartWeight(target)
+		weight := target.Capacity * slowStart
 		if slowStart < 1 {
 			warming += weight
-			if candidate.slowStartCredit < 1 {
+			if target.slowStartCredit < 1 {
 				continue
 			}
 			withCredit += weight
 		}
-		eligible = append(eligible, candidate)
+		eligible = append(eligible, target)
 		weights = append(weights, weight)
-		if b.recentlyChecked(candidate) {
-			search.consider(candidate)
+		if b.recentlyChecked(target) {
+			search.consider(target)
 		}
 	}
 	// An instance with little traffic has credit for few warming endpoints at a time. These stand in for the
 	// others: by their own weight alone warming endpoints would stay empty, and the warm ones of that side
 	// would be overloaded.
-	for i, candidate := range eligible {
-		if b.slowStartWeight(candidate) < 1 {
+	for i, target := range eligible {
+		if b.slowStartWeight(target) < 1 {
 			weights[i] *= warming / withCredit
 		}
 	}
