--- /dev/null
+++ b/cmd/ottershed/golden_test.go
@@ -0,0 +1,197 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/urfave/cli/v3"
+
+	"ottershed/internal/admin"
+	"ottershed/internal/clock"
+	"ottershed/internal/consensus"
+	"ottershed/internal/golden"
+	"ottershed/internal/keeper"
+	"ottershed/internal/membership"
+	"ottershed/internal/peers"
+	"ottershed/internal/policynode"
+	"ottershed/internal/takeover"
+)
+
+// The answers of a running marshal with every field set, as the admin server has them.
+var (
+	goldenMembers = membersAnswer{&membership.View{Self: "n0", At: 1.5, Health: 2, Superseded: "127.0.0.1:1", Refused: 3,
+		Members: []membership.Member{
+			{Name: "n0", Address: "127.0.0.1:7946", State: membership.Alive, Incarnation: 5, Run: 1 << 63, Since: 6.5, By: "n1"},
+			{Name: "n1", Address: "127.0.0.2:7946", State: membership.Suspect}, {Name: "n2", State: membership.Dead},
+			{Name: "n3", State: membership.Left},
+		}}, peers.Counters{PacketsIn: 1, PacketsOut: 2, BytesIn: 3, BytesOut: 4, Refused: 5, Missed: 6}}
+	goldenStatus = policynode.StatusAnswer{Stored: 4096, Log: &consensus.Status{Role: "leader", Leader: "n0", Term: 2, Commit: 3,
+		Applied: 4, Voters: []string{"n0", "n1"}}, Marshals: []policynode.Marshal{
+		{Name: "n0", Role: "leader", Version: 7, Sum: "ab", Open: true, Failed: "why", Missing: "", At: 8.5},
+		{Name: "n1", Role: "follower", Version: 6, Sum: "cd"}, {Name: "n2", Missing: "no answer"},
+	}}
+	goldenHistory = []policynode.Past{{Version: 7, ID: "id", By: "n0", At: 1.7e12, Sum: "ab", Policy: json.RawMessage(`{"note":"why"}`)}}
+	goldenWork    = []keeper.Line{
+		{Work: "trial/n0", Owner: "n0", Run: 1 << 63, Token: 9, Left: 1234, Written: 5, Ago: 678, State: membership.Suspect,
+			Merged: []takeover.Past{{Work: "trial/n1", Token: 3}, {Work: "trial/n2", Token: 4}}},
+		{Work: "trial/n3", Owner: "n3", Lapsed: true}, {Work: "trial/n4", Owner: "n0", Token: 2, Lapsed: true, Ended: "unreadable"},
+	}
+	goldenProposed = policynode.Proposed{ID: "id", Version: 8, Again: true}
+)
+
+// start is one start of the program with these arguments; ADDRESS stands for that of the admin server.
+type start struct{ title, args string }
+
+var goldenStarts = []start{
+	{"members", "members --at ADDRESS"},
+	{"policy status", "policy status --at ADDRESS"},
+	{"policy status, JSON", "policy status --at ADDRESS --json"},
+	{"policy history", "policy history --at ADDRESS"},
+	{"policy history, JSON", "policy history --at ADDRESS --json"},
+	{"policy check", "policy check policy.json"},
+	{"policy check, a key that is not known", "policy check unknown.json"},
+	{"policy check, a figure that is a text", "policy check text.json"},
+	{"policy check, a share out of range", "policy check share.json"},
+	{"policy check, no note", "policy check note.json"},
+	{"policy check, settings no object", "policy check settings.json"},
+	{"policy check, cut short", "policy check short.json"},
+	{"policy check, more behind its end", "policy check more.json"},
+	{"policy check, no file", "policy check none.json"},
+	{"policy propose", "policy propose --at ADDRESS --id id --base 7 policy.json"},
+	{"policy propose, refused", "policy propose --at ADDRESS refused.json"},
+	{"work status", "work status --at ADDRESS"},
+	{"work status, JSON", "work status --at ADDRESS --json"},
+	{"work take", "work take --at ADDRESS trial/n3"},
+	{"work take, refused", "work take --at ADDRESS trial/none"},
+	{"no such command", "what"},
+	{"no such command of work", "work what"},
+	{"an argument too many", "serve what"},
+	{"an argument missing", "work take --at ADDRESS"},
+	{"no such flag", "serve --what"},
+	{"no address", "members"},
+	{"an odd level", "serve --log-level odd"},
+	{"a summary too often", "serve --summary 1ms"},
+	{"check-config, no file", "check-config --config none.json"},
+	{"check-config", "check-config"},
+	{"serve, no file", "serve --config none.json"},
+}
+
+// What each command prints, as a table and as JSON, and what it says is wrong, are those of the golden file. The address of
+// the admin server is volatile and stands there as ADDRESS.
+func TestGoldenCommands(t *testing.T) {
+	var observed string
+	t.Run("run", func(t *testing.T) {
+		t.Chdir(t.TempDir())
+		for name, text := range map[string]string{"policy": `{"note":"why", "halt":true,"trial-share":0.5,"settings":{"zone":"a"}}`,
+			"unknown": `{"note":"why","what":1}`, "text": `{"note":"why","trial-share":"half"}`, "share": `{"note":"why","trial-share":2}`,
+			"note": `{}`, "settings": `{"note":"why","settings":[]}`, "short": "{\n\"note\":", "more": `{"note":"why"}{}`,
+			"refused": `{"note":"refuse this"}`} {
+			if err := os.WriteFile(name+".json", []byte(text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+		}
+		address := goldenMarshal(t)
+		for _, s := range goldenStarts {
+			observed += golden.Section(s.title, printed(t.Context(), address, strings.Fields(s.args)))
+		}
+	})
+	if err := golden.Check(filepath.Join("testdata", "commands.golden"), []byte(observed)); err != nil {
+		t.Error(err)
+	}
+}
+
+// goldenMarshal answers as a running marshal does; it tells what a proposal asks for by refusing one that it doesn't expect.
+func goldenMarshal(t *testing.T) (address string) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := admin.New()
+	s.Get("/members", func() any { return goldenMembers })
+	s.Get("/policy/status", func() any { return goldenStatus })
+	s.Get("/policy/history", func() any { return goldenHistory })
+	s.Post("/policy/propose", func(_ context.Context, body []byte) (any, error) {
+		if bytes.Contains(body, []byte("refuse")) {
+			return nil, errors.New("refused: " + string(body))
+		}
+		const want = `{"policy":{"note":"why","halt":true,"trial-share":0.5,"settings":{"zone":"a"}},"id":"id","base":7}`
+		if string(body) != want {
+			t.Errorf("asked for %s, want %s", body, want)
+		}
+		return goldenProposed, nil
+	})
+	s.Post("/work", func(context.Context, []byte) (any, error) { return goldenWork, nil })
+	s.Post("/work/take", func(_ context.Context, body []byte) (any, error) {
+		if string(body) != "trial/n3" {
+			return nil, errors.New("no such piece: " + string(body))
+		}
+		return struct{}{}, nil
+	})
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan error, 1)
+	go func() { ended <- s.Run(ctx, l) }()
+	t.Cleanup(func() {
+		cancel()
+		if err := <-ended; err != nil {
+			t.Error(err)
+		}
+	})
+	return l.Addr().String()
+}
+
+// printed is what a start of the program prints, on either output, and how it ends.
+func printed(ctx context.Context, address string, args []string) string {
+	var out, faults bytes.Buffer
+	c := command()
+	c.Writer, c.ErrWriter = &out, &faults
+	for i := range args {
+		args[i] = strings.ReplaceAll(args[i], "ADDRESS", address)
+	}
+	err := c.Run(ctx, append([]string{"ottershed"}, args...))
+	text := out.String()
+	if faults.Len() > 0 {
+		text += "-- standard error\n" + faults.String()
+	}
+	if err != nil {
+		text += "-- ends with\n" + err.Error() + "\n"
+		if errors.Is(err, errUsage) {
+			text += "-- which the caller typed wrong\n"
+		}
+	}
+	return strings.ReplaceAll(text, address, "ADDRESS")
+}
+
+// The commands with their flags, and the variables of the environment that stand for flags, are those of the golden file.
+func TestGoldenFlags(t *testing.T) {
+	observed := strings.Join(flagsOf("", command()), "\n") + "\n" + golden.Section("of the lab", clock.LabEnv+"\n")
+	if err := golden.Check(filepath.Join("testdata", "flags.golden"), []byte(observed)); err != nil {
+		t.Error(err)
+	}
+}
+
+// flagsOf lists a command's flags, and those of its own commands.
+func flagsOf(under string, c *cli.Command) []string {
+	name := strings.TrimSpace(under + " " + c.Name)
+	lines := []string{strings.TrimSpace(name + " " + c.ArgsUsage)}
+	for _, f := range c.Flags {
+		line := name + " --" + strings.Join(f.Names(), " -")
+		if d, ok := f.(cli.DocGenerationFlag); ok {
+			variables := slices.Sorted(slices.Values(d.GetEnvVars()))
+			line += " (" + d.TypeName() + ") default " + d.GetDefaultText() + " $" + strings.Join(variables, " $") + ": " + d.GetUsage()
+		}
+		lines = append(lines, line)
+	}
+	for _, sub := range c.Commands {
+		lines = append(lines, flagsOf(name, sub)...)
+	}
+	return lines
+}
