--- a/cmd/ottershed/figures.go
+++ b/cmd/balancer/figures.go
@@ -6,22 +6,22 @@
 
 	"github.com/sirupsen/logrus"
 
+	"ottershed/decision"
+	"ottershed/internal/cluster/policy"
 	"ottershed/internal/config"
-	"ottershed/internal/policystore"
-	"ottershed/logic"
 )
 
 // figures bring the module's settings together: those of the configuration, as last read, under the policy of the fleet that
 // is run. The module hears of them when they change.
 type figures struct {
 	log    logrus.FieldLogger
-	settle func(logic.Settings)
+	settle func(decision.Settings)
 
 	mu      sync.Mutex
 	cfg     *config.Config
-	policy  *policystore.Policy // nil: none
-	closed  bool                // no hit goes to a build on trial, for what the fleet has decided is not known here yet
-	settled logic.Settings      // as last handed over
+	policy  *policy.Policy    // nil: none
+	closed  bool              // no hit goes to a build on trial, for what the fleet has decided is not known here yet
+	settled decision.Settings // as last handed over
 }
 
 func newFigures(cfg *config.Config, log logrus.FieldLogger) *figures {
@@ -31,10 +31,10 @@
 }
 
 // settings are those to begin with.
-func (f *figures) settings() logic.Settings { return f.settled }
+func (f *figures) settings() decision.Settings { return f.settled }
 
 // under are the settings under a policy, with the lock held.
-func (f *figures) under(p *policystore.Policy) (set logic.Settings, err error) {
+func (f *figures) under(p *policy.Policy) (set decision.Settings, err error) {
 	if set = f.cfg.Settings; p != nil {
 		set, err = f.cfg.Under(p)
 	}
@@ -45,7 +45,7 @@
 }
 
 // hand hands settings over if they are new, with the lock held.
-func (f *figures) hand(set logic.Settings) {
+func (f *figures) hand(set decision.Settings) {
 	if reflect.DeepEqual(f.settled, set) {
 		return
 	}
@@ -75,7 +75,7 @@
 
 // check tells whether a policy could be run here.
 func (f *figures) check(body []byte) error {
-	p, _, err := policystore.Parse(body)
+	p, _, err := policy.Parse(body)
 	if err != nil {
 		return err
 	}
@@ -86,11 +86,11 @@
 }
 
 // run runs a policy from now on.
-func (f *figures) run(r policystore.Run) error {
-	var p *policystore.Policy
+func (f *figures) run(r policy.Run) error {
+	var p *policy.Policy
 	if r.Record.Version > 0 {
 		var err error
-		if p, _, err = policystore.Parse(r.Record.Body); err != nil {
+		if p, _, err = policy.Parse(r.Record.Body); err != nil {
 			return err
 		}
 	}
--- a/cmd/ottershed/fleet.go
+++ b/cmd/balancer/fleet.go
@@ -10,23 +10,23 @@
 
 	"ottershed/internal/admin"
 	"ottershed/internal/clock"
+	"ottershed/internal/cluster/failover"
+	"ottershed/internal/cluster/gossip"
+	"ottershed/internal/cluster/lease"
+	"ottershed/internal/cluster/membership"
+	"ottershed/internal/cluster/policysync"
 	"ottershed/internal/config"
-	"ottershed/internal/desk"
-	"ottershed/internal/keeper"
-	"ottershed/internal/marshal"
-	"ottershed/internal/membership"
-	"ottershed/internal/peers"
-	"ottershed/internal/policynode"
-	"ottershed/internal/takeover"
+	"ottershed/internal/engine"
+	"ottershed/internal/rollout"
 )
 
 // fleet is what a marshal shares with others of its fleet, and shows its operator. Without an operator's file it is
 // empty, and the marshal shares nothing.
 type fleet struct {
 	log     logrus.FieldLogger
-	peers   *peers.Peers     // nil: off
-	policy  *policynode.Node // nil: off
-	keeper  *keeper.Keeper   // nil: off
+	peers   *gossip.Peers    // nil: off
+	policy  *policysync.Node // nil: off
+	keeper  *failover.Keeper // nil: off
 	admin   *admin.Server
 	listens net.Listener // of admin; nil: none
 }
@@ -34,11 +34,11 @@
 // membersAnswer is what `ottershed members` prints.
 type membersAnswer struct {
 	*membership.View
-	Counters peers.Counters `json:"counters"`
+	Counters gossip.Counters `json:"counters"`
 }
 
 // newFleet opens what the operator's file switches on.
-func newFleet(cfg *config.Config, fig *figures, m *marshal.Marshal, release *desk.Desk, c *clock.Clock,
+func newFleet(cfg *config.Config, fig *figures, m *engine.Marshal, release *rollout.Desk, c *clock.Clock,
 	log logrus.FieldLogger) (*fleet, error) {
 	f := &fleet{log: log}
 	o := cfg.Operator
@@ -53,7 +53,7 @@
 		}
 	}
 	if o.Membership != nil {
-		if f.peers, err = peers.Listen(*o.Membership, c, log); err != nil {
+		if f.peers, err = gossip.Listen(*o.Membership, c, log); err != nil {
 			return nil, err
 		}
 		log.WithFields(logrus.Fields{"bind": o.Membership.Bind, "advertise": o.Membership.Membership.Address,
@@ -63,8 +63,8 @@
 		}
 	}
 	if o.Policy != nil {
-		hooks := policynode.Hooks{Check: fig.check, Run: fig.run}
-		if f.policy, err = policynode.Open(*o.Policy, hooks, c, log); err != nil {
+		hooks := policysync.Hooks{Check: fig.check, Run: fig.run}
+		if f.policy, err = policysync.Open(*o.Policy, hooks, c, log); err != nil {
 			return nil, err
 		}
 		log.WithFields(logrus.Fields{"server": o.Policy.IsServer(), "bind": o.Policy.Bind, "servers": len(o.Policy.Servers),
@@ -78,16 +78,16 @@
 	}
 	if o.Lease > 0 {
 		if n := f.policy.Log(); n != nil {
-			keeper.NewPart(n)
+			failover.NewPart(n)
 		}
-		f.keeper = keeper.New(keeper.Config{Name: cfg.Name, Run: uint64(f.peers.RunID()), Lease: o.Lease}, f.policy, m, release,
+		f.keeper = failover.New(failover.Config{Name: cfg.Name, Run: uint64(f.peers.RunID()), Lease: o.Lease}, f.policy, m, release,
 			f.peers, c, log)
 		log.WithField("lease", o.Lease.String()).Info("takeover on")
 		if f.admin != nil {
 			f.admin.Post("/work", func(ctx context.Context, _ []byte) (any, error) { return f.keeper.Answer(ctx) })
 			f.admin.GetWith("/work/seen", func(ctx context.Context) any { return f.keeper.Seen(ctx) })
 			f.admin.Post("/work/take", func(ctx context.Context, body []byte) (any, error) {
-				return struct{}{}, f.keeper.Take(ctx, takeover.Work(body))
+				return struct{}{}, f.keeper.Take(ctx, lease.Work(body))
 			})
 		}
 	}
@@ -127,7 +127,7 @@
 }
 
 // votes is who takes the module's votes: the desk, or the keeper in front of it.
-func (f *fleet) votes(release *desk.Desk) marshal.Desk {
+func (f *fleet) votes(release *rollout.Desk) engine.Desk {
 	if f.keeper != nil {
 		return f.keeper
 	}
--- a/cmd/ottershed/policy.go
+++ b/cmd/balancer/policy.go
@@ -13,8 +13,8 @@
 	"github.com/urfave/cli/v3"
 
 	"ottershed/internal/admin"
-	"ottershed/internal/policynode"
-	"ottershed/internal/policystore"
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/policysync"
 )
 
 // proposeWait is a little more than a marshal takes to give a proposal up.
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	_, body, err := policystore.Parse(raw)
+	_, body, err := policy.Parse(raw)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -87,9 +87,9 @@
 	if err != nil {
 		return err
 	}
-	ask := policynode.Ask{Policy: body, ID: cmd.String("id")}
+	ask := policysync.Ask{Policy: body, ID: cmd.String("id")}
 	if cmd.IsSet("base") {
-		v := policystore.Version(cmd.Uint64("base"))
+		v := policy.Version(cmd.Uint64("base"))
 		ask.Base = &v
 	}
 	raw, err := json.Marshal(ask)
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	var p policynode.Proposed
+	var p policysync.Proposed
 	if err := json.Unmarshal(answer, &p); err != nil {
 		return err
 	}
@@ -133,7 +133,7 @@
 }
 
 func policyStatus(ctx context.Context, cmd *cli.Command) error {
-	var s policynode.StatusAnswer
+	var s policysync.StatusAnswer
 	return show(ctx, cmd, "/policy/status", nil, &s, func(w io.Writer) {
 		fmt.Fprintln(w, "MARSHAL\tROLE\tVERSION\tSUM\tTRIALS\t")
 		for _, m := range s.Marshals {
@@ -150,7 +150,7 @@
 }
 
 func policyHistory(ctx context.Context, cmd *cli.Command) error {
-	var past []policynode.Past
+	var past []policysync.Past
 	return show(ctx, cmd, "/policy/history", nil, &past, func(w io.Writer) {
 		fmt.Fprintln(w, "VERSION\tAT\tBY\tPOLICY")
 		for _, p := range past {
--- a/cmd/ottershed/serve.go
+++ b/cmd/balancer/serve.go
@@ -18,14 +18,14 @@
 	"github.com/urfave/cli/v3"
 
 	"ottershed/internal/clock"
+	"ottershed/internal/cluster/lease"
 	"ottershed/internal/config"
-	"ottershed/internal/desk"
 	"ottershed/internal/discovery"
-	"ottershed/internal/front"
+	"ottershed/internal/engine"
+	"ottershed/internal/ingress"
 	"ottershed/internal/logging"
-	"ottershed/internal/marshal"
-	"ottershed/internal/nodes"
-	"ottershed/internal/takeover"
+	"ottershed/internal/rollout"
+	"ottershed/internal/upstream"
 )
 
 // grace is how long a marshal that leaves still accepts: the front layer goes on for a while.
@@ -78,10 +78,10 @@
 	most := cfg.Limits.Connections()
 	c := clock.New()
 	fig := newFigures(cfg, log)
-	m := marshal.New(fig.settings(), cfg.Seed, c, log)
+	m := engine.New(fig.settings(), cfg.Seed, c, log)
 	fig.settle = m.Settle
-	pool := nodes.NewPool(c, cfg.Network, most, log)
-	release := desk.New(cfg.Platform, cfg.Settings.VoteWait, m.Told, log)
+	pool := upstream.NewPool(c, cfg.Network, most, log)
+	release := rollout.New(cfg.Platform, cfg.Settings.VoteWait, m.Told, log)
 	follower := discovery.New(cfg.Discovery, cfg.Known, cfg.Network, m.List, log)
 	group, err := newFleet(cfg, fig, m, release, c, log)
 	if err != nil {
@@ -131,9 +131,9 @@
 		running.Go(func() { part(ctx) })
 	}
 
-	f := front.New(m, c, cfg.Settings, cfg.Network, most, log)
+	f := ingress.New(m, c, cfg.Settings, cfg.Network, most, log)
 	if group.keeper != nil {
-		f.Resume(takeover.Resumed)
+		f.Resume(lease.Resumed)
 	}
 	// Danger: what discovery holds counts as told from the process's first moment, a node announced as leaving included; the
 	// list of the configuration may be older. Where a call costs the service something the module says when to ask.
--- a/cmd/ottershed/summary.go
+++ b/cmd/balancer/summary.go
@@ -7,8 +7,8 @@
 	"github.com/sirupsen/logrus"
 
 	"ottershed/internal/discovery"
-	"ottershed/internal/marshal"
-	"ottershed/internal/nodes"
+	"ottershed/internal/engine"
+	"ottershed/internal/upstream"
 )
 
 const (
@@ -19,8 +19,8 @@
 // summary writes what a marshal has done, a line every so often; none where every is 0. All counts are since the start, so
 // that a line that is lost costs the reader no more than its moment.
 type summary struct {
-	marshal *marshal.Marshal
-	pool    *nodes.Pool
+	marshal *engine.Marshal
+	pool    *upstream.Pool
 	list    *discovery.Follower
 	log     logrus.FieldLogger
 	every   time.Duration
--- a/cmd/ottershed/work.go
+++ b/cmd/balancer/work.go
@@ -8,7 +8,7 @@
 	"github.com/urfave/cli/v3"
 
 	"ottershed/internal/admin"
-	"ottershed/internal/keeper"
+	"ottershed/internal/cluster/failover"
 )
 
 // workCommand is `ottershed work` with its own commands.
@@ -31,7 +31,7 @@
 }
 
 func workStatus(ctx context.Context, cmd *cli.Command) error {
-	var lines []keeper.Line
+	var lines []failover.Line
 	return show(ctx, cmd, "/work", []byte("{}"), &lines, func(w io.Writer) {
 		fmt.Fprintln(w, "WORK\tOWNER\tSTATE\tTOKEN\tLEASE\tCHECKPOINT\tMERGED")
 		for _, l := range lines {
--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -12,8 +12,8 @@
 	"strconv"
 	"strings"
 
-	"ottershed/internal/benchwire"
-	"ottershed/logic"
+	"ottershed/decision"
+	"ottershed/internal/simwire"
 )
 
 func main() {
@@ -26,8 +26,8 @@
 // serve answers batches until the input ends between two of them.
 func serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	marshals := map[int]*logic.Marshal{}
-	var dec benchwire.Decoder
+	marshals := map[int]*decision.Marshal{}
+	var dec simwire.Decoder
 	var reply []byte
 	var now float64
 	open := false
@@ -75,25 +75,25 @@
 }
 
 // handle gives one event to its instance; a panic in the module becomes a fault of that instance.
-func handle(marshals map[int]*logic.Marshal, reply []byte, now float64, in *benchwire.Incoming) (out []byte) {
+func handle(marshals map[int]*decision.Marshal, reply []byte, now float64, in *simwire.Incoming) (out []byte) {
 	defer func() {
 		if p := recover(); p != nil {
-			out = benchwire.AppendFault(reply, in.Who, fmt.Sprintf("panic: %v at %s", p, panicAt()))
+			out = simwire.AppendFault(reply, in.Who, fmt.Sprintf("panic: %v at %s", p, panicAt()))
 			delete(marshals, in.Who)
 		}
 	}()
 	switch m := marshals[in.Who]; {
 	case in.Born != nil && in.Born.Err != nil:
 		delete(marshals, in.Who)
-		return benchwire.AppendFault(reply, in.Who, in.Born.Err.Error())
+		return simwire.AppendFault(reply, in.Who, in.Born.Err.Error())
 	case in.Born != nil:
-		marshals[in.Who] = logic.New(in.Born.Settings, in.Born.Seed)
+		marshals[in.Who] = decision.New(in.Born.Settings, in.Born.Seed)
 	case in.Down:
 		delete(marshals, in.Who)
 	case m != nil:
 		out = reply
 		for _, a := range m.Handle(now, in.Event) {
-			out = benchwire.Append(out, in.Who, a)
+			out = simwire.Append(out, in.Who, a)
 		}
 		return out
 	}
--- a/cmd/otterlab/days.go
+++ b/cmd/testbed/days.go
@@ -7,7 +7,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"ottershed/internal/lab"
+	"ottershed/internal/testbed"
 )
 
 func daysCommand() *cli.Command {
@@ -31,7 +31,7 @@
 	if cmd.Args().Len() != 1 {
 		return fmt.Errorf("days: want one folder of logs, got %d", cmd.Args().Len())
 	}
-	d, err := lab.ReadDay(cmd.Args().First())
+	d, err := testbed.ReadDay(cmd.Args().First())
 	if err != nil {
 		return err
 	}
--- a/cmd/otterlab/main.go
+++ b/cmd/testbed/main.go
@@ -14,10 +14,10 @@
 
 	"github.com/urfave/cli/v3"
 
-	"ottershed/internal/faultnet"
-	"ottershed/internal/lab"
-	"ottershed/internal/membership"
-	"ottershed/internal/membership/sim"
+	"ottershed/internal/cluster/membership"
+	"ottershed/internal/cluster/membership/sim"
+	"ottershed/internal/testbed"
+	"ottershed/internal/testbed/faultinject"
 )
 
 func main() {
@@ -43,8 +43,8 @@
 }
 
 func members(ctx context.Context, cmd *cli.Command) error {
-	var results []*lab.MembersResult
-	fmt.Print(lab.MembersHead())
+	var results []*testbed.MembersResult
+	fmt.Print(testbed.MembersHead())
 	none := func(n int) bool { return n <= 0 }
 	for _, n := range slices.DeleteFunc(cmd.IntSlice("processes"), none) {
 		r, err := processes(ctx, cmd, n)
@@ -56,7 +56,7 @@
 	}
 	for _, n := range slices.DeleteFunc(cmd.IntSlice("simulated"), none) {
 		for _, loss := range append([]float64{0}, cmd.FloatSlice("simulated-loss")...) {
-			r, err := lab.MeasureSimulated(sim.Settings{Members: n, Seeds: 3, Seed: cmd.Uint64("seed"), Loss: loss, Delay: 2,
+			r, err := testbed.MeasureSimulated(sim.Settings{Members: n, Seeds: 3, Seed: cmd.Uint64("seed"), Loss: loss, Delay: 2,
 				BearPause: millis(cmd.Duration("bear-pause")), DetectWithin: millis(cmd.Duration("detect-within")),
 				Codec: membership.Codec{Cluster: "lab", Key: []byte("a key of sixteen bytes")}}, cmd.Int("rounds"),
 				min(millis(cmd.Duration("watch")), 10000))
@@ -68,21 +68,21 @@
 		}
 	}
 	if path := cmd.String("chart"); path != "" {
-		var lines []lab.Line
+		var lines []testbed.Line
 		for _, r := range results {
 			seconds := make([]float64, len(r.Each))
 			for i, ms := range r.Each {
 				seconds[i] = ms / 1000
 			}
-			lines = append(lines, lab.Line{Name: fmt.Sprintf("%d %s, loss %.0f%%", r.Members, r.Kind, 100*lossOfDeaths(r)), Figures: seconds})
+			lines = append(lines, testbed.Line{Name: fmt.Sprintf("%d %s, loss %.0f%%", r.Members, r.Kind, 100*lossOfDeaths(r)), Figures: seconds})
 		}
-		return lab.Shares(path, "from a kill until another declares it dead", "seconds", lines)
+		return testbed.Shares(path, "from a kill until another declares it dead", "seconds", lines)
 	}
 	return nil
 }
 
 // lossOfDeaths is the loss under which deaths were measured: among processes there was none meanwhile.
-func lossOfDeaths(r *lab.MembersResult) float64 {
+func lossOfDeaths(r *testbed.MembersResult) float64 {
 	if r.Kind == "processes" {
 		return 0
 	}
@@ -92,12 +92,12 @@
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // fleet makes the settings of a fleet of processes; end gives back what it took.
-func fleet(cmd *cli.Command, n int) (set lab.Settings, end func(), err error) {
+func fleet(cmd *cli.Command, n int) (set testbed.Settings, end func(), err error) {
 	dir, err := os.MkdirTemp("", "otterlab-")
 	if err != nil {
 		return set, nil, err
 	}
-	town, err := lab.NewTown(3)
+	town, err := testbed.NewTown(3)
 	if err != nil {
 		os.RemoveAll(dir)
 		return set, nil, err
@@ -111,18 +111,18 @@
 		end()
 		return set, nil, err
 	}
-	return lab.Settings{Dir: dir, Program: program, Marshals: n, Seed: cmd.Uint64("seed"), Town: town,
+	return testbed.Settings{Dir: dir, Program: program, Marshals: n, Seed: cmd.Uint64("seed"), Town: town,
 		BearPause: cmd.Duration("bear-pause"), DetectWithin: cmd.Duration("detect-within"), Seeds: 3,
 		Elect: cmd.Duration("elect-within"), Key: "a key of sixteen bytes"}, end, nil
 }
 
-func processes(ctx context.Context, cmd *cli.Command, n int) (*lab.MembersResult, error) {
+func processes(ctx context.Context, cmd *cli.Command, n int) (*testbed.MembersResult, error) {
 	set, end, err := fleet(cmd, n)
 	if err != nil {
 		return nil, err
 	}
 	defer end()
-	return lab.MeasureProcesses(ctx, set, cmd.Int("rounds"), cmd.Float("loss"), cmd.Duration("watch"))
+	return testbed.MeasureProcesses(ctx, set, cmd.Int("rounds"), cmd.Float("loss"), cmd.Duration("watch"))
 }
 
 func policyCommand() *cli.Command {
@@ -133,24 +133,24 @@
 }
 
 func policy(ctx context.Context, cmd *cli.Command) error {
-	var results []*lab.PolicyResult
-	var lines []lab.Line
+	var results []*testbed.PolicyResult
+	var lines []testbed.Line
 	for _, n := range cmd.IntSlice("processes") {
 		set, end, err := fleet(cmd, n)
 		if err != nil {
 			return err
 		}
-		r, err := lab.MeasurePolicy(ctx, set, cmd.Int("versions"), cmd.Int("rounds"))
+		r, err := testbed.MeasurePolicy(ctx, set, cmd.Int("versions"), cmd.Int("rounds"))
 		end()
 		if err != nil {
 			return err
 		}
 		results = append(results, r)
-		lines = append(lines, lab.Line{Name: fmt.Sprintf("%d marshals", n), Figures: r.Each})
+		lines = append(lines, testbed.Line{Name: fmt.Sprintf("%d marshals", n), Figures: r.Each})
 	}
-	fmt.Print(lab.PolicyTable(results))
+	fmt.Print(testbed.PolicyTable(results))
 	if path := cmd.String("chart"); path != "" {
-		return lab.Shares(path, "from a proposal until all marshals run it", "milliseconds", lines)
+		return testbed.Shares(path, "from a proposal until all marshals run it", "milliseconds", lines)
 	}
 	return nil
 }
@@ -170,14 +170,14 @@
 	}
 	defer end()
 	set.Lease = cmd.Duration("lease")
-	r, err := lab.MeasureTakeover(ctx, set, cmd.Int("rounds"), cmd.Int("kills"))
+	r, err := testbed.MeasureTakeover(ctx, set, cmd.Int("rounds"), cmd.Int("kills"))
 	if err != nil {
 		return err
 	}
-	fmt.Print(lab.TakeoverTable([]*lab.TakeoverResult{r}))
+	fmt.Print(testbed.TakeoverTable([]*testbed.TakeoverResult{r}))
 	if path := cmd.String("chart"); path != "" {
-		return lab.Shares(path, "from an owner's death until another goes on", "milliseconds",
-			[]lab.Line{{Name: fmt.Sprintf("lease %v, detect-within %v", set.Lease, set.DetectWithin), Figures: r.Each}})
+		return testbed.Shares(path, "from an owner's death until another goes on", "milliseconds",
+			[]testbed.Line{{Name: fmt.Sprintf("lease %v, detect-within %v", set.Lease, set.DetectWithin), Figures: r.Each}})
 	}
 	return nil
 }
@@ -192,13 +192,13 @@
 }
 
 func runFleet(ctx context.Context, cmd *cli.Command) error {
-	var script faultnet.Script
+	var script faultinject.Script
 	if path := cmd.String("script"); path != "" {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			return err
 		}
-		if script, err = faultnet.ParseScript(string(text)); err != nil {
+		if script, err = faultinject.ParseScript(string(text)); err != nil {
 			return fmt.Errorf("%s: %w", path, err)
 		}
 	}
@@ -209,8 +209,8 @@
 	defer end()
 	set.Lease, set.Servers = cmd.Duration("lease"), min(cmd.Int("servers"), cmd.Int("marshals"))
 	set.Town.SetBuild(set.Town.Nodes()[0], 2)
-	set.Town.Desk().Move(lab.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
-	f, err := lab.Started(set)
+	set.Town.Desk().Move(testbed.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
+	f, err := testbed.Started(set)
 	if err != nil {
 		return err
 	}
@@ -218,12 +218,12 @@
 	for i, name := range f.Names() {
 		fmt.Printf("%s  hits %s  admin %s  log %s\n", name, f.Listen(i), f.Admin(i), f.File(i, "log"))
 	}
-	fmt.Printf("build 2 is on trial at one node of three; try: bin/ottershed members --at %s\n", f.Admin(0))
-	load := lab.NewLoad(f, cmd.Int("clients"), cmd.Uint64("seed"))
+	fmt.Printf("build 2 is on trial at one node of three; try: bin/balancer members --at %s\n", f.Admin(0))
+	load := testbed.NewLoad(f, cmd.Int("clients"), cmd.Uint64("seed"))
 	load.Start(ctx)
 	if len(script) > 0 {
 		scene := f.Scene()
-		scene.Did = func(s faultnet.Step) { fmt.Println(s) }
+		scene.Did = func(s faultinject.Step) { fmt.Println(s) }
 		err = scene.Play(ctx, script)
 	} else {
 		<-ctx.Done()
@@ -240,7 +240,7 @@
 // shared are the flags of all experiments on processes.
 func shared() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: "program", Usage: "`PATH` of ottershed", Value: "bin/ottershed"},
+		&cli.StringFlag{Name: "program", Usage: "`PATH` of ottershed", Value: "bin/balancer"},
 		&cli.DurationFlag{Name: "bear-pause", Value: 4 * time.Second},
 		&cli.DurationFlag{Name: "detect-within", Value: 12 * time.Second},
 		&cli.DurationFlag{Name: "elect-within", Value: time.Second},
--- a/logic/api.go
+++ b/decision/api.go
@@ -1,4 +1,4 @@
-package logic
+package decision
 
 // Every time is in milliseconds with fractions, counted on the caller's clock.
 type Millis = float64
--- a/logic/logic.go
+++ b/decision/balancer.go
@@ -1,7 +1,7 @@
 // Package logic decides what a marshal does with every hit while a new build replaces the earlier one.
 // Callers make one Marshal an instance with New and give it what happened, in order, through Handle, which
 // returns what is to be done. Types are in api.go, what is kept in state.go. Grn: on trial; blue: earlier.
-package logic
+package decision
 
 import (
 	"cmp"
--- a/logic/sight.go
+++ b/decision/sight.go
@@ -1,4 +1,4 @@
-package logic
+package decision
 
 // Sight is how things stand for a marshal at one moment, for those who look on; no decision reads it.
 type Sight struct {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -8,13 +8,13 @@
 	"strings"
 	"time"
 
-	"ottershed/logic"
+	"ottershed/decision"
 )
 
 // Clock tells the time in fractional milliseconds.
 type Clock struct {
 	start time.Time
-	unix  logic.Millis
+	unix  decision.Millis
 	rate  float64 // of the monotonic clock; 1 but in the lab
 }
 
@@ -40,15 +40,15 @@
 }
 
 // Ran is how long the clock has run.
-func (c *Clock) Ran() logic.Millis { return c.Now() - c.unix }
+func (c *Clock) Ran() decision.Millis { return c.Now() - c.unix }
 
 // Now is the present time.
-func (c *Clock) Now() logic.Millis {
+func (c *Clock) Now() decision.Millis {
 	return c.unix + c.rate*float64(time.Since(c.start))/float64(time.Millisecond)
 }
 
 // Time is the moment of at, for deadlines of sockets.
-func (c *Clock) Time(at logic.Millis) time.Time { return c.start.Add(Span((at - c.unix) / c.rate)) }
+func (c *Clock) Time(at decision.Millis) time.Time { return c.start.Add(Span((at - c.unix) / c.rate)) }
 
 // Span is a length of time.
-func Span(ms logic.Millis) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func Span(ms decision.Millis) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/keeper/keeper.go
+++ b/internal/cluster/failover/keeper.go
@@ -1,6 +1,6 @@
-// Package keeper brings internal/takeover to one marshal: it holds the marshal's own piece of work in the replicated log,
+// Package keeper brings internal/cluster/lease to one marshal: it holds the marshal's own piece of work in the replicated log,
 // writes checkpoints of it, takes over those of marshals that are gone, and lets votes out only under a lease.
-package keeper
+package failover
 
 import (
 	"context"
@@ -13,13 +13,13 @@
 	"github.com/sirupsen/logrus"
 	"github.com/vmihailenco/msgpack/v5"
 
+	"ottershed/decision"
 	"ottershed/internal/clock"
-	"ottershed/internal/consensus"
-	"ottershed/internal/desk"
-	"ottershed/internal/membership"
-	"ottershed/internal/quorum"
-	"ottershed/internal/takeover"
-	"ottershed/logic"
+	"ottershed/internal/cluster/lease"
+	"ottershed/internal/cluster/membership"
+	"ottershed/internal/cluster/quorum"
+	"ottershed/internal/cluster/raftlog"
+	"ottershed/internal/rollout"
 )
 
 // Kind is that of its commands in the log.
@@ -33,15 +33,15 @@
 
 // Module is the marshal whose work it is.
 type Module interface {
-	Evidence(ctx context.Context) (logic.Evidence, bool)
-	Adopt(logic.Evidence)
+	Evidence(ctx context.Context) (decision.Evidence, bool)
+	Adopt(decision.Evidence)
 	Disown()
-	Told(logic.Event)
+	Told(decision.Event)
 }
 
 // Desk takes votes under fences.
 type Desk interface {
-	VoteUnder(v logic.Vote, fences []desk.Fence)
+	VoteUnder(v decision.Vote, fences []rollout.Fence)
 }
 
 // Members tells who is there.
@@ -80,51 +80,51 @@
 	writing chan struct{}
 
 	mu     sync.Mutex
-	own    takeover.Own
-	seq    uint64          // of the newest checkpoint
-	merged []takeover.Past // whose work is among this marshal's, for the build on trial
-	build  logic.Build
+	own    lease.Own
+	seq    uint64       // of the newest checkpoint
+	merged []lease.Past // whose work is among this marshal's, for the build on trial
+	build  decision.Build
 }
 
 type manual struct {
-	work  takeover.Work
+	work  lease.Work
 	reply chan error
 }
 
 // checkpoint is what a piece holds: what the marshal had seen, and what it had taken over that its module had not yet.
 // Its tags stay whatever the fields are called: another version may go on from it.
 type checkpoint struct {
-	Parts  []logic.Evidence `msgpack:"Parts"`
-	Merged []takeover.Past  `msgpack:"Merged"`
+	Parts  []decision.Evidence `msgpack:"Parts"`
+	Merged []lease.Past        `msgpack:"Merged"`
 }
 
 // New makes a keeper; Run does the rest.
 func New(cfg Config, l Log, m Module, d Desk, members Members, c *clock.Clock, lines logrus.FieldLogger) *Keeper {
 	return &Keeper{cfg: cfg, log: l, module: m, desk: d, view: members.View, changes: members.Changes(), clock: c, lines: lines, hand: make(chan manual), writing: make(chan struct{}, 1),
-		own: takeover.Own{Work: takeover.TrialOf(cfg.Name), By: takeover.Holder{Name: cfg.Name, Run: cfg.Run},
+		own: lease.Own{Work: lease.TrialOf(cfg.Name), By: lease.Holder{Name: cfg.Name, Run: cfg.Run},
 			Span: float64(cfg.Lease) / float64(time.Millisecond)}}
 }
 
 // Vote lets a vote out under the leases that this marshal holds, or tells the module that it did not go.
-func (k *Keeper) Vote(v logic.Vote) {
+func (k *Keeper) Vote(v decision.Vote) {
 	k.mu.Lock()
 	may, fences := k.own.MayVote(v.Verdict, k.clock.Now()), k.fences()
 	k.mu.Unlock()
 	if !may {
-		k.module.Told(logic.StageNews{ToVote: true, VoteFate: logic.VoteError})
+		k.module.Told(decision.StageNews{ToVote: true, VoteFate: decision.VoteError})
 		return
 	}
 	k.desk.VoteUnder(v, fences)
 }
 
 // fences holds with the lock held.
-func (k *Keeper) fences() []desk.Fence {
+func (k *Keeper) fences() []rollout.Fence {
 	if k.own.Token() == 0 {
 		return nil
 	}
-	out := []desk.Fence{{Work: string(k.own.Work), Token: uint64(k.own.Token())}}
+	out := []rollout.Fence{{Work: string(k.own.Work), Token: uint64(k.own.Token())}}
 	for _, p := range k.merged {
-		out = append(out, desk.Fence{Work: string(p.Work), Token: uint64(p.Token)})
+		out = append(out, rollout.Fence{Work: string(p.Work), Token: uint64(p.Token)})
 	}
 	return out
 }
@@ -168,7 +168,7 @@
 }
 
 // command sends a command and takes its reply.
-func (k *Keeper) command(ctx context.Context, c *takeover.Command) (*takeover.Reply, error) {
+func (k *Keeper) command(ctx context.Context, c *lease.Command) (*lease.Reply, error) {
 	raw, err := msgpack.Marshal(c)
 	if err != nil {
 		return nil, fmt.Errorf("work: %w", err)
@@ -179,7 +179,7 @@
 	if raw, err = k.log.Command(ctx, Kind, raw); err != nil {
 		return nil, err
 	}
-	r := &takeover.Reply{}
+	r := &lease.Reply{}
 	if err := msgpack.Unmarshal(raw, r); err != nil {
 		return nil, fmt.Errorf("work: %w", err)
 	}
@@ -212,9 +212,9 @@
 		if ctx.Err() == nil {
 			k.lines.WithError(err).Debug("work not kept")
 		}
-	case c.Verb == takeover.Claim && r.Refused != "":
+	case c.Verb == lease.Claim && r.Refused != "":
 		k.lines.WithFields(logrus.Fields{"work": c.Work, "refused": r.Refused}).Debug("work not claimed")
-	case c.Verb == takeover.Claim:
+	case c.Verb == lease.Claim:
 		k.lines.WithFields(logrus.Fields{"work": c.Work, "token": uint64(r.Lease.Token), "bytes": len(r.Lease.Checkpoint)}).Info("work claimed")
 		k.resume(r.Lease.Checkpoint, r.Lease.Merged)
 	}
@@ -233,7 +233,7 @@
 func (k *Keeper) written() { <-k.writing }
 
 // next is the command that keeps this marshal's piece.
-func (k *Keeper) next(raw []byte) takeover.Command {
+func (k *Keeper) next(raw []byte) lease.Command {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c := k.own.Next(raw)
@@ -245,7 +245,7 @@
 }
 
 // checkpoint is what this marshal has seen by now.
-func (k *Keeper) checkpoint(ctx context.Context) ([]byte, []logic.Evidence) {
+func (k *Keeper) checkpoint(ctx context.Context) ([]byte, []decision.Evidence) {
 	ctx, cancel := context.WithTimeout(ctx, k.cfg.Lease/ticks)
 	defer cancel()
 	e, any := k.module.Evidence(ctx)
@@ -256,10 +256,10 @@
 	if e.Build != k.build { // fences of an earlier build's work have no use any more
 		k.build, k.merged = e.Build, nil
 	}
-	c := checkpoint{Parts: []logic.Evidence{e}, Merged: k.merged}
+	c := checkpoint{Parts: []decision.Evidence{e}, Merged: k.merged}
 	k.mu.Unlock()
 	raw, err := msgpack.Marshal(&c)
-	if err != nil || len(raw) > takeover.LongestCheck {
+	if err != nil || len(raw) > lease.LongestCheck {
 		k.lines.WithError(err).WithField("bytes", len(raw)).Warn("work: checkpoint not written")
 		return nil, c.Parts
 	}
@@ -267,7 +267,7 @@
 }
 
 // resume has the module go on from a checkpoint.
-func (k *Keeper) resume(raw []byte, merged []takeover.Past) (hits int) {
+func (k *Keeper) resume(raw []byte, merged []lease.Past) (hits int) {
 	var c checkpoint
 	if len(raw) == 0 {
 		return 0
@@ -287,7 +287,7 @@
 }
 
 // answered is how many answered hits are in evidence.
-func answered(e *logic.Evidence) int {
+func answered(e *decision.Evidence) int {
 	sum := 0.0
 	for _, n := range e.Counts {
 		sum += n.Good + n.Bad
@@ -320,7 +320,7 @@
 	if err != nil {
 		return
 	}
-	for _, w := range takeover.Due(k.cfg.Name, k.view(), list, k.own.Span) {
+	for _, w := range lease.Due(k.cfg.Name, k.view(), list, k.own.Span) {
 		if err := k.take(ctx, w); err != nil && ctx.Err() == nil {
 			k.lines.WithError(err).WithField("work", w).Info("work not taken over")
 		}
@@ -328,7 +328,7 @@
 }
 
 // Take takes a piece over for an operator, under the same terms.
-func (k *Keeper) Take(ctx context.Context, w takeover.Work) error {
+func (k *Keeper) Take(ctx context.Context, w lease.Work) error {
 	m := manual{w, make(chan error, 1)}
 	select {
 	case k.hand <- m:
@@ -340,14 +340,14 @@
 
 // take takes a piece over: its lease, then in one entry its end and this marshal's new checkpoint, and only then the module
 // hears of it. Danger: told before, a module would have seen what another takes over as well if the entry is refused.
-func (k *Keeper) take(ctx context.Context, w takeover.Work) error {
+func (k *Keeper) take(ctx context.Context, w lease.Work) error {
 	k.mu.Lock()
 	own := k.own
 	k.mu.Unlock()
 	if w == own.Work {
 		return errors.New("it is this marshal's own")
 	}
-	taken, err := k.command(ctx, &takeover.Command{Verb: takeover.Take, Work: w, By: own.By, Span: own.Span})
+	taken, err := k.command(ctx, &lease.Command{Verb: lease.Take, Work: w, By: own.By, Span: own.Span})
 	if err != nil {
 		return err
 	}
@@ -366,19 +366,19 @@
 	}
 	defer k.written()
 	_, parts := k.checkpoint(ctx)
-	past := takeover.Past{Work: w, Token: taken.Lease.Token}
+	past := lease.Past{Work: w, Token: taken.Lease.Token}
 	k.mu.Lock()
-	both := checkpoint{Parts: append(parts, theirs.Parts...), Merged: append(append(append([]takeover.Past(nil), k.merged...),
+	both := checkpoint{Parts: append(parts, theirs.Parts...), Merged: append(append(append([]lease.Past(nil), k.merged...),
 		theirs.Merged...), past)}
 	k.mu.Unlock()
 	raw, err := msgpack.Marshal(&both)
 	if err != nil {
 		return fmt.Errorf("work: %w", err)
 	}
-	if len(raw) > takeover.LongestCheck {
+	if len(raw) > lease.LongestCheck {
 		return k.end(ctx, w, taken.Lease.Token, fmt.Sprintf("its checkpoint and this marshal's are %d bytes together", len(raw)))
 	}
-	merge := &takeover.Command{Seq: k.newSeq(), Verb: takeover.Merge, Work: w, By: own.By, Token: taken.Lease.Token, Span: own.Span,
+	merge := &lease.Command{Seq: k.newSeq(), Verb: lease.Merge, Work: w, By: own.By, Token: taken.Lease.Token, Span: own.Span,
 		Into: own.Work, IntoToken: own.Token(), Checkpoint: raw}
 	r, err := k.insist(ctx, merge)
 	if err != nil {
@@ -397,7 +397,7 @@
 
 // insist sends a command until it is answered. Danger: given up without an answer, it may have been done; the next
 // checkpoint, without their work, would then be written over it.
-func (k *Keeper) insist(ctx context.Context, c *takeover.Command) (*takeover.Reply, error) {
+func (k *Keeper) insist(ctx context.Context, c *lease.Command) (*lease.Reply, error) {
 	for {
 		r, err := k.command(ctx, c)
 		if err == nil {
@@ -413,11 +413,11 @@
 
 // end ends a piece that was taken and can't be gone on with. Danger: left as it is, it would lapse and be taken again and
 // again, by one marshal after another.
-func (k *Keeper) end(ctx context.Context, w takeover.Work, token takeover.Token, why string) error {
+func (k *Keeper) end(ctx context.Context, w lease.Work, token lease.Token, why string) error {
 	k.mu.Lock()
 	by := k.own.By
 	k.mu.Unlock()
-	r, err := k.insist(ctx, &takeover.Command{Verb: takeover.End, Work: w, By: by, Token: token, Why: why[:min(len(why), takeover.LongestWhy)]})
+	r, err := k.insist(ctx, &lease.Command{Verb: lease.End, Work: w, By: by, Token: token, Why: why[:min(len(why), lease.LongestWhy)]})
 	if err != nil {
 		return err
 	}
@@ -449,7 +449,7 @@
 	if !own.Holds(k.clock.Now()) {
 		return
 	}
-	for _, c := range []takeover.Command{k.next(raw), {Verb: takeover.Release, Work: own.Work, By: own.By, Token: own.Token()}} {
+	for _, c := range []lease.Command{k.next(raw), {Verb: lease.Release, Work: own.Work, By: own.By, Token: own.Token()}} {
 		if _, err := k.command(ctx, &c); err != nil {
 			k.lines.WithError(err).Warn("work not released")
 			return
@@ -459,7 +459,7 @@
 }
 
 // Leases are all, as a server of the log has them now, without checkpoints.
-func (k *Keeper) Leases(ctx context.Context) (list takeover.List, err error) {
+func (k *Keeper) Leases(ctx context.Context) (list lease.List, err error) {
 	ctx, cancel := context.WithTimeout(ctx, k.cfg.Lease)
 	defer cancel()
 	return list, k.log.Get(ctx, leasePath, &list)
@@ -467,15 +467,15 @@
 
 // Line is one line of `ottershed work`.
 type Line struct {
-	Work    takeover.Work    `json:"work"`
+	Work    lease.Work       `json:"work"`
 	Owner   string           `json:"owner"`
 	Run     uint64           `json:"run,string"`
-	Token   takeover.Token   `json:"token"`
+	Token   lease.Token      `json:"token"`
 	Left    float64          `json:"left_ms"` // of its lease, by the log's clock as of its newest entry
 	Lapsed  bool             `json:"lapsed"`
 	Written float64          `json:"written_ms"` // its newest checkpoint, by the log's clock; 0: none
 	Ago     float64          `json:"written_ago_ms"`
-	Merged  []takeover.Past  `json:"merged,omitempty"`
+	Merged  []lease.Past     `json:"merged,omitempty"`
 	State   membership.State `json:"owner_state"`
 	Ended   string           `json:"ended,omitempty"` // why it is no piece any more; owner: who ended it
 }
@@ -504,26 +504,26 @@
 // Part is the leases' part of the log, at a server.
 type Part struct {
 	mu   sync.Mutex
-	book *takeover.Book
+	book *lease.Book
 }
 
 // NewPart makes it and has its list answered.
-func NewPart(n *consensus.Node) *Part {
-	p := &Part{book: takeover.NewBook()}
+func NewPart(n *raftlog.Node) *Part {
+	p := &Part{book: lease.NewBook()}
 	n.Add(Kind, p)
 	n.Handle("GET "+leasePath, func(w http.ResponseWriter, _ *http.Request) {
 		p.mu.Lock()
 		list := p.book.List()
 		p.mu.Unlock()
-		consensus.Answer(w, list)
+		raftlog.Answer(w, list)
 	})
 	return p
 }
 
 // Apply takes a command.
 func (p *Part) Apply(_ uint64, at quorum.Millis, command []byte) []byte {
-	var c takeover.Command
-	r := takeover.Reply{Refused: "not a command"}
+	var c lease.Command
+	r := lease.Reply{Refused: "not a command"}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := msgpack.Unmarshal(command, &c); err == nil {
--- a/internal/peers/golden_test.go
+++ b/internal/cluster/gossip/golden_test.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"encoding/json"
--- a/internal/peers/peers.go
+++ b/internal/cluster/gossip/peers.go
@@ -1,6 +1,6 @@
-// Package peers gives the failure detector of internal/membership a socket and a clock: one goroutine owns the detector,
+// Package peers gives the failure detector of internal/cluster/membership a socket and a clock: one goroutine owns the detector,
 // another reads the socket, and all else reads views.
-package peers
+package gossip
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"github.com/sirupsen/logrus"
 
 	"ottershed/internal/clock"
+	"ottershed/internal/cluster/membership"
 	"ottershed/internal/logging"
-	"ottershed/internal/membership"
 )
 
 // Config is what the operator's file says of membership.
--- a/internal/takeover/book.go
+++ b/internal/cluster/lease/book.go
@@ -1,8 +1,8 @@
 // Package takeover decides who owns which piece of work, free of I/O. A piece is held under a lease with a fencing token;
 // the leases are kept in the replicated log, so that all see them alike. When an owner is gone, one other takes the piece
-// from its last checkpoint, under a higher token, and whatever comes under the old one is refused. internal/keeper brings
+// from its last checkpoint, under a higher token, and whatever comes under the old one is refused. internal/cluster/failover brings
 // it to a marshal; docs/takeover.md says what was weighed.
-package takeover
+package lease
 
 import (
 	"fmt"
--- a/internal/takeover/holder.go
+++ b/internal/cluster/lease/holder.go
@@ -1,4 +1,4 @@
-package takeover
+package lease
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"ottershed/internal/membership"
-	"ottershed/logic"
+	"ottershed/decision"
+	"ottershed/internal/cluster/membership"
 )
 
 // Own is one marshal's hold on its own piece: what it may do by it, and when it has to be kept.
@@ -56,8 +56,8 @@
 
 // MayVote tells whether a vote may go out now. Danger: a marshal that has lost its piece and does not know it yet would
 // vote a build on by evidence that another has. Votes back do no harm twice and must not wait for the log.
-func (o *Own) MayVote(v logic.Verdict, now Millis) bool {
-	return v == logic.VoteBack || v == logic.VoteNone || o.Holds(now)
+func (o *Own) MayVote(v decision.Verdict, now Millis) bool {
+	return v == decision.VoteBack || v == decision.VoteNone || o.Holds(now)
 }
 
 // Heirs are the members that could take a piece, the first to do so first: an order drawn for each piece from the names
@@ -121,10 +121,10 @@
 )
 
 // Resumed decides that by what a second run would do.
-func Resumed(g *logic.PathGroup) Resume {
+func Resumed(g *decision.PathGroup) Resume {
 	// Danger: the first try may have run, at a node that nobody knows. A mutating hit must not run twice; a tagged one only
 	// where all nodes know its mark, for as long as they do, and when that began is not known either.
-	if g.Effect == logic.Repeatable {
+	if g.Effect == decision.Repeatable {
 		return Again
 	}
 	return Refuse
--- a/internal/takeover/wire_golden_test.go
+++ b/internal/cluster/lease/wire_golden_test.go
@@ -1,4 +1,4 @@
-package takeover
+package lease
 
 import (
 	"encoding/json"
--- a/internal/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -1,6 +1,6 @@
 // Package membership decides which marshals of a fleet are there. It is a failure detector after SWIM with the
 // local health awareness of Lifeguard, without I/O: packets, the time and requests go in, packets to send and changes
-// of members' states come out. The adapter that gives it a socket and a clock is internal/peers; docs/membership.md
+// of members' states come out. The adapter that gives it a socket and a clock is internal/cluster/gossip; docs/membership.md
 // says what was weighed.
 package membership
 
--- a/internal/membership/sim/sim.go
+++ b/internal/cluster/membership/sim/sim.go
@@ -7,7 +7,7 @@
 	"container/heap"
 	"fmt"
 
-	"ottershed/internal/membership"
+	"ottershed/internal/cluster/membership"
 	"ottershed/internal/stats"
 )
 
--- a/internal/policystore/golden_test.go
+++ b/internal/cluster/policy/golden_test.go
@@ -1,4 +1,4 @@
-package policystore
+package policy
 
 import (
 	"encoding/json"
--- a/internal/policystore/policy.go
+++ b/internal/cluster/policy/policy.go
@@ -1,7 +1,7 @@
 // Package policystore decides which version of the fleet's policy there is and which one a marshal may run, free of I/O:
 // proposals come in the order in which a log has committed them, and each gets the next version or is refused, alike
-// everywhere. internal/policynode gives it the log and the marshal; docs/policy.md says what was weighed.
-package policystore
+// everywhere. internal/cluster/policysync gives it the log and the marshal; docs/policy.md says what was weighed.
+package policy
 
 import (
 	"bytes"
--- a/internal/policynode/node.go
+++ b/internal/cluster/policysync/node.go
@@ -1,6 +1,6 @@
-// Package policynode brings the versions of internal/policystore to one marshal: as one of the servers that keep the log, or
+// Package policynode brings the versions of internal/cluster/policy to one marshal: as one of the servers that keep the log, or
 // following them. It runs each version that is committed, in order, and none before.
-package policynode
+package policysync
 
 import (
 	"context"
@@ -20,15 +20,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"ottershed/internal/clock"
-	"ottershed/internal/consensus"
-	"ottershed/internal/policystore"
-	"ottershed/internal/quorum"
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/quorum"
+	"ottershed/internal/cluster/raftlog"
 )
 
 // Hooks are what the marshal does; both return at once.
 type Hooks struct {
-	Check func(body []byte) error     // whether it could run a policy
-	Run   func(policystore.Run) error // runs it from now on; an error leaves all as it was
+	Check func(body []byte) error // whether it could run a policy
+	Run   func(policy.Run) error  // runs it from now on; an error leaves all as it was
 }
 
 // Kind is that of policy's commands in the log.
@@ -46,54 +46,54 @@
 
 // Marshal is one line of the fleet's status.
 type Marshal struct {
-	Name    string              `json:"name" msgpack:"Name"`
-	Role    string              `json:"role" msgpack:"Role"` // leader, follower, candidate, placing, watcher
-	Version policystore.Version `json:"version" msgpack:"Version"`
-	Sum     string              `json:"sum" msgpack:"Sum"`
-	Open    bool                `json:"open" msgpack:"Open"`                 // takes trial traffic
-	Failed  string              `json:"failed,omitempty" msgpack:"Failed"`   // why it can't run the newest version
-	Missing string              `json:"missing,omitempty" msgpack:"Missing"` // why nothing is known of it
-	At      float64             `json:"at_ms,omitempty" msgpack:"At"`        // when it was last heard of, Unix
+	Name    string         `json:"name" msgpack:"Name"`
+	Role    string         `json:"role" msgpack:"Role"` // leader, follower, candidate, placing, watcher
+	Version policy.Version `json:"version" msgpack:"Version"`
+	Sum     string         `json:"sum" msgpack:"Sum"`
+	Open    bool           `json:"open" msgpack:"Open"`                 // takes trial traffic
+	Failed  string         `json:"failed,omitempty" msgpack:"Failed"`   // why it can't run the newest version
+	Missing string         `json:"missing,omitempty" msgpack:"Missing"` // why nothing is known of it
+	At      float64        `json:"at_ms,omitempty" msgpack:"At"`        // when it was last heard of, Unix
 }
 
 // Node is a marshal's part.
 type Node struct {
-	cfg   consensus.Config
+	cfg   raftlog.Config
 	hooks Hooks
 	clock *clock.Clock
 	log   logrus.FieldLogger
-	store *consensus.Store
-	raft  *consensus.Node // nil: a watcher
+	store *raftlog.Store
+	raft  *raftlog.Node // nil: a watcher
 	calls *http.Client
-	away  *consensus.Client // the log, from a marshal that does not keep it, and for what is read
+	away  *raftlog.Client // the log, from a marshal that does not keep it, and for what is read
 
 	mu       sync.Mutex
-	state    policystore.State
-	gate     policystore.Gate
+	state    policy.State
+	gate     policy.Gate
 	changed  chan struct{} // closed and made anew with each version
 	watchers map[string]Marshal
 }
 
 // Open opens the store and, at a server, the port. What the marshal ran last it runs again at once, closed to trials.
-func Open(cfg consensus.Config, hooks Hooks, c *clock.Clock, log logrus.FieldLogger) (*Node, error) {
-	store, aside, err := consensus.OpenStore(cfg.Dir)
+func Open(cfg raftlog.Config, hooks Hooks, c *clock.Clock, log logrus.FieldLogger) (*Node, error) {
+	store, aside, err := raftlog.OpenStore(cfg.Dir)
 	if err != nil {
 		return nil, fmt.Errorf("policy.dir: %w", err)
 	}
 	if aside != "" {
 		log.WithField("aside", aside).Error("policy: store was torn; set aside, to be taken from the others")
 	}
-	n := &Node{cfg: cfg, hooks: hooks, clock: c, log: log, store: store, calls: consensus.Caller(cfg.Key),
+	n := &Node{cfg: cfg, hooks: hooks, clock: c, log: log, store: store, calls: raftlog.Caller(cfg.Key),
 		changed: make(chan struct{}), watchers: map[string]Marshal{}}
 	servers := slices.Clone(cfg.Servers)
-	if i := slices.IndexFunc(servers, func(s consensus.Server) bool { return s.Name == cfg.Name }); i > 0 {
+	if i := slices.IndexFunc(servers, func(s raftlog.Server) bool { return s.Name == cfg.Name }); i > 0 {
 		servers[0], servers[i] = servers[i], servers[0]
 	}
-	n.away = &consensus.Client{Servers: servers, Calls: n.calls, Elect: cfg.Elect, Clock: c}
+	n.away = &raftlog.Client{Servers: servers, Calls: n.calls, Elect: cfg.Elect, Clock: c}
 	if raw, err := store.Kept(keptKey); err != nil {
 		log.WithError(err).Error("policy: what was run last can't be read")
 	} else if raw != nil {
-		kept, err := policystore.DecodeRecord(raw)
+		kept, err := policy.DecodeRecord(raw)
 		if err != nil {
 			log.WithError(err).Error("policy: what was run last can't be read")
 		}
@@ -106,7 +106,7 @@
 	if !cfg.IsServer() {
 		return n, nil
 	}
-	if n.raft, err = consensus.Open(cfg, store, c, log); err != nil {
+	if n.raft, err = raftlog.Open(cfg, store, c, log); err != nil {
 		store.Close()
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 }
 
 // Log is the log that this marshal's server keeps; nil at a watcher.
-func (n *Node) Log() *consensus.Node { return n.raft }
+func (n *Node) Log() *raftlog.Node { return n.raft }
 
 // Run keeps the marshal at the newest version until ctx ends.
 func (n *Node) Run(ctx context.Context) {
@@ -174,7 +174,7 @@
 	}
 	// Danger: run first and kept afterwards, a version would be unknown to a marshal that ends between, and the one before
 	// would be run again.
-	raw, err := policystore.EncodeRecord(&r)
+	raw, err := policy.EncodeRecord(&r)
 	if err == nil {
 		err = n.store.Keep(keptKey, raw)
 	}
@@ -187,7 +187,7 @@
 	if err := n.hooks.Run(n.gate.Run()); err != nil {
 		n.gate.Fails(err)
 		n.log.WithFields(fields).WithError(err).Error("policy can't be run here: no part in trials")
-		if err := n.hooks.Run(policystore.Run{Record: was.Record}); err != nil {
+		if err := n.hooks.Run(policy.Run{Record: was.Record}); err != nil {
 			n.log.WithError(err).Error("policy: nor can the one before")
 		}
 	} else {
@@ -221,8 +221,8 @@
 type part struct{ *Node }
 
 func (p part) Apply(_ uint64, _ quorum.Millis, command []byte) []byte {
-	var proposal policystore.Proposal
-	out := policystore.Outcome{Refused: "not a proposal"}
+	var proposal policy.Proposal
+	out := policy.Outcome{Refused: "not a proposal"}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := msgpack.Unmarshal(command, &proposal); err == nil {
@@ -255,15 +255,15 @@
 // since is what a watcher asks a server, and tells of itself. Its tags, as those of its parts and of the answer, stay whatever
 // the fields are called: marshals of different versions ask each other.
 type since struct {
-	Self    Marshal             `msgpack:"Self"`
-	Version policystore.Version `msgpack:"Version"`
-	Confirm bool                `msgpack:"Confirm"` // the answer has to hold all that is committed now
+	Self    Marshal        `msgpack:"Self"`
+	Version policy.Version `msgpack:"Version"`
+	Confirm bool           `msgpack:"Confirm"` // the answer has to hold all that is committed now
 }
 
 type sinceAnswer struct {
-	Records   []policystore.Record `msgpack:"Records"`
-	Newest    policystore.Version  `msgpack:"Newest"`
-	Confirmed bool                 `msgpack:"Confirmed"`
+	Records   []policy.Record `msgpack:"Records"`
+	Newest    policy.Version  `msgpack:"Newest"`
+	Confirmed bool            `msgpack:"Confirmed"`
 }
 
 func (n *Node) answerSince(w http.ResponseWriter, r *http.Request) {
@@ -353,7 +353,7 @@
 	ctx, cancel := context.WithTimeout(ctx, longPoll+4*n.cfg.Elect+askIn)
 	defer cancel()
 	var got []byte
-	if err := consensus.Call(ctx, n.calls, address, http.MethodPost, "/policy/since", raw, &got); err != nil {
+	if err := raftlog.Call(ctx, n.calls, address, http.MethodPost, "/policy/since", raw, &got); err != nil {
 		return err
 	}
 	var a sinceAnswer
@@ -410,7 +410,7 @@
 	return l
 }
 
-func (n *Node) answerLocal(w http.ResponseWriter, _ *http.Request) { consensus.Answer(w, n.local()) }
+func (n *Node) answerLocal(w http.ResponseWriter, _ *http.Request) { raftlog.Answer(w, n.local()) }
 
 // Status is what the fleet runs, as far as this marshal can learn it now, by name.
 func (n *Node) Status(ctx context.Context) []Marshal {
@@ -422,7 +422,7 @@
 		asking.Go(func() {
 			if s.Name == n.cfg.Name {
 				all[i] = n.local()
-			} else if err := consensus.Call(ctx, n.calls, s.Address, http.MethodGet, "/policy/local", nil, &all[i]); err != nil {
+			} else if err := raftlog.Call(ctx, n.calls, s.Address, http.MethodGet, "/policy/local", nil, &all[i]); err != nil {
 				all[i] = local{Self: Marshal{Name: s.Name, Missing: err.Error()}}
 			}
 		})
@@ -450,17 +450,17 @@
 
 // Ask is what an operator proposes.
 type Ask struct {
-	Policy json.RawMessage      `json:"policy"`
-	ID     string               `json:"id,omitempty"`      // of an earlier try whose end is not known
-	Base   *policystore.Version `json:"base,omitempty"`    // only if this version holds
-	WaitMS int64                `json:"wait_ms,omitempty"` // for the answer; nothing comes of it afterwards. 0: 15 s
+	Policy json.RawMessage `json:"policy"`
+	ID     string          `json:"id,omitempty"`      // of an earlier try whose end is not known
+	Base   *policy.Version `json:"base,omitempty"`    // only if this version holds
+	WaitMS int64           `json:"wait_ms,omitempty"` // for the answer; nothing comes of it afterwards. 0: 15 s
 }
 
 // Proposed is what became of it.
 type Proposed struct {
-	ID      string              `json:"id"`
-	Version policystore.Version `json:"version"`
-	Again   bool                `json:"again,omitempty"`
+	ID      string         `json:"id"`
+	Version policy.Version `json:"version"`
+	Again   bool           `json:"again,omitempty"`
 }
 
 // Propose checks a policy here and at all servers that can be reached, and puts it into the log. An error that says so
@@ -478,17 +478,17 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	_, policy, err := policystore.Parse(ask.Policy)
+	_, parsed, err := policy.Parse(ask.Policy)
 	if err != nil {
 		return nil, err
 	}
-	if err := n.hooks.Check(policy); err != nil {
+	if err := n.hooks.Check(parsed); err != nil {
 		return nil, err
 	}
-	if err := n.checkAll(ctx, policy); err != nil {
+	if err := n.checkAll(ctx, parsed); err != nil {
 		return nil, err
 	}
-	p := policystore.Proposal{ID: ask.ID, By: n.cfg.Name, At: n.clock.Now(), Body: policy}
+	p := policy.Proposal{ID: ask.ID, By: n.cfg.Name, At: n.clock.Now(), Body: parsed}
 	if p.ID == "" {
 		p.ID = uuid.NewString()
 	}
@@ -500,7 +500,7 @@
 		return nil, err
 	}
 	answer, err := n.Command(ctx, Kind, raw)
-	var out policystore.Outcome
+	var out policy.Outcome
 	if err == nil {
 		err = json.Unmarshal(answer, &out)
 	}
@@ -540,7 +540,7 @@
 		}
 		asking.Go(func() {
 			var fault string
-			if consensus.Call(ctx, n.calls, s.Address, http.MethodPost, "/policy/check", body, &fault) == nil && fault != "" {
+			if raftlog.Call(ctx, n.calls, s.Address, http.MethodPost, "/policy/check", body, &fault) == nil && fault != "" {
 				faults[i] = s.Name + ": " + fault
 			}
 		})
@@ -558,20 +558,20 @@
 		err = n.hooks.Check(body)
 	}
 	if err != nil {
-		consensus.Answer(w, err.Error())
+		raftlog.Answer(w, err.Error())
 		return
 	}
-	consensus.Answer(w, "")
+	raftlog.Answer(w, "")
 }
 
 // Past is one version as the history tells it.
 type Past struct {
-	Version policystore.Version `json:"version"`
-	ID      string              `json:"id"`
-	By      string              `json:"by"`
-	At      float64             `json:"at_ms"`
-	Sum     string              `json:"sum"`
-	Policy  json.RawMessage     `json:"policy"`
+	Version policy.Version  `json:"version"`
+	ID      string          `json:"id"`
+	By      string          `json:"by"`
+	At      float64         `json:"at_ms"`
+	Sum     string          `json:"sum"`
+	Policy  json.RawMessage `json:"policy"`
 }
 
 // History are the versions that this marshal keeps, oldest first.
@@ -587,9 +587,9 @@
 
 // StatusAnswer is what `ottershed policy status` asks for.
 type StatusAnswer struct {
-	Marshals []Marshal         `json:"marshals"`
-	Log      *consensus.Status `json:"log,omitempty"`
-	Stored   int64             `json:"stored_bytes"`
+	Marshals []Marshal       `json:"marshals"`
+	Log      *raftlog.Status `json:"log,omitempty"`
+	Stored   int64           `json:"stored_bytes"`
 }
 
 // Answer is the status of the fleet and of this marshal's log.
--- a/internal/quorum/quorum.go
+++ b/internal/cluster/quorum/quorum.go
@@ -1,5 +1,5 @@
 // Package quorum decides, free of I/O, how a server comes to its place among those that keep the replicated log: whether
-// it begins a new log, joins one, or has to be taken in anew after its store was lost. internal/consensus does it.
+// it begins a new log, joins one, or has to be taken in anew after its store was lost. internal/cluster/raftlog does it.
 package quorum
 
 // Answer is what one server said of itself.
--- a/internal/consensus/node.go
+++ b/internal/cluster/raftlog/node.go
@@ -1,7 +1,7 @@
 // Package consensus keeps a replicated log among a few servers: hashicorp/raft over one port a server, bbolt for what has
 // to last. What is in the log is its parts' business. What is decided here without the library, how a server comes to its
-// place, internal/quorum decides.
-package consensus
+// place, internal/cluster/quorum decides.
+package raftlog
 
 import (
 	"cmp"
@@ -27,7 +27,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 
 	"ottershed/internal/clock"
-	"ottershed/internal/quorum"
+	"ottershed/internal/cluster/quorum"
 )
 
 // Server is one that keeps the log, at the address by which this one reaches it.
--- a/internal/consensus/propose.go
+++ b/internal/cluster/raftlog/propose.go
@@ -1,4 +1,4 @@
-package consensus
+package raftlog
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"ottershed/internal/quorum"
+	"ottershed/internal/cluster/quorum"
 )
 
 // Headers of answers to proposals: the answering process's reading of its own clock, and whom it follows.
--- a/internal/consensus/store_test.go
+++ b/internal/cluster/raftlog/store_test.go
@@ -1,4 +1,4 @@
-package consensus
+package raftlog
 
 import (
 	"context"
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,12 +17,12 @@
 	"strings"
 	"time"
 
-	"ottershed/internal/desk"
+	"ottershed/decision"
+	"ottershed/internal/cluster/policy"
 	"ottershed/internal/discovery"
-	"ottershed/internal/marshal"
-	"ottershed/internal/policystore"
+	"ottershed/internal/engine"
+	"ottershed/internal/rollout"
 	"ottershed/internal/settings"
-	"ottershed/logic"
 )
 
 // Config is what holds for this start.
@@ -33,13 +33,13 @@
 	Platform  string
 	Seed      uint64
 	Limits    Limits
-	Settings  logic.Settings
+	Settings  decision.Settings
 	Network   settings.Network
-	Figures   map[string]string // all settings by their names, as they came
-	Known     *marshal.List     // the nodes as last held; nil: none
-	News      *logic.StageNews  // the newest build; nil: none
-	Warnings  []string          // what is odd but does no harm
-	Operator  *Operator         // the operator's own file; nil: none
+	Figures   map[string]string   // all settings by their names, as they came
+	Known     *engine.List        // the nodes as last held; nil: none
+	News      *decision.StageNews // the newest build; nil: none
+	Warnings  []string            // what is odd but does no harm
+	Operator  *Operator           // the operator's own file; nil: none
 }
 
 // Limits are what the machine gives.
@@ -148,7 +148,7 @@
 }
 
 // Under are the module's settings under a policy of the fleet. An error names the key.
-func (c *Config) Under(p *policystore.Policy) (logic.Settings, error) {
+func (c *Config) Under(p *policy.Policy) (decision.Settings, error) {
 	set, figures := c.Settings, c.Figures
 	var err error
 	if len(p.Settings) > 0 {
@@ -304,11 +304,11 @@
 		if err != nil {
 			return fmt.Errorf("known: %w", err)
 		}
-		known.How = logic.Remembered
+		known.How = decision.Remembered
 		c.Known = &known
 	}
 	if present(f.Platform.News) {
-		news, err := desk.DecodeStage(f.Platform.News)
+		news, err := rollout.DecodeStage(f.Platform.News)
 		if err != nil {
 			return fmt.Errorf("platform.news: %w", err)
 		}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -14,17 +14,17 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"ottershed/internal/admin"
-	"ottershed/internal/consensus"
-	"ottershed/internal/membership"
-	"ottershed/internal/peers"
+	"ottershed/internal/cluster/gossip"
+	"ottershed/internal/cluster/membership"
+	"ottershed/internal/cluster/raftlog"
 )
 
 // Operator is what the operator's own file says, beside what the platform hands over. Nothing in it is on by itself.
 type Operator struct {
-	Admin      string            // ip:port of loopback; empty: none
-	Membership *peers.Config     // nil: off
-	Policy     *consensus.Config // nil: off
-	Lease      time.Duration     // of work in hand; 0: takeover is off
+	Admin      string          // ip:port of loopback; empty: none
+	Membership *gossip.Config  // nil: off
+	Policy     *raftlog.Config // nil: off
+	Lease      time.Duration   // of work in hand; 0: takeover is off
 }
 
 // spanOf reads a length of time, "4s" or "250ms", in milliseconds. Danger: a plain number could be taken for any unit.
@@ -158,9 +158,9 @@
 	mostServers = 9
 )
 
-func (f *operatorFile) policy(path, name string) (*consensus.Config, error) {
+func (f *operatorFile) policy(path, name string) (*raftlog.Config, error) {
 	p := &f.Policy
-	c := &consensus.Config{Name: name, Dir: p.Dir, Bind: p.Bind}
+	c := &raftlog.Config{Name: name, Dir: p.Dir, Bind: p.Bind}
 	if c.Dir == "" {
 		return nil, errors.New("policy.dir: missing; it has to last over restarts")
 	}
@@ -192,7 +192,7 @@
 		if at, err := netip.ParseAddrPort(s.Address); err != nil || at.Port() == 0 {
 			return nil, fmt.Errorf("%s.address: want ip:port, got %q", key, s.Address)
 		}
-		c.Servers = append(c.Servers, consensus.Server{Name: s.Name, Address: s.Address})
+		c.Servers = append(c.Servers, raftlog.Server{Name: s.Name, Address: s.Address})
 		if s.Name == name {
 			c.Bind = cmp.Or(c.Bind, s.Address)
 		}
@@ -219,7 +219,7 @@
 	return err
 }
 
-func (f *operatorFile) membership(path, name string) (*peers.Config, error) {
+func (f *operatorFile) membership(path, name string) (*gossip.Config, error) {
 	m := &f.Membership
 	own, seeds := "", []membership.Seed(nil)
 	for _, s := range m.Seeds {
@@ -232,7 +232,7 @@
 	if advertise == "" {
 		return nil, fmt.Errorf("membership.bind: missing, and membership.seeds names no %q", name)
 	}
-	c := &peers.Config{Bind: cmp.Or(m.Bind, advertise), Codec: membership.Codec{Cluster: m.Cluster},
+	c := &gossip.Config{Bind: cmp.Or(m.Bind, advertise), Codec: membership.Codec{Cluster: m.Cluster},
 		Membership: membership.Settings{Name: membership.Name(name), Address: advertise, Seeds: seeds,
 			MostMembers: m.MostMembers}}
 	var err error
--- a/internal/marshal/core.go
+++ b/internal/engine/core.go
@@ -1,4 +1,4 @@
-package marshal
+package engine
 
 import (
 	"container/heap"
@@ -7,7 +7,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"ottershed/logic"
+	"ottershed/decision"
 )
 
 // core is the module with its clock's timers and the open hits. It does no I/O and starts no goroutine: it takes
@@ -21,49 +21,49 @@
 	discovery Discovery
 	log       logrus.FieldLogger
 
-	last      logic.HitID
-	open      map[logic.HitID]*open  // hits; the final answer with the last forward's ending empties it
-	list      map[logic.NodeID]Entry // nodes; discovery empties it
-	news      *logic.StageNews       // as last told, for a new start of the module
-	settings  *logic.SettingsChanged // the same: the newest figures, where they came after the start
-	newsAt    logic.Millis           // when it was told
-	timers    timers                 // of the module; they empty it by coming due
-	follow    []logic.Event          // events that actions caused, for after these actions
-	post      func(message)          // to the queue
-	restarted logic.Millis           // when the module last started anew after a panic
+	last      decision.HitID
+	open      map[decision.HitID]*open  // hits; the final answer with the last forward's ending empties it
+	list      map[decision.NodeID]Entry // nodes; discovery empties it
+	news      *decision.StageNews       // as last told, for a new start of the module
+	settings  *decision.SettingsChanged // the same: the newest figures, where they came after the start
+	newsAt    decision.Millis           // when it was told
+	timers    timers                    // of the module; they empty it by coming due
+	follow    []decision.Event          // events that actions caused, for after these actions
+	post      func(message)             // to the queue
+	restarted decision.Millis           // when the module last started anew after a panic
 	counts    Figures
-	targets   map[logic.GroupName]logic.Millis // target latencies, for counting alone
+	targets   map[decision.GroupName]decision.Millis // target latencies, for counting alone
 }
 
 // module is the decision module.
 type module interface {
-	Handle(now logic.Millis, event logic.Event) []logic.Action
+	Handle(now decision.Millis, event decision.Event) []decision.Action
 }
 
 // witness is a module that tells what it has seen.
 type witness interface {
-	Evidence() (logic.Evidence, bool)
+	Evidence() (decision.Evidence, bool)
 }
 
 // open is a hit that waits for its final answer or for endings of its forwards.
 type open struct {
 	hit      *Hit
-	ends     logic.Millis
+	ends     decision.Millis
 	answered bool
 	forwards []forward
 	out      int
 }
 
 type forward struct {
-	node   logic.NodeID
-	at     logic.Millis
+	node   decision.NodeID
+	at     decision.Millis
 	recall func()
 	over   bool
 }
 
 type timer struct {
-	at    logic.Millis
-	token logic.Token
+	at    decision.Millis
+	token decision.Token
 }
 
 type timers []timer
@@ -80,7 +80,7 @@
 
 func newCore(start func(seed uint64) module, seed uint64, post func(message), log logrus.FieldLogger) *core {
 	return &core{start: start, seed: seed, module: start(seed), log: log, post: post,
-		open: map[logic.HitID]*open{}, list: map[logic.NodeID]Entry{}, restarted: -1}
+		open: map[decision.HitID]*open{}, list: map[decision.NodeID]Entry{}, restarted: -1}
 }
 
 // message is what reaches the owner through the queue; each concrete type below is one kind.
@@ -90,14 +90,14 @@
 	hitTaken struct{ hit *Hit }
 	hitGone  struct{ hit *Hit }
 	ended    struct {
-		id  logic.HitID
+		id  decision.HitID
 		no  int
 		end End
 	}
 	listTold struct{ list List }
-	told     struct{ event logic.Event } // from the desk
+	told     struct{ event decision.Event } // from the desk
 
-	evidenceAsked struct{ reply chan<- *logic.Evidence } // it has room
+	evidenceAsked struct{ reply chan<- *decision.Evidence } // it has room
 )
 
 func (hitTaken) message() {}
@@ -109,7 +109,7 @@
 func (evidenceAsked) message() {}
 
 // handle takes one message.
-func (c *core) handle(now logic.Millis, msg message) {
+func (c *core) handle(now decision.Millis, msg message) {
 	switch msg := msg.(type) {
 	case hitTaken:
 		c.take(now, msg.hit)
@@ -120,7 +120,7 @@
 	case listTold:
 		c.listTold(now, msg.list)
 	case evidenceAsked:
-		var found *logic.Evidence
+		var found *decision.Evidence
 		if w, ok := c.module.(witness); ok {
 			if e, any := w.Evidence(); any {
 				found = &e
@@ -130,17 +130,17 @@
 	case figuresAsked:
 		msg.reply <- c.figures()
 	case told:
-		if e, ok := msg.event.(logic.StageNews); ok {
+		if e, ok := msg.event.(decision.StageNews); ok {
 			c.log.WithFields(logrus.Fields{"build": e.Build, "stage": e.Stage, "phase": e.Phase, "cap": e.Cap, "age_ms": e.Age,
 				"to_vote": e.ToVote, "fate": e.VoteFate}).Debug("news")
-			if e.VoteFate == logic.VoteOK {
+			if e.VoteFate == decision.VoteOK {
 				lower := c.news != nil && e.Build == c.news.Build && e.Cap < c.news.Cap
 				if c.news, c.newsAt = &e, now; lower {
 					c.unsend(e.Build)
 				}
 			}
 		}
-		if e, ok := msg.event.(logic.SettingsChanged); ok {
+		if e, ok := msg.event.(decision.SettingsChanged); ok {
 			c.settings = &e
 		}
 		c.give(now, msg.event)
@@ -148,7 +148,7 @@
 }
 
 // nextTimer tells when the module wants to be woken next, if at all.
-func (c *core) nextTimer() (at logic.Millis, ok bool) {
+func (c *core) nextTimer() (at decision.Millis, ok bool) {
 	if len(c.timers) == 0 {
 		return 0, false
 	}
@@ -156,14 +156,14 @@
 }
 
 // due gives the module the timers that are due.
-func (c *core) due(now logic.Millis) {
+func (c *core) due(now decision.Millis) {
 	for at, ok := c.nextTimer(); ok && at <= now; at, ok = c.nextTimer() {
 		t := heap.Pop(&c.timers).(timer)
-		c.give(now, logic.TimerDue{Token: t.token})
+		c.give(now, decision.TimerDue{Token: t.token})
 	}
 }
 
-func (c *core) take(now logic.Millis, hit *Hit) {
+func (c *core) take(now decision.Millis, hit *Hit) {
 	left := hit.Left - (now - hit.Taken)
 	c.counts.Taken++
 	c.last++
@@ -172,23 +172,23 @@
 	}
 	hit.id = c.last
 	c.open[hit.id] = &open{hit: hit, ends: now + left}
-	c.give(now, logic.HitTaken{Hit: hit.id, Group: hit.Group, Tenant: hit.Tenant, Key: hit.Key, TTL: left,
+	c.give(now, decision.HitTaken{Hit: hit.id, Group: hit.Group, Tenant: hit.Tenant, Key: hit.Key, TTL: left,
 		Hint: hit.Hint, Retried: hit.Retried})
 }
 
-func (c *core) gone(now logic.Millis, hit *Hit) {
+func (c *core) gone(now decision.Millis, hit *Hit) {
 	o := c.open[hit.id]
 	if o == nil || o.hit != hit || o.answered {
 		return
 	}
 	o.answered = true
 	c.counts.Gone++
-	c.give(now, logic.HitGone{Hit: hit.id})
+	c.give(now, decision.HitGone{Hit: hit.id})
 	c.forget(hit.id, o)
 }
 
 // ended takes the ending of a forward; the first delivery is the final answer.
-func (c *core) ended(now logic.Millis, msg ended) {
+func (c *core) ended(now decision.Millis, msg ended) {
 	o := c.open[msg.id]
 	if o == nil || msg.no >= len(o.forwards) || o.forwards[msg.no].over { // of a hit that a panic ended
 		return
@@ -197,12 +197,12 @@
 	f.over, f.recall = true, nil
 	o.out--
 	c.counts.ended(msg.end.Ending)
-	if msg.end.Ending == logic.Delivered && !o.answered {
+	if msg.end.Ending == decision.Delivered && !o.answered {
 		c.answer(now, o, Answer{Kind: Delivered, Reply: msg.end.Reply})
 	}
-	c.give(now, logic.ForwardEnded{Hit: msg.id, Ending: msg.end.Ending, Node: f.node, Forward: msg.no,
+	c.give(now, decision.ForwardEnded{Hit: msg.id, Ending: msg.end.Ending, Node: f.node, Forward: msg.no,
 		After: max(0, msg.end.At-f.at), HitEnded: o.answered, Load: msg.end.Load})
-	if msg.end.Ending == logic.Delivered && o.hit.Key != "" {
+	if msg.end.Ending == decision.Delivered && o.hit.Key != "" {
 		c.unsendKey(o.hit.Key, c.list[f.node].Build)
 	}
 	c.forget(msg.id, o)
@@ -210,7 +210,7 @@
 
 // unsendKey calls back what was decided for a key, for builds before the one that has answered it now, and is not yet
 // sent. Danger: where keys stay with the newer build, a connection that comes up late would carry one back.
-func (c *core) unsendKey(key logic.Key, build logic.Build) {
+func (c *core) unsendKey(key decision.Key, build decision.Build) {
 	for _, o := range c.open {
 		if o.hit.Key != key {
 			continue
@@ -224,7 +224,7 @@
 }
 
 // answer gives a hit its final answer, once.
-func (c *core) answer(now logic.Millis, o *open, a Answer) {
+func (c *core) answer(now decision.Millis, o *open, a Answer) {
 	if !o.answered {
 		o.answered = true
 		target, known := c.targets[o.hit.Group]
@@ -234,24 +234,24 @@
 }
 
 // forget drops a hit that owes and expects nothing any more.
-func (c *core) forget(id logic.HitID, o *open) {
+func (c *core) forget(id decision.HitID, o *open) {
 	if o.answered && o.out == 0 {
 		delete(c.open, id)
 	}
 }
 
-func (c *core) listTold(now logic.Millis, list List) {
+func (c *core) listTold(now decision.Millis, list List) {
 	c.log.WithFields(logrus.Fields{"how": list.How, "index": list.Stamp, "entries": len(list.Entries)}).Debug("list")
-	event := logic.NodesChanged{How: list.How, Stamp: list.Stamp}
-	named := map[logic.NodeID]bool{}
+	event := decision.NodesChanged{How: list.How, Stamp: list.Stamp}
+	named := map[decision.NodeID]bool{}
 	for _, e := range list.Entries {
 		event.Nodes = append(event.Nodes, e.Node)
 		named[e.ID] = true
-		if e.State == logic.Removed {
+		if e.State == decision.Removed {
 			c.removed(e.ID)
 			continue
 		}
-		if e.State == logic.Draining {
+		if e.State == decision.Draining {
 			e.Address = "" // nothing new goes there
 		}
 		// Danger: a node that started anew is another machine; kept connections to the one before are reset, or silent.
@@ -260,7 +260,7 @@
 		}
 		c.list[e.ID] = e
 	}
-	if list.How != logic.Changes && list.How != logic.ListRefused {
+	if list.How != decision.Changes && list.How != decision.ListRefused {
 		for id := range c.list {
 			if !named[id] {
 				c.removed(id)
@@ -272,7 +272,7 @@
 
 // unsend calls back what was decided for a build and is not yet sent. Danger: a lower cap binds after the grace for
 // drains, and where a connection may take longer than that to come up, forwards of the old cap would break the new one.
-func (c *core) unsend(build logic.Build) {
+func (c *core) unsend(build decision.Build) {
 	for id, e := range c.list {
 		if e.Build == build && e.Address != "" {
 			c.nodes.Unsend(id)
@@ -280,7 +280,7 @@
 	}
 }
 
-func (c *core) removed(id logic.NodeID) {
+func (c *core) removed(id decision.NodeID) {
 	if _, known := c.list[id]; known {
 		delete(c.list, id)
 		c.nodes.Moved(id, "")
@@ -288,7 +288,7 @@
 }
 
 // give hands the module an event, does what it returns, and then what that caused.
-func (c *core) give(now logic.Millis, event logic.Event) {
+func (c *core) give(now decision.Millis, event decision.Event) {
 	for {
 		c.perform(now, c.ask(now, event))
 		if len(c.follow) == 0 {
@@ -300,7 +300,7 @@
 
 // ask calls the module. Danger: a panic there would take all open hits with it. So they end as errored, and the
 // module starts anew with what was last told; what runs at nodes is never sent again by it.
-func (c *core) ask(now logic.Millis, event logic.Event) (actions []logic.Action) {
+func (c *core) ask(now decision.Millis, event decision.Event) (actions []decision.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			c.log.WithFields(logrus.Fields{"panic": fmt.Sprint(p), "event": eventName(event),
@@ -313,7 +313,7 @@
 }
 
 // restart ends all open hits as errored and starts the module anew.
-func (c *core) restart(now logic.Millis) {
+func (c *core) restart(now decision.Millis) {
 	for id, o := range c.open {
 		c.answer(now, o, Answer{Kind: Errored})
 		for _, f := range o.forwards {
@@ -333,7 +333,7 @@
 	if c.settings != nil {
 		c.follow = append(c.follow, *c.settings)
 	}
-	known := logic.NodesChanged{How: logic.Remembered}
+	known := decision.NodesChanged{How: decision.Remembered}
 	for _, e := range c.list {
 		known.Nodes = append(known.Nodes, e.Node)
 	}
@@ -346,49 +346,49 @@
 }
 
 // perform does what the module wants done.
-func (c *core) perform(now logic.Millis, actions []logic.Action) {
+func (c *core) perform(now decision.Millis, actions []decision.Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
-		case logic.Forward:
+		case decision.Forward:
 			c.forward(now, a)
-		case logic.Bounce:
+		case decision.Bounce:
 			c.final(now, a.Hit, Answer{Kind: Bounced, ComeBack: a.ComeBack})
-		case logic.Fail:
+		case decision.Fail:
 			c.final(now, a.Hit, Answer{Kind: Errored})
-		case logic.Cancel:
+		case decision.Cancel:
 			if o := c.open[a.Hit]; o != nil && a.Forward < len(o.forwards) && !o.forwards[a.Forward].over {
 				o.forwards[a.Forward].recall()
 			}
-		case logic.WakeAt:
+		case decision.WakeAt:
 			heap.Push(&c.timers, timer{a.At, a.Token})
-		case logic.CloseIdle:
+		case decision.CloseIdle:
 			c.nodes.CloseIdle(a.Node)
-		case logic.Vote:
+		case decision.Vote:
 			c.counts.Votes++
 			c.log.WithFields(logrus.Fields{"build": a.Build, "stage": a.Stage, "verdict": a.Verdict}).Debug("vote")
 			c.desk.Vote(a)
-		case logic.Lookup:
+		case decision.Lookup:
 			c.discovery.Lookup()
-		case logic.Log:
+		case decision.Log:
 			c.log.Info(a.Text)
-		case logic.Watch:
+		case decision.Watch:
 			c.discovery.Watch()
-		case logic.Probe: // this protocol has none
+		case decision.Probe: // this protocol has none
 			c.counts.Probes++
-			c.follow = append(c.follow, logic.ProbeEnded{Node: a.Node, Ending: logic.NeverSent})
-		case logic.Tell: // nor messages between marshals
+			c.follow = append(c.follow, decision.ProbeEnded{Node: a.Node, Ending: decision.NeverSent})
+		case decision.Tell: // nor messages between marshals
 		}
 	}
 }
 
-func (c *core) final(now logic.Millis, id logic.HitID, a Answer) {
+func (c *core) final(now decision.Millis, id decision.HitID, a Answer) {
 	if o := c.open[id]; o != nil {
 		c.answer(now, o, a)
 		c.forget(id, o)
 	}
 }
 
-func (c *core) forward(now logic.Millis, a logic.Forward) {
+func (c *core) forward(now decision.Millis, a decision.Forward) {
 	o := c.open[a.Hit]
 	if o == nil {
 		return
@@ -400,7 +400,7 @@
 	node := c.list[a.Node]
 	if node.Address == "" || o.answered || now >= o.ends {
 		o.forwards[no].recall = func() {}
-		c.post(ended{a.Hit, no, End{Ending: logic.NeverSent, At: now}})
+		c.post(ended{a.Hit, no, End{Ending: decision.NeverSent, At: now}})
 		return
 	}
 	until := o.ends
