--- a/internal/marshal/events.go
+++ b/internal/engine/events.go
@@ -1,38 +1,38 @@
-package marshal
+package engine
 
-import "ottershed/logic"
+import "ottershed/decision"
 
 // eventName is how the log names an event. The names are fixed here, so that who searches logs finds them again when types
 // get other names.
-func eventName(event logic.Event) string {
+func eventName(event decision.Event) string {
 	switch event.(type) {
-	case logic.NodesChanged:
+	case decision.NodesChanged:
 		return "logic.NodesChanged"
-	case logic.HitTaken:
+	case decision.HitTaken:
 		return "logic.HitTaken"
-	case logic.AnswerStarted:
+	case decision.AnswerStarted:
 		return "logic.AnswerStarted"
-	case logic.ForwardEnded:
+	case decision.ForwardEnded:
 		return "logic.ForwardEnded"
-	case logic.HitGone:
+	case decision.HitGone:
 		return "logic.HitGone"
-	case logic.TimerDue:
+	case decision.TimerDue:
 		return "logic.TimerDue"
-	case logic.ProbeEnded:
+	case decision.ProbeEnded:
 		return "logic.ProbeEnded"
-	case logic.PeerSaid:
+	case decision.PeerSaid:
 		return "logic.PeerSaid"
-	case logic.StageNews:
+	case decision.StageNews:
 		return "logic.StageNews"
-	case logic.SettingsChanged:
+	case decision.SettingsChanged:
 		return "logic.SettingsChanged"
-	case logic.Adopted:
+	case decision.Adopted:
 		return "logic.Adopted"
-	case logic.Disowned:
+	case decision.Disowned:
 		return "logic.Disowned"
-	case logic.Tally:
+	case decision.Tally:
 		return "logic.Tally"
-	case logic.Flagged:
+	case decision.Flagged:
 		return "logic.Flagged"
 	}
 	return "unknown"
--- a/internal/marshal/figures.go
+++ b/internal/engine/figures.go
@@ -1,9 +1,9 @@
-package marshal
+package engine
 
 import (
 	"context"
 
-	"ottershed/logic"
+	"ottershed/decision"
 )
 
 // Figures are what an owner has counted since its start, and how things stand for the module.
@@ -12,7 +12,7 @@
 	Gone, Cancelled, Probes, Votes                int64 // clients that left before the answer; forwards called off
 	Full, Unreachable, Broken, TimedOut, Failed   int64 // endings of forwards that were not delivered
 	Missed                                        int64 // hits delivered after their path group's target latency
-	Sight                                         logic.Sight
+	Sight                                         decision.Sight
 }
 
 type figuresAsked struct{ reply chan<- Figures } // it has room
@@ -34,7 +34,7 @@
 // figures are what was counted, with the module's sight where it has one.
 func (c *core) figures() Figures {
 	f := c.counts
-	if s, ok := c.module.(interface{ Sight() logic.Sight }); ok {
+	if s, ok := c.module.(interface{ Sight() decision.Sight }); ok {
 		f.Sight = s.Sight()
 	}
 	return f
@@ -56,19 +56,19 @@
 }
 
 // ended counts the ending of a forward.
-func (f *Figures) ended(e logic.Ending) {
+func (f *Figures) ended(e decision.Ending) {
 	switch e {
-	case logic.NodeFull:
+	case decision.NodeFull:
 		f.Full++
-	case logic.Unreachable:
+	case decision.Unreachable:
 		f.Unreachable++
-	case logic.Broken:
+	case decision.Broken:
 		f.Broken++
-	case logic.TimedOut:
+	case decision.TimedOut:
 		f.TimedOut++
-	case logic.Recalled:
+	case decision.Recalled:
 		f.Cancelled++
-	case logic.NodeError, logic.Spoilt:
+	case decision.NodeError, decision.Spoilt:
 		f.Failed++
 	}
 }
--- a/internal/marshal/marshal.go
+++ b/internal/engine/marshal.go
@@ -1,6 +1,6 @@
 // Package marshal owns the decision module: one goroutine gives it events with the time and does what it returns.
 // Everything else reaches it through a queue.
-package marshal
+package engine
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"ottershed/decision"
 	"ottershed/internal/clock"
-	"ottershed/logic"
 )
 
 // Marshal is the queue to the goroutine that owns the module. It holds one message at most for each open hit,
@@ -28,17 +28,17 @@
 
 type posted struct {
 	message
-	at logic.Millis
+	at decision.Millis
 }
 
 // New makes a marshal; Run starts it.
-func New(s logic.Settings, seed uint64, c *clock.Clock, log logrus.FieldLogger) *Marshal {
+func New(s decision.Settings, seed uint64, c *clock.Clock, log logrus.FieldLogger) *Marshal {
 	m := &Marshal{clock: c, late: lateness{log: log, bound: 1000}, notify: make(chan struct{}, 1)}
 	for _, g := range s.Groups {
 		m.late.bound = min(m.late.bound, g.Target*latePart)
 	}
-	m.core = newCore(func(seed uint64) module { return logic.New(s, seed) }, seed, m.post, log)
-	m.core.targets = map[logic.GroupName]logic.Millis{}
+	m.core = newCore(func(seed uint64) module { return decision.New(s, seed) }, seed, m.post, log)
+	m.core.targets = map[decision.GroupName]decision.Millis{}
 	for _, g := range s.Groups {
 		m.core.targets[g.Name] = g.Target
 	}
@@ -60,20 +60,20 @@
 func (m *Marshal) List(l List) { m.post(listTold{l}) }
 
 // Told hands over what the desk has told.
-func (m *Marshal) Told(e logic.Event) { m.post(told{e}) }
+func (m *Marshal) Told(e decision.Event) { m.post(told{e}) }
 
 // Settle hands over new figures of the deployment; they pass before hits that wait, and what is open stays.
-func (m *Marshal) Settle(s logic.Settings) { m.post(told{logic.SettingsChanged{Settings: s}}) }
+func (m *Marshal) Settle(s decision.Settings) { m.post(told{decision.SettingsChanged{Settings: s}}) }
 
 // Adopt hands over what a marshal that is gone had seen; once.
-func (m *Marshal) Adopt(e logic.Evidence) { m.post(told{logic.Adopted{Evidence: e}}) }
+func (m *Marshal) Adopt(e decision.Evidence) { m.post(told{decision.Adopted{Evidence: e}}) }
 
 // Disown says that what this marshal has seen is another's by now.
-func (m *Marshal) Disown() { m.post(told{logic.Disowned{}}) }
+func (m *Marshal) Disown() { m.post(told{decision.Disowned{}}) }
 
 // Evidence is what the module has seen of the build on trial; false where there is none, or ctx ends before.
-func (m *Marshal) Evidence(ctx context.Context) (logic.Evidence, bool) {
-	reply := make(chan *logic.Evidence, 1)
+func (m *Marshal) Evidence(ctx context.Context) (decision.Evidence, bool) {
+	reply := make(chan *decision.Evidence, 1)
 	m.post(evidenceAsked{reply})
 	select {
 	case e := <-reply:
@@ -82,7 +82,7 @@
 		}
 	case <-ctx.Done():
 	}
-	return logic.Evidence{}, false
+	return decision.Evidence{}, false
 }
 
 func (m *Marshal) post(msg message) {
@@ -155,9 +155,9 @@
 // lateness logs how far behind the owner was at worst. Danger: to the module a late owner looks like slow nodes.
 type lateness struct {
 	log     logrus.FieldLogger
-	bound   logic.Millis
-	since   logic.Millis // start of what the next line sums up
-	worst   logic.Millis
+	bound   decision.Millis
+	since   decision.Millis // start of what the next line sums up
+	worst   decision.Millis
 	waiting int
 	at      string
 }
@@ -168,7 +168,7 @@
 )
 
 // saw takes how late a message of the queue or a timer was, and how many messages waited behind it.
-func (l *lateness) saw(now, late logic.Millis, waiting int, at string) {
+func (l *lateness) saw(now, late decision.Millis, waiting int, at string) {
 	if late >= l.worst {
 		l.worst, l.at = late, at
 	}
--- a/internal/marshal/messages.go
+++ b/internal/engine/messages.go
@@ -1,6 +1,6 @@
-package marshal
+package engine
 
-import "ottershed/logic"
+import "ottershed/decision"
 
 // Request is what a client asked, decoded once; it passes to nodes as it is.
 type Request struct {
@@ -17,17 +17,17 @@
 
 // Hit is a client's request with what the module is told of it.
 type Hit struct {
-	Group   logic.GroupName
-	Tenant  logic.TenantID
-	Key     logic.Key
-	Left    logic.Millis // until the client gives up, from Taken on
-	Taken   logic.Millis
-	Hint    logic.Millis
+	Group   decision.GroupName
+	Tenant  decision.TenantID
+	Key     decision.Key
+	Left    decision.Millis // until the client gives up, from Taken on
+	Taken   decision.Millis
+	Hint    decision.Millis
 	Retried bool
 	Request *Request
 	Answer  func(Answer) // called once at most, by the owner; it doesn't block
 
-	id logic.HitID // the owner's
+	id decision.HitID // the owner's
 }
 
 // AnswerKind is how a hit ended.
@@ -42,37 +42,37 @@
 // Answer is the final answer to a hit.
 type Answer struct {
 	Kind     AnswerKind
-	ComeBack logic.Millis // of a bounce; 0: no advice
-	Reply    *Reply       // of a delivery
+	ComeBack decision.Millis // of a bounce; 0: no advice
+	Reply    *Reply          // of a delivery
 }
 
 // Forward is one sending of a request to a node.
 type Forward struct {
-	Node    logic.NodeID
+	Node    decision.NodeID
 	Address string
 	Request *Request
-	SendBy  logic.Millis // not sent from then on; 0: sent as long as Until
-	Until   logic.Millis // no answer by then: timed out
-	Ended   func(End)    // called exactly once, from any goroutine; the connection is given back before
+	SendBy  decision.Millis // not sent from then on; 0: sent as long as Until
+	Until   decision.Millis // no answer by then: timed out
+	Ended   func(End)       // called exactly once, from any goroutine; the connection is given back before
 }
 
 // End is how a forward ended.
 type End struct {
-	Ending logic.Ending
-	At     logic.Millis
+	Ending decision.Ending
+	At     decision.Millis
 	Reply  *Reply
-	Load   *logic.Load
+	Load   *decision.Load
 }
 
 // Entry is a node with the address at which this marshal reaches it.
 type Entry struct {
-	logic.Node
+	decision.Node
 	Address string
 }
 
 // List is what discovery tells.
 type List struct {
-	How     logic.ListKind
+	How     decision.ListKind
 	Stamp   int64
 	Entries []Entry
 }
@@ -82,14 +82,14 @@
 	// Forward starts a forward; what it returns calls it off.
 	Forward(Forward) (recall func())
 	// Moved says that another machine is this node now and has this address, or none has if it is empty.
-	Moved(id logic.NodeID, address string)
+	Moved(id decision.NodeID, address string)
 	// Unsend has forwards to a node end that are not yet sent.
-	Unsend(logic.NodeID)
-	CloseIdle(logic.NodeID)
+	Unsend(decision.NodeID)
+	CloseIdle(decision.NodeID)
 }
 
 // Desk takes votes; the fate of each comes back as news. It doesn't block.
-type Desk interface{ Vote(logic.Vote) }
+type Desk interface{ Vote(decision.Vote) }
 
 // Discovery asks for the list. Its methods don't block.
 type Discovery interface {
--- a/internal/front/front.go
+++ b/internal/ingress/front.go
@@ -1,5 +1,5 @@
 // Package front takes hits from clients and passes final answers back.
-package front
+package ingress
 
 import (
 	"bytes"
@@ -20,11 +20,11 @@
 
 	"github.com/sirupsen/logrus"
 
+	"ottershed/decision"
 	"ottershed/internal/clock"
-	"ottershed/internal/marshal"
+	"ottershed/internal/cluster/lease"
+	"ottershed/internal/engine"
 	"ottershed/internal/settings"
-	"ottershed/internal/takeover"
-	"ottershed/logic"
 )
 
 const (
@@ -42,32 +42,32 @@
 
 // Marshal is whom hits are handed to.
 type Marshal interface {
-	Hit(*marshal.Hit)
-	Gone(*marshal.Hit)
+	Hit(*engine.Hit)
+	Gone(*engine.Hit)
 }
 
 // Front is the server that clients connect to.
 type Front struct {
 	marshal  Marshal
 	clock    *clock.Clock
-	groups   map[string]logic.PathGroup // by the settings
+	groups   map[string]decision.PathGroup // by the settings
 	network  settings.Network
-	comeBack logic.Millis            // longest time to come back
-	tenants  map[logic.TenantID]bool // by the settings
+	comeBack decision.Millis            // longest time to come back
+	tenants  map[decision.TenantID]bool // by the settings
 	gate     *gate
 	server   *http.Server
 	leaving  atomic.Bool
 	held     atomic.Bool                            // by Hold
-	resumed  func(*logic.PathGroup) takeover.Resume // nil: hits are not brought again
+	resumed  func(*decision.PathGroup) lease.Resume // nil: hits are not brought again
 
 	mu  sync.Mutex
 	ids map[string]bool // of hits that are open; the end of their handler empties it
 }
 
 // New makes a front that holds so many connections of clients; Serve starts it.
-func New(m Marshal, c *clock.Clock, s logic.Settings, n settings.Network, most int, log logrus.FieldLogger) *Front {
+func New(m Marshal, c *clock.Clock, s decision.Settings, n settings.Network, most int, log logrus.FieldLogger) *Front {
 	f := &Front{marshal: m, clock: c, network: n, comeBack: s.MaxComeBack, gate: newGate(most, log),
-		groups: map[string]logic.PathGroup{}, tenants: map[logic.TenantID]bool{}, ids: map[string]bool{}}
+		groups: map[string]decision.PathGroup{}, tenants: map[decision.TenantID]bool{}, ids: map[string]bool{}}
 	for _, id := range s.Tenants {
 		f.tenants[id] = true
 	}
@@ -89,7 +89,7 @@
 }
 
 // Resume has hits taken that clients bring again from marshals that are gone, marked by X-Resume; before Serve.
-func (f *Front) Resume(decide func(*logic.PathGroup) takeover.Resume) { f.resumed = decide }
+func (f *Front) Resume(decide func(*decision.PathGroup) lease.Resume) { f.resumed = decide }
 
 // Hold has hits bounced, and /up say no, until Ready; before Serve. Danger: what discovery has told counts from a
 // process's first moment on, and the list of its configuration may be older.
@@ -151,7 +151,7 @@
 			refuse(w, status, fault)
 			return
 		}
-		if f.resumed != nil && r.Header.Get("X-Resume") == "1" && f.resumed(&group) == takeover.Refuse {
+		if f.resumed != nil && r.Header.Get("X-Resume") == "1" && f.resumed(&group) == lease.Refuse {
 			// What may have run is never forwarded by another marshal; its client hears so at once.
 			if f.comeBack > 0 {
 				w.Header().Set("Retry-After", strconv.FormatFloat(f.comeBack/1000, 'f', 3, 64))
@@ -176,9 +176,9 @@
 		}
 		free := sync.OnceFunc(func() { f.release(id) })
 		defer free()
-		hit := &marshal.Hit{Group: group.Name, Tenant: logic.TenantID(r.Header.Get("X-Account")), Key: key(r), Left: left,
+		hit := &engine.Hit{Group: group.Name, Tenant: decision.TenantID(r.Header.Get("X-Account")), Key: key(r), Left: left,
 			Taken: taken, Retried: r.Header.Get("X-Repeat") == "1",
-			Request: &marshal.Request{Method: r.Method, URI: r.RequestURI, Host: r.Host, Body: body}}
+			Request: &engine.Request{Method: r.Method, URI: r.RequestURI, Host: r.Host, Body: body}}
 		r.Body = http.NoBody
 		ctx := context.WithValue(context.WithValue(r.Context(), hitKey{}, hit), freeKey{}, free)
 		next.ServeHTTP(w, r.WithContext(ctx))
@@ -187,13 +187,13 @@
 
 // key is the subject of a hit, empty where it names none: "key" in the query. Danger: where keys stay with the build that
 // has answered them, a hit whose key is not read goes back to the earlier build.
-func key(r *http.Request) logic.Key {
+func key(r *http.Request) decision.Key {
 	for pair := range strings.SplitSeq(r.URL.RawQuery, "&") {
 		if name, text, _ := strings.Cut(pair, "="); name == "key" {
 			if plain, err := url.QueryUnescape(text); err == nil {
 				text = plain
 			}
-			return logic.Key(text)
+			return decision.Key(text)
 		}
 	}
 	return ""
@@ -215,7 +215,7 @@
 }
 
 // check tells the path group and the time that is left, or what is wrong with a request and the status for it.
-func (f *Front) check(r *http.Request) (group logic.PathGroup, left logic.Millis, status int, fault string) {
+func (f *Front) check(r *http.Request) (group decision.PathGroup, left decision.Millis, status int, fault string) {
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	group, known := f.groups[name]
@@ -227,10 +227,10 @@
 	seconds, err := strconv.ParseFloat(r.Header.Get("X-Time-Left"), 64)
 	left = seconds * 1000
 	method := http.MethodPost
-	if group.Effect == logic.Repeatable {
+	if group.Effect == decision.Repeatable {
 		method = http.MethodGet
 	}
-	id, account := r.Header.Get("X-Correlation-Id"), logic.TenantID(r.Header.Get("X-Account"))
+	id, account := r.Header.Get("X-Correlation-Id"), decision.TenantID(r.Header.Get("X-Account"))
 	switch {
 	// Danger: with both a transfer coding and a length, which the server drops unseen, the body may hide another
 	// request. Clients send none of the codings, so none is taken.
@@ -250,7 +250,7 @@
 		return group, 0, http.StatusBadRequest, "no such X-Account"
 	case err != nil || math.IsNaN(left) || left <= 0 || left > 2*f.network.LongestTimeout:
 		return group, 0, http.StatusBadRequest, "X-Time-Left is no time that a client waits"
-	case group.Effect == logic.Tagged && r.Header.Get("Idempotency-Key") == "":
+	case group.Effect == decision.Tagged && r.Header.Get("Idempotency-Key") == "":
 		return group, 0, http.StatusBadRequest, "no Idempotency-Key"
 	}
 	return group, min(left, f.network.LongestTimeout), 0, ""
@@ -261,14 +261,14 @@
 	// Danger: a hit that comes when the gate is shut, on a connection that was still open, may not be answered by a node
 	// before the process is killed.
 	if f.held.Load() || f.gate.isShut() || f.gate.full() {
-		res := response(r, marshal.Answer{Kind: marshal.Bounced, ComeBack: f.comeBack})
+		res := response(r, engine.Answer{Kind: engine.Bounced, ComeBack: f.comeBack})
 		res.Close = true
 		return res, nil
 	}
-	hit := r.Context().Value(hitKey{}).(*marshal.Hit)
+	hit := r.Context().Value(hitKey{}).(*engine.Hit)
 	hit.Request.Fields = r.Header
-	answer := make(chan marshal.Answer, 1)
-	hit.Answer = func(a marshal.Answer) { answer <- a }
+	answer := make(chan engine.Answer, 1)
+	hit.Answer = func(a engine.Answer) { answer <- a }
 	f.marshal.Hit(hit)
 	// Danger: a hit without a final answer breaks a rule, whatever the owner is at; so the wait has an end here too.
 	overdue := time.NewTimer(clock.Span(hit.Taken + hit.Left + f.network.AnswerSlack - f.clock.Now()))
@@ -278,7 +278,7 @@
 		return response(r, a), nil
 	case <-overdue.C:
 		f.marshal.Gone(hit)
-		return response(r, marshal.Answer{Kind: marshal.Errored}), nil
+		return response(r, engine.Answer{Kind: engine.Errored}), nil
 	case <-r.Context().Done():
 		f.marshal.Gone(hit)
 		return nil, r.Context().Err()
@@ -286,15 +286,15 @@
 }
 
 // response makes a final answer one of HTTP.
-func response(r *http.Request, a marshal.Answer) *http.Response {
+func response(r *http.Request, a engine.Answer) *http.Response {
 	res := &http.Response{Request: r, StatusCode: http.StatusInternalServerError, Proto: "HTTP/1.1", ProtoMajor: 1,
 		ProtoMinor: 1, Header: http.Header{}}
 	var body []byte
 	switch a.Kind {
-	case marshal.Delivered:
+	case engine.Delivered:
 		res.StatusCode, res.Header, body = http.StatusOK, a.Reply.Fields, a.Reply.Body
 		res.Header.Del("Transfer-Encoding")
-	case marshal.Bounced:
+	case engine.Bounced:
 		res.StatusCode = http.StatusServiceUnavailable
 		if a.ComeBack > 0 {
 			res.Header.Set("Retry-After", strconv.FormatFloat(a.ComeBack/1000, 'f', 3, 64))
--- a/internal/front/gate.go
+++ b/internal/ingress/gate.go
@@ -1,4 +1,4 @@
-package front
+package ingress
 
 import (
 	"container/list"
@@ -11,7 +11,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"ottershed/internal/socket"
+	"ottershed/internal/sockopt"
 )
 
 // gate counts the connections of clients. The server owns and closes them; the gate closes only those on which nothing
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conn, err := socket.NewConn(c.(*net.TCPConn), inTime)
+	conn, err := sockopt.NewConn(c.(*net.TCPConn), inTime)
 	if err != nil {
 		return nil, err
 	}
@@ -164,7 +164,7 @@
 	case http.StateActive:
 		g.conns[c] = place{}
 	case http.StateIdle:
-		c.(*socket.Conn).Answered()
+		c.(*sockopt.Conn).Answered()
 		g.put(c, g.idle)
 	default:
 		g.room.Signal()
@@ -189,7 +189,7 @@
 func (g *gate) makeRoom() bool {
 	for _, from := range []*list.List{g.fresh, g.idle} {
 		for at := from.Front(); at != nil; at = at.Next() {
-			old := at.Value.(*socket.Conn)
+			old := at.Value.(*sockopt.Conn)
 			if from == g.fresh && time.Since(g.conns[old].since) < silence {
 				break
 			}
@@ -207,7 +207,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for c, p := range g.conns {
-		if p.in != nil && (p.in != g.fresh || time.Since(p.since) >= silence) && c.(*socket.Conn).CloseUnasked() {
+		if p.in != nil && (p.in != g.fresh || time.Since(p.since) >= silence) && c.(*sockopt.Conn).CloseUnasked() {
 			g.remove(c)
 		}
 	}
--- a/internal/desk/desk.go
+++ b/internal/rollout/desk.go
@@ -1,4 +1,4 @@
-package desk
+package rollout
 
 import (
 	"bufio"
@@ -10,9 +10,9 @@
 
 	"github.com/sirupsen/logrus"
 
+	"ottershed/decision"
 	"ottershed/internal/clock"
 	"ottershed/internal/logging"
-	"ottershed/logic"
 )
 
 const (
@@ -29,7 +29,7 @@
 	moved   chan string
 	wait    time.Duration // for the answer to a vote
 	sign    time.Duration // between two signs of life
-	told    func(logic.Event)
+	told    func(decision.Event)
 	log     logrus.FieldLogger
 
 	mu     sync.Mutex
@@ -41,7 +41,7 @@
 }
 
 // New makes a desk at address; a vote's answer is waited for as long as wait.
-func New(address string, wait logic.Millis, told func(logic.Event), log logrus.FieldLogger) *Desk {
+func New(address string, wait decision.Millis, told func(decision.Event), log logrus.FieldLogger) *Desk {
 	d := &Desk{address: address, moved: make(chan string), wait: clock.Span(wait), sign: lifeSign, told: told, log: log}
 	if d.wait <= 0 {
 		d.wait = lifeSign
@@ -152,7 +152,7 @@
 }
 
 // Vote sends a vote. Its fate comes as news, once: never sent counts as an error.
-func (d *Desk) Vote(v logic.Vote) { d.VoteUnder(v, nil) }
+func (d *Desk) Vote(v decision.Vote) { d.VoteUnder(v, nil) }
 
 // Fence names a piece of work that a vote goes by, and the token under which it is held. A desk that knows of fences
 // refuses a vote under a token below the highest that it has seen of that piece.
@@ -162,13 +162,13 @@
 }
 
 // VoteUnder sends a vote with the fences that it goes by.
-func (d *Desk) VoteUnder(v logic.Vote, fences []Fence) {
+func (d *Desk) VoteUnder(v decision.Vote, fences []Fence) {
 	go func() { // a write may block
 		d.mu.Lock()
 		l := d.line
 		d.mu.Unlock()
 		if l == nil || !l.vote(d.nextID(), v, fences) {
-			d.told(logic.StageNews{ToVote: true, VoteFate: logic.VoteError})
+			d.told(decision.StageNews{ToVote: true, VoteFate: decision.VoteError})
 		}
 	}()
 }
@@ -236,25 +236,25 @@
 }
 
 // vote writes a vote; false: it was not sent.
-func (l *link) vote(id uint64, v logic.Vote, fences []Fence) bool {
+func (l *link) vote(id uint64, v decision.Vote, fences []Fence) bool {
 	l.mu.Lock()
 	if l.open == nil {
 		l.mu.Unlock()
 		return false
 	}
-	l.open[id] = time.AfterFunc(l.desk.wait, func() { l.settle(id, logic.VoteTimeout) })
+	l.open[id] = time.AfterFunc(l.desk.wait, func() { l.settle(id, decision.VoteTimeout) })
 	l.mu.Unlock()
 	if !l.write(encodeVote(id, v, fences)) {
-		l.settle(id, logic.VoteError)
+		l.settle(id, decision.VoteError)
 		l.close() // a part of a line may stand on it
 	}
 	return true
 }
 
 // settle tells the fate of a vote whose answer won't come, if it still waits for one.
-func (l *link) settle(id uint64, fate logic.VoteFate) {
+func (l *link) settle(id uint64, fate decision.VoteFate) {
 	if l.waits(id) {
-		l.desk.told(logic.StageNews{ToVote: true, VoteFate: fate})
+		l.desk.told(decision.StageNews{ToVote: true, VoteFate: fate})
 	}
 }
 
@@ -290,7 +290,7 @@
 	l.mu.Unlock()
 	for _, timer := range open {
 		if timer.Stop() {
-			l.desk.told(logic.StageNews{ToVote: true, VoteFate: logic.VoteTimeout})
+			l.desk.told(decision.StageNews{ToVote: true, VoteFate: decision.VoteTimeout})
 		}
 	}
 	close(l.ended)
@@ -319,10 +319,10 @@
 	}
 	fate, err := in.fate()
 	switch waits := l.waits(*in.ID); {
-	case waits && !first && fate.VoteFate == logic.VoteOK:
+	case waits && !first && fate.VoteFate == decision.VoteOK:
 		// Danger: it tells an older state than the newer line may have told. As it may have counted, it goes out again.
-		fate = logic.StageNews{ToVote: true, VoteFate: logic.VoteTimeout}
-	case !waits && first && fate.VoteFate == logic.VoteOK:
+		fate = decision.StageNews{ToVote: true, VoteFate: decision.VoteTimeout}
+	case !waits && first && fate.VoteFate == decision.VoteOK:
 		fate.ToVote = false // too late to be the fate, but what it tells counts as told
 	case !waits:
 		return l.legible(err)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"ottershed/logic"
+	"ottershed/decision"
 )
 
 // pairs holds the path=value settings of an instance; the first one missing or absurd stays in err.
@@ -103,13 +103,13 @@
 
 // Network holds the figures that the sockets need and no decision reads.
 type Network struct {
-	IdleAfter      logic.Millis // a node closes an idle connection by then
-	ConnectTimeout logic.Millis
-	AnswerSlack    logic.Millis // past the client timeout, for the final answer
-	LongestTimeout logic.Millis // of a client
-	AskList        bool         // the list is asked of a service that may refuse
-	AskWithin      logic.Millis // by then a marshal must have asked
-	DrainGrace     logic.Millis // from when a drain is told until nothing new may go to its node; 0: not told
+	IdleAfter      decision.Millis // a node closes an idle connection by then
+	ConnectTimeout decision.Millis
+	AnswerSlack    decision.Millis // past the client timeout, for the final answer
+	LongestTimeout decision.Millis // of a client
+	AskList        bool            // the list is asked of a service that may refuse
+	AskWithin      decision.Millis // by then a marshal must have asked
+	DrainGrace     decision.Millis // from when a drain is told until nothing new may go to its node; 0: not told
 }
 
 // Pairs takes path=value texts apart.
@@ -181,12 +181,12 @@
 }
 
 // ForModule reads the figures of the decision module; the error names a setting that is missing or absurd.
-func ForModule(v map[string]string) (logic.Settings, error) { return forModule(&pairs{v: v}) }
+func ForModule(v map[string]string) (decision.Settings, error) { return forModule(&pairs{v: v}) }
 
-func forModule(p *pairs) (logic.Settings, error) {
-	s := logic.Settings{
+func forModule(p *pairs) (decision.Settings, error) {
+	s := decision.Settings{
 		Marshals: int(p.need("n-instances", 1, 1e6)),
-		Zone:     logic.Zone(p.text("zone")), Granularity: p.may("granularity-ms"),
+		Zone:     decision.Zone(p.text("zone")), Granularity: p.may("granularity-ms"),
 		AskList: p.text("discovery") == "ask", AskWithin: p.may("rules.ask-within-ms"),
 		CrossPrice: p.may("charges.cross-zone"), ProbePrice: p.may("charges.probe"),
 		MayProbe:    p.yes("limits.probing"),
@@ -208,13 +208,13 @@
 		s.MaxComeBack = p.may("limits.max-retry-after-ms")
 	}
 	if p.text("domain.vote-mode") == "clocked" {
-		s.Control = logic.ByClock
+		s.Control = decision.ByClock
 	}
 	if len(s.Caps) != len(s.Stages) {
 		p.fail("domain.caps", "its length differs from that of domain.waves")
 	}
-	effects := map[string]logic.Effect{"safe": logic.Repeatable, "keyed": logic.Tagged, "unsafe": logic.Mutating}
-	scopes := map[string]logic.Scope{"all": logic.ScopeAll, "zone": logic.ScopeZone, "cell": logic.ScopeCell}
+	effects := map[string]decision.Effect{"safe": decision.Repeatable, "keyed": decision.Tagged, "unsafe": decision.Mutating}
+	scopes := map[string]decision.Scope{"all": decision.ScopeAll, "zone": decision.ScopeZone, "cell": decision.ScopeCell}
 	names := map[string]bool{}
 	for i := 0; i < int(p.need("services.count", 0, 1e4)); i++ {
 		at := fmt.Sprintf("services.%d.", i)
@@ -223,12 +223,12 @@
 			p.fail(at+"idempotency", "missing or unknown")
 		}
 		scope, ok := scopes[p.text(at+"group")]
-		if !ok && effect == logic.Tagged {
+		if !ok && effect == decision.Tagged {
 			p.fail(at+"group", "missing or unknown")
 		}
-		g := logic.PathGroup{Name: logic.GroupName(p.name(at+"name", names)), Target: p.need(at+"aim-ms", 0, most),
+		g := decision.PathGroup{Name: decision.GroupName(p.name(at+"name", names)), Target: p.need(at+"aim-ms", 0, most),
 			Effect: effect, Scope: scope}
-		if effect == logic.Tagged {
+		if effect == decision.Tagged {
 			g.Remember = p.need(at+"window-ms", 0, most)
 		}
 		s.Groups = append(s.Groups, g)
@@ -238,7 +238,7 @@
 		tenants = p.need("tenants.count", 0, 1e6)
 	}
 	for i := 0; i < int(tenants); i++ {
-		s.Tenants = append(s.Tenants, logic.TenantID(p.text(fmt.Sprintf("tenants.%d.name", i))))
+		s.Tenants = append(s.Tenants, decision.TenantID(p.text(fmt.Sprintf("tenants.%d.name", i))))
 	}
 	return s, p.err
 }
--- a/internal/socket/socket.go
+++ b/internal/sockopt/socket.go
@@ -1,6 +1,6 @@
 // Package socket has what the standard library's connections lack: a look at one without reading from it, and a
 // connection that someone else than its reader may close as long as nothing was read.
-package socket
+package sockopt
 
 import (
 	"cmp"
--- a/internal/socket/socket_test.go
+++ b/internal/sockopt/socket_test.go
@@ -1,4 +1,4 @@
-package socket
+package sockopt
 
 import (
 	"errors"
--- a/internal/faultnet/die_linux.go
+++ b/internal/testbed/faultinject/die_linux.go
@@ -1,4 +1,4 @@
-package faultnet
+package faultinject
 
 import "syscall"
 
--- a/internal/faultnet/rules.go
+++ b/internal/testbed/faultinject/rules.go
@@ -1,7 +1,7 @@
 // Package faultnet puts faults between processes on loopback: relays that stand in front of each process lose, delay,
 // double and cut what passes, and processes are stalled, killed and started again, by a script or by a seed. The decision
 // what becomes of a packet is Rules', free of I/O: the same seed gives the same fates, packet by packet of a link.
-package faultnet
+package faultinject
 
 import (
 	"hash/crc32"
--- a/internal/lab/fleet.go
+++ b/internal/testbed/fleet.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -15,12 +15,12 @@
 
 	"ottershed/internal/admin"
 	"ottershed/internal/clock"
-	"ottershed/internal/faultnet"
-	"ottershed/internal/keeper"
-	"ottershed/internal/membership"
-	"ottershed/internal/peers"
-	"ottershed/internal/policynode"
-	"ottershed/internal/policystore"
+	"ottershed/internal/cluster/failover"
+	"ottershed/internal/cluster/gossip"
+	"ottershed/internal/cluster/membership"
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/policysync"
+	"ottershed/internal/testbed/faultinject"
 )
 
 // Settings say what fleet is started.
@@ -46,13 +46,13 @@
 // Fleet is several marshal processes on loopback, each with an address of its own, and a relay in front of each.
 type Fleet struct {
 	set     Settings
-	Rules   *faultnet.Rules
-	packets *faultnet.Packets
-	streams *faultnet.Streams
+	Rules   *faultinject.Rules
+	packets *faultinject.Packets
+	streams *faultinject.Streams
 	names   []string
 	hosts   []netip.Addr
 	fronts  []string
-	process map[string]*faultnet.Process
+	process map[string]*faultinject.Process
 }
 
 // Ports that each marshal has at its own address of loopback.
@@ -72,8 +72,8 @@
 	if set.Marshals < 1 || set.Marshals > 200 {
 		return nil, fmt.Errorf("lab: want 1 to 200 marshals, got %d", set.Marshals)
 	}
-	f := &Fleet{set: set, Rules: faultnet.NewRules(set.Seed), process: map[string]*faultnet.Process{}}
-	f.packets, f.streams = faultnet.NewPackets(f.Rules), faultnet.NewStreams(f.Rules)
+	f := &Fleet{set: set, Rules: faultinject.NewRules(set.Seed), process: map[string]*faultinject.Process{}}
+	f.packets, f.streams = faultinject.NewPackets(f.Rules), faultinject.NewStreams(f.Rules)
 	net := byte(fleets.Add(1))
 	own := byte(10 + os.Getpid()%200)
 	for i := range set.Marshals {
@@ -104,7 +104,7 @@
 func (f *Fleet) Names() []string { return f.names }
 
 // Process is a marshal's process.
-func (f *Fleet) Process(i int) *faultnet.Process { return f.process[f.names[i]] }
+func (f *Fleet) Process(i int) *faultinject.Process { return f.process[f.names[i]] }
 
 // Admin is a marshal's admin address.
 func (f *Fleet) Admin(i int) string { return f.at(i, adminPort) }
@@ -116,7 +116,9 @@
 func (f *Fleet) Front(i int) string { return f.fronts[i] }
 
 // Scene is what scripts play on.
-func (f *Fleet) Scene() *faultnet.Scene { return &faultnet.Scene{Rules: f.Rules, Processes: f.process} }
+func (f *Fleet) Scene() *faultinject.Scene {
+	return &faultinject.Scene{Rules: f.Rules, Processes: f.process}
+}
 
 // File is the path of one of a marshal's files.
 func (f *Fleet) File(i int, kind string) string {
@@ -167,7 +169,7 @@
 	if n := len(f.set.Clocks); n > 0 {
 		env = append(env, clock.LabEnv+"="+f.set.Clocks[i%n])
 	}
-	f.process[name] = &faultnet.Process{Name: name, Path: f.set.Program, Env: env, Log: f.File(i, "log"),
+	f.process[name] = &faultinject.Process{Name: name, Path: f.set.Program, Env: env, Log: f.File(i, "log"),
 		Args: []string{"serve", "--config", f.File(i, "json"), "--operator", f.File(i, "toml")}}
 	return nil
 }
@@ -197,7 +199,7 @@
 }
 
 // Work is who owns what, as a marshal learns it.
-func (f *Fleet) Work(ctx context.Context, i int) (lines []keeper.Line, err error) {
+func (f *Fleet) Work(ctx context.Context, i int) (lines []failover.Line, err error) {
 	raw, err := admin.Ask(ctx, f.Admin(i), "/work", []byte("{}"))
 	if err != nil {
 		return nil, err
@@ -211,7 +213,7 @@
 		if !f.Process(i).Running() {
 			continue
 		}
-		var s keeper.Seen
+		var s failover.Seen
 		if err := f.ask(ctx, i, "/work/seen", &s); err != nil {
 			return 0, err
 		}
@@ -272,20 +274,20 @@
 	for i := range f.names {
 		for j := range f.names {
 			if side[i] != side[j] {
-				f.Rules.Cut(faultnet.Link{From: f.names[i], To: f.names[j]}, on)
+				f.Rules.Cut(faultinject.Link{From: f.names[i], To: f.names[j]}, on)
 			}
 		}
 	}
 }
 
 // PolicyStatus is what a marshal knows of the fleet's versions.
-func (f *Fleet) PolicyStatus(ctx context.Context, i int) (*policynode.StatusAnswer, error) {
-	s := &policynode.StatusAnswer{}
+func (f *Fleet) PolicyStatus(ctx context.Context, i int) (*policysync.StatusAnswer, error) {
+	s := &policysync.StatusAnswer{}
 	return s, f.ask(ctx, i, "/policy/status", s)
 }
 
 // History are the versions that a marshal keeps.
-func (f *Fleet) History(ctx context.Context, i int) (past []policynode.Past, err error) {
+func (f *Fleet) History(ctx context.Context, i int) (past []policysync.Past, err error) {
 	return past, f.ask(ctx, i, "/policy/history", &past)
 }
 
@@ -301,8 +303,8 @@
 }
 
 // Propose proposes a policy at a marshal; id may be empty.
-func (f *Fleet) Propose(ctx context.Context, i int, policy, id string) (*policynode.Proposed, error) {
-	ask := policynode.Ask{Policy: json.RawMessage(policy), ID: id}
+func (f *Fleet) Propose(ctx context.Context, i int, policy, id string) (*policysync.Proposed, error) {
+	ask := policysync.Ask{Policy: json.RawMessage(policy), ID: id}
 	if end, ok := ctx.Deadline(); ok {
 		ask.WaitMS = max(1, time.Until(end).Milliseconds())
 	}
@@ -314,18 +316,18 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &policynode.Proposed{}
+	p := &policysync.Proposed{}
 	return p, json.Unmarshal(raw, p)
 }
 
 // Self is a marshal's own line of its status.
-func (f *Fleet) Self(ctx context.Context, i int) (policynode.Marshal, error) {
-	var m policynode.Marshal
+func (f *Fleet) Self(ctx context.Context, i int) (policysync.Marshal, error) {
+	var m policysync.Marshal
 	return m, f.ask(ctx, i, "/policy/self", &m)
 }
 
 // Runs tells whether a marshal runs a version and takes trial traffic.
-func (f *Fleet) Runs(ctx context.Context, i int, v policystore.Version) error {
+func (f *Fleet) Runs(ctx context.Context, i int, v policy.Version) error {
 	m, err := f.Self(ctx, i)
 	if err == nil && (m.Version != v || !m.Open) {
 		err = fmt.Errorf("%s runs version %d, open %v, want %d", f.names[i], m.Version, m.Open, v)
@@ -336,7 +338,7 @@
 // Members is a marshal's answer to `ottershed members`.
 type Members struct {
 	membership.View
-	Counters peers.Counters `json:"counters"`
+	Counters gossip.Counters `json:"counters"`
 }
 
 // Members asks a marshal for its view.
--- a/internal/lab/golden_test.go
+++ b/internal/testbed/golden_test.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"fmt"
--- a/internal/lab/measure.go
+++ b/internal/testbed/measure.go
@@ -1,4 +1,4 @@
-package lab
+package testbed
 
 import (
 	"context"
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"ottershed/internal/faultnet"
-	"ottershed/internal/membership"
-	"ottershed/internal/membership/sim"
+	"ottershed/internal/cluster/membership"
+	"ottershed/internal/cluster/membership/sim"
+	"ottershed/internal/testbed/faultinject"
 )
 
 // MembersResult is what a membership experiment measured; times in milliseconds, rates for each member.
@@ -102,7 +102,7 @@
 	}
 	r.First, r.All = SpreadOf(first), SpreadOf(all)
 	before := f.deadLines()
-	f.Rules.All(faultnet.Rule{Drop: loss})
+	f.Rules.All(faultinject.Rule{Drop: loss})
 	select {
 	case <-ctx.Done():
 		return nil, ctx.Err()
--- a/internal/lab/town.go
+++ b/internal/testbed/town.go
@@ -1,7 +1,7 @@
 // Package lab is the project's own emulator of a fleet on loopback: stand-ins for the nodes, discovery and the release
 // desk, written from the protocol's words, and several real marshal processes with faults between them. The tests of
-// cmd/ottershed and the experiments of cmd/otterlab run on it.
-package lab
+// cmd/balancer and the experiments of cmd/testbed run on it.
+package testbed
 
 import (
 	"bufio"
--- a/internal/nodes/conn.go
+++ b/internal/upstream/conn.go
@@ -1,4 +1,4 @@
-package nodes
+package upstream
 
 import (
 	"bufio"
@@ -17,9 +17,9 @@
 	"syscall"
 	"time"
 
-	"ottershed/internal/marshal"
-	"ottershed/internal/socket"
-	"ottershed/logic"
+	"ottershed/decision"
+	"ottershed/internal/engine"
+	"ottershed/internal/sockopt"
 )
 
 const longest = 64 << 10 // bytes of an answer's body, and of what stands before it
@@ -50,12 +50,12 @@
 
 // exchange writes the request and reads the whole answer. written tells if the last byte went out, keep if the
 // connection is good for another request.
-func (c *conn) exchange(ctx context.Context, f marshal.Forward, now logic.Millis, until time.Time, rest time.Duration) (
-	end marshal.End, written, keep bool) {
+func (c *conn) exchange(ctx context.Context, f engine.Forward, now decision.Millis, until time.Time, rest time.Duration) (
+	end engine.End, written, keep bool) {
 	c.left.N = 2 * longest
 	_, failed := c.Write(encode(f.Request, f.Until-now))
 	if failed != nil && !c.begun() {
-		return marshal.End{Ending: logic.Unreachable}, false, false
+		return engine.End{Ending: decision.Unreachable}, false, false
 	}
 	res, body, begun, err := c.answer(ctx, until, rest)
 	if err != nil && c.over != nil {
@@ -64,17 +64,17 @@
 	switch late := errors.Is(err, os.ErrDeadlineExceeded); {
 	case err == nil:
 	case late && !begun:
-		return marshal.End{Ending: logic.TimedOut}, true, false
+		return engine.End{Ending: decision.TimedOut}, true, false
 	// Danger: an answer that can't be read says that the node is there. Taken for a broken connection it would keep hits
 	// from a node in good health.
 	case late, c.left.N == 0, begun && !ended(err):
-		return marshal.End{Ending: logic.Spoilt}, true, false
+		return engine.End{Ending: decision.Spoilt}, true, false
 	default:
-		return marshal.End{Ending: logic.Broken}, true, false
+		return engine.End{Ending: decision.Broken}, true, false
 	}
 	end.Ending, end.Load = ending(res), load(res.Header.Get("X-Backend-Load"))
-	if end.Ending == logic.Delivered {
-		end.Reply = &marshal.Reply{Fields: res.Header, Body: body}
+	if end.Ending == decision.Delivered {
+		end.Reply = &engine.Reply{Fields: res.Header, Body: body}
 	}
 	return end, true, failed == nil && !res.Close && c.r.Buffered() == 0
 }
@@ -133,7 +133,7 @@
 }
 
 // encode writes a request with the time that is left for it.
-func encode(r *marshal.Request, left logic.Millis) []byte {
+func encode(r *engine.Request, left decision.Millis) []byte {
 	header := maps.Clone(http.Header(r.Fields)) // the value set below takes a new slice
 	if header == nil {
 		header = http.Header{}
@@ -150,11 +150,11 @@
 }
 
 // load reads a node's report; nil if there is none.
-func load(text string) *logic.Load {
+func load(text string) *decision.Load {
 	if text == "" {
 		return nil
 	}
-	l := &logic.Load{Util: -1, Queue: -1}
+	l := &decision.Load{Util: -1, Queue: -1}
 	for _, pair := range strings.Split(text, ",") {
 		name, val, _ := strings.Cut(pair, "=")
 		v, err := strconv.ParseFloat(val, 64)
@@ -173,5 +173,5 @@
 // the node has closed ends as reset, and what may have run can't always be sent again.
 func (c *conn) quiet() bool {
 	sys, ok := c.Conn.(syscall.Conn)
-	return !ok || socket.Quiet(sys)
+	return !ok || sockopt.Quiet(sys)
 }
--- a/internal/nodes/nodes.go
+++ b/internal/upstream/nodes.go
@@ -1,5 +1,5 @@
 // Package nodes carries forwards: each over one connection, each ending named. Connections are kept by node.
-package nodes
+package upstream
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 
 	"github.com/sirupsen/logrus"
 
+	"ottershed/decision"
 	"ottershed/internal/clock"
-	"ottershed/internal/marshal"
+	"ottershed/internal/engine"
 	"ottershed/internal/settings"
-	"ottershed/logic"
 )
 
 // Pool keeps the connections to nodes. A connection belongs to the forward that runs on it, else to the pool; both
@@ -32,11 +32,11 @@
 	dial    func(ctx context.Context, d *net.Dialer, address string) (net.Conn, error)
 
 	mu    sync.Mutex
-	idle  time.Duration          // the same as nodes are found to keep it, see reused
-	nodes map[logic.NodeID]*node // those that take hits; the list of nodes empties it
-	held  int                    // connections that stand or come up
-	short bool                   // for want of descriptors, as last logged
-	over  bool                   // Run has ended
+	idle  time.Duration             // the same as nodes are found to keep it, see reused
+	nodes map[decision.NodeID]*node // those that take hits; the list of nodes empties it
+	held  int                       // connections that stand or come up
+	short bool                      // for want of descriptors, as last logged
+	over  bool                      // Run has ended
 	done  Count
 }
 
@@ -87,7 +87,7 @@
 	longest := clock.Span(n.IdleAfter) / 2
 	rest := max(clock.Span(n.ConnectTimeout)/restPart, slack)
 	return &Pool{clock: c, connect: clock.Span(n.ConnectTimeout), rest: rest, cool: min(rest, lateAnswer), most: most,
-		longest: longest, idle: longest, log: log, nodes: map[logic.NodeID]*node{},
+		longest: longest, idle: longest, log: log, nodes: map[decision.NodeID]*node{},
 		dial: func(ctx context.Context, d *net.Dialer, address string) (net.Conn, error) {
 			return d.DialContext(ctx, "tcp", address)
 		}}
@@ -95,7 +95,7 @@
 
 // Moved says that a node takes hits at this address now, nowhere if it is empty. Danger: a forward whose connection
 // still comes up must not reach a node that drains by now, nor one that took over an address; open looks here.
-func (p *Pool) Moved(id logic.NodeID, address string) {
+func (p *Pool) Moved(id decision.NodeID, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n := p.nodes[id]; n != nil {
@@ -109,7 +109,7 @@
 
 // Unsend has what is not yet sent to a node end as never sent. Danger: a connection may take longer to come up than a
 // lower cap on a build takes to bind, and what was decided under the old one would be sent under the new.
-func (p *Pool) Unsend(id logic.NodeID) {
+func (p *Pool) Unsend(id decision.NodeID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n := p.nodes[id]; n != nil {
@@ -126,7 +126,7 @@
 }
 
 // aimed names the node that takes hits at this address now; the zero aim, at which nothing may be sent, if none does.
-func (p *Pool) aimed(id logic.NodeID, address string) aim {
+func (p *Pool) aimed(id decision.NodeID, address string) aim {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n := p.nodes[id]; n != nil && n.address == address {
@@ -143,7 +143,7 @@
 }
 
 // CloseIdle closes the idle connections to a node.
-func (p *Pool) CloseIdle(id logic.NodeID) {
+func (p *Pool) CloseIdle(id decision.NodeID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if n := p.nodes[id]; n != nil {
@@ -213,7 +213,7 @@
 }
 
 // give takes a connection back that is good for another forward to the same node.
-func (p *Pool) give(id logic.NodeID, n *node, c *conn) {
+func (p *Pool) give(id decision.NodeID, n *node, c *conn) {
 	c.since = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -227,12 +227,12 @@
 // ended keeps what an ending says of a node's connections. Danger: those to a machine that has vanished stay open and
 // silent; a hit sent there may have run for all that is known. On a new one, which doesn't come up, it never ran. So a
 // forward that began after the last answer and got none ends the idle ones too.
-func (p *Pool) ended(n *node, began time.Time, ending logic.Ending) {
+func (p *Pool) ended(n *node, began time.Time, ending decision.Ending) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case n == nil || ending == logic.NeverSent:
-	case ending <= logic.NodeFull || ending == logic.Spoilt:
+	case n == nil || ending == decision.NeverSent:
+	case ending <= decision.NodeFull || ending == decision.Spoilt:
 		n.heard = time.Now()
 	case n.heard.Before(began):
 		p.empty(n)
@@ -306,7 +306,7 @@
 }
 
 // Forward starts a forward; what it returns calls it off.
-func (p *Pool) Forward(f marshal.Forward) (recall func()) {
+func (p *Pool) Forward(f engine.Forward) (recall func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	to := p.aimed(f.Node, f.Address) // on the caller's goroutine: by the list by which it decided
 	go func() {
@@ -323,20 +323,20 @@
 // run carries one forward. Danger: http.Transport sends again by itself and hides whether the last byte was
 // written, so the request is written here, in one piece and once. What is given up is closed before it is told,
 // else the next forward of the hit would be a second copy.
-func (p *Pool) run(ctx context.Context, f marshal.Forward, to aim) marshal.End {
+func (p *Pool) run(ctx context.Context, f engine.Forward, to aim) engine.End {
 	until := p.clock.Time(f.Until)
 	for {
 		if !p.due(ctx, f, to, until) {
-			return marshal.End{Ending: logic.NeverSent}
+			return engine.End{Ending: decision.NeverSent}
 		}
 		c := p.take(to)
 		kept, idle := c != nil, time.Duration(0)
 		if kept {
 			idle = time.Since(c.since)
 		} else {
-			var ending logic.Ending
+			var ending decision.Ending
 			if c, ending = p.open(ctx, f, to, until); c == nil {
-				return marshal.End{Ending: ending}
+				return engine.End{Ending: ending}
 			}
 		}
 		by := p.sendBy(f, until)
@@ -345,7 +345,7 @@
 		stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 		end, written, keep := c.exchange(ctx, f, p.clock.Now(), until, p.rest)
 		if kept {
-			p.reused(idle, written && end.Ending != logic.Broken)
+			p.reused(idle, written && end.Ending != decision.Broken)
 		}
 		if stop() && keep {
 			p.give(f.Node, to.node, c)
@@ -353,15 +353,15 @@
 			p.drop(c)
 		}
 		switch {
-		case end.Ending <= logic.NodeFull || end.Ending == logic.Spoilt && ctx.Err() == nil: // the node has answered
+		case end.Ending <= decision.NodeFull || end.Ending == decision.Spoilt && ctx.Err() == nil: // the node has answered
 		case !written && kept && ctx.Err() == nil && time.Now().Before(until):
 			continue // the kept connection was dead and nothing has run: a new one
 		case !written && (ctx.Err() != nil || by.Before(until) && !time.Now().Before(by)):
-			end.Ending = logic.NeverSent
+			end.Ending = decision.NeverSent
 		case !written:
-			end.Ending = logic.Unreachable
+			end.Ending = decision.Unreachable
 		case ctx.Err() != nil:
-			end.Ending = logic.Recalled
+			end.Ending = decision.Recalled
 		}
 		return end
 	}
@@ -369,12 +369,12 @@
 
 // due tells whether a forward may still be sent. Danger: its connection may come up in the moment in which it is called
 // off, and the deadline that this sets is not set yet; sent then, it would follow the hit's final answer.
-func (p *Pool) due(ctx context.Context, f marshal.Forward, to aim, until time.Time) bool {
+func (p *Pool) due(ctx context.Context, f engine.Forward, to aim, until time.Time) bool {
 	return ctx.Err() == nil && p.stands(to) && time.Now().Before(p.sendBy(f, until))
 }
 
 // sendBy is when a forward that is not sent yet is given up.
-func (p *Pool) sendBy(f marshal.Forward, until time.Time) time.Time {
+func (p *Pool) sendBy(f engine.Forward, until time.Time) time.Time {
 	if by := p.clock.Time(f.SendBy); f.SendBy > 0 && by.Before(until) {
 		return by
 	}
@@ -382,9 +382,9 @@
 }
 
 // open makes a connection; without one it tells how the forward has ended.
-func (p *Pool) open(ctx context.Context, f marshal.Forward, to aim, until time.Time) (*conn, logic.Ending) {
+func (p *Pool) open(ctx context.Context, f engine.Forward, to aim, until time.Time) (*conn, decision.Ending) {
 	if !p.reserve() {
-		return nil, logic.NeverSent
+		return nil, decision.NeverSent
 	}
 	dialer := net.Dialer{Timeout: p.connect, Deadline: p.sendBy(f, until), KeepAlive: -1}
 	raw, err := p.dial(ctx, &dialer, f.Address)
@@ -404,20 +404,20 @@
 	}
 	p.release()
 	if !due || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) { // which says nothing of the node
-		return nil, logic.NeverSent
+		return nil, decision.NeverSent
 	}
-	return nil, logic.Unreachable
+	return nil, decision.Unreachable
 }
 
-var _ marshal.Nodes = (*Pool)(nil)
+var _ engine.Nodes = (*Pool)(nil)
 
 // ending names what a node's status says.
-func ending(res *http.Response) logic.Ending {
+func ending(res *http.Response) decision.Ending {
 	switch unseen := res.Header.Get("X-Unprocessed") == "1"; {
 	case res.StatusCode == http.StatusOK:
-		return logic.Delivered
+		return decision.Delivered
 	case unseen && (res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusGatewayTimeout):
-		return logic.NodeFull
+		return decision.NodeFull
 	}
-	return logic.NodeError
+	return decision.NodeError
 }
