--- a/cmd/balancer/figures.go
+++ b/cmd/balancer/figures.go
@@ -1,92 +1,93 @@
 package main
 
 import (
+	"ottershed/decision"
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/config"
 	"reflect"
 	"sync"
 
 	"github.com/sirupsen/logrus"
-
-	"ottershed/decision"
-	"ottershed/internal/cluster/policy"
-	"ottershed/internal/config"
 )
 
 // figures bring the module's settings together: those of the configuration, as last read, under the policy of the fleet that
 // is run. The module hears of them when they change.
-type figures struct {
-	log    logrus.FieldLogger
-	settle func(decision.Settings)
+type settingsSource struct {
+	log      logrus.FieldLogger
+	onChange func(decision.Settings)
 
-	mu      sync.Mutex
-	cfg     *config.Config
-	policy  *policy.Policy    // nil: none
-	closed  bool              // no hit goes to a build on trial, for what the fleet has decided is not known here yet
-	settled decision.Settings // as last handed over
+	mu           sync.Mutex
+	cfg          *config.Config
+	policy       *policy.Policy    // nil: none
+	trialsClosed bool              // no hit goes to a build on trial, for what the fleet has decided is not known here yet
+	current      decision.Settings // as last handed over
 }
 
-func newFigures(cfg *config.Config, log logrus.FieldLogger) *figures {
-	f := &figures{log: log, cfg: cfg, closed: cfg.Operator != nil && cfg.Operator.Policy != nil}
-	f.settled, _ = f.under(f.policy) // without a policy there is nothing that could be wrong
+func newSettingsSource(cfg *config.Config, log logrus.FieldLogger) *settingsSource {
+	f := &settingsSource{log: log, cfg: cfg, trialsClosed: cfg.Operator != nil && cfg.Operator.Policy != nil}
+	f.current, _ = f.resolve(f.policy) // without a policy there is nothing that could be wrong
 	return f
 }
 
 // settings are those to begin with.
-func (f *figures) settings() decision.Settings { return f.settled }
+func (s *settingsSource) settings() decision.Settings { return s.current }
 
 // under are the settings under a policy, with the lock held.
-func (f *figures) under(p *policy.Policy) (set decision.Settings, err error) {
-	if set = f.cfg.Settings; p != nil {
-		set, err = f.cfg.Under(p)
+func (s *settingsSource) resolve(p *policy.Policy) (set decision.Settings, err error) {
+	if set = s.cfg.Settings; p != nil {
+		set, err = s.cfg.WithPolicy(p)
 	}
-	if f.closed {
-		set.Withheld = 1
+	if s.trialsClosed {
+		set.WithheldShare = 1
 	}
 	return set, err
 }
 
 // hand hands settings over if they are new, with the lock held.
-func (f *figures) hand(set decision.Settings) {
-	if reflect.DeepEqual(f.settled, set) {
+func (s *settingsSource) publish(set decision.Settings) {
+	if reflect.DeepEqual(s.current, set) {
 		return
 	}
-	f.settled = set
-	if f.settle != nil {
-		f.settle(set)
+	s.current = set
+	if s.onChange != nil {
+		s.onChange(set)
 	}
-	f.log.WithFields(logrus.Fields{"marshals": set.Marshals, "control": set.Control, "hold_votes": set.HoldVotes,
-		"back_votes": set.BackVotes, "withheld": set.Withheld, "halt": set.Halt}).Info("settings taken")
+	s.log.WithFields(logrus.Fields{
+		"marshals": set.Instances, "control": set.Control, "hold_votes": set.HoldQuorum,
+		"back_votes": set.RollbackQuorum, "withheld": set.WithheldShare, "halt": set.Halt,
+	}).Info("settings taken")
 }
 
 // reread takes a configuration that was read again.
-func (f *figures) reread(next *config.Config) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	was := f.cfg
-	f.cfg = next
-	set, err := f.under(f.policy)
+func (s *settingsSource) reload(next *config.Config) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	was := s.cfg
+	s.cfg = next
+	set, err := s.resolve(s.policy)
 	if err != nil {
 		// Danger: the policy that all others run must not be dropped for a file.
-		f.cfg = was
-		f.log.WithError(err).Error("configuration not taken: the policy that is run does not go with it")
+		s.cfg = was
+		s.log.WithError(err).Error("configuration not taken: the policy that is run does not go with it")
 		return
 	}
-	f.hand(set)
+	s.publish(set)
 }
 
 // check tells whether a policy could be run here.
-func (f *figures) check(body []byte) error {
+func (s *settingsSource) check(body []byte) error {
 	p, _, err := policy.Parse(body)
 	if err != nil {
 		return err
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	_, err = f.cfg.Under(p)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	_, err = s.cfg.WithPolicy(p)
 	return err
 }
 
 // run runs a policy from now on.
-func (f *figures) run(r policy.Run) error {
+func (s *settingsSource) apply(r policy.Decision) error {
 	var p *policy.Policy
 	if r.Record.Version > 0 {
 		var err error
@@ -94,16 +95,16 @@
 			return err
 		}
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	was := f.closed
-	f.closed = !r.Open
-	set, err := f.under(p)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	was := s.trialsClosed
+	s.trialsClosed = !r.TrialsAdmitted
+	set, err := s.resolve(p)
 	if err != nil {
-		f.closed = was
+		s.trialsClosed = was
 		return err
 	}
-	f.policy = p
-	f.hand(set)
+	s.policy = p
+	s.publish(set)
 	return nil
 }
--- a/cmd/balancer/fleet.go
+++ b/cmd/balancer/fleet.go
@@ -4,10 +4,6 @@
 	"context"
 	"fmt"
 	"net"
-	"sync"
-
-	"github.com/sirupsen/logrus"
-
 	"ottershed/internal/admin"
 	"ottershed/internal/clock"
 	"ottershed/internal/cluster/failover"
@@ -18,29 +14,33 @@
 	"ottershed/internal/config"
 	"ottershed/internal/engine"
 	"ottershed/internal/rollout"
+	"sync"
+
+	"github.com/sirupsen/logrus"
 )
 
 // fleet is what a marshal shares with others of its fleet, and shows its operator. Without an operator's file it is
 // empty, and the marshal shares nothing.
-type fleet struct {
-	log     logrus.FieldLogger
-	peers   *gossip.Peers    // nil: off
-	policy  *policysync.Node // nil: off
-	keeper  *failover.Keeper // nil: off
-	admin   *admin.Server
-	listens net.Listener // of admin; nil: none
+type clusterServices struct {
+	log           logrus.FieldLogger
+	gossip        *gossip.Transport // nil: off
+	policy        *policysync.Node  // nil: off
+	failover      *failover.Manager // nil: off
+	admin         *admin.Server
+	adminListener net.Listener // of admin; nil: none
 }
 
 // membersAnswer is what `ottershed members` prints.
-type membersAnswer struct {
+type membersResponse struct {
 	*membership.View
 	Counters gossip.Counters `json:"counters"`
 }
 
 // newFleet opens what the operator's file switches on.
-func newFleet(cfg *config.Config, fig *figures, m *engine.Marshal, release *rollout.Desk, c *clock.Clock,
-	log logrus.FieldLogger) (*fleet, error) {
-	f := &fleet{log: log}
+func newClusterServices(cfg *config.Config, source *settingsSource, m *engine.Engine, controller *rollout.Client, c *clock.Clock,
+	log logrus.FieldLogger,
+) (*clusterServices, error) {
+	f := &clusterServices{log: log}
 	o := cfg.Operator
 	if o == nil {
 		return f, nil
@@ -48,46 +48,50 @@
 	var err error
 	if o.Admin != "" {
 		f.admin = admin.New()
-		if f.listens, err = net.Listen("tcp", o.Admin); err != nil {
+		if f.adminListener, err = net.Listen("tcp", o.Admin); err != nil {
 			return nil, fmt.Errorf("admin.listen: %w", err)
 		}
 	}
 	if o.Membership != nil {
-		if f.peers, err = gossip.Listen(*o.Membership, c, log); err != nil {
+		if f.gossip, err = gossip.Listen(*o.Membership, c, log); err != nil {
 			return nil, err
 		}
-		log.WithFields(logrus.Fields{"bind": o.Membership.Bind, "advertise": o.Membership.Membership.Address,
-			"cluster": o.Membership.Codec.Cluster, "seeds": len(o.Membership.Membership.Seeds)}).Info("membership on")
+		log.WithFields(logrus.Fields{
+			"bind": o.Membership.Bind, "advertise": o.Membership.Membership.Address,
+			"cluster": o.Membership.Codec.Cluster, "seeds": len(o.Membership.Membership.Seeds),
+		}).Info("membership on")
 		if f.admin != nil {
-			f.admin.Get("/members", func() any { return membersAnswer{f.peers.View(), f.peers.Counters()} })
+			f.admin.Get("/members", func() any { return membersResponse{f.gossip.View(), f.gossip.Counters()} })
 		}
 	}
 	if o.Policy != nil {
-		hooks := policysync.Hooks{Check: fig.check, Run: fig.run}
+		hooks := policysync.Hooks{Check: source.check, Apply: source.apply}
 		if f.policy, err = policysync.Open(*o.Policy, hooks, c, log); err != nil {
 			return nil, err
 		}
-		log.WithFields(logrus.Fields{"server": o.Policy.IsServer(), "bind": o.Policy.Bind, "servers": len(o.Policy.Servers),
-			"dir": o.Policy.Dir}).Info("policy on")
+		log.WithFields(logrus.Fields{
+			"server": o.Policy.IsServer(), "bind": o.Policy.Bind, "servers": len(o.Policy.Servers),
+			"dir": o.Policy.Dir,
+		}).Info("policy on")
 		if f.admin != nil {
-			f.admin.GetWith("/policy/status", func(ctx context.Context) any { return f.policy.Answer(ctx) })
+			f.admin.GetWith("/policy/status", func(ctx context.Context) any { return f.policy.FleetStatus(ctx) })
 			f.admin.Get("/policy/self", func() any { return f.policy.Self() })
 			f.admin.Get("/policy/history", func() any { return f.policy.History() })
 			f.admin.Post("/policy/propose", f.policy.Propose)
 		}
 	}
-	if o.Lease > 0 {
+	if o.LeaseTTL > 0 {
 		if n := f.policy.Log(); n != nil {
-			failover.NewPart(n)
+			failover.NewStateMachine(n)
 		}
-		f.keeper = failover.New(failover.Config{Name: cfg.Name, Run: uint64(f.peers.RunID()), Lease: o.Lease}, f.policy, m, release,
-			f.peers, c, log)
-		log.WithField("lease", o.Lease.String()).Info("takeover on")
+		f.failover = failover.New(failover.Config{Name: cfg.Name, Incarnation: uint64(f.gossip.RunID()), TTL: o.LeaseTTL}, f.policy, m, controller,
+			f.gossip, c, log)
+		log.WithField("lease", o.LeaseTTL.String()).Info("takeover on")
 		if f.admin != nil {
-			f.admin.Post("/work", func(ctx context.Context, _ []byte) (any, error) { return f.keeper.Answer(ctx) })
-			f.admin.GetWith("/work/seen", func(ctx context.Context) any { return f.keeper.Seen(ctx) })
+			f.admin.Post("/work", func(ctx context.Context, _ []byte) (any, error) { return f.failover.Status(ctx) })
+			f.admin.GetWith("/work/seen", func(ctx context.Context) any { return f.failover.EvidenceSummary(ctx) })
 			f.admin.Post("/work/take", func(ctx context.Context, body []byte) (any, error) {
-				return struct{}{}, f.keeper.Take(ctx, lease.Work(body))
+				return struct{}{}, f.failover.TakeOver(ctx, lease.ID(body))
 			})
 		}
 	}
@@ -95,48 +99,48 @@
 }
 
 // run runs its parts until ctx ends.
-func (f *fleet) run(ctx context.Context) {
+func (s *clusterServices) run(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
-	if f.peers != nil {
-		running.Go(func() { f.peers.Run(ctx) })
+	if s.gossip != nil {
+		running.Go(func() { s.gossip.Run(ctx) })
 	}
-	if f.policy != nil {
-		running.Go(func() { f.policy.Run(ctx) })
+	if s.policy != nil {
+		running.Go(func() { s.policy.Run(ctx) })
 	}
-	if f.keeper != nil {
-		running.Go(func() { f.keeper.Run(ctx) })
+	if s.failover != nil {
+		running.Go(func() { s.failover.Run(ctx) })
 	}
-	if f.listens != nil {
+	if s.adminListener != nil {
 		running.Go(func() {
-			if err := f.admin.Run(ctx, f.listens); err != nil {
-				f.log.WithError(err).Error("admin ended")
+			if err := s.admin.Run(ctx, s.adminListener); err != nil {
+				s.log.WithError(err).Error("admin ended")
 			}
 		})
 	}
 }
 
 // leave tells the others that this marshal goes; it is called once.
-func (f *fleet) leave(ctx context.Context) {
-	if f.keeper != nil {
-		f.keeper.Leave(ctx)
+func (s *clusterServices) leave(ctx context.Context) {
+	if s.failover != nil {
+		s.failover.ReleaseAll(ctx)
 	}
-	if f.peers != nil {
-		f.peers.Leave(ctx)
+	if s.gossip != nil {
+		s.gossip.Leave(ctx)
 	}
 }
 
 // votes is who takes the module's votes: the desk, or the keeper in front of it.
-func (f *fleet) votes(release *rollout.Desk) engine.Desk {
-	if f.keeper != nil {
-		return f.keeper
+func (s *clusterServices) voter(controller *rollout.Client) engine.Controller {
+	if s.failover != nil {
+		return s.failover
 	}
-	return release
+	return controller
 }
 
 // reread follows a configuration that was read again.
-func (f *fleet) reread() {
-	if f.policy != nil {
-		f.policy.Retry()
+func (s *clusterServices) reload() {
+	if s.policy != nil {
+		s.policy.Retry()
 	}
 }
--- a/cmd/balancer/policy.go
+++ b/cmd/balancer/policy.go
@@ -7,14 +7,13 @@
 	"fmt"
 	"io"
 	"os"
+	"ottershed/internal/admin"
+	"ottershed/internal/cluster/policy"
+	"ottershed/internal/cluster/policysync"
 	"text/tabwriter"
 	"time"
 
 	"github.com/urfave/cli/v3"
-
-	"ottershed/internal/admin"
-	"ottershed/internal/cluster/policy"
-	"ottershed/internal/cluster/policysync"
 )
 
 // proposeWait is a little more than a marshal takes to give a proposal up.
@@ -26,8 +25,10 @@
 	id := &cli.StringFlag{Name: "id", Usage: "the `ID` of an earlier try whose end is not known"}
 	base := &cli.Uint64Flag{Name: "base", Usage: "only if `VERSION` still holds"}
 	commands := []*cli.Command{
-		{Name: "propose", Usage: "have all marshals run the policy of a file, or none", ArgsUsage: "FILE",
-			Flags: []cli.Flag{at, id, base}, Action: proposePolicy},
+		{
+			Name: "propose", Usage: "have all marshals run the policy of a file, or none", ArgsUsage: "FILE",
+			Flags: []cli.Flag{at, id, base}, Action: proposePolicy,
+		},
 		{Name: "check", Usage: "read a policy's file and say what is wrong with it", ArgsUsage: "FILE", Action: checkPolicy},
 		{Name: "status", Usage: "which marshal runs which version", Flags: []cli.Flag{at, asJSON}, Action: policyStatus},
 		{Name: "history", Usage: "the versions so far", Flags: []cli.Flag{at, asJSON}, Action: policyHistory},
@@ -50,13 +51,15 @@
 			return ctx, nil
 		}
 	}
-	return &cli.Command{Name: name, Usage: usage, Commands: commands, OnUsageError: wrong, HideHelpCommand: true,
+	return &cli.Command{
+		Name: name, Usage: usage, Commands: commands, OnUsageError: wrong, HideHelpCommand: true,
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			if cmd.Args().Present() {
 				return fmt.Errorf("%w: no command %s %q; see --help", errUsage, name, cmd.Args().First())
 			}
 			return cli.ShowSubcommandHelp(cmd)
-		}}
+		},
+	}
 }
 
 // readPolicy reads and checks the file that is named.
@@ -87,27 +90,27 @@
 	if err != nil {
 		return err
 	}
-	ask := policysync.Ask{Policy: body, ID: cmd.String("id")}
+	request := policysync.ProposeRequest{Policy: body, ID: cmd.String("id")}
 	if cmd.IsSet("base") {
 		v := policy.Version(cmd.Uint64("base"))
-		ask.Base = &v
+		request.Base = &v
 	}
-	raw, err := json.Marshal(ask)
+	raw, err := json.Marshal(request)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeWait)
 	defer cancel()
-	answer, err := admin.Ask(ctx, cmd.String("at"), "/policy/propose", raw)
+	response, err := admin.Call(ctx, cmd.String("at"), "/policy/propose", raw)
 	if err != nil {
 		return err
 	}
-	var p policysync.Proposed
-	if err := json.Unmarshal(answer, &p); err != nil {
+	var p policysync.ProposeResult
+	if err := json.Unmarshal(response, &p); err != nil {
 		return err
 	}
 	again := ""
-	if p.Again {
+	if p.Duplicate {
 		again = ", which it had got before"
 	}
 	fmt.Fprintf(cmd.Root().Writer, "version %d%s (id %s)\n", p.Version, again, p.ID)
@@ -115,8 +118,8 @@
 }
 
 // show asks a marshal and prints its answer, as it is with --json, else as a table.
-func show(ctx context.Context, cmd *cli.Command, path string, ask []byte, answer any, table func(w io.Writer)) error {
-	raw, err := admin.Ask(ctx, cmd.String("at"), path, ask)
+func show(ctx context.Context, cmd *cli.Command, path string, request []byte, response any, table func(w io.Writer)) error {
+	raw, err := admin.Call(ctx, cmd.String("at"), path, request)
 	if err != nil {
 		return err
 	}
@@ -124,7 +127,7 @@
 		_, err = cmd.Root().Writer.Write(raw)
 		return err
 	}
-	if err := json.Unmarshal(raw, answer); err != nil {
+	if err := json.Unmarshal(raw, response); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	w := tabwriter.NewWriter(cmd.Root().Writer, 0, 8, 2, ' ', 0)
@@ -133,30 +136,30 @@
 }
 
 func policyStatus(ctx context.Context, cmd *cli.Command) error {
-	var s policysync.StatusAnswer
+	var s policysync.FleetStatus
 	return show(ctx, cmd, "/policy/status", nil, &s, func(w io.Writer) {
 		fmt.Fprintln(w, "MARSHAL\tROLE\tVERSION\tSUM\tTRIALS\t")
-		for _, m := range s.Marshals {
+		for _, m := range s.Members {
 			trials, version := "closed", fmt.Sprint(m.Version)
-			if m.Open {
+			if m.TrialsAdmitted {
 				trials = "open"
 			}
-			if m.Missing != "" {
+			if m.Unreachable != "" {
 				m.Role, version, m.Sum, trials = "not reached", "?", "?", "?"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Role, version, m.Sum, trials, m.Failed)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Role, version, m.Sum, trials, m.Failure)
 		}
 	})
 }
 
 func policyHistory(ctx context.Context, cmd *cli.Command) error {
-	var past []policysync.Past
+	var past []policysync.HistoryEntry
 	return show(ctx, cmd, "/policy/history", nil, &past, func(w io.Writer) {
 		fmt.Fprintln(w, "VERSION\tAT\tBY\tPOLICY")
 		for _, p := range past {
 			var line bytes.Buffer
 			json.Compact(&line, p.Policy) // it came from JSON
-			fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", p.Version, time.UnixMilli(int64(p.At)).UTC().Format(time.RFC3339), p.By, line.String())
+			fmt.Fprintf(w, "%d\t%s\t%s\t%s\n", p.Version, time.UnixMilli(int64(p.At)).UTC().Format(time.RFC3339), p.Proposer, line.String())
 		}
 	})
 }
--- a/cmd/balancer/serve.go
+++ b/cmd/balancer/serve.go
@@ -7,16 +7,6 @@
 	"net"
 	"os"
 	"os/signal"
-	"runtime"
-	"runtime/debug"
-	"strings"
-	"sync"
-	"syscall"
-	"time"
-
-	"github.com/sirupsen/logrus"
-	"github.com/urfave/cli/v3"
-
 	"ottershed/internal/clock"
 	"ottershed/internal/cluster/lease"
 	"ottershed/internal/config"
@@ -26,15 +16,24 @@
 	"ottershed/internal/logging"
 	"ottershed/internal/rollout"
 	"ottershed/internal/upstream"
+	"runtime"
+	"runtime/debug"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"github.com/urfave/cli/v3"
 )
 
 // grace is how long a marshal that leaves still accepts: the front layer goes on for a while.
-const grace = 600 * time.Millisecond
+const drainGrace = 600 * time.Millisecond
 
 // unheard is how long a new process refuses hits while discovery has told no list. It stands on the figure that the
 // operators publish: nine in ten restarted marshals are ready within 10 s, within 6 s where the day ends sooner. The second
 // in between is for the process to come up, for a configuration that is still being written, and for a busy machine.
-const unheard = 5 * time.Second
+const discoveryTimeout = 5 * time.Second
 
 func serve(ctx context.Context, cmd *cli.Command) error {
 	// Danger: until here a signal ends the process as the system's default does. The configuration is read after it, so that
@@ -63,7 +62,8 @@
 // run is a marshal from its start until stop says that it leaves; what hup says has it reread its configuration. The
 // parts end in the order front, then all others.
 func run(ctx context.Context, cfg *config.Config, log logrus.FieldLogger, stop, hup <-chan os.Signal,
-	reread func() (*config.Config, error), every time.Duration) error {
+	reread func() (*config.Config, error), every time.Duration,
+) error {
 	began := time.Now()
 	select {
 	case sig := <-stop: // it came before anything could be taken
@@ -75,26 +75,26 @@
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	most := cfg.Limits.Connections()
+	maxConnections := cfg.Limits.Connections()
 	c := clock.New()
-	fig := newFigures(cfg, log)
-	m := engine.New(fig.settings(), cfg.Seed, c, log)
-	fig.settle = m.Settle
-	pool := upstream.NewPool(c, cfg.Network, most, log)
-	release := rollout.New(cfg.Platform, cfg.Settings.VoteWait, m.Told, log)
-	follower := discovery.New(cfg.Discovery, cfg.Known, cfg.Network, m.List, log)
-	group, err := newFleet(cfg, fig, m, release, c, log)
+	source := newSettingsSource(cfg, log)
+	m := engine.New(source.settings(), cfg.Seed, c, log)
+	source.onChange = m.UpdateSettings
+	pool := upstream.NewPool(c, cfg.Network, maxConnections, log)
+	controller := rollout.New(cfg.Platform, cfg.Settings.VoteWait, m.HandleEvent, log)
+	watcher := discovery.New(cfg.Discovery, cfg.Endpoints, cfg.Network, m.UpdateEndpoints, log)
+	services, err := newClusterServices(cfg, source, m, controller, c, log)
 	if err != nil {
 		return err
 	}
-	m.Connect(pool, group.votes(release), follower)
+	m.Connect(pool, services.voter(controller), watcher)
 	known := 0
-	if cfg.Known != nil {
-		known = len(cfg.Known.Entries)
-		m.List(*cfg.Known)
+	if cfg.Endpoints != nil {
+		known = len(cfg.Endpoints.Endpoints)
+		m.UpdateEndpoints(*cfg.Endpoints)
 	}
-	if cfg.News != nil {
-		m.Told(*cfg.News)
+	if cfg.Stage != nil {
+		m.HandleEvent(*cfg.Stage)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -113,48 +113,50 @@
 				log.WithError(err).Error("configuration not taken")
 				continue
 			}
-			if fixed := cfg.Fixed(next); len(fixed) > 0 {
+			if fixed := cfg.RestartOnly(next); len(fixed) > 0 {
 				log.WithField("keys", strings.Join(fixed, ",")).Warn("configuration: these need a restart")
 			}
 			if cfg.Switchable(next) {
-				fig.reread(next)
-				group.reread()
+				source.reload(next)
+				services.reload()
 			}
-			follower.Move(ctx, next.Discovery) // it never waits; the desk may while it connects
-			release.Move(ctx, next.Platform)
+			watcher.SetAddress(ctx, next.Discovery) // it never waits; the desk may while it connects
+			controller.SetAddress(ctx, next.Platform)
 			log.WithFields(logrus.Fields{"discovery": next.Discovery, "platform": next.Platform}).Info("configuration taken")
 		}
 	}
-	figures := summary{m, pool, follower, log, every}
-	for _, part := range []func(context.Context){group.run, m.Run, pool.Run, release.Run, follower.Run, reload,
-		figures.run} {
+	reporter := summary{m, pool, watcher, log, every}
+	for _, part := range []func(context.Context){
+		services.run, m.Run, pool.Run, controller.Run, watcher.Run, reload,
+		reporter.run,
+	} {
 		running.Go(func() { part(ctx) })
 	}
 
-	f := ingress.New(m, c, cfg.Settings, cfg.Network, most, log)
-	if group.keeper != nil {
-		f.Resume(lease.Resumed)
+	f := ingress.New(m, c, cfg.Settings, cfg.Network, maxConnections, log)
+	if services.failover != nil {
+		f.HandleResumed(lease.DecideResume)
 	}
 	// Danger: what discovery holds counts as told from the process's first moment, a node announced as leaving included; the
 	// list of the configuration may be older. Where a call costs the service something the module says when to ask.
-	if !cfg.Settings.AskList {
-		f.Hold()
+	if !cfg.Settings.PollEndpoints {
+		f.SetNotReady()
 		running.Go(func() {
-			limit := time.NewTimer(time.Until(began.Add(unheard))) // what is opened before this takes time too
+			limit := time.NewTimer(time.Until(began.Add(discoveryTimeout))) // what is opened before this takes time too
 			defer limit.Stop()
 			select {
 			case <-ctx.Done():
 				return
-			case <-follower.Heard():
+			case <-watcher.Received():
 			case <-limit.C:
 				log.Warn("discovery silent since the start, hits go by the list of the configuration")
 			}
-			f.Ready()
+			f.SetReady()
 		})
 	}
 	served := make(chan error, 1)
 	go func() { served <- f.Serve(listener) }()
-	log.WithFields(logrus.Fields{"listen": cfg.Listen, "nodes": known, "connections": most}).Info("serving")
+	log.WithFields(logrus.Fields{"listen": cfg.Listen, "nodes": known, "connections": maxConnections}).Info("serving")
 	select {
 	case err := <-served:
 		return fmt.Errorf("serve: %w", err)
@@ -164,15 +166,15 @@
 	left := make(chan struct{})
 	go func() { // Danger: what a marshal owes the others must not hold up what it owes its clients
 		defer close(left)
-		ctx, cancel := context.WithTimeout(ctx, 2*grace)
+		ctx, cancel := context.WithTimeout(ctx, 2*drainGrace)
 		defer cancel()
-		group.leave(ctx)
+		services.leave(ctx)
 	}()
-	if err := f.Leave(grace); err != nil {
+	if err := f.Drain(drainGrace); err != nil {
 		return fmt.Errorf("leave: %w", err)
 	}
 	<-left
-	figures.last()
+	reporter.writeFinal()
 	log.Info("left")
 	return nil
 }
--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -2,10 +2,9 @@
 
 import (
 	"bytes"
+	"ottershed/internal/golden"
 	"strings"
 	"testing"
-
-	"ottershed/internal/golden"
 )
 
 // goldenBatches start two instances, give each a list and requests, and go on through outcomes, news and the end.
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -8,12 +8,11 @@
 	"fmt"
 	"io"
 	"os"
+	"ottershed/decision"
+	"ottershed/internal/simwire"
 	"runtime"
 	"strconv"
 	"strings"
-
-	"ottershed/decision"
-	"ottershed/internal/simwire"
 )
 
 func main() {
@@ -26,7 +25,7 @@
 // serve answers batches until the input ends between two of them.
 func serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
-	marshals := map[int]*decision.Marshal{}
+	instances := map[int]*decision.Balancer{}
 	var dec simwire.Decoder
 	var reply []byte
 	var now float64
@@ -68,32 +67,32 @@
 				return fmt.Errorf("line %d: %w", n, err)
 			}
 			if in != nil {
-				reply = handle(marshals, reply, now, in)
+				reply = handle(instances, reply, now, in)
 			}
 		}
 	}
 }
 
 // handle gives one event to its instance; a panic in the module becomes a fault of that instance.
-func handle(marshals map[int]*decision.Marshal, reply []byte, now float64, in *simwire.Incoming) (out []byte) {
+func handle(instances map[int]*decision.Balancer, reply []byte, now float64, in *simwire.Incoming) (out []byte) {
 	defer func() {
 		if p := recover(); p != nil {
-			out = simwire.AppendFault(reply, in.Who, fmt.Sprintf("panic: %v at %s", p, panicAt()))
-			delete(marshals, in.Who)
+			out = simwire.AppendFault(reply, in.Instance, fmt.Sprintf("panic: %v at %s", p, panicAt()))
+			delete(instances, in.Instance)
 		}
 	}()
-	switch m := marshals[in.Who]; {
-	case in.Born != nil && in.Born.Err != nil:
-		delete(marshals, in.Who)
-		return simwire.AppendFault(reply, in.Who, in.Born.Err.Error())
-	case in.Born != nil:
-		marshals[in.Who] = decision.New(in.Born.Settings, in.Born.Seed)
-	case in.Down:
-		delete(marshals, in.Who)
+	switch m := instances[in.Instance]; {
+	case in.Start != nil && in.Start.Err != nil:
+		delete(instances, in.Instance)
+		return simwire.AppendFault(reply, in.Instance, in.Start.Err.Error())
+	case in.Start != nil:
+		instances[in.Instance] = decision.New(in.Start.Settings, in.Start.Seed)
+	case in.Stop:
+		delete(instances, in.Instance)
 	case m != nil:
 		out = reply
 		for _, a := range m.Handle(now, in.Event) {
-			out = simwire.Append(out, in.Who, a)
+			out = simwire.Append(out, in.Instance, a)
 		}
 		return out
 	}
--- a/cmd/testbed/days.go
+++ b/cmd/testbed/days.go
@@ -4,14 +4,14 @@
 	"context"
 	"fmt"
 	"os"
+	"ottershed/internal/testbed"
 
 	"github.com/urfave/cli/v3"
-
-	"ottershed/internal/testbed"
 )
 
 func daysCommand() *cli.Command {
-	return &cli.Command{Name: "days", Usage: "read the logs of all marshals of a played day, second by second over the whole fleet",
+	return &cli.Command{
+		Name: "days", Usage: "read the logs of all marshals of a played day, second by second over the whole fleet",
 		ArgsUsage: "DIR", Description: "DIR holds one .log file a marshal, as `ottershed serve --summary 1s` writes them.",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "step", Usage: "seconds in a row of the table", Value: 1, Validator: func(n int) error {
@@ -22,9 +22,12 @@
 			}},
 			&cli.BoolFlag{Name: "lines", Usage: "then what marshals said beside their summaries, without its figures"},
 			&cli.StringFlag{Name: "chart", Usage: "draw columns over the day to `FILE`, .svg or .png"},
-			&cli.StringSliceFlag{Name: "columns", Usage: "of the chart",
-				Value: []string{"taken", "delivered", "bounced", "errored", "gone", "opened"}},
-		}, Action: days}
+			&cli.StringSliceFlag{
+				Name: "columns", Usage: "of the chart",
+				Value: []string{"taken", "delivered", "bounced", "errored", "gone", "opened"},
+			},
+		}, Action: days,
+	}
 }
 
 func days(_ context.Context, cmd *cli.Command) error {
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -8,23 +8,24 @@
 	"fmt"
 	"os"
 	"os/signal"
+	"ottershed/internal/cluster/membership"
+	"ottershed/internal/cluster/membership/sim"
+	"ottershed/internal/testbed"
+	"ottershed/internal/testbed/faultinject"
 	"path/filepath"
 	"slices"
 	"time"
 
 	"github.com/urfave/cli/v3"
-
-	"ottershed/internal/cluster/membership"
-	"ottershed/internal/cluster/membership/sim"
-	"ottershed/internal/testbed"
-	"ottershed/internal/testbed/faultinject"
 )
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	cmd := &cli.Command{Name: "otterlab", Usage: "experiments on fleets of marshals on loopback", HideHelpCommand: true,
-		Commands: []*cli.Command{membersCommand(), policyCommand(), takeoverCommand(), fleetCommand(), daysCommand()}}
+	cmd := &cli.Command{
+		Name: "otterlab", Usage: "experiments on fleets of marshals on loopback", HideHelpCommand: true,
+		Commands: []*cli.Command{membersCommand(), policyCommand(), takeoverCommand(), fleetCommand(), daysCommand()},
+	}
 	if err := cmd.Run(ctx, os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "otterlab:", err)
 		os.Exit(1)
@@ -32,14 +33,16 @@
 }
 
 func membersCommand() *cli.Command {
-	return &cli.Command{Name: "members", Usage: "how soon deaths are found, how often falsely, and what that costs",
+	return &cli.Command{
+		Name: "members", Usage: "how soon deaths are found, how often falsely, and what that costs",
 		Flags: append(shared(),
 			&cli.IntSliceFlag{Name: "processes", Usage: "fleets of so many real processes; 0: none", Value: []int{5, 20, 50}},
 			&cli.IntSliceFlag{Name: "simulated", Usage: "fleets of so many detectors in simulated time; 0: none", Value: []int{1000, 10000}},
 			&cli.IntFlag{Name: "rounds", Usage: "kills in each fleet", Value: 5},
 			&cli.FloatSliceFlag{Name: "simulated-loss", Usage: "the same in simulated time, beside none; deaths are measured under it", Value: []float64{0.05, 0.2}},
 			&cli.FloatFlag{Name: "loss", Usage: "share of packets lost while false deaths are counted", Value: 0.2},
-			&cli.DurationFlag{Name: "watch", Usage: "how long that is", Value: time.Minute}), Action: members}
+			&cli.DurationFlag{Name: "watch", Usage: "how long that is", Value: time.Minute}), Action: members,
+	}
 }
 
 func members(ctx context.Context, cmd *cli.Command) error {
@@ -56,9 +59,11 @@
 	}
 	for _, n := range slices.DeleteFunc(cmd.IntSlice("simulated"), none) {
 		for _, loss := range append([]float64{0}, cmd.FloatSlice("simulated-loss")...) {
-			r, err := testbed.MeasureSimulated(sim.Settings{Members: n, Seeds: 3, Seed: cmd.Uint64("seed"), Loss: loss, Delay: 2,
-				BearPause: millis(cmd.Duration("bear-pause")), DetectWithin: millis(cmd.Duration("detect-within")),
-				Codec: membership.Codec{Cluster: "lab", Key: []byte("a key of sixteen bytes")}}, cmd.Int("rounds"),
+			r, err := testbed.MeasureSimulated(sim.Settings{
+				Members: n, Seeds: 3, Seed: cmd.Uint64("seed"), Loss: loss, Delay: 2,
+				ToleratedPause: millis(cmd.Duration("bear-pause")), DetectionTimeout: millis(cmd.Duration("detect-within")),
+				Codec: membership.Codec{Cluster: "lab", Key: []byte("a key of sixteen bytes")},
+			}, cmd.Int("rounds"),
 				min(millis(cmd.Duration("watch")), 10000))
 			if err != nil {
 				return err
@@ -76,7 +81,7 @@
 			}
 			lines = append(lines, testbed.Line{Name: fmt.Sprintf("%d %s, loss %.0f%%", r.Members, r.Kind, 100*lossOfDeaths(r)), Figures: seconds})
 		}
-		return testbed.Shares(path, "from a kill until another declares it dead", "seconds", lines)
+		return testbed.Distribution(path, "from a kill until another declares it dead", "seconds", lines)
 	}
 	return nil
 }
@@ -92,18 +97,18 @@
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // fleet makes the settings of a fleet of processes; end gives back what it took.
-func fleet(cmd *cli.Command, n int) (set testbed.Settings, end func(), err error) {
+func fleetSettings(cmd *cli.Command, n int) (set testbed.Settings, end func(), err error) {
 	dir, err := os.MkdirTemp("", "otterlab-")
 	if err != nil {
 		return set, nil, err
 	}
-	town, err := testbed.NewTown(3)
+	platform, err := testbed.NewPlatform(3)
 	if err != nil {
 		os.RemoveAll(dir)
 		return set, nil, err
 	}
 	end = func() {
-		town.Close()
+		platform.Close()
 		os.RemoveAll(dir)
 	}
 	program, err := filepath.Abs(cmd.String("program"))
@@ -111,13 +116,15 @@
 		end()
 		return set, nil, err
 	}
-	return testbed.Settings{Dir: dir, Program: program, Marshals: n, Seed: cmd.Uint64("seed"), Town: town,
-		BearPause: cmd.Duration("bear-pause"), DetectWithin: cmd.Duration("detect-within"), Seeds: 3,
-		Elect: cmd.Duration("elect-within"), Key: "a key of sixteen bytes"}, end, nil
+	return testbed.Settings{
+		Dir: dir, Program: program, Instances: n, Seed: cmd.Uint64("seed"), Platform: platform,
+		ToleratedPause: cmd.Duration("bear-pause"), DetectionTimeout: cmd.Duration("detect-within"), Seeds: 3,
+		ElectionTimeout: cmd.Duration("elect-within"), Key: "a key of sixteen bytes",
+	}, end, nil
 }
 
 func processes(ctx context.Context, cmd *cli.Command, n int) (*testbed.MembersResult, error) {
-	set, end, err := fleet(cmd, n)
+	set, end, err := fleetSettings(cmd, n)
 	if err != nil {
 		return nil, err
 	}
@@ -126,17 +133,19 @@
 }
 
 func policyCommand() *cli.Command {
-	return &cli.Command{Name: "policy", Usage: "how soon a policy holds everywhere, what it takes to keep, how soon a marshal is back",
+	return &cli.Command{
+		Name: "policy", Usage: "how soon a policy holds everywhere, what it takes to keep, how soon a marshal is back",
 		Flags: append(shared(), &cli.IntSliceFlag{Name: "processes", Usage: "fleets of so many real processes", Value: []int{3, 5, 7}},
 			&cli.IntFlag{Name: "versions", Usage: "proposals, one after another", Value: 100},
-			&cli.IntFlag{Name: "rounds", Usage: "restarts, and as many leaders killed", Value: 10}), Action: policy}
+			&cli.IntFlag{Name: "rounds", Usage: "restarts, and as many leaders killed", Value: 10}), Action: policy,
+	}
 }
 
 func policy(ctx context.Context, cmd *cli.Command) error {
 	var results []*testbed.PolicyResult
 	var lines []testbed.Line
 	for _, n := range cmd.IntSlice("processes") {
-		set, end, err := fleet(cmd, n)
+		set, end, err := fleetSettings(cmd, n)
 		if err != nil {
 			return err
 		}
@@ -150,45 +159,49 @@
 	}
 	fmt.Print(testbed.PolicyTable(results))
 	if path := cmd.String("chart"); path != "" {
-		return testbed.Shares(path, "from a proposal until all marshals run it", "milliseconds", lines)
+		return testbed.Distribution(path, "from a proposal until all marshals run it", "milliseconds", lines)
 	}
 	return nil
 }
 
 func takeoverCommand() *cli.Command {
-	return &cli.Command{Name: "takeover", Usage: "how soon work goes on elsewhere, and what 100 kills do to hits",
+	return &cli.Command{
+		Name: "takeover", Usage: "how soon work goes on elsewhere, and what 100 kills do to hits",
 		Flags: append(shared(), &cli.IntFlag{Name: "marshals", Value: 5},
 			&cli.DurationFlag{Name: "lease", Usage: "of a marshal's work", Value: 5 * time.Second},
 			&cli.IntFlag{Name: "rounds", Usage: "owners killed, one after another", Value: 10},
-			&cli.IntFlag{Name: "kills", Usage: "at random, under load", Value: 100}), Action: takeover}
+			&cli.IntFlag{Name: "kills", Usage: "at random, under load", Value: 100}), Action: takeover,
+	}
 }
 
 func takeover(ctx context.Context, cmd *cli.Command) error {
-	set, end, err := fleet(cmd, cmd.Int("marshals"))
+	set, end, err := fleetSettings(cmd, cmd.Int("marshals"))
 	if err != nil {
 		return err
 	}
 	defer end()
-	set.Lease = cmd.Duration("lease")
+	set.LeaseTTL = cmd.Duration("lease")
 	r, err := testbed.MeasureTakeover(ctx, set, cmd.Int("rounds"), cmd.Int("kills"))
 	if err != nil {
 		return err
 	}
 	fmt.Print(testbed.TakeoverTable([]*testbed.TakeoverResult{r}))
 	if path := cmd.String("chart"); path != "" {
-		return testbed.Shares(path, "from an owner's death until another goes on", "milliseconds",
-			[]testbed.Line{{Name: fmt.Sprintf("lease %v, detect-within %v", set.Lease, set.DetectWithin), Figures: r.Each}})
+		return testbed.Distribution(path, "from an owner's death until another goes on", "milliseconds",
+			[]testbed.Line{{Name: fmt.Sprintf("lease %v, detect-within %v", set.LeaseTTL, set.DetectionTimeout), Figures: r.Each}})
 	}
 	return nil
 }
 
 func fleetCommand() *cli.Command {
-	return &cli.Command{Name: "fleet", Usage: "run a fleet with all that marshals can share, until interrupted or its script ends",
+	return &cli.Command{
+		Name: "fleet", Usage: "run a fleet with all that marshals can share, until interrupted or its script ends",
 		Flags: append(shared(), &cli.IntFlag{Name: "marshals", Value: 5},
 			&cli.IntFlag{Name: "servers", Usage: "of the policy's log", Value: 3},
 			&cli.DurationFlag{Name: "lease", Usage: "of a marshal's work", Value: 5 * time.Second},
 			&cli.StringFlag{Name: "script", Usage: "faults to play, a step a line, from `FILE`"},
-			&cli.IntFlag{Name: "clients", Usage: "clients that send hits meanwhile"}), Action: runFleet}
+			&cli.IntFlag{Name: "clients", Usage: "clients that send hits meanwhile"}), Action: runFleet,
+	}
 }
 
 func runFleet(ctx context.Context, cmd *cli.Command) error {
@@ -202,15 +215,15 @@
 			return fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	set, end, err := fleet(cmd, cmd.Int("marshals"))
+	set, end, err := fleetSettings(cmd, cmd.Int("marshals"))
 	if err != nil {
 		return err
 	}
 	defer end()
-	set.Lease, set.Servers = cmd.Duration("lease"), min(cmd.Int("servers"), cmd.Int("marshals"))
-	set.Town.SetBuild(set.Town.Nodes()[0], 2)
-	set.Town.Desk().Move(testbed.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
-	f, err := testbed.Started(set)
+	set.LeaseTTL, set.Servers = cmd.Duration("lease"), min(cmd.Int("servers"), cmd.Int("marshals"))
+	set.Platform.SetBuild(set.Platform.Endpoints()[0], 2)
+	set.Platform.Controller().SetStage(testbed.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
+	f, err := testbed.Start(set)
 	if err != nil {
 		return err
 	}
@@ -222,8 +235,8 @@
 	load := testbed.NewLoad(f, cmd.Int("clients"), cmd.Uint64("seed"))
 	load.Start(ctx)
 	if len(script) > 0 {
-		scene := f.Scene()
-		scene.Did = func(s faultinject.Step) { fmt.Println(s) }
+		scene := f.FaultEnvironment()
+		scene.OnStep = func(s faultinject.Step) { fmt.Println(s) }
 		err = scene.Play(ctx, script)
 	} else {
 		<-ctx.Done()
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -1,28 +1,27 @@
 package decision
 
 import (
-	"slices"
-
 	"ottershed/internal/stats"
+	"slices"
 )
 
 // Evidence is what this marshal has seen of the newest build; false where there is none on trial.
-func (m *Marshal) Evidence() (Evidence, bool) {
-	e := Evidence{Build: m.news.Build, Stage: m.news.Stage}
-	if !m.told || m.news.Phase != OnTrial {
+func (m *Balancer) Evidence() (Evidence, bool) {
+	e := Evidence{Build: m.rollout.Build, Stage: m.rollout.Stage}
+	if !m.stageKnown || m.rollout.Phase != InTrial {
 		return e, false
 	}
-	for _, g := range append(slices.Clone(m.order), m.pool) {
-		e.Groups = append(e.Groups, GroupEvidence{Group: g.Name, Blue: outcomes(g.blue), Grn: outcomes(g.grn)})
+	for _, g := range append(slices.Clone(m.classOrder), m.overall) {
+		e.Classes = append(e.Classes, ClassEvidence{Class: g.Name, Baseline: outcomes(g.baseline), Candidate: outcomes(g.candidate)})
 	}
-	for _, g := range m.order {
-		for _, n := range m.list {
-			if t := n.tally[g.index]; t.N() > 0 {
-				e.Counts = append(e.Counts, NodeCount{Node: n.ID, Build: n.Build, Group: g.Name, Good: t.Good, Bad: t.Bad})
+	for _, g := range m.classOrder {
+		for _, n := range m.ordered {
+			if t := n.outcomes[g.index]; t.Total() > 0 {
+				e.Counts = append(e.Counts, EndpointCount{Endpoint: n.ID, Build: n.Build, Class: g.Name, Succeeded: t.Good, Failed: t.Bad})
 			}
 		}
-		if g.gone.N() > 0 {
-			e.Counts = append(e.Counts, NodeCount{Group: g.Name, Good: g.gone.Good, Bad: g.gone.Bad})
+		if g.departed.Total() > 0 {
+			e.Counts = append(e.Counts, EndpointCount{Class: g.Name, Succeeded: g.departed.Good, Failed: g.departed.Bad})
 		}
 	}
 	return e, true
@@ -33,43 +32,43 @@
 
 // adopt adds evidence to this marshal's own: counts of the same build, and outcomes of the same stage, which enter the
 // groups as those of its own do.
-func (m *Marshal) adopt(e Evidence, build, stage bool) {
+func (m *Balancer) acquireEvidence(e Evidence, build, stage bool) {
 	for _, c := range e.Counts {
-		g, count := m.groups[c.Group], stats.Count{Good: c.Good, Bad: c.Bad}
-		n := m.nodes[c.Node]
+		g, count := m.classes[c.Class], stats.Count{Good: c.Succeeded, Bad: c.Failed}
+		n := m.endpoints[c.Endpoint]
 		switch {
 		case !build || g == nil:
 		case n != nil && n.Build == c.Build:
-			n.count(g, m.pool, count)
-		case c.Node == "" || c.Build < m.news.Build: // it has left since
-			g.gone.Add(count, 1)
-			m.pool.gone.Add(count, 1)
+			n.count(g, m.overall, count)
+		case c.Endpoint == "" || c.Build < m.rollout.Build: // it has left since
+			g.departed.Add(count, 1)
+			m.overall.departed.Add(count, 1)
 		}
 	}
-	for _, o := range e.Groups {
-		g := m.groups[o.Group]
-		if o.Group == "" {
-			g = m.pool
+	for _, o := range e.Classes {
+		g := m.classes[o.Class]
+		if o.Class == "" {
+			g = m.overall
 		}
 		if !build || !stage || g == nil {
 			continue
 		}
-		for _, x := range o.Blue {
-			g.enter(false, x)
+		for _, x := range o.Baseline {
+			g.add(false, x)
 		}
-		for _, x := range o.Grn {
-			g.enter(true, x)
+		for _, x := range o.Candidate {
+			g.add(true, x)
 		}
 	}
 }
 
 // disown forgets what was seen of the newest build, and the vote that came of it.
-func (m *Marshal) disown() {
-	for _, g := range m.all {
-		g.grn, g.agrees, g.rejects, g.gone = stats.Groups{}, false, 0, stats.Count{}
+func (m *Balancer) revokeEvidence() {
+	for _, g := range m.statistics {
+		g.candidate, g.agrees, g.rejections, g.departed = stats.Groups{}, false, 0, stats.Count{}
 	}
-	for _, n := range m.list {
-		clear(n.tally)
+	for _, n := range m.ordered {
+		clear(n.outcomes)
 	}
-	m.vote, m.voteAt = Vote{}, 0
+	m.vote, m.votedAt = Vote{}, 0
 }
--- a/decision/sight.go
+++ b/decision/sight.go
@@ -1,36 +1,38 @@
 package decision
 
 // Sight is how things stand for a marshal at one moment, for those who look on; no decision reads it.
-type Sight struct {
-	Nodes, Cold, Away int // of the list: that take hits; of these not warm; found silent or out of reach
-	Out, Waiting      int // forwards out; hits that wait for one
-	Build             Build
-	Stage             int
-	Phase             Phase
-	Verdict           Verdict
-	Seen, Failing     float64 // outcomes of the build on trial; its failures as a multiple of what proves it
-	Rejects           int     // rejections in a row, the most of any path group
+type Status struct {
+	Serving, WarmingUp, Unavailable int // of the list: that take hits; of these not warm; found silent or out of reach
+	InFlight, Queued                int // forwards out; hits that wait for one
+	Build                           Build
+	Stage                           int
+	Phase                           Phase
+	Verdict                         Verdict
+	Outcomes, FailureEvidence       float64 // outcomes of the build on trial; its failures as a multiple of what proves it
+	Rejections                      int     // rejections in a row, the most of any path group
 }
 
 // Sight tells how things stand now.
-func (m *Marshal) Sight() Sight {
-	s := Sight{Out: m.out, Waiting: len(m.lines[0]) + len(m.lines[1]), Build: m.news.Build, Stage: m.news.Stage,
-		Phase: m.news.Phase, Verdict: m.vote.Verdict}
-	for _, n := range m.list {
-		if n.State != Up {
+func (m *Balancer) Status() Status {
+	s := Status{
+		InFlight: m.inFlight, Queued: len(m.queues[0]) + len(m.queues[1]), Build: m.rollout.Build, Stage: m.rollout.Stage,
+		Phase: m.rollout.Phase, Verdict: m.vote.Verdict,
+	}
+	for _, n := range m.ordered {
+		if n.State != Serving {
 			continue
 		}
-		s.Nodes++
-		if m.warmth(n) < 1 {
-			s.Cold++
+		s.Serving++
+		if m.slowStartWeight(n) < 1 {
+			s.WarmingUp++
 		}
-		if n.strikes > 0 {
-			s.Away++
+		if n.ejections > 0 {
+			s.Unavailable++
 		}
 	}
-	s.Failing, s.Seen, _ = m.failing()
-	for _, g := range m.all {
-		s.Rejects = max(s.Rejects, g.rejects)
+	s.FailureEvidence, s.Outcomes, _ = m.failureEvidence()
+	for _, g := range m.statistics {
+		s.Rejections = max(s.Rejections, g.rejections)
 	}
 	return s
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	inTime      = 5 * time.Second
-	longestHead = 4 << 10
-	longestBody = 4 << 20 // of an answer that Ask takes, and of a question
+	timeout        = 5 * time.Second
+	maxHeaderBytes = 4 << 10
+	maxBodyBytes   = 4 << 20 // of an answer that Ask takes, and of a question
 )
 
 // Server answers on one listener.
@@ -31,20 +31,22 @@
 // New makes a server without answers.
 func New() *Server {
 	mux := http.NewServeMux()
-	return &Server{mux: mux, server: &http.Server{Handler: own(mux), ReadTimeout: inTime, WriteTimeout: 4 * inTime,
-		IdleTimeout: inTime, MaxHeaderBytes: longestHead, ErrorLog: log.New(io.Discard, "", 0)}}
+	return &Server{mux: mux, server: &http.Server{
+		Handler: requireLocal(mux), ReadTimeout: timeout, WriteTimeout: 4 * timeout,
+		IdleTimeout: timeout, MaxHeaderBytes: maxHeaderBytes, ErrorLog: log.New(io.Discard, "", 0),
+	}}
 }
 
 // own lets through what a command of ours may have sent. Danger: a page in a browser on this machine can send to loopback,
 // too, by its own name for it or as a form: it would propose policies.
-func own(next http.Handler) http.Handler {
+func requireLocal(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if at, err := netip.ParseAddrPort(r.Host); err != nil || !at.Addr().IsLoopback() {
-			write(w, http.StatusMisdirectedRequest, fault{"not asked by an address of loopback"})
+			write(w, http.StatusMisdirectedRequest, errorResponse{"not asked by an address of loopback"})
 			return
 		}
 		if r.Method == http.MethodPost && r.Header.Get("Content-Type") != jsonType {
-			write(w, http.StatusUnsupportedMediaType, fault{"want " + jsonType})
+			write(w, http.StatusUnsupportedMediaType, errorResponse{"want " + jsonType})
 			return
 		}
 		next.ServeHTTP(w, r)
@@ -64,29 +66,29 @@
 }
 
 // fault is an answer that says what is wrong.
-type fault struct {
+type errorResponse struct {
 	Error string `json:"error"`
 }
 
 // Post has a path take a body and answer with what do returns; an error is the caller's to mend, and its text is told.
 func (s *Server) Post(path string, do func(ctx context.Context, body []byte) (any, error)) {
 	s.mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, longestBody))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		if err != nil {
-			write(w, http.StatusRequestEntityTooLarge, fault{err.Error()})
+			write(w, http.StatusRequestEntityTooLarge, errorResponse{err.Error()})
 			return
 		}
-		answer, err := do(r.Context(), body)
+		response, err := do(r.Context(), body)
 		if err != nil {
-			write(w, http.StatusConflict, fault{err.Error()})
+			write(w, http.StatusConflict, errorResponse{err.Error()})
 			return
 		}
-		write(w, http.StatusOK, answer)
+		write(w, http.StatusOK, response)
 	})
 }
 
-func write(w http.ResponseWriter, status int, answer any) {
-	raw, err := json.MarshalIndent(answer, "", "  ")
+func write(w http.ResponseWriter, status int, response any) {
+	raw, err := json.MarshalIndent(response, "", "  ")
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -119,7 +121,7 @@
 }
 
 // Ask asks the marshal whose admin address is given: with a body a POST, without a GET. The answer is JSON.
-func Ask(ctx context.Context, address, path string, body []byte) ([]byte, error) {
+func Call(ctx context.Context, address, path string, body []byte) ([]byte, error) {
 	method := http.MethodGet
 	if body != nil {
 		method = http.MethodPost
@@ -135,12 +137,12 @@
 		return nil, fmt.Errorf("ask %s: %w", address, err)
 	}
 	defer res.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(res.Body, longestBody))
+	raw, err := io.ReadAll(io.LimitReader(res.Body, maxBodyBytes))
 	if err != nil {
 		return nil, fmt.Errorf("ask %s: %w", address, err)
 	}
 	if res.StatusCode != http.StatusOK {
-		var f fault
+		var f errorResponse
 		if json.Unmarshal(raw, &f) == nil && f.Error != "" {
 			return nil, fmt.Errorf("%s: %s", address, f.Error)
 		}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -4,11 +4,10 @@
 
 import (
 	"os"
+	"ottershed/decision"
 	"strconv"
 	"strings"
 	"time"
-
-	"ottershed/decision"
 )
 
 // Clock tells the time in fractional milliseconds.
@@ -20,13 +19,13 @@
 
 // LabEnv is the lab's switch for processes with clocks that lie: "OFFSET RATE", such as "-1h 1.1". It is not one of the
 // service's users: a rate touches the readings of this clock alone, not timers and deadlines.
-const LabEnv = "OTTERSHED_LAB_CLOCK"
+const TestbedEnv = "OTTERSHED_LAB_CLOCK"
 
 // New makes a clock that starts now.
-func New() *Clock { return lab(os.Getenv(LabEnv)) }
+func New() *Clock { return fromEnv(os.Getenv(TestbedEnv)) }
 
 // lab makes the clock that the lab's switch describes; what can't be read is passed over.
-func lab(text string) *Clock {
+func fromEnv(text string) *Clock {
 	now := time.Now()
 	c := &Clock{start: now, unix: float64(now.UnixMicro()) / 1000, rate: 1}
 	offset, rate, _ := strings.Cut(text, " ")
@@ -40,7 +39,7 @@
 }
 
 // Ran is how long the clock has run.
-func (c *Clock) Ran() decision.Millis { return c.Now() - c.unix }
+func (c *Clock) Uptime() decision.Millis { return c.Now() - c.unix }
 
 // Now is the present time.
 func (c *Clock) Now() decision.Millis {
@@ -48,7 +47,9 @@
 }
 
 // Time is the moment of at, for deadlines of sockets.
-func (c *Clock) Time(at decision.Millis) time.Time { return c.start.Add(Span((at - c.unix) / c.rate)) }
+func (c *Clock) Time(at decision.Millis) time.Time {
+	return c.start.Add(Duration((at - c.unix) / c.rate))
+}
 
 // Span is a length of time.
-func Span(ms decision.Millis) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func Duration(ms decision.Millis) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
