--- /dev/null
+++ b/cmd/balancer/cluster.go
@@ -0,0 +1,187 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"sync"
+
+	"github.com/sirupsen/logrus"
+
+	"ottershed/internal/admin"
+	"ottershed/internal/clock"
+	"ottershed/internal/cluster/failover"
+	"ottershed/internal/cluster/gossip"
+	"ottershed/internal/cluster/lease"
+	"ottershed/internal/cluster/membership"
+	"ottershed/internal/cluster/policysync"
+	"ottershed/internal/config"
+	"ottershed/internal/engine"
+	"ottershed/internal/rollout"
+)
+
+// clusterServices are what an instance shares with the other members of its cluster and shows its operators. Without an
+// operator's file it is empty, and nothing of it runs.
+type clusterServices struct {
+	cfg           *config.Config
+	clock         *clock.Clock
+	log           logrus.FieldLogger
+	gossip        *gossip.Transport // nil: membership is off
+	policy        *policysync.Node  // nil: policy is off
+	failover      *failover.Manager // nil: takeover is off
+	admin         *admin.Server     // nil: the operator's file names no address for it
+	adminListener net.Listener      // of admin
+}
+
+// membersResponse is what `members` prints.
+type membersResponse struct {
+	*membership.View
+	Counters gossip.Counters `json:"counters"`
+}
+
+// newClusterServices opens what the operator's file switches on. Each service needs the ones before it.
+func newClusterServices(cfg *config.Config, source *settingsSource, eng *engine.Engine, controller *rollout.Client,
+	monotonic *clock.Clock, log logrus.FieldLogger,
+) (*clusterServices, error) {
+	services := &clusterServices{cfg: cfg, clock: monotonic, log: log}
+	if cfg.Operator == nil {
+		return services, nil
+	}
+	if err := services.openAdmin(); err != nil {
+		return nil, err
+	}
+	if err := services.openMembership(); err != nil {
+		return nil, err
+	}
+	if err := services.openPolicy(source); err != nil {
+		return nil, err
+	}
+	services.openTakeover(eng, controller)
+	return services, nil
+}
+
+func (s *clusterServices) openAdmin() error {
+	address := s.cfg.Operator.Admin
+	if address == "" {
+		return nil
+	}
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return fmt.Errorf("admin.listen: %w", err)
+	}
+	s.admin, s.adminListener = admin.New(), listener
+	return nil
+}
+
+func (s *clusterServices) openMembership() error {
+	cfg := s.cfg.Operator.Membership
+	if cfg == nil {
+		return nil
+	}
+	transport, err := gossip.Listen(*cfg, s.clock, s.log)
+	if err != nil {
+		return err
+	}
+	s.gossip = transport
+	s.log.WithFields(logrus.Fields{
+		"bind": cfg.Bind, "advertise": cfg.Membership.Address,
+		"cluster": cfg.Codec.Cluster, "seeds": len(cfg.Membership.Seeds),
+	}).Info("membership on")
+	if s.admin != nil {
+		s.admin.Get("/members", func() any { return membersResponse{s.gossip.View(), s.gossip.Counters()} })
+	}
+	return nil
+}
+
+func (s *clusterServices) openPolicy(source *settingsSource) error {
+	cfg := s.cfg.Operator.Policy
+	if cfg == nil {
+		return nil
+	}
+	hooks := policysync.Hooks{Check: source.check, Apply: source.apply}
+	node, err := policysync.Open(*cfg, hooks, s.clock, s.log)
+	if err != nil {
+		return err
+	}
+	s.policy = node
+	s.log.WithFields(logrus.Fields{
+		"server": cfg.IsServer(), "bind": cfg.Bind, "servers": len(cfg.Servers), "dir": cfg.Dir,
+	}).Info("policy on")
+	if s.admin != nil {
+		s.admin.GetWith("/policy/status", func(ctx context.Context) any { return node.FleetStatus(ctx) })
+		s.admin.Get("/policy/self", func() any { return node.Self() })
+		s.admin.Get("/policy/history", func() any { return node.History() })
+		s.admin.Post("/policy/propose", node.Propose)
+	}
+	return nil
+}
+
+// openTakeover switches takeover on. The operator's file can't without membership and policy.
+func (s *clusterServices) openTakeover(eng *engine.Engine, controller *rollout.Client) {
+	ttl := s.cfg.Operator.LeaseTTL
+	if ttl <= 0 {
+		return
+	}
+	if log := s.policy.Log(); log != nil {
+		failover.NewStateMachine(log)
+	}
+	cfg := failover.Config{Name: s.cfg.Name, Incarnation: uint64(s.gossip.RunID()), TTL: ttl}
+	manager := failover.New(cfg, s.policy, eng, controller, s.gossip, s.clock, s.log)
+	s.failover = manager
+	s.log.WithField("lease", ttl.String()).Info("takeover on")
+	if s.admin != nil {
+		s.admin.Post("/work", func(ctx context.Context, _ []byte) (any, error) { return manager.Status(ctx) })
+		s.admin.GetWith("/work/seen", func(ctx context.Context) any { return manager.EvidenceSummary(ctx) })
+		s.admin.Post("/work/take", func(ctx context.Context, body []byte) (any, error) {
+			return struct{}{}, manager.TakeOver(ctx, lease.ID(body))
+		})
+	}
+}
+
+// run runs the services until ctx ends.
+func (s *clusterServices) run(ctx context.Context) {
+	var running sync.WaitGroup
+	defer running.Wait()
+	if s.gossip != nil {
+		running.Go(func() { s.gossip.Run(ctx) })
+	}
+	if s.policy != nil {
+		running.Go(func() { s.policy.Run(ctx) })
+	}
+	if s.failover != nil {
+		running.Go(func() { s.failover.Run(ctx) })
+	}
+	if s.admin != nil {
+		running.Go(func() {
+			if err := s.admin.Run(ctx, s.adminListener); err != nil {
+				s.log.WithError(err).Error("admin ended")
+			}
+		})
+	}
+}
+
+// leave releases the leases and tells the other members that this one goes. It is called once.
+func (s *clusterServices) leave(ctx context.Context) {
+	if s.failover != nil {
+		s.failover.ReleaseAll(ctx)
+	}
+	if s.gossip != nil {
+		s.gossip.Leave(ctx)
+	}
+}
+
+// voter takes the votes of the decision module: the client of the rollout controller, or the failover manager in front of
+// it, which lets only the votes of a lease's holder pass.
+func (s *clusterServices) voter(controller *rollout.Client) engine.Controller {
+	if s.failover != nil {
+		return s.failover
+	}
+	return controller
+}
+
+// reload follows a configuration that was read again: a policy that did not go with the earlier one is tried anew.
+func (s *clusterServices) reload() {
+	if s.policy != nil {
+		s.policy.Retry()
+	}
+}
--- /dev/null
+++ b/cmd/balancer/commands.go
@@ -0,0 +1,199 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"os"
+	"runtime"
+	"runtime/debug"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"github.com/urfave/cli/v3"
+
+	"ottershed/internal/admin"
+	"ottershed/internal/config"
+)
+
+// revisionLength is how many digits of the source's revision `version` prints.
+const revisionLength = 12
+
+// command is the root of the command line.
+func command() *cli.Command {
+	commands := []*cli.Command{
+		{
+			Name: "serve", Usage: "run a marshal until SIGTERM",
+			Flags: []cli.Flag{configFlag(), operatorFlag(), logLevelFlag(), summaryFlag()}, Action: serve,
+		},
+		{
+			Name: "check-config", Usage: "read and check a configuration as serve does, and print what holds",
+			Flags: []cli.Flag{configFlag(), operatorFlag()}, Action: checkConfig,
+		},
+		{
+			Name: "members", Usage: "print whom a running marshal holds for alive, suspect, dead or left, as JSON",
+			Flags: []cli.Flag{adminFlag()}, Action: printMembers,
+		},
+		policyCommand(),
+		leaseCommand(),
+		{Name: "version", Usage: "print the version", Action: printVersion},
+	}
+	for _, c := range commands {
+		if len(c.Commands) == 0 { // a group has checks of its own
+			c.OnUsageError, c.HideHelpCommand, c.Before = usageError, true, takesNoArguments
+		}
+	}
+	return &cli.Command{
+		Name: "balancer", Usage: "a load balancer that watches over software updates", Commands: commands,
+		OnUsageError: usageError, HideHelpCommand: true, Action: func(_ context.Context, cmd *cli.Command) error {
+			if cmd.Args().Present() {
+				return fmt.Errorf("%w: no command %q; see --help", errUsage, cmd.Args().First())
+			}
+			return cli.ShowAppHelp(cmd)
+		},
+	}
+}
+
+// commandGroup is a command that has commands of its own, each with no argument or the one that its usage names.
+func commandGroup(name, usage string, commands []*cli.Command) *cli.Command {
+	for _, c := range commands {
+		want := 0
+		if c.ArgsUsage != "" {
+			want = 1
+		}
+		c.OnUsageError, c.HideHelpCommand = usageError, true
+		c.Before = func(ctx context.Context, cmd *cli.Command) (context.Context, error) {
+			if n := cmd.Args().Len(); n != want {
+				return ctx, fmt.Errorf("%w: %s %s takes %d arguments, got %d; see --help", errUsage, name, cmd.Name, want, n)
+			}
+			return ctx, nil
+		}
+	}
+	return &cli.Command{
+		Name: name, Usage: usage, Commands: commands, OnUsageError: usageError, HideHelpCommand: true,
+		Action: func(_ context.Context, cmd *cli.Command) error {
+			if cmd.Args().Present() {
+				return fmt.Errorf("%w: no command %s %q; see --help", errUsage, name, cmd.Args().First())
+			}
+			return cli.ShowSubcommandHelp(cmd)
+		},
+	}
+}
+
+// usageError marks an error of the command line's parser as a mistake of the caller.
+func usageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
+	return fmt.Errorf("%w: %w; see --help", errUsage, err)
+}
+
+func takesNoArguments(ctx context.Context, cmd *cli.Command) (context.Context, error) {
+	if cmd.Args().Present() {
+		return ctx, fmt.Errorf("%w: %s takes no arguments, got %q; see --help", errUsage, cmd.Name, cmd.Args().First())
+	}
+	return ctx, nil
+}
+
+func configFlag() cli.Flag {
+	return &cli.StringFlag{
+		Name: "config", Usage: "the configuration `FILE`; without it the embedded default holds",
+		Sources: cli.EnvVars("LB_CONFIG"),
+	}
+}
+
+func operatorFlag() cli.Flag {
+	return &cli.StringFlag{
+		Name: "operator", Usage: "the operator's own `FILE`; without it all that it can switch on is off",
+		Sources: cli.EnvVars("OTTERSHED_OPERATOR"),
+	}
+}
+
+func logLevelFlag() cli.Flag {
+	return &cli.StringFlag{
+		Name: "log-level", Usage: "`LEVEL` of the lines to write: error, warn, info or debug",
+		Value: "info", Sources: cli.EnvVars("OTTERSHED_LOG_LEVEL"), Validator: func(text string) error {
+			_, err := logrus.ParseLevel(text)
+			return err
+		},
+	}
+}
+
+func summaryFlag() cli.Flag {
+	return &cli.DurationFlag{
+		Name: "summary", Usage: "write a line of figures every so often, for testbed days; 0: none",
+		Sources: cli.EnvVars("OTTERSHED_SUMMARY"), Validator: func(every time.Duration) error {
+			if every != 0 && every < minSummaryInterval {
+				return fmt.Errorf("want 0 or %v or more, got %v", minSummaryInterval, every)
+			}
+			return nil
+		},
+	}
+}
+
+func adminFlag() cli.Flag {
+	return &cli.StringFlag{
+		Name: "at", Usage: "the marshal's admin `ADDRESS`, admin.listen in the operator's file",
+		Sources: cli.EnvVars("OTTERSHED_ADMIN"), Required: true,
+	}
+}
+
+func jsonFlag() cli.Flag { return &cli.BoolFlag{Name: "json", Usage: "print JSON"} }
+
+// checkConfig prints what would hold for serve.
+func checkConfig(_ context.Context, cmd *cli.Command) error {
+	cfg, err := readConfig(cmd)
+	if err != nil {
+		return err
+	}
+	for _, warning := range cfg.Warnings {
+		if _, err := fmt.Fprintln(cmd.Root().ErrWriter, "warning:", warning); err != nil {
+			return err
+		}
+	}
+	if _, err := fmt.Fprint(cmd.Root().Writer, cfg); err != nil {
+		return err
+	}
+	if cfg.Operator != nil {
+		_, err = fmt.Fprint(cmd.Root().Writer, cfg.Operator)
+	}
+	return err
+}
+
+// readConfig reads the configuration, and the operator's file where one is given.
+func readConfig(cmd *cli.Command) (*config.Config, error) {
+	cfg, err := config.Read(cmd.String("config"), os.Getenv)
+	if err != nil {
+		return nil, err
+	}
+	if file := cmd.String("operator"); file != "" {
+		if cfg.Operator, err = config.ReadOperator(file, cfg.Name); err != nil {
+			return nil, err
+		}
+	}
+	return cfg, nil
+}
+
+// printMembers prints a running instance's view of the cluster.
+func printMembers(ctx context.Context, cmd *cli.Command) error {
+	raw, err := admin.Call(ctx, cmd.String("at"), "/members", nil)
+	if err != nil {
+		return err
+	}
+	_, err = cmd.Root().Writer.Write(raw)
+	return err
+}
+
+func printVersion(_ context.Context, cmd *cli.Command) error {
+	return writeVersion(cmd.Root().Writer)
+}
+
+func writeVersion(w io.Writer) error {
+	revision := ""
+	if info, ok := debug.ReadBuildInfo(); ok {
+		for _, setting := range info.Settings {
+			if setting.Key == "vcs.revision" {
+				revision = " " + setting.Value[:min(revisionLength, len(setting.Value))]
+			}
+		}
+	}
+	_, err := fmt.Fprintf(w, "ottershed %s%s %s %s/%s\n", version, revision, runtime.Version(), runtime.GOOS, runtime.GOARCH)
+	return err
+}
