--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -10,9 +10,11 @@
 	"os/signal"
 	"ottershed/internal/cluster/membership"
 	"ottershed/internal/cluster/membership/sim"
-	"ottershed/internal/testbed"
 	"ottershed/internal/testbed/chart"
+	"ottershed/internal/testbed/experiment"
 	"ottershed/internal/testbed/faultinject"
+	"ottershed/internal/testbed/fleet"
+	"ottershed/internal/testbed/load"
 	"ottershed/internal/testbed/platform"
 	"path/filepath"
 	"slices"
@@ -48,8 +50,8 @@
 }
 
 func members(ctx context.Context, cmd *cli.Command) error {
-	var results []*testbed.MembersResult
-	fmt.Print(testbed.MembersHead())
+	var results []*experiment.MembersResult
+	fmt.Print(experiment.MembersHead())
 	none := func(n int) bool { return n <= 0 }
 	for _, n := range slices.DeleteFunc(cmd.IntSlice("processes"), none) {
 		r, err := processes(ctx, cmd, n)
@@ -61,7 +63,7 @@
 	}
 	for _, n := range slices.DeleteFunc(cmd.IntSlice("simulated"), none) {
 		for _, loss := range append([]float64{0}, cmd.FloatSlice("simulated-loss")...) {
-			r, err := testbed.MeasureSimulated(sim.Settings{
+			r, err := experiment.MeasureSimulated(sim.Settings{
 				Members: n, Seeds: 3, Seed: cmd.Uint64("seed"), Loss: loss, Delay: 2,
 				ToleratedPause: millis(cmd.Duration("bear-pause")), DetectionTimeout: millis(cmd.Duration("detect-within")),
 				Codec: membership.Codec{Cluster: "lab", Key: []byte("a key of sixteen bytes")},
@@ -89,7 +91,7 @@
 }
 
 // lossOfDeaths is the loss under which deaths were measured: among processes there was none meanwhile.
-func lossOfDeaths(r *testbed.MembersResult) float64 {
+func lossOfDeaths(r *experiment.MembersResult) float64 {
 	if r.Kind == "processes" {
 		return 0
 	}
@@ -99,7 +101,7 @@
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // fleet makes the settings of a fleet of processes; end gives back what it took.
-func fleetSettings(cmd *cli.Command, n int) (set testbed.Settings, end func(), err error) {
+func fleetSettings(cmd *cli.Command, n int) (set fleet.Settings, end func(), err error) {
 	dir, err := os.MkdirTemp("", "otterlab-")
 	if err != nil {
 		return set, nil, err
@@ -118,20 +120,20 @@
 		end()
 		return set, nil, err
 	}
-	return testbed.Settings{
+	return fleet.Settings{
 		Dir: dir, Program: program, Instances: n, Seed: cmd.Uint64("seed"), Platform: platform,
 		ToleratedPause: cmd.Duration("bear-pause"), DetectionTimeout: cmd.Duration("detect-within"), Seeds: 3,
 		ElectionTimeout: cmd.Duration("elect-within"), Key: "a key of sixteen bytes",
 	}, end, nil
 }
 
-func processes(ctx context.Context, cmd *cli.Command, n int) (*testbed.MembersResult, error) {
+func processes(ctx context.Context, cmd *cli.Command, n int) (*experiment.MembersResult, error) {
 	set, end, err := fleetSettings(cmd, n)
 	if err != nil {
 		return nil, err
 	}
 	defer end()
-	return testbed.MeasureProcesses(ctx, set, cmd.Int("rounds"), cmd.Float("loss"), cmd.Duration("watch"))
+	return experiment.MeasureProcesses(ctx, set, cmd.Int("rounds"), cmd.Float("loss"), cmd.Duration("watch"), nil)
 }
 
 func policyCommand() *cli.Command {
@@ -144,14 +146,14 @@
 }
 
 func policy(ctx context.Context, cmd *cli.Command) error {
-	var results []*testbed.PolicyResult
+	var results []*experiment.PolicyResult
 	var lines []chart.Line
 	for _, n := range cmd.IntSlice("processes") {
 		set, end, err := fleetSettings(cmd, n)
 		if err != nil {
 			return err
 		}
-		r, err := testbed.MeasurePolicy(ctx, set, cmd.Int("versions"), cmd.Int("rounds"))
+		r, err := experiment.MeasurePolicy(ctx, set, cmd.Int("versions"), cmd.Int("rounds"), nil)
 		end()
 		if err != nil {
 			return err
@@ -159,7 +161,7 @@
 		results = append(results, r)
 		lines = append(lines, chart.Line{Name: fmt.Sprintf("%d marshals", n), Figures: r.Each})
 	}
-	fmt.Print(testbed.PolicyTable(results))
+	fmt.Print(experiment.PolicyTable(results))
 	if path := cmd.String("chart"); path != "" {
 		return chart.Distribution(path, "from a proposal until all marshals run it", "milliseconds", lines)
 	}
@@ -183,11 +185,11 @@
 	}
 	defer end()
 	set.LeaseTTL = cmd.Duration("lease")
-	r, err := testbed.MeasureTakeover(ctx, set, cmd.Int("rounds"), cmd.Int("kills"))
+	r, err := experiment.MeasureTakeover(ctx, set, cmd.Int("rounds"), cmd.Int("kills"), nil)
 	if err != nil {
 		return err
 	}
-	fmt.Print(testbed.TakeoverTable([]*testbed.TakeoverResult{r}))
+	fmt.Print(experiment.TakeoverTable([]*experiment.TakeoverResult{r}))
 	if path := cmd.String("chart"); path != "" {
 		return chart.Distribution(path, "from an owner's death until another goes on", "milliseconds",
 			[]chart.Line{{Name: fmt.Sprintf("lease %v, detect-within %v", set.LeaseTTL, set.DetectionTimeout), Figures: r.Each}})
@@ -225,7 +227,7 @@
 	set.LeaseTTL, set.Servers = cmd.Duration("lease"), min(cmd.Int("servers"), cmd.Int("marshals"))
 	set.Platform.SetBuild(set.Platform.Endpoints()[0], 2)
 	set.Platform.Controller().SetStage(platform.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
-	f, err := testbed.Start(set)
+	f, err := fleet.Start(set)
 	if err != nil {
 		return err
 	}
@@ -234,7 +236,7 @@
 		fmt.Printf("%s  hits %s  admin %s  log %s\n", name, f.Listen(i), f.Admin(i), f.File(i, "log"))
 	}
 	fmt.Printf("build 2 is on trial at one node of three; try: bin/balancer members --at %s\n", f.Admin(0))
-	load := testbed.NewLoad(f, cmd.Int("clients"), cmd.Uint64("seed"))
+	load := load.New(f, cmd.Int("clients"), cmd.Uint64("seed"))
 	load.Start(ctx)
 	if len(script) > 0 {
 		scene := f.FaultEnvironment()
--- a/internal/testbed/chart/chart.go
+++ b/internal/testbed/chart/chart.go
@@ -1,5 +1,5 @@
-// Package chart draws figures as curves into SVG or PNG files: how they are distributed (Distribution), or how they change
-// (TimeSeries).
+// Package chart draws figures as curves into SVG or PNG files: how they are distributed (Distribution), or how they
+// change (TimeSeries).
 package chart
 
 import (
@@ -29,8 +29,8 @@
 	timeSeriesHeight   = 12 * vg.Centimeter
 )
 
-// Distribution draws for each line the share of its figures that is no larger than each figure. The ending of path, .svg
-// or .png, chooses the format.
+// Distribution draws for each line the share of its figures that is no larger than each figure. The ending of path,
+// .svg or .png, chooses the format.
 func Distribution(path, title, unit string, lines []Line) error {
 	drawing := plot.New()
 	drawing.Title.Text = title
@@ -59,8 +59,8 @@
 	return append(points, plotter.XY{X: sorted[len(sorted)-1], Y: 1})
 }
 
-// TimeSeries draws each line's figures in their order, one a unit of the horizontal axis. The ending of path, .svg or .png,
-// chooses the format.
+// TimeSeries draws each line's figures in their order, one a unit of the horizontal axis. The ending of path, .svg or
+// .png, chooses the format.
 func TimeSeries(path, title, along, unit string, lines []Line) error {
 	drawing := plot.New()
 	drawing.Title.Text = title
--- a/internal/testbed/days/day.go
+++ b/internal/testbed/days/day.go
@@ -1,17 +1,18 @@
 // Package days reads the logs of all balancers of a cluster over a day of operation and joins them second by second:
 // what the cluster did in each second, and the state that it was in at its end.
 //
-// Read takes a directory with one .log file an instance, as `balancer serve --summary 1s` writes them. A line may start
-// with a number: the second of the day by the clock of whoever ran the cluster. Without it, seconds count from the first
-// line of the whole day by the lines' own times, which is right only where all instances read one clock.
+// Read takes a directory with one .log file an instance, as `balancer serve --summary 1s` writes them. A line may
+// start with a number: the second of the day by the clock of whoever ran the cluster. Without it, seconds count from
+// the first line of the whole day by the lines' own times, which is right only where all instances read one clock.
 //
 //	day, err := days.Read("logs")
 //	err = day.Table(os.Stdout, 5) // a row for five seconds
 //
-// Files: day.go (a day and how summaries become seconds), logline.go (one log file and its lines), report.go (table, other
-// lines, chart).
+// Files: day.go (a day and how summaries become seconds), logline.go (one log file and its lines), report.go (table,
+// other lines, chart).
 //
-// The names of columns are the fields of the balancer's summary line; operators search for them, so they stay as they are.
+// The names of columns are the fields of the balancer's summary line; operators search for them, so they stay as they
+// are.
 package days
 
 import (
@@ -63,8 +64,8 @@
 	Seconds   []Second
 }
 
-// Read reads all files of dir with the ending .log. A line that can't be read is counted and skipped; a directory without
-// a single summary is an error.
+// Read reads all files of dir with the ending .log. A line that can't be read is counted and skipped; a directory
+// without a single summary is an error.
 func Read(dir string) (*Day, error) {
 	files, err := logFiles(dir)
 	if err != nil {
@@ -155,8 +156,8 @@
 	l.last, l.lastAt = map[string]float64{}, at
 }
 
-// summary records what was done since the summary before. The state of a second is that of the last summary in it, so it is
-// recorded only when the next second's first summary comes.
+// summary records what was done since the summary before. The state of a second is that of the last summary in it, so
+// it is recorded only when the next second's first summary comes.
 func (l *instanceLog) summary(line logLine) error {
 	figures, err := line.figures()
 	if err != nil {
@@ -241,7 +242,9 @@
 // second is the one that a time in seconds falls in; the day grows to hold it.
 func (d *Day) second(at float64) *Second {
 	for len(d.Seconds) <= int(at) {
-		d.Seconds = append(d.Seconds, Second{Flow: map[string]float64{}, Level: map[string]float64{}, Lines: map[string]int{}})
+		d.Seconds = append(d.Seconds, Second{
+			Flow: map[string]float64{}, Level: map[string]float64{}, Lines: map[string]int{},
+		})
 	}
 	return &d.Seconds[int(at)]
 }
--- a/internal/testbed/days/logline.go
+++ b/internal/testbed/days/logline.go
@@ -82,8 +82,8 @@
 	return figures, nil
 }
 
-// placeByTime counts the seconds of all lines from the day's first line by the lines' own times, if any log has a line that
-// does not start with its second.
+// placeByTime counts the seconds of all lines from the day's first line by the lines' own times, if any log has a
+// line that does not start with its second.
 func placeByTime(logs []logFile) {
 	var first time.Time
 	for _, log := range logs {
--- a/internal/testbed/days/report.go
+++ b/internal/testbed/days/report.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// Table writes the day in Markdown, a row for every step seconds: flows as the mean of a second of all instances together,
-// levels as the mean of an instance at the end.
+// Table writes the day in Markdown, a row for every step seconds: flows as the mean of a second of all instances
+// together, levels as the mean of an instance at the end.
 func (d *Day) Table(out io.Writer, step int) error {
 	step = max(1, step)
 	head := slices.Concat([]string{"second", "marshals", "starts", "build", "on", "back"}, flows, levels)
--- /dev/null
+++ b/internal/testbed/fleet/lease.go
@@ -0,0 +1,79 @@
+package fleet
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"ottershed/internal/admin"
+	"ottershed/internal/cluster/failover"
+	"regexp"
+	"strconv"
+	"strings"
+)
+
+// grantLine finds the fencing token in a log line that grants a lease.
+var grantLine = regexp.MustCompile(`msg="lease (?:acquired|taken over)".* token=(\d+) `)
+
+// Leases are the leases and their holders as an instance knows them.
+func (f *Fleet) Leases(ctx context.Context, i int) (leases []failover.LeaseStatus, err error) {
+	raw, err := admin.Call(ctx, f.Admin(i), "/work", []byte("{}"))
+	if err != nil {
+		return nil, err
+	}
+	err = json.Unmarshal(raw, &leases)
+	return leases, err
+}
+
+// Responses sums the responses in the evidence on the candidate of all running instances. Each response is in the
+// evidence of one instance, whichever one received it.
+func (f *Fleet) Responses(ctx context.Context) (responses int, err error) {
+	for i := range f.names {
+		if !f.Process(i).Running() {
+			continue
+		}
+		var evidence failover.EvidenceSummary
+		if err := f.get(ctx, i, "/work/seen", &evidence); err != nil {
+			return 0, err
+		}
+		responses += evidence.Responses
+	}
+	return responses, nil
+}
+
+// TakeOver makes an instance take a lease over, which is named as its admin address takes it.
+func (f *Fleet) TakeOver(ctx context.Context, i int, lease string) error {
+	_, err := admin.Call(ctx, f.Admin(i), "/work/take", []byte(lease))
+	return err
+}
+
+// CheckHeld checks that an instance knows so many leases, each held by a running instance.
+func (f *Fleet) CheckHeld(ctx context.Context, at, want int) error {
+	leases, err := f.Leases(ctx, at)
+	if err != nil {
+		return err
+	}
+	for _, lease := range leases {
+		holder, err := Number(lease.Holder)
+		if err != nil || lease.Expired || !f.Process(holder).Running() {
+			return fmt.Errorf("%+v has no running holder", lease)
+		}
+	}
+	if len(leases) != want {
+		return fmt.Errorf("%d leases, want %d: %+v", len(leases), want, leases)
+	}
+	return nil
+}
+
+// Number is the number of the instance of a name.
+func Number(name string) (int, error) { return strconv.Atoi(strings.TrimPrefix(name, "n")) }
+
+// Grants counts by fencing token how often it was granted, by the instances' logs.
+func (f *Fleet) Grants() map[string]int {
+	grants := map[string]int{}
+	for i := range f.names {
+		for _, match := range grantLine.FindAllStringSubmatch(f.Process(i).Output(), -1) {
+			grants[match[1]]++
+		}
+	}
+	return grants
+}
--- a/internal/testbed/platform/platform.go
+++ b/internal/testbed/platform/platform.go
@@ -8,8 +8,8 @@
 //	stand.SetBuild(stand.Endpoints()[0], 2)                                // one of them runs the candidate
 //	stand.Controller().SetStage(platform.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
 //
-// Files: platform.go (start, end, figures over all endpoints), endpoint.go (an endpoint), discovery.go (the endpoint list
-// and its watch), controller.go (the rollout controller).
+// Files: platform.go (start, end, figures over all endpoints), endpoint.go (an endpoint), discovery.go (the endpoint
+// list and its watch), controller.go (the rollout controller).
 package platform
 
 import (
