--- /dev/null
+++ b/cmd/balancer/instance_test.go
@@ -0,0 +1,13 @@
+package main
+
+import "testing"
+
+// An instance that can't listen returns an error.
+func TestStartFails(t *testing.T) {
+	platform := newPlatform(t)
+	cfg := platform.config(t)
+	cfg.Listen = platform.controllerAddress() // taken
+	if err := <-startServer(t, cfg).ended; err == nil {
+		t.Error("served on a taken address")
+	}
+}
