--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -1,6 +1,6 @@
 package engine
 
-// Carrying out the module's actions.
+// Execution of the module's actions.
 
 import (
 	"container/heap"
@@ -10,7 +10,7 @@
 	"ottershed/decision"
 )
 
-// perform carries out actions in order.
+// perform carries out the module's actions in order.
 func (c *core) perform(now decision.Millis, actions []decision.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -35,8 +35,8 @@
 		case decision.Log:
 			c.log.Info(action.Text)
 		case decision.StartHealthCheck:
-			c.refuseHealthCheck(action)
-		case decision.SendToPeer: // the protocol has no messages between balancers
+			c.endHealthCheckUnsent(action)
+		case decision.SendToPeer: // the protocol has no messages between instances
 		}
 	}
 }
@@ -47,8 +47,8 @@
 	c.controller.Vote(vote)
 }
 
-// refuseHealthCheck ends a health check as not sent: the protocol has none.
-func (c *core) refuseHealthCheck(check decision.StartHealthCheck) {
+// endHealthCheckUnsent reports a health check to the module as not sent, because the protocol has no health checks.
+func (c *core) endHealthCheckUnsent(check decision.StartHealthCheck) {
 	c.stats.counters.HealthChecks++
 	c.followUps = append(c.followUps, decision.HealthCheckEnded{Endpoint: check.Endpoint, Outcome: decision.NotSent})
 }
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -1,6 +1,6 @@
 package engine
 
-// Addresses of the endpoints, as the endpoint list has them.
+// Endpoints and their addresses, from the endpoint list.
 
 import (
 	"github.com/sirupsen/logrus"
@@ -29,17 +29,17 @@
 	c.dispatch(now, event)
 }
 
-// setEndpoint takes one entry of the endpoint list.
+// setEndpoint applies one entry of the endpoint list.
 func (c *core) setEndpoint(endpoint Endpoint) {
 	if endpoint.State == decision.Removed {
 		c.removeEndpoint(endpoint.ID)
 		return
 	}
 	if endpoint.State == decision.Draining {
-		endpoint.Address = "" // no new attempts
+		endpoint.Address = "" // prevents new attempts
 	}
-	// Another start or build is another process at the same address: idle connections to the earlier one are reset
-	// on the next attempt, or never answered.
+	// Another start time or build means a new process, possibly at the same address. On an idle connection to the old
+	// process, the next attempt would be reset or never get a response.
 	before := c.endpoints[endpoint.ID]
 	if before.Address != endpoint.Address || before.Started != endpoint.Started || before.Build != endpoint.Build {
 		c.upstream.SetAddress(endpoint.ID, endpoint.Address)
@@ -55,8 +55,8 @@
 	c.upstream.SetAddress(id, "")
 }
 
-// cancelUnsentForBuild ends attempts to a build that are not yet sent. A lower exposure limit applies after a grace
-// period; where connecting takes longer than that, attempts that the earlier limit allowed would exceed it.
+// cancelUnsentForBuild cancels unsent attempts to endpoints of a build. A lower exposure cap applies after a grace
+// period. Where connecting takes longer than that, attempts that the earlier cap allowed would exceed the new one.
 func (c *core) cancelUnsentForBuild(build decision.Build) {
 	for id, endpoint := range c.endpoints {
 		if endpoint.Build == build && endpoint.Address != "" {
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -7,18 +7,18 @@
 	"ottershed/decision"
 )
 
-func TestEndpointUpdates(t *testing.T) {
+func TestEndpointUpdateReachesUpstreamAndModule(t *testing.T) {
 	for name, test := range map[string]struct {
 		update    EndpointUpdate
 		calls     string
 		remaining int
 	}{
-		"same":     {delta(newEndpoint("a", "a:1", decision.Serving)), "", 2},
-		"address":  {delta(newEndpoint("a", "a:2", decision.Serving)), "set address a a:2", 2},
-		"started":  {delta(Endpoint{decision.Endpoint{ID: "a", Started: 7}, "a:1"}), "set address a a:1", 2},
-		"build":    {delta(Endpoint{decision.Endpoint{ID: "a", Build: 7}, "a:1"}), "set address a a:1", 2},
-		"draining": {delta(newEndpoint("a", "a:1", decision.Draining)), "set address a ", 2},
-		"twice": {
+		"unchanged": {delta(newEndpoint("a", "a:1", decision.Serving)), "", 2},
+		"address":   {delta(newEndpoint("a", "a:2", decision.Serving)), "set address a a:2", 2},
+		"started":   {delta(Endpoint{decision.Endpoint{ID: "a", Started: 7}, "a:1"}), "set address a a:1", 2},
+		"build":     {delta(Endpoint{decision.Endpoint{ID: "a", Build: 7}, "a:1"}), "set address a a:1", 2},
+		"draining":  {delta(newEndpoint("a", "a:1", decision.Draining)), "set address a ", 2},
+		"two entries for one endpoint": {
 			delta(newEndpoint("a", "a:2", decision.Serving), newEndpoint("a", "a:2", decision.Draining)),
 			"set address a a:2,set address a ", 2,
 		},
@@ -32,35 +32,36 @@
 			h := newHarness()
 			h.deliver(endpointsReceived{test.update})
 			calls := strings.Join(h.calls, ",")
-			if calls == "set address b ,set address a " { // in the order of a map
+			if calls == "set address b ,set address a " { // map order
 				calls = "set address a ,set address b "
 			}
 			got := h.module.received[0].(decision.EndpointsChanged)
 			if calls != test.calls || len(h.endpoints) != test.remaining || got.Kind != test.update.Kind ||
 				got.Version != test.update.Version || len(got.Endpoints) != len(test.update.Endpoints) {
-				t.Errorf("calls %q, want %q; %d endpoints left, want %d; received %+v", calls, test.calls, len(h.endpoints),
-					test.remaining, got)
+				t.Errorf("calls: got %q, want %q; endpoints: got %d, want %d; event: got %+v", calls, test.calls,
+					len(h.endpoints), test.remaining, got)
 			}
 			h.request(decision.StartAttempt{Request: 1, Endpoint: "a"})
-			if sends := len(h.attempts) == 1; sends != (h.endpoints["a"].Address != "") {
-				t.Errorf("a takes an attempt: %v, at %q", sends, h.endpoints["a"].Address)
+			if started := len(h.attempts) == 1; started != (h.endpoints["a"].Address != "") {
+				t.Errorf("attempt to endpoint a: got started %v with address %q", started, h.endpoints["a"].Address)
 			}
 		})
 	}
 }
 
-// A lower exposure limit of a build cancels its attempts that are not yet sent; no other stage update does.
-func TestLowerExposureCap(t *testing.T) {
+// Attempts that an earlier exposure cap allowed must not be sent when a lower cap already applies. No other stage
+// update cancels attempts.
+func TestLowerExposureCapCancelsUnsentAttempts(t *testing.T) {
 	for name, test := range map[string]struct {
 		update decision.StageUpdate
 		calls  string
 	}{
 		"lower":         {decision.StageUpdate{Build: 7, Phase: decision.InTrial, ExposureCap: 0.1}, "cancel unsent b"},
 		"rolling back":  {decision.StageUpdate{Build: 7, Phase: decision.RollingBack}, "cancel unsent b"},
-		"the same":      {decision.StageUpdate{Build: 7, Phase: decision.InTrial, ExposureCap: 0.25}, ""},
+		"unchanged":     {decision.StageUpdate{Build: 7, Phase: decision.InTrial, ExposureCap: 0.25}, ""},
 		"higher":        {decision.StageUpdate{Build: 7, Phase: decision.InTrial, ExposureCap: 0.6}, ""},
 		"another build": {decision.StageUpdate{Build: 8, Phase: decision.InTrial, ExposureCap: 0.1}, ""},
-		"a failed vote": {decision.StageUpdate{IsVoteResult: true, VoteResult: decision.VoteTimedOut}, ""},
+		"failed vote":   {decision.StageUpdate{IsVoteResult: true, VoteResult: decision.VoteTimedOut}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness()
@@ -71,7 +72,7 @@
 			h.deliver(eventReceived{decision.StageUpdate{Build: 7, Phase: decision.InTrial, ExposureCap: 0.25}})
 			h.calls = nil
 			if h.deliver(eventReceived{test.update}); strings.Join(h.calls, ",") != test.calls {
-				t.Errorf("calls %q, want %q", h.calls, test.calls)
+				t.Errorf("calls: got %q, want %q", h.calls, test.calls)
 			}
 		})
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,24 +1,24 @@
-// Package engine is the event loop that owns the decision module of an instance. One goroutine hands the module
-// every event with the time and carries out the actions that it returns; everything else reaches that goroutine
-// through a queue.
+// Package engine runs the event loop of an instance. The loop's goroutine owns the decision module: it passes each
+// event with the current time to the module and carries out the actions that the module returns. All other goroutines
+// send messages to the loop through a queue.
 //
-// Make an [Engine] with [New], name the parts that carry out actions with [Engine.Connect], and then call
-// [Engine.Run]. The other methods may be called from any goroutine; none of them waits for the event loop but
-// [Engine.Stats] and [Engine.Evidence], which wait until it has replied or their context ends.
+// Create an [Engine] with [New], set the components that carry out actions with [Engine.Connect], and then call
+// [Engine.Run]. The other methods may be called from any goroutine. Only [Engine.Stats] and [Engine.Evidence] wait for
+// the event loop, until it has replied or their context ends.
 //
-//	file          concern
+//	file          contents
 //	engine.go     construction, entry points, event loop
-//	queue.go      the queue to the event loop, with its two priorities
-//	lateness.go   log line for an event loop that is behind
-//	messages.go   messages in the queue, and their handlers
-//	actions.go    carrying out the module's actions
+//	queue.go      message queue of the event loop, with two priorities
+//	lag.go        warning about an event loop that is behind schedule
+//	messages.go   messages in the queue and their handlers
+//	actions.go    execution of the module's actions
 //	requests.go   open requests and their attempts
-//	endpoints.go  addresses of the endpoints
-//	timers.go     the module's timers
+//	endpoints.go  endpoints and their addresses
+//	timers.go     timers of the module
 //	recovery.go   restart of the module after a panic
 //	stats.go      counters
-//	events.go     names of the module's events in the log
-//	types.go      what goes in and out of the package
+//	events.go     names of events in the log
+//	types.go      types and interfaces of the package's callers
 package engine
 
 import (
@@ -31,40 +31,41 @@
 	"ottershed/internal/clock"
 )
 
-// Engine is the event loop with its queue.
+// Engine is an event loop with its message queue.
 type Engine struct {
-	core     *core
-	clock    *clock.Clock
-	lateness lateness
-	queue    *queue
+	core  *core
+	clock *clock.Clock
+	lag   lagMonitor
+	queue *queue
 }
 
-// core is the module with its surroundings. It does no I/O of its own and starts no goroutine: it takes messages in
-// order with the time, and acts through the interfaces. It belongs to the event loop's goroutine.
+// core handles the messages of the event loop and holds the decision module with the state around it. It does no I/O
+// of its own and starts no goroutines: the caller passes the current time, and effects go through the interfaces. Only
+// the event loop's goroutine may use it.
 type core struct {
 	module     module
 	upstream   Upstream
 	controller Controller
 	discovery  Discovery
 	log        logrus.FieldLogger
-	post       func(message) // to the queue
+	post       func(message) // appends to the queue
 
 	requests  requestTable
-	endpoints map[decision.EndpointID]Endpoint // by the endpoint list; draining ones have no address
+	endpoints map[decision.EndpointID]Endpoint // from the endpoint list; a draining endpoint has no address
 	timers    timers
 	recovery  recovery
-	followUps []decision.Event // events that actions caused; the module gets them after these actions
+	followUps []decision.Event // events caused by the current actions; passed to the module after them
 	stats     statsCounter
 }
 
-// module is the decision module.
+// module is the interface of the decision module.
 type module interface {
 	Handle(now decision.Millis, event decision.Event) []decision.Action
 }
 
-// New makes an engine that tells the time by the clock. The seed is that of the module's random choices.
+// New creates an engine that reads the time from c. The seed determines the module's random choices.
 func New(s decision.Settings, seed uint64, c *clock.Clock, log logrus.FieldLogger) *Engine {
-	e := &Engine{clock: c, lateness: newLateness(s.Classes, log), queue: newQueue()}
+	e := &Engine{clock: c, lag: newLagMonitor(s.Classes, log), queue: newQueue()}
 	start := func(seed uint64) module { return decision.New(s, seed) }
 	e.core = newCore(start, seed, e.post, log)
 	for _, class := range s.Classes {
@@ -80,44 +81,46 @@
 		post:      post,
 		requests:  requestTable{open: map[decision.RequestID]*openRequest{}},
 		endpoints: map[decision.EndpointID]Endpoint{},
-		recovery:  recovery{start: start, seed: seed, restartedAt: neverRestarted},
+		recovery:  recovery{newModule: start, seed: seed, restartedAt: neverRestarted},
 		stats:     statsCounter{objectives: map[decision.ClassName]decision.Millis{}},
 	}
 }
 
-// Connect names the parts that carry out what the module decides. It comes before Run.
+// Connect sets the components that carry out the module's actions. It must be called before Run.
 func (e *Engine) Connect(upstream Upstream, controller Controller, discovery Discovery) {
 	e.core.upstream = upstream
 	e.core.controller = controller
 	e.core.discovery = discovery
 }
 
-// ReceiveRequest hands over a request that was received completely.
+// ReceiveRequest queues a client's request whose body has been read completely.
 func (e *Engine) ReceiveRequest(request *ClientRequest) { e.post(requestReceived{request}) }
 
-// ClientDisconnected says that the client of a request has left.
+// ClientDisconnected reports that the client of a request has disconnected.
 func (e *Engine) ClientDisconnected(request *ClientRequest) { e.post(clientDisconnected{request}) }
 
-// UpdateEndpoints hands over the endpoint list, or changes of it.
+// UpdateEndpoints queues a new endpoint list or a change to the current one.
 func (e *Engine) UpdateEndpoints(update EndpointUpdate) { e.post(endpointsReceived{update}) }
 
-// HandleEvent hands over an event from the rollout controller.
+// HandleEvent queues an event of the rollout controller for the module.
 func (e *Engine) HandleEvent(event decision.Event) { e.post(eventReceived{event}) }
 
-// UpdateSettings hands over new settings of the deployment. Requests that are open stay open.
+// UpdateSettings queues new settings of the deployment. Open requests continue.
 func (e *Engine) UpdateSettings(s decision.Settings) {
 	e.post(eventReceived{decision.SettingsChanged{Settings: s}})
 }
 
-// AcquireEvidence hands over the evidence of an instance that has left, once.
+// AcquireEvidence queues the evidence that this instance takes over from one that has left. It must be called once for
+// each takeover, because the module adds the evidence to its own.
 func (e *Engine) AcquireEvidence(evidence decision.Evidence) {
 	e.post(eventReceived{decision.EvidenceAcquired{Evidence: evidence}})
 }
 
-// RevokeEvidence says that another instance has acquired the evidence of this one.
+// RevokeEvidence reports that another instance has taken over the evidence of this one.
 func (e *Engine) RevokeEvidence() { e.post(eventReceived{decision.EvidenceRevoked{}}) }
 
-// Evidence returns what the module has observed of the candidate; false if there is none, or if ctx ends first.
+// Evidence returns what the module has observed of the candidate. It returns false without a candidate, or if ctx ends
+// before the event loop replies.
 func (e *Engine) Evidence(ctx context.Context) (decision.Evidence, bool) {
 	reply := make(chan *decision.Evidence, 1)
 	e.post(evidenceRequested{reply})
@@ -131,7 +134,8 @@
 	return decision.Evidence{}, false
 }
 
-// Stats returns the counters and the module's status as they are now; false if ctx ends first.
+// Stats returns the current counters and the module's status. It returns false if ctx ends before the event loop
+// replies.
 func (e *Engine) Stats(ctx context.Context) (Stats, bool) {
 	reply := make(chan Stats, 1)
 	e.post(statsRequested{reply})
@@ -145,7 +149,7 @@
 
 func (e *Engine) post(msg message) { e.queue.post(msg, e.clock.Now()) }
 
-// Run is the event loop. It ends with ctx.
+// Run runs the event loop until ctx ends.
 func (e *Engine) Run(ctx context.Context) {
 	wake := time.NewTimer(0)
 	defer wake.Stop()
@@ -154,13 +158,13 @@
 		msg, waiting := e.queue.next()
 		handled := msg.message != nil
 		if handled {
-			e.lateness.observe(now, now-msg.queuedAt, waiting, "queue")
+			e.lag.observe(now, now-msg.queuedAt, waiting, "queue")
 			e.core.handle(now, msg.message)
 		}
-		// Timers are checked between any two messages: a flood of requests would delay them without bound otherwise.
+		// Due timers run between any two messages. Otherwise a flood of requests would delay them without bound.
 		at, pending := e.core.timers.next()
 		if pending && at <= now {
-			e.lateness.observe(now, now-at, waiting, "timer")
+			e.lag.observe(now, now-at, waiting, "timer")
 			e.core.fireTimers(now)
 			continue
 		}
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -1,11 +1,11 @@
 package engine
 
-// Names of the module's events in the log.
+// Names of events in the log.
 
 import "ottershed/decision"
 
-// eventName is the name of an event in the log line of a panic. The names are fixed, apart from those of the types,
-// so that searches in logs find them after a type was renamed.
+// eventName returns the name of an event for the log line of a panic. The names don't follow the names of the types, so
+// that a search in logs still finds an event after its type has been renamed.
 func eventName(event decision.Event) string {
 	switch event.(type) {
 	case decision.EndpointsChanged:
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -11,19 +11,19 @@
 	"ottershed/internal/golden"
 )
 
-// logged records the lines of a log.
-type logged struct{ lines []*logrus.Entry }
+// logRecorder is a logrus hook that records the entries of a log.
+type logRecorder struct{ entries []*logrus.Entry }
 
-func (l *logged) Levels() []logrus.Level { return logrus.AllLevels }
+func (l *logRecorder) Levels() []logrus.Level { return logrus.AllLevels }
 
-func (l *logged) Fire(line *logrus.Entry) error {
-	l.lines = append(l.lines, line)
+func (l *logRecorder) Fire(line *logrus.Entry) error {
+	l.entries = append(l.entries, line)
 	return nil
 }
 
-// The fields of the log line about a panic in the decision module are those of the golden file, for each kind of event:
-// searches in logs rely on these names. The stack in its text varies and is left out.
-func TestGoldenPanics(t *testing.T) {
+// Operators search logs by the fields of the line about a panic in the decision module, so the fields are compared with
+// the golden file for each kind of event. The line's text contains a stack and is not compared.
+func TestGoldenPanicLogFields(t *testing.T) {
 	observed := ""
 	for _, event := range []decision.Event{
 		decision.EndpointsChanged{},
@@ -41,18 +41,18 @@
 		decision.ControllerCounts{},
 		decision.ResponseFlagged{},
 	} {
-		h, lines := newHarness(), &logged{}
+		h, lines := newHarness(), &logRecorder{}
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		log.AddHook(lines)
 		h.log = log
 		h.module.panicNext = true
 		h.callModule(h.now, event)
-		if len(lines.lines) == 0 {
-			t.Fatal("nothing was logged")
+		if len(lines.entries) == 0 {
+			t.Fatal("got no log line, want one about the panic")
 		}
-		fields := lines.lines[0].Data
-		observed += fmt.Sprintf("level=%s event=%v open=%v panic=%v\n", lines.lines[0].Level, fields["event"],
+		fields := lines.entries[0].Data
+		observed += fmt.Sprintf("level=%s event=%v open=%v panic=%v\n", lines.entries[0].Level, fields["event"],
 			fields["open"], fields["panic"])
 	}
 	if err := golden.Check("testdata/panics.golden", []byte(observed)); err != nil {
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -9,11 +9,11 @@
 	"ottershed/decision"
 )
 
-// fakeModule is a module that returns the actions that a test sets, and records the events.
+// fakeModule is a module that records events and returns the actions that the test has set.
 type fakeModule struct {
 	received  []decision.Event
-	actions   []decision.Action // at the next event
-	panicNext bool              // at the next event
+	actions   []decision.Action // returned for the next event
+	panicNext bool              // panic at the next event
 }
 
 func (m *fakeModule) Handle(_ decision.Millis, e decision.Event) []decision.Action {
@@ -27,16 +27,17 @@
 	return actions
 }
 
-// harness is a core on a fake clock, and what its module connects it to.
+// harness runs a core with a fake clock and a fake module. It is also the upstream, controller and discovery of that
+// core, and records their calls.
 type harness struct {
 	*core
 	module   *fakeModule
 	now      decision.Millis
-	calls    []string // of upstream, controller and discovery
+	calls    []string // to upstream, controller and discovery
 	attempts []Attempt
 	posted   []message
 	results  []string
-	starts   int // of the module
+	starts   int // how often a module was started
 }
 
 func newHarness() *harness {
@@ -68,28 +69,29 @@
 	return EndpointUpdate{Kind: decision.Delta, Endpoints: endpoints}
 }
 
-// note records a call.
-func (h *harness) note(format string, args ...any) {
+// record appends a call to h.calls.
+func (h *harness) record(format string, args ...any) {
 	h.calls = append(h.calls, fmt.Sprintf(format, args...))
 }
 
 func (h *harness) StartAttempt(attempt Attempt) func() {
 	h.attempts = append(h.attempts, attempt)
 	number := len(h.attempts)
-	h.note("start %d at %s %s until %g", number, attempt.Endpoint, attempt.Address, attempt.Deadline)
-	return func() { h.note("cancel %d", number) }
+	h.record("start %d at %s %s until %g", number, attempt.Endpoint, attempt.Address, attempt.Deadline)
+	return func() { h.record("cancel %d", number) }
 }
 
 func (h *harness) SetAddress(id decision.EndpointID, address string) {
-	h.note("set address %s %s", id, address)
+	h.record("set address %s %s", id, address)
 }
-func (h *harness) CancelUnsent(id decision.EndpointID) { h.note("cancel unsent %s", id) }
-func (h *harness) CloseIdle(id decision.EndpointID)    { h.note("close idle %s", id) }
-func (h *harness) Vote(v decision.Vote)                { h.note("vote %d %d %d", v.Build, v.Stage, v.Verdict) }
-func (h *harness) ResumeWatch()                        { h.note("resume watch") }
-func (h *harness) Resolve()                            { h.note("resolve") }
+func (h *harness) CancelUnsent(id decision.EndpointID) { h.record("cancel unsent %s", id) }
+func (h *harness) CloseIdle(id decision.EndpointID)    { h.record("close idle %s", id) }
+func (h *harness) Vote(v decision.Vote)                { h.record("vote %d %d %d", v.Build, v.Stage, v.Verdict) }
+func (h *harness) ResumeWatch()                        { h.record("resume watch") }
+func (h *harness) Resolve()                            { h.record("resolve") }
 
-// deliver hands the core a message, to which the module replies with these actions, and then what the core posted.
+// deliver passes a message to the core, and then the messages that the core posts. The module returns the actions for
+// the first event.
 func (h *harness) deliver(msg message, actions ...decision.Action) {
 	h.module.actions = actions
 	h.handle(h.now, msg)
@@ -99,7 +101,7 @@
 	}
 }
 
-// request delivers a request, to which the module replies with these actions.
+// request delivers a new request, for which the module returns the actions.
 func (h *harness) request(actions ...decision.Action) *ClientRequest {
 	index := len(h.results)
 	h.results = append(h.results, "")
--- a/internal/engine/messages.go
+++ b/internal/engine/messages.go
@@ -1,6 +1,6 @@
 package engine
 
-// Messages in the queue, and their handlers.
+// Messages in the queue and their handlers.
 
 import (
 	"github.com/sirupsen/logrus"
@@ -8,7 +8,7 @@
 	"ottershed/decision"
 )
 
-// message is what reaches the event loop through the queue. Each concrete type is one kind, with one handler.
+// message is a message in the queue to the event loop. Each kind of message is a type with one handler.
 type message interface{ message() }
 
 type (
@@ -22,7 +22,7 @@
 	endpointsReceived struct{ update EndpointUpdate }
 	eventReceived     struct{ event decision.Event }
 
-	// The reply channels have a buffer of one, so that the event loop doesn't block.
+	// Reply channels have a buffer of one, so that the event loop doesn't block when the caller has stopped waiting.
 	evidenceRequested struct{ reply chan<- *decision.Evidence }
 	statsRequested    struct{ reply chan<- Stats }
 )
@@ -35,7 +35,7 @@
 func (evidenceRequested) message()  {}
 func (statsRequested) message()     {}
 
-// handle takes one message.
+// handle processes one message.
 func (c *core) handle(now decision.Millis, msg message) {
 	switch msg := msg.(type) {
 	case requestReceived:
@@ -55,18 +55,18 @@
 	}
 }
 
-// handleEvent keeps what the module needs again after a restart, and hands it the event.
+// handleEvent saves the stage and the settings for a restart of the module, and passes the event to the module.
 func (c *core) handleEvent(now decision.Millis, event decision.Event) {
 	switch event := event.(type) {
 	case decision.StageUpdate:
-		c.noteStageUpdate(now, event)
+		c.recordStageUpdate(now, event)
 	case decision.SettingsChanged:
 		c.recovery.settings = &event
 	}
 	c.dispatch(now, event)
 }
 
-func (c *core) noteStageUpdate(now decision.Millis, update decision.StageUpdate) {
+func (c *core) recordStageUpdate(now decision.Millis, update decision.StageUpdate) {
 	c.log.WithFields(logrus.Fields{
 		"build": update.Build, "stage": update.Stage, "phase": update.Phase, "cap": update.ExposureCap,
 		"age_ms": update.Age, "to_vote": update.IsVoteResult, "fate": update.VoteResult,
@@ -82,14 +82,15 @@
 	}
 }
 
-// evidenceSource is a module that hands over what it has observed. The decision module is one; those of tests need not be.
+// evidenceSource is a module that returns its observations of the candidate. The decision module implements it; modules
+// of tests need not.
 type evidenceSource interface {
 	Evidence() (decision.Evidence, bool)
 }
 
 var _ evidenceSource = (*decision.Balancer)(nil)
 
-// evidence returns what the module has observed of the candidate; nil if there is none.
+// evidence returns what the module has observed of the candidate, or nil without a candidate.
 func (c *core) evidence() *decision.Evidence {
 	source, ok := c.module.(evidenceSource)
 	if !ok {
@@ -102,7 +103,8 @@
 	return &evidence
 }
 
-// dispatch hands the module an event, carries out what it returns, and goes on with the events that this caused.
+// dispatch passes an event to the module and carries out the returned actions, then does the same with each event that
+// these actions caused.
 func (c *core) dispatch(now decision.Millis, event decision.Event) {
 	for {
 		c.perform(now, c.callModule(now, event))
--- a/internal/engine/queue.go
+++ b/internal/engine/queue.go
@@ -1,6 +1,6 @@
 package engine
 
-// The queue to the event loop.
+// Message queue of the event loop.
 
 import (
 	"sync"
@@ -8,13 +8,13 @@
 	"ottershed/decision"
 )
 
-// queue holds the messages that the event loop has not taken yet. It has no limit of its own: it holds at most one
-// message for each open request, attempt and event of a reader, and those are limited.
+// queue holds the messages that wait for the event loop. It has no limit of its own: each open request, attempt and
+// event of a reader accounts for at most one message, and their numbers are limited elsewhere.
 //
-// Endpoint lists, the rollout controller's events and queries pass requests that wait, so that decisions rest on the
-// newest state even under load. Within a priority the order is that of arrival.
+// Endpoint lists, events of the rollout controller and queries have priority over messages about requests, so that
+// decisions use the newest state even under load. Messages of one priority keep their order.
 type queue struct {
-	notify chan struct{} // a message was posted; one pending notification is enough
+	notify chan struct{} // signals a new message; holds at most one signal
 
 	mu       sync.Mutex
 	priority []queuedMessage
@@ -51,7 +51,8 @@
 	return false
 }
 
-// next takes the oldest message of the higher priority and tells how many remain. Without one, its message is nil.
+// next removes the oldest message of the highest priority, and returns it with the number of messages that remain. The
+// message is nil if the queue is empty.
 func (q *queue) next() (msg queuedMessage, remaining int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -68,10 +69,10 @@
 		return queuedMessage{}, false
 	}
 	first = list[0]
-	list[0] = queuedMessage{} // the array outlives the message
+	list[0] = queuedMessage{} // lets the collector free the message while the array is in use
 	list = list[1:]
 	if len(list) == 0 {
-		list = nil // gives the array back
+		list = nil // lets the collector free the array
 	}
 	*messages = list
 	return first, true
--- a/internal/engine/queue_test.go
+++ b/internal/engine/queue_test.go
@@ -11,8 +11,8 @@
 	"ottershed/internal/clock"
 )
 
-// Events pass requests that wait, and each priority keeps its order.
-func TestQueueOrder(t *testing.T) {
+// Events overtake waiting requests, and messages of one priority keep their order.
+func TestEventsOvertakeWaitingRequests(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	settings := decision.Settings{
@@ -35,6 +35,6 @@
 		}
 	}
 	if got != "2413" {
-		t.Errorf("order %s, want 2413", got)
+		t.Errorf("order: got %s, want 2413", got)
 	}
 }
--- a/internal/engine/recovery.go
+++ b/internal/engine/recovery.go
@@ -13,25 +13,26 @@
 
 const neverRestarted decision.Millis = -1
 
-// recovery is what a restart of the module needs.
+// recovery holds what is needed to restart the module.
 type recovery struct {
-	start       func(seed uint64) module
-	seed        uint64          // of the module that runs; each restart takes the next one
-	restartedAt decision.Millis // neverRestarted: it has not been
+	newModule   func(seed uint64) module
+	seed        uint64          // of the running module; each restart increments it
+	restartedAt decision.Millis // of the last restart, or neverRestarted
 
-	stage           *decision.StageUpdate // the newest; nil: none
+	stage           *decision.StageUpdate // the newest; nil before the first
 	stageReceivedAt decision.Millis
-	settings        *decision.SettingsChanged // the newest; nil: those of the start
+	settings        *decision.SettingsChanged // the newest; nil while those of the start apply
 }
 
-// callModule hands the module an event. A panic there fails the open requests and restarts the module; without
-// this it would end the process with all connections. Attempts that were sent are not repeated.
+// callModule passes an event to the module and returns the module's actions. After a panic of the module it fails the
+// open requests and restarts the module, because the panic would otherwise end the process and all its connections.
+// Attempts that were sent are not repeated.
 func (c *core) callModule(now decision.Millis, event decision.Event) (actions []decision.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			c.log.WithFields(logrus.Fields{
 				"panic": fmt.Sprint(p), "event": eventName(event), "open": len(c.requests.open),
-			}).Errorf("module panicked, starts anew\n%s", debug.Stack())
+			}).Errorf("module panicked, restarting\n%s", debug.Stack())
 			actions = nil
 			c.restart(now)
 		}
@@ -39,7 +40,7 @@
 	return c.module.Handle(now, event)
 }
 
-// restart fails all open requests, cancels their attempts and starts the module with the newest state.
+// restart fails all open requests, cancels their attempts, and starts a new module with the newest state.
 func (c *core) restart(now decision.Millis) {
 	for id, open := range c.requests.open {
 		c.respond(now, open, Result{Kind: Failed})
@@ -53,9 +54,9 @@
 	c.timers = nil
 	c.followUps = nil
 	c.recovery.seed++
-	c.module = c.recovery.start(c.recovery.seed)
-	// A second panic at the same moment is one at the state that the first restart has replayed: replayed again, it
-	// would repeat without end.
+	c.module = c.recovery.newModule(c.recovery.seed)
+	// A second panic at the same time was caused by the state that the first restart replayed. Replaying that state
+	// again would cause panics without end.
 	repeated := c.recovery.restartedAt == now
 	c.recovery.restartedAt = now
 	if !repeated {
@@ -63,7 +64,7 @@
 	}
 }
 
-// replayState queues the newest settings, endpoint list and stage for the module.
+// replayState queues the newest settings, endpoint list and stage as events for the module.
 func (c *core) replayState(now decision.Millis) {
 	if c.recovery.settings != nil {
 		c.followUps = append(c.followUps, *c.recovery.settings)
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -4,18 +4,18 @@
 
 import "ottershed/decision"
 
-// requestTable holds the open requests. One leaves it when it has its result and all its attempts have ended.
+// requestTable holds the open requests. A request is removed when it has its result and all its attempts have ended.
 type requestTable struct {
 	lastID decision.RequestID
 	open   map[decision.RequestID]*openRequest
 }
 
-// openRequest is a request that waits for its result or for the end of attempts.
+// openRequest is a request that waits for its result or for the end of its attempts.
 type openRequest struct {
 	request  *ClientRequest
-	deadline decision.Millis // when the client gives up
-	finished bool            // it has its result, or its client has left
-	attempts []attempt       // by their index in the module's events
+	deadline decision.Millis // time at which the client gives up
+	finished bool            // the result was sent, or the client has disconnected
+	attempts []attempt       // indexed as in the module's events
 	inFlight int             // attempts that have not ended
 }
 
@@ -26,7 +26,7 @@
 	ended     bool
 }
 
-// add gives a request an id that no open request has, and opens it.
+// add adds a request under an id that no other open request has.
 func (r *requestTable) add(request *ClientRequest, deadline decision.Millis) {
 	r.lastID++
 	for r.open[r.lastID] != nil { // ids wrap around
@@ -36,7 +36,7 @@
 	r.open[request.id] = &openRequest{request: request, deadline: deadline}
 }
 
-// removeIfDone drops a request that has its result and has no attempts in flight.
+// removeIfDone removes a request that has its result and no attempt in flight.
 func (r *requestTable) removeIfDone(id decision.RequestID, open *openRequest) {
 	if open.finished && open.inFlight == 0 {
 		delete(r.open, id)
@@ -64,7 +64,8 @@
 	c.requests.removeIfDone(request.id, open)
 }
 
-// startAttempt starts an attempt. One that cannot be sent ends as not sent, through the queue like any other.
+// startAttempt starts an attempt. An attempt that cannot be sent ends with NotSent, reported through the queue like any
+// other outcome.
 func (c *core) startAttempt(now decision.Millis, start decision.StartAttempt) {
 	open := c.requests.open[start.Request]
 	if open == nil {
@@ -101,11 +102,11 @@
 	}
 }
 
-// handleAttemptEnd takes the outcome of an attempt. The first one that succeeded is the request's result.
+// handleAttemptEnd handles the outcome of an attempt. The first successful response is the request's result.
 func (c *core) handleAttemptEnd(now decision.Millis, msg attemptEnded) {
 	open := c.requests.open[msg.id]
 	if open == nil || msg.attempt >= len(open.attempts) || open.attempts[msg.attempt].ended {
-		return // of a request that a restart of the module has ended
+		return // a restart of the module has ended the request
 	}
 	ended := &open.attempts[msg.attempt]
 	ended.ended = true
@@ -126,9 +127,8 @@
 	c.requests.removeIfDone(msg.id, open)
 }
 
-// cancelUnsentForKey ends attempts of a sticky key that are not yet sent, where they go to builds earlier than the
-// one that has just responded. Over a connection that is established late, such an attempt would take the key back
-// to an earlier build.
+// cancelUnsentForKey cancels unsent attempts of a sticky key to endpoints of earlier builds than the one that has just
+// responded. Otherwise an attempt that still waits for its connection would take the key back to an earlier build.
 func (c *core) cancelUnsentForKey(key decision.Key, build decision.Build) {
 	for _, open := range c.requests.open {
 		if open.request.Key != key {
@@ -143,7 +143,7 @@
 	}
 }
 
-// finish gives an open request a result other than a response.
+// finish ends an open request with a result that has no response.
 func (c *core) finish(now decision.Millis, id decision.RequestID, result Result) {
 	if open := c.requests.open[id]; open != nil {
 		c.respond(now, open, result)
@@ -151,7 +151,7 @@
 	}
 }
 
-// respond gives a request its result, unless it has one or its client has left.
+// respond sends a request's result, unless the request has one or its client has disconnected.
 func (c *core) respond(now decision.Millis, open *openRequest, result Result) {
 	if open.finished {
 		return
--- a/internal/engine/simulation_test.go
+++ b/internal/engine/simulation_test.go
@@ -8,20 +8,20 @@
 	"ottershed/decision"
 )
 
-// simulation runs clients and failing endpoints around a core that holds the decision module, on a fake clock.
+// simulation runs clients and failing endpoints against a core with the decision module, on a fake clock.
 type simulation struct {
 	*harness
-	random     *rand.Rand
-	sent       []*simulatedRequest
-	pending    []pendingAttempt
-	mayHaveRun map[*Request]bool // of the non-idempotent requests
-	inFlight   map[*Request]int
-	faults     []string
+	random       *rand.Rand
+	sentRequests []*simulatedRequest
+	pending      []pendingAttempt
+	mayHaveRun   map[*Request]bool // non-idempotent requests that may have run
+	inFlight     map[*Request]int
+	violations   []string
 }
 
 type simulatedRequest struct {
 	*ClientRequest
-	results int
+	resultCount int
 }
 
 type pendingAttempt struct {
@@ -32,11 +32,11 @@
 
 func (s *simulation) StartAttempt(attempt Attempt) func() {
 	if s.mayHaveRun[attempt.Request] {
-		s.faults = append(s.faults, "a non-idempotent request that may have run was retried")
+		s.violations = append(s.violations, "retry of a non-idempotent request that may have run")
 	}
 	s.inFlight[attempt.Request]++
 	if s.inFlight[attempt.Request] > 1 {
-		s.faults = append(s.faults, "two attempts in flight")
+		s.violations = append(s.violations, "two attempts of a request in flight")
 	}
 	pending := pendingAttempt{attempt, min(s.now+s.random.ExpFloat64()*60, attempt.Deadline), new(bool)}
 	s.pending = append(s.pending, pending)
@@ -56,9 +56,9 @@
 	attempt.OnEnd(AttemptResult{Outcome: outcome, EndedAt: s.now, Response: &Response{}})
 }
 
-// endDueAttempts ends the attempts that are due, a quarter of them with a fault.
+// endDueAttempts ends the attempts that are due; about a quarter of them fail.
 func (s *simulation) endDueAttempts() {
-	faults := []decision.Outcome{
+	failures := []decision.Outcome{
 		decision.EndpointFailed, decision.EndpointRejected, decision.Unreachable, decision.ConnectionBroken,
 		decision.TimedOut,
 	}
@@ -70,14 +70,14 @@
 		if attempt.endsAt >= attempt.Deadline {
 			outcome = decision.TimedOut
 		} else if s.random.IntN(4) == 0 {
-			outcome = faults[s.random.IntN(len(faults))]
+			outcome = failures[s.random.IntN(len(failures))]
 		}
 		s.end(attempt, outcome)
 	}
 	s.pending = slices.DeleteFunc(s.pending, func(attempt pendingAttempt) bool { return *attempt.ended })
 }
 
-// sendRequest sends a request, a third of them not idempotent.
+// sendRequest sends a request; about a third of the requests are not idempotent.
 func (s *simulation) sendRequest() {
 	request := &simulatedRequest{ClientRequest: &ClientRequest{
 		Class: "read", Remaining: 500, ReceivedAt: s.now, Request: &Request{Method: "GET"},
@@ -87,12 +87,12 @@
 		request.Request.Method = "POST"
 	}
 	request.Respond = func(Result) {
-		request.results++
+		request.resultCount++
 		if s.now > request.ReceivedAt+request.Remaining+5 {
-			s.faults = append(s.faults, "a late result")
+			s.violations = append(s.violations, "result after the deadline")
 		}
 	}
-	s.sent = append(s.sent, request)
+	s.sentRequests = append(s.sentRequests, request)
 	s.deliver(requestReceived{request.ClientRequest})
 }
 
@@ -104,9 +104,9 @@
 	}
 }
 
-// While endpoints fail in every way and the module restarts once, every request gets one result in time, no
-// non-idempotent request runs twice, and nothing is left at the end.
-func TestDay(t *testing.T) {
+// While endpoints fail in every way and the module restarts once, each request gets one result in time, no
+// non-idempotent request that may have run is sent again, and no request, attempt or timer is leaked.
+func TestEveryRequestEndsOnceDespiteFaultsAndRestart(t *testing.T) {
 	settings := decision.Settings{
 		Instances: 1, Zone: "z", MaxAttempts: 4, CancelAllowed: true, SlowStartFloor: 0.4, OverloadFactor: 3,
 		SlowStartWindow: 4000, OverloadWindow: 1000, ExposureCaps: []float64{1}, Stages: []float64{1}, FreeAttempts: 1,
@@ -121,8 +121,8 @@
 		mayHaveRun: map[*Request]bool{}, inFlight: map[*Request]int{},
 	}
 	starts := 0
-	sim.recovery.start = func(seed uint64) module { starts++; return decision.New(settings, seed) }
-	sim.core.module = sim.recovery.start(1)
+	sim.recovery.newModule = func(seed uint64) module { starts++; return decision.New(settings, seed) }
+	sim.core.module = sim.recovery.newModule(1)
 	sim.upstream = sim
 	sim.deliver(endpointsReceived{snapshot(
 		newEndpoint("a", "a:1", decision.Serving), newEndpoint("b", "b:1", decision.Serving),
@@ -131,7 +131,7 @@
 		if sim.now < 25000 && sim.random.IntN(10) == 0 {
 			sim.sendRequest()
 		}
-		if sim.now == 15000 { // as after a panic
+		if sim.now == 15000 { // as a panic does
 			sim.restart(sim.now)
 			sim.dispatch(sim.now, decision.ResponseFlagged{})
 		}
@@ -139,15 +139,15 @@
 		sim.handlePosted()
 		sim.fireTimers(sim.now)
 	}
-	for _, request := range sim.sent {
-		if request.results != 1 {
-			t.Fatalf("a request got %d results", request.results)
+	for _, request := range sim.sentRequests {
+		if request.resultCount != 1 {
+			t.Fatalf("results of a request: got %d, want 1", request.resultCount)
 		}
 	}
-	left := len(sim.requests.open)
-	if len(sim.faults) > 0 || left > 0 || len(sim.timers) > 1 || len(sim.pending) > 0 || starts != 2 ||
-		len(sim.sent) < 1000 {
-		t.Errorf("faults %v; open %d, timers %d, attempts %d; %d starts, %d requests", sim.faults, left, len(sim.timers),
-			len(sim.pending), starts, len(sim.sent))
+	open := len(sim.requests.open)
+	if len(sim.violations) > 0 || open > 0 || len(sim.timers) > 1 || len(sim.pending) > 0 || starts != 2 ||
+		len(sim.sentRequests) < 1000 {
+		t.Errorf("got violations %v, %d open, %d timers, %d attempts, %d starts, %d requests, want none, 0, <=1, 0, 2, >=1000",
+			sim.violations, open, len(sim.timers), len(sim.pending), starts, len(sim.sentRequests))
 	}
 }
--- a/internal/engine/stats.go
+++ b/internal/engine/stats.go
@@ -1,45 +1,45 @@
 package engine
 
-// Counters.
+// Counters of requests and attempts, and the module's status.
 
 import "ottershed/decision"
 
-// Stats are the counters since the engine's start, and the module's status.
+// Stats holds the counters since the engine's start and the module's current status.
 type Stats struct {
 	Requests            int64
 	RequestsSucceeded   int64
 	RequestsRejected    int64
 	RequestsFailed      int64
-	ObjectivesMissed    int64 // succeeded after the latency objective of their class
-	ClientsDisconnected int64 // before the result
+	ObjectivesMissed    int64 // requests that succeeded later than their class's latency objective
+	ClientsDisconnected int64 // clients that disconnected before their result
 
 	Attempts            int64
 	AttemptsCanceled    int64
-	AttemptsRejected    int64 // by the endpoint
+	AttemptsRejected    int64 // rejected by the endpoint
 	AttemptsUnreachable int64
 	AttemptsBroken      int64 // the connection broke
 	AttemptsTimedOut    int64
-	AttemptsFailed      int64 // the endpoint reported an error, or its response was malformed
+	AttemptsFailed      int64 // the endpoint responded with an error, or the response was malformed
 
 	HealthChecks int64
 	Votes        int64
 	Status       decision.Status
 }
 
-// statusReporter is a module that says how things stand. The decision module is one; those of tests need not be.
+// statusReporter is a module that reports its status. The decision module implements it; modules of tests need not.
 type statusReporter interface {
 	Status() decision.Status
 }
 
 var _ statusReporter = (*decision.Balancer)(nil)
 
-// statsCounter counts, and knows the latency objectives for it.
+// statsCounter updates the counters. It needs the latency objectives to count missed ones.
 type statsCounter struct {
 	counters   Stats
 	objectives map[decision.ClassName]decision.Millis
 }
 
-// currentStats returns the counters, with the module's status if it has one.
+// currentStats returns the counters, with the module's status if the module reports one.
 func (c *core) currentStats() Stats {
 	stats := c.stats.counters
 	if reporter, ok := c.module.(statusReporter); ok {
@@ -48,7 +48,7 @@
 	return stats
 }
 
-// countResult counts the result of a request.
+// countResult counts the result of a request, and whether the request missed its latency objective.
 func (s *statsCounter) countResult(now decision.Millis, kind ResultKind, request *ClientRequest) {
 	switch kind {
 	case Succeeded:
--- a/internal/engine/stats_test.go
+++ b/internal/engine/stats_test.go
@@ -12,7 +12,7 @@
 	"ottershed/internal/clock"
 )
 
-// noUpstream ignores every call.
+// noUpstream is an Upstream that ignores every call.
 type noUpstream struct{}
 
 func (noUpstream) StartAttempt(Attempt) func()            { return func() {} }
@@ -20,8 +20,8 @@
 func (noUpstream) CancelUnsent(decision.EndpointID)       {}
 func (noUpstream) CloseIdle(decision.EndpointID)          {}
 
-// The statistics of an engine hold the status of the real decision module, and its evidence is that module's.
-func TestStatsOfTheModule(t *testing.T) {
+// An engine's Stats contain the status of the decision module, and its Evidence is that of the module.
+func TestStatsAndEvidenceComeFromModule(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	settings := decision.Settings{
@@ -40,9 +40,9 @@
 	go engine.Run(ctx)
 	stats, ok := engine.Stats(ctx)
 	if !ok || stats.Status.Serving != 2 || stats.Status.Build != 8 {
-		t.Errorf("%v: %+v, want two serving endpoints and build 8", ok, stats.Status)
+		t.Errorf("stats: got %v, %+v, want true, two serving endpoints and build 8", ok, stats.Status)
 	}
 	if evidence, ok := engine.Evidence(ctx); !ok || evidence.Build != 8 {
-		t.Errorf("%v: %+v, want evidence of build 8", ok, evidence)
+		t.Errorf("evidence: got %v, %+v, want true, build 8", ok, evidence)
 	}
 }
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -1,6 +1,6 @@
 package engine
 
-// The module's timers.
+// Timers of the module.
 
 import (
 	"container/heap"
@@ -8,7 +8,7 @@
 	"ottershed/decision"
 )
 
-// timers is a heap of the module's timers, the earliest first.
+// timers is a heap of the module's timers, with the earliest first.
 type timers []timer
 
 type timer struct {
@@ -16,7 +16,7 @@
 	token decision.Token
 }
 
-// Len, Less, Swap, Push and Pop are those of heap.Interface.
+// Len, Less, Swap, Push and Pop implement heap.Interface.
 
 func (t timers) Len() int           { return len(t) }
 func (t timers) Less(i, j int) bool { return t[i].at < t[j].at }
@@ -28,7 +28,7 @@
 	return last
 }
 
-// next returns the time of the earliest timer; false if there is none.
+// next returns the time of the earliest timer, or false if no timer is set.
 func (t timers) next() (at decision.Millis, ok bool) {
 	if len(t) == 0 {
 		return 0, false
@@ -36,7 +36,7 @@
 	return t[0].at, true
 }
 
-// fireTimers hands the module the timers that are due, also those that this starts.
+// fireTimers passes each due timer to the module, including timers that the module sets meanwhile.
 func (c *core) fireTimers(now decision.Millis) {
 	for at, ok := c.timers.next(); ok && at <= now; at, ok = c.timers.next() {
 		due := heap.Pop(&c.timers).(timer)
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -1,109 +1,111 @@
 package engine
 
-// What goes in and out of the package.
+// Types and interfaces that the package shares with its callers.
 
 import "ottershed/decision"
 
-// Request is what a client requested, decoded once. Endpoints get it unchanged.
+// Request holds the decoded parts of a client's HTTP request. Every attempt sends the same ones.
 type Request struct {
 	Method, URI, Host string
 	Fields            map[string][]string // of the header
 	Body              []byte
 }
 
-// Response is an endpoint's complete response.
+// Response holds the header and the complete body of an endpoint's response.
 type Response struct {
 	Fields map[string][]string // of the header
 	Body   []byte
 }
 
-// ClientRequest is a client's request with what the module needs to know of it.
+// ClientRequest holds a client's request with the data that the decision module needs to route it.
 type ClientRequest struct {
 	Class      decision.ClassName
 	Tenant     decision.TenantID
-	Key        decision.Key    // sticky key; empty: none
-	Remaining  decision.Millis // until the client gives up, from ReceivedAt on
-	ReceivedAt decision.Millis // time of the clock
-	Hint       decision.Millis // the client's own estimate of the work; 0: none
-	Retried    bool            // the client has sent it before
+	Key        decision.Key    // sticky key; empty if there is none
+	Remaining  decision.Millis // time left at ReceivedAt until the client gives up
+	ReceivedAt decision.Millis // by the engine's clock
+	Hint       decision.Millis // client's estimate of the processing time; 0 if there is none
+	Retried    bool            // the client repeats an earlier request
 	Request    *Request
 
-	// Respond takes the result. The event loop calls it at most once (never after the client has left), and it must
-	// not block.
+	// Respond receives the result. The event loop calls Respond at most once, and not after it has handled
+	// ClientDisconnected. Respond must not block.
 	Respond func(Result)
 
-	id decision.RequestID // of the event loop
+	id decision.RequestID // assigned by the event loop
 }
 
-// ResultKind tells how a request ended.
+// ResultKind is the way in which a request ended.
 type ResultKind int
 
-// The kinds of results.
+// The kinds of results. Only Succeeded has a response.
 const (
 	Succeeded ResultKind = iota
 	Rejected
 	Failed
 )
 
-// Result is what a client gets for its request.
+// Result is the final result of a client's request.
 type Result struct {
 	Kind       ResultKind
-	RetryAfter decision.Millis // if rejected; 0: no advice
-	Response   *Response       // if succeeded
+	RetryAfter decision.Millis // if rejected; 0 for a rejection without Retry-After
+	Response   *Response       // if succeeded; otherwise nil
 }
 
-// Attempt is one sending of a request to an endpoint.
+// Attempt describes one attempt to send a request to an endpoint.
 type Attempt struct {
 	Endpoint decision.EndpointID
 	Address  string
 	Request  *Request
-	SendBy   decision.Millis // not sent from then on; 0: sent until Deadline
-	Deadline decision.Millis // without a response by then it times out
+	SendBy   decision.Millis // time before which the request must be sent; 0 means Deadline
+	Deadline decision.Millis // time at which the attempt times out
 
-	// OnEnd takes the result. It is called exactly once, from any goroutine, after the connection was released.
+	// OnEnd receives the result. It is called exactly once, from any goroutine, after the connection was released.
 	OnEnd func(AttemptResult)
 }
 
-// AttemptResult tells how an attempt ended.
+// AttemptResult holds the outcome of an attempt.
 type AttemptResult struct {
 	Outcome  decision.Outcome
-	EndedAt  decision.Millis // time of the clock
-	Response *Response       // if succeeded
-	Load     *decision.Load  // reported by the endpoint; nil: none
+	EndedAt  decision.Millis // by the engine's clock
+	Response *Response       // if succeeded; otherwise nil
+	Load     *decision.Load  // reported by the endpoint; nil without a report
 }
 
-// Endpoint is an entry of the endpoint list, with the address at which this instance reaches it.
+// Endpoint is an entry of the endpoint list with the address at which this instance reaches the endpoint.
 type Endpoint struct {
 	decision.Endpoint
 	Address string
 }
 
-// EndpointUpdate is the endpoint list, or changes of it.
+// EndpointUpdate holds a snapshot of the endpoint list, or changes to it.
 type EndpointUpdate struct {
 	Kind      decision.SnapshotKind
 	Version   int64
 	Endpoints []Endpoint
 }
 
-// Upstream carries attempts. Its methods don't block.
+// Upstream sends requests to endpoints. Its methods must not block.
 type Upstream interface {
-	// StartAttempt starts an attempt and returns what cancels it.
+	// StartAttempt starts an attempt and returns a function that cancels it.
 	StartAttempt(attempt Attempt) (cancel func())
-	// SetAddress says that an endpoint is a new process at this address, or none if the address is empty.
+	// SetAddress reports that a new process of an endpoint is reachable at address, or that the endpoint is not
+	// reachable any more if address is empty.
 	SetAddress(id decision.EndpointID, address string)
-	// CancelUnsent ends the attempts to an endpoint that are not yet sent.
+	// CancelUnsent ends those attempts to an endpoint that have not been sent yet.
 	CancelUnsent(id decision.EndpointID)
-	// CloseIdle closes an endpoint's idle connections.
+	// CloseIdle closes the idle connections to an endpoint.
 	CloseIdle(id decision.EndpointID)
 }
 
-// Controller takes votes and doesn't block. The result of each comes back as a StageUpdate.
+// Controller sends votes to the rollout controller. Vote must not block. The result of each vote arrives later as a
+// decision.StageUpdate.
 type Controller interface{ Vote(vote decision.Vote) }
 
-// Discovery fetches the endpoint list. Its methods don't block.
+// Discovery fetches the endpoint list. Its methods must not block.
 type Discovery interface {
 	// Resolve polls the endpoint list.
 	Resolve()
-	// ResumeWatch repeats a watch call that was rejected. Without a rejection the watch goes on by itself.
+	// ResumeWatch repeats a watch call that was rejected. A watch that was not rejected continues without it.
 	ResumeWatch()
 }
