--- a/internal/engine/simulation_test.go
+++ b/internal/engine/simulation_test.go
@@ -147,7 +147,7 @@
 	open := len(sim.requests.open)
 	if len(sim.violations) > 0 || open > 0 || len(sim.timers) > 1 || len(sim.pending) > 0 || starts != 2 ||
 		len(sim.sentRequests) < 1000 {
-		t.Errorf("got violations %v, %d open, %d timers, %d attempts, %d starts, %d requests, want none, 0, <=1, 0, 2, >=1000",
+		t.Errorf("violations %v, %d open, %d timers, %d attempts, %d starts, %d requests, want none, 0, <=1, 0, 2, >=1000",
 			sim.violations, open, len(sim.timers), len(sim.pending), starts, len(sim.sentRequests))
 	}
 }
--- a/internal/rollout/client.go
+++ b/internal/rollout/client.go
@@ -1,13 +1,13 @@
-// Package rollout is the client of the rollout controller: it casts votes and hands on the controller's events,
-// among them the result of each vote.
+// Package rollout is the client of the rollout controller. It casts votes and passes on the controller's events and the
+// result of each vote.
 //
-// Make a [Client] with [New] and call [Client.Run]. Votes may be cast from any goroutine.
+// Create a [Client] with [New] and call [Client.Run]. Votes may be cast from any goroutine.
 //
-//	file           concern
-//	client.go      which connections are open; when another one replaces the current one
+//	file           contents
+//	client.go      connection management: when a connection is opened, replaced and closed
 //	connection.go  one connection and its reader
-//	votes.go       casting votes; votes that wait for their result
-//	wire.go        the wire: JSON-RPC objects, one a line
+//	votes.go       votes and the results that they wait for
+//	wire.go        wire format: JSON-RPC objects, one on each line
 package rollout
 
 import (
@@ -23,35 +23,35 @@
 )
 
 const (
-	heartbeatInterval = time.Second // between two heartbeats of the rollout controller
-	missedHeartbeats  = 2           // heartbeats missed until another connection is opened beside the current one
-	redialFraction    = 4           // part of a heartbeat interval between two connections that fail
+	heartbeatInterval   = time.Second // time between two heartbeats of the rollout controller
+	maxMissedHeartbeats = 2           // heartbeats missed before a second connection is opened beside the current one
+	redialsPerHeartbeat = 4           // dials in a heartbeat interval while connections fail
 )
 
-// Client keeps one connection to the rollout controller, and a second one while the first is unresponsive or goes
-// to an address that is no longer the controller's. Votes go out on the newest connection that has received
-// something.
+// Client keeps one connection to the rollout controller. It opens a second connection while the first one is
+// unresponsive or leads to an earlier address of the controller. Votes are sent on the newest connection that has
+// received a message.
 //
-// Events that the controller sends while no connection stands are lost. So the current connection is given up only
-// when the next one has received something. There are never more than these two, but for connections that wait for
-// the result of a vote.
+// Events that the controller sends while no connection is open are lost. The current connection is therefore replaced
+// only after the next one has received a message. No more than these two connections are open, apart from replaced ones
+// that still wait for the result of a vote.
 type Client struct {
-	voteTimeout time.Duration // for the response to a vote; a higher value waits longer before the vote is repeated
-	heartbeat   time.Duration // heartbeatInterval, but in tests
+	voteTimeout time.Duration // for a vote's result and for writes; the module repeats a vote only after it
+	heartbeat   time.Duration // heartbeatInterval, shorter or longer in tests
 	handle      func(decision.Event)
 	log         logrus.FieldLogger
-	warnings    logging.Limiter // of malformed messages
+	warnings    logging.Limiter // limits warnings about malformed messages
 
-	address     string      // of Run's goroutine
-	newAddress  chan string // to Run
-	unavailable bool        // as last logged; of Run's goroutine
+	address     string      // used by Run's goroutine only
+	newAddress  chan string // received by Run
+	unavailable bool        // as last logged; used by Run's goroutine only
 
 	ids    idSequence
 	active activeConnection
 }
 
-// New makes a client of the rollout controller at address. Events go to handle, from any goroutine. A vote waits for
-// its result as long as voteTimeout; 0: as long as a heartbeat interval.
+// New creates a client of the rollout controller at address. The client calls handle with each event, from any
+// goroutine. A vote waits voteTimeout for its result, or a heartbeat interval if voteTimeout is not above 0.
 func New(
 	address string, voteTimeout decision.Millis, handle func(decision.Event), log logrus.FieldLogger,
 ) *Client {
@@ -65,8 +65,7 @@
 	return client
 }
 
-// SetAddress says that the rollout controller has another address from now on. It waits until Run has taken the
-// address or ctx ends.
+// SetAddress sets a new address of the rollout controller. It blocks until Run has received the address or ctx ends.
 func (c *Client) SetAddress(ctx context.Context, address string) {
 	select {
 	case c.newAddress <- address:
@@ -74,39 +73,39 @@
 	}
 }
 
-// Run keeps the connection until ctx ends.
+// Run maintains the connections until ctx ends, and closes them then.
 func (c *Client) Run(ctx context.Context) {
 	var open connections
 	for ctx.Err() == nil {
-		c.step(ctx, &open)
+		c.handleNextEvent(ctx, &open)
 	}
 	open.current.close()
 	open.next.close()
 }
 
-// connections are those that Run keeps. These are their states:
+// connections holds the connections that Run maintains. Their states and transitions are:
 //
-//	current  next  state         leaves it when
-//	-        -     disconnected  a connection is established: connecting
-//	-        yes   connecting    next receives something: connected; next ends: disconnected
-//	yes      -     connected     current is silent, or the address changes: replacing; current ends: disconnected
-//	yes      yes   replacing     next receives something, or current does at the present address: connected;
+//	current  next  state         transitions
+//	-        -     disconnected  next is established: connecting
+//	-        yes   connecting    next receives a message: connected; next ends: disconnected
+//	yes      -     connected     current misses heartbeats or the address changes: replacing; current ends: disconnected
+//	yes      yes   replacing     next receives a message, or current does at the current address: connected;
 //	                             current ends: connecting; next ends: connected
 type connections struct {
-	current *connection // it has received something; nil: none
-	next    *connection // it has not yet; nil: none
+	current *connection // has received a message; may be nil
+	next    *connection // has not received a message yet; may be nil
 }
 
-// step waits for the next thing that happens to the connections. A connection is dialed before that where one is
-// wanted.
-func (c *Client) step(ctx context.Context, open *connections) {
-	timeout := missedHeartbeats * c.heartbeat
+// handleNextEvent dials the next connection if one is needed, then waits for one event of the connections and handles
+// it.
+func (c *Client) handleNextEvent(ctx context.Context, open *connections) {
+	timeout := maxMissedHeartbeats * c.heartbeat
 	dialFailed := false
 	if open.next == nil && (open.current == nil || open.current.address != c.address) {
 		open.next = c.dial(ctx)
 		if open.next == nil {
 			c.setUnavailable(open.current == nil || c.unavailable)
-			timeout = c.heartbeat / redialFraction
+			timeout = c.heartbeat / redialsPerHeartbeat
 			dialFailed = true
 		}
 	}
@@ -118,10 +117,10 @@
 		open.next.close()
 		open.next = nil
 	case <-open.current.receivedChan():
-		c.currentReceived(open)
+		c.handleCurrentReceived(open)
 	case <-open.next.receivedChan():
 		c.setUnavailable(false)
-		open.current.retire()
+		open.current.closeAfterVotes()
 		open.current = open.next
 		open.next = nil
 	case <-open.current.endedChan():
@@ -132,13 +131,13 @@
 		open.next = nil
 	case <-timer.C:
 		if !dialFailed {
-			c.missedHeartbeats(ctx, open)
+			c.handleHeartbeatTimeout(ctx, open)
 		}
 	}
 }
 
-// currentReceived gives up the next connection, unless that one is needed for its address.
-func (c *Client) currentReceived(open *connections) {
+// handleCurrentReceived closes the next connection, unless that one leads to a new address.
+func (c *Client) handleCurrentReceived(open *connections) {
 	c.setUnavailable(false)
 	if open.current.address == c.address {
 		open.next.close()
@@ -146,14 +145,14 @@
 	}
 }
 
-// missedHeartbeats opens another next connection.
-func (c *Client) missedHeartbeats(ctx context.Context, open *connections) {
+// handleHeartbeatTimeout replaces the next connection by a new one.
+func (c *Client) handleHeartbeatTimeout(ctx context.Context, open *connections) {
 	c.setUnavailable(true)
 	open.next.close()
 	open.next = c.dial(ctx)
 }
 
-// setUnavailable logs whether the rollout controller is available, if that has changed.
+// setUnavailable records whether the rollout controller is unavailable, and logs a change.
 func (c *Client) setUnavailable(unavailable bool) {
 	switch {
 	case unavailable && !c.unavailable:
@@ -164,7 +163,7 @@
 	c.unavailable = unavailable
 }
 
-// dial opens a connection and subscribes to events on it; nil if that fails.
+// dial opens a connection and subscribes to events on it. It returns nil if either fails.
 func (c *Client) dial(ctx context.Context) *connection {
 	dialer := net.Dialer{Timeout: c.heartbeat, KeepAlive: -1}
 	netConn, err := dialer.DialContext(ctx, "tcp", c.address)
@@ -180,10 +179,10 @@
 	return conn
 }
 
-// sleep waits, or until ctx ends.
-func sleep(ctx context.Context, span time.Duration) {
+// sleep waits for a duration or until ctx ends.
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(span):
+	case <-time.After(duration):
 	}
 }
--- a/internal/rollout/connection.go
+++ b/internal/rollout/connection.go
@@ -13,19 +13,19 @@
 	"ottershed/decision"
 )
 
-const maxLine = 8 << 10 // bytes of a line; a longer one ends the connection
+const maxLineBytes = 8 << 10 // a longer line ends the connection
 
-// connection is one connection to the rollout controller; its reader owns it. The methods that Run calls take a nil
-// connection as one that never receives anything.
+// connection is one connection to the rollout controller. Its reader goroutine owns it. The methods that Run calls
+// treat a nil connection as one that never receives a message.
 type connection struct {
 	client   *Client
 	address  string
 	conn     net.Conn
-	number   int // counted from 1; a higher one is newer
+	number   int // from 1; a newer connection has a higher number
 	openedAt time.Time
 	followID uint64        // id of the call that subscribes to events
-	received chan struct{} // something was received
-	ended    chan struct{} // closed when the reader has ended
+	received chan struct{} // signals a received message
+	ended    chan struct{} // closed when the reader ends
 	votes    pendingVotes
 }
 
@@ -52,29 +52,29 @@
 	return c.ended
 }
 
-// close makes the reader end.
+// close closes the connection, which ends the reader.
 func (c *connection) close() {
 	if c != nil {
-		_ = c.conn.Close() // the reader ends either way
+		_ = c.conn.Close() // the reader ends even if closing fails
 	}
 }
 
-// retire makes the reader end as soon as every vote has its result.
-func (c *connection) retire() {
+// closeAfterVotes closes the connection as soon as each pending vote has its result.
+func (c *connection) closeAfterVotes() {
 	if c != nil {
 		c.votes.closeWhenEmpty(c.close)
 	}
 }
 
-// backOff waits after the end of a connection that stood for less than a heartbeat interval, so that connections
-// that fail don't follow each other at once.
+// backOff waits if the connection has ended within a heartbeat interval of its start. Otherwise failing connections
+// would be redialed without a pause.
 func (c *connection) backOff(ctx context.Context) {
 	if time.Since(c.openedAt) < c.client.heartbeat {
-		sleep(ctx, c.client.heartbeat/redialFraction)
+		sleep(ctx, c.client.heartbeat/redialsPerHeartbeat)
 	}
 }
 
-// write writes a line; false if that failed.
+// write sends a line and returns whether that succeeded.
 func (c *connection) write(line []byte) bool {
 	if err := c.conn.SetWriteDeadline(time.Now().Add(c.client.voteTimeout)); err != nil {
 		return false
@@ -83,26 +83,26 @@
 	return err == nil
 }
 
-// read hands on what is received until the connection ends. Votes that still wait for their result then may have
-// counted.
+// read handles the received lines until the connection ends. Pending votes then time out, because the controller may
+// have counted them.
 func (c *connection) read() {
 	lines := bufio.NewScanner(c.conn)
-	lines.Buffer(make([]byte, 0, maxLine), maxLine)
+	lines.Buffer(make([]byte, 0, maxLineBytes), maxLineBytes)
 	for lines.Scan() && c.handleLine(lines.Bytes()) {
 	}
 	c.close()
 	c.client.active.release(c)
 	for range c.votes.stop() {
-		c.client.handle(voteFailedWith(decision.VoteTimedOut))
+		c.client.handle(failedVote(decision.VoteTimedOut))
 	}
 	close(c.ended)
 }
 
-// handleLine hands on one line; false if the connection is unusable.
+// handleLine handles one line. It returns false if the line is malformed and the connection must be closed.
 func (c *connection) handleLine(line []byte) bool {
 	var msg message
 	if err := json.Unmarshal(line, &msg); err != nil {
-		return c.usable(err)
+		return c.logIfMalformed(err)
 	}
 	newest := c.activate()
 	select {
@@ -111,15 +111,16 @@
 	}
 	switch {
 	case msg.ID == nil:
-		return c.usable(c.handleNotification(&msg, newest))
+		return c.logIfMalformed(c.handleNotification(&msg, newest))
 	case *msg.ID == c.followID:
-		return c.usable(msg.checkFollowed())
+		return c.logIfMalformed(msg.checkFollowResponse())
 	default:
-		return c.usable(c.handleVoteResponse(&msg, newest))
+		return c.logIfMalformed(c.handleVoteResponse(&msg, newest))
 	}
 }
 
-// handleNotification hands on an event, unless a newer connection may have brought a newer one.
+// handleNotification passes on an event. It drops the event if a newer connection is active, because that one may have
+// received newer events.
 func (c *connection) handleNotification(msg *message, newest bool) error {
 	event, err := msg.event()
 	if event != nil && err == nil && newest {
@@ -128,17 +129,17 @@
 	return err
 }
 
-// handleVoteResponse hands on the response to a vote. One that comes too late is no longer the vote's result, but
-// its stage update counts.
+// handleVoteResponse passes on the result of a vote. A response after the vote's timeout is not its result any more,
+// but the stage update in the response is still passed on.
 func (c *connection) handleVoteResponse(msg *message, newest bool) error {
 	update, err := msg.voteResult()
 	accepted := update.VoteResult == decision.VoteAccepted
-	pending := c.votes.take(*msg.ID)
+	pending := c.votes.remove(*msg.ID)
 	switch {
 	case pending && accepted && !newest:
-		// A newer connection may have brought a newer stage than this response. The vote is repeated, for it may
-		// have counted or not.
-		update = voteFailedWith(decision.VoteTimedOut)
+		// A newer connection may have received a newer stage than the one in this response. The vote is cast again,
+		// because it may or may not have counted.
+		update = failedVote(decision.VoteTimedOut)
 	case !pending && accepted && newest:
 		update.IsVoteResult = false
 	case !pending:
@@ -148,24 +149,24 @@
 	return err
 }
 
-// usable logs an error of the wire and tells whether there was none.
-func (c *connection) usable(err error) bool {
+// logIfMalformed logs an error in a message, and returns whether there was none.
+func (c *connection) logIfMalformed(err error) bool {
 	if err != nil && c.client.warnings.Allow("unreadable") {
 		c.client.log.WithError(err).Warn("rollout controller message malformed")
 	}
 	return err == nil
 }
 
-// activate makes this the connection on which votes go out, unless a newer one has received something. It tells
-// whether it is: on both, older events could come after newer ones.
-func (c *connection) activate() bool { return c.client.active.offer(c) }
+// activate makes this connection the active one unless a newer one is active, and returns whether this one is active
+// then. Events of an older connection could arrive after newer ones.
+func (c *connection) activate() bool { return c.client.active.promote(c) }
 
-// activeConnection is the newest connection that has received something. Votes go out on it, and only its events
-// count.
+// activeConnection holds the newest connection that has received a message. Votes are sent on it, and events of other
+// connections are dropped.
 type activeConnection struct {
 	mu         sync.Mutex
-	lastNumber int         // of the newest connection
-	conn       *connection // nil: none
+	lastNumber int         // number of the newest connection
+	conn       *connection // nil without an active connection
 }
 
 func (a *activeConnection) nextNumber() int {
@@ -181,8 +182,8 @@
 	return a.conn
 }
 
-// offer makes a connection the active one unless that is newer, and tells whether it is the active one then.
-func (a *activeConnection) offer(conn *connection) bool {
+// promote makes conn the active connection unless a newer one is active, and returns whether conn is active then.
+func (a *activeConnection) promote(conn *connection) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.conn == nil || a.conn.number <= conn.number {
@@ -191,7 +192,7 @@
 	return a.conn == conn
 }
 
-// release ends a connection's part as the active one.
+// release leaves no connection active if conn is the active one.
 func (a *activeConnection) release(conn *connection) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/rollout/helpers_test.go
+++ b/internal/rollout/helpers_test.go
@@ -14,9 +14,9 @@
 	"ottershed/decision"
 )
 
-const stage = `{"image":42,"ring":1,"progress":"testing","ceiling":0.28,"lag_ms":310}`
+const stageJSON = `{"image":42,"ring":1,"progress":"testing","ceiling":0.28,"lag_ms":310}`
 
-// call is a line that the stand-in of the rollout controller has read, and its connection.
+// call is a line that a fake rollout controller has read, with its connection.
 type call struct {
 	conn   net.Conn
 	ID     int
@@ -24,22 +24,22 @@
 	Method string
 }
 
-// send writes a line.
+// send sends a line to the client.
 func (c call) send(format string, args ...any) {
 	_, _ = fmt.Fprintf(c.conn, format+"\n", args...) // the client may have closed the connection
 }
 
-// result writes a response.
-func (c call) result(result string) { c.send(`{"jsonrpc":"2.0","id":%d,"result":%s}`, c.ID, result) }
+// respond sends a response with a result.
+func (c call) respond(result string) { c.send(`{"jsonrpc":"2.0","id":%d,"result":%s}`, c.ID, result) }
 
-// start runs a client and a stand-in of the rollout controller that does nothing by itself.
-func start(t *testing.T) (*Client, chan call, chan decision.Event) {
+// startClient starts a client and a fake rollout controller that sends nothing by itself.
+func startClient(t *testing.T) (*Client, chan call, chan decision.Event) {
 	t.Helper()
-	return startWithTimeout(t, 100)
+	return startClientWithTimeout(t, 100)
 }
 
-// startWithTimeout does so with another timeout of votes.
-func startWithTimeout(t *testing.T, timeout decision.Millis) (*Client, chan call, chan decision.Event) {
+// startClientWithTimeout does the same with another vote timeout.
+func startClientWithTimeout(t *testing.T, timeout decision.Millis) (*Client, chan call, chan decision.Event) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -56,7 +56,7 @@
 	client := New(listener.Addr().String(), timeout, func(event decision.Event) { events <- event }, log)
 	client.heartbeat = 20 * time.Millisecond
 	t.Cleanup(func() { closeQuietly(listener) })
-	run(t, client)
+	runClient(t, client)
 	return client, calls, events
 }
 
@@ -70,8 +70,8 @@
 	calls <- call{conn: conn, Method: "closed"}
 }
 
-// run runs a client until the test ends.
-func run(t *testing.T, client *Client) {
+// runClient runs a client until the test ends.
+func runClient(t *testing.T, client *Client) {
 	t.Helper()
 	ended := make(chan struct{})
 	go func() {
@@ -81,13 +81,13 @@
 	t.Cleanup(func() { <-ended })
 }
 
-// closeQuietly closes what a test no longer needs.
+// closeQuietly closes a listener or connection and ignores the error.
 func closeQuietly(closer io.Closer) {
-	_ = closer.Close() // the test is over, or has closed it before
+	_ = closer.Close() // it may be closed already
 }
 
-// next returns the next call of a method; others are skipped.
-func next(t *testing.T, calls chan call, method string) call {
+// nextCall returns the next call of a method and skips others.
+func nextCall(t *testing.T, calls chan call, method string) call {
 	t.Helper()
 	for {
 		select {
@@ -96,34 +96,35 @@
 				return received
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatalf("no %s came", method)
+			t.Fatalf("got no %s call within 5s, want one", method)
 		}
 	}
 }
 
-// wait returns the next event of the client.
-func wait(t *testing.T, events chan decision.Event) decision.Event {
+// nextEvent returns the next event that the client passes on.
+func nextEvent(t *testing.T, events chan decision.Event) decision.Event {
 	t.Helper()
 	select {
 	case event := <-events:
 		return event
 	case <-time.After(5 * time.Second):
-		t.Fatal("no event came")
+		t.Fatal("got no event within 5s, want one")
 		return nil
 	}
 }
 
-// followed returns a connection on which the client has subscribed and received a stage.
-func followed(t *testing.T, calls chan call, events chan decision.Event) call {
+// awaitSubscription accepts the client's next follow call, sends a stage on its connection, and returns the call once
+// the client has passed the stage on.
+func awaitSubscription(t *testing.T, calls chan call, events chan decision.Event) call {
 	t.Helper()
-	follow := next(t, calls, "follow")
-	follow.result("true")
-	follow.send(`{"jsonrpc":"2.0","method":"stage","params":%s}`, stage)
-	wait(t, events)
+	follow := nextCall(t, calls, "follow")
+	follow.respond("true")
+	follow.send(`{"jsonrpc":"2.0","method":"stage","params":%s}`, stageJSON)
+	nextEvent(t, events)
 	return follow
 }
 
-// sendHeartbeats sends heartbeats on a connection until the test ends.
+// sendHeartbeats sends heartbeats on a call's connection until the test ends.
 func sendHeartbeats(t *testing.T, conn call) {
 	t.Helper()
 	done := make(chan struct{})
--- a/internal/rollout/votes.go
+++ b/internal/rollout/votes.go
@@ -1,6 +1,6 @@
 package rollout
 
-// Casting votes; votes that wait for their result.
+// Votes and the results that they wait for.
 
 import (
 	"sync"
@@ -9,60 +9,60 @@
 	"ottershed/decision"
 )
 
-// Fence names a lease under which a vote is cast, and its fencing token. A rollout controller that checks fences
-// rejects a vote whose token is below the highest that it has seen of that lease.
+// Fence is a lease under which a vote is cast, with the fencing token of its holder. A rollout controller that checks
+// fences rejects a vote whose token is below the highest one that it has seen for that lease.
 type Fence struct {
 	Lease string `json:"work"`
 	Token uint64 `json:"token"`
 }
 
-// Vote casts a vote without fences.
+// Vote casts a vote without fences, as VoteFenced does.
 func (c *Client) Vote(vote decision.Vote) { c.VoteFenced(vote, nil) }
 
-// VoteFenced casts a vote with the fences under which it is cast. It does not block. The result comes as one
-// StageUpdate; it is VoteFailed if the vote was not sent.
+// VoteFenced casts a vote under the leases in fences, without blocking. Each vote gets one result, as a StageUpdate
+// with IsVoteResult. The result is VoteFailed if the vote was not sent.
 func (c *Client) VoteFenced(vote decision.Vote, fences []Fence) {
-	go func() { // a write may block
+	go func() { // because a write may block
 		conn := c.active.get()
-		if conn == nil || !conn.vote(c.ids.next(), vote, fences) {
-			c.handle(voteFailedWith(decision.VoteFailed))
+		if conn == nil || !conn.sendVote(c.ids.next(), vote, fences) {
+			c.handle(failedVote(decision.VoteFailed))
 		}
 	}()
 }
 
-// vote writes a vote; false if it was not sent, because the connection has ended.
-func (c *connection) vote(id uint64, vote decision.Vote, fences []Fence) bool {
-	if !c.votes.add(id, c.client.voteTimeout, func() { c.endVote(id, decision.VoteTimedOut) }) {
+// sendVote sends a vote. It returns false if the connection has ended and the vote was not sent.
+func (c *connection) sendVote(id uint64, vote decision.Vote, fences []Fence) bool {
+	if !c.votes.add(id, c.client.voteTimeout, func() { c.failVote(id, decision.VoteTimedOut) }) {
 		return false
 	}
 	if !c.write(encodeVote(id, vote, fences)) {
-		c.endVote(id, decision.VoteFailed)
-		c.close() // a part of a line may have been sent
+		c.failVote(id, decision.VoteFailed)
+		c.close() // a part of the line may have been sent
 	}
 	return true
 }
 
-// endVote hands on a result other than a response, if the vote still waits for one.
-func (c *connection) endVote(id uint64, result decision.VoteResult) {
-	if c.votes.take(id) {
-		c.client.handle(voteFailedWith(result))
+// failVote passes on a result other than a response, if the vote is still pending.
+func (c *connection) failVote(id uint64, result decision.VoteResult) {
+	if c.votes.remove(id) {
+		c.client.handle(failedVote(result))
 	}
 }
 
-// voteFailedWith is the result of a vote that the rollout controller has not accepted, as far as is known.
-func voteFailedWith(result decision.VoteResult) decision.StageUpdate {
+// failedVote returns the update for a vote that the rollout controller is not known to have accepted.
+func failedVote(result decision.VoteResult) decision.StageUpdate {
 	return decision.StageUpdate{IsVoteResult: true, VoteResult: result}
 }
 
-// pendingVotes are the votes of a connection that wait for their result. A vote leaves them by its response, its
+// pendingVotes holds the votes of a connection that wait for their result. A vote is removed by its response, its
 // timeout or the end of the connection.
 type pendingVotes struct {
 	mu      sync.Mutex
-	timers  map[uint64]*time.Timer // by the id of the call; nil: the connection has ended
-	onEmpty func()                 // nil: nothing is to be done when no vote waits
+	timers  map[uint64]*time.Timer // by id of the call; nil after the connection has ended
+	onEmpty func()                 // called under mu once no vote is pending; may be nil
 }
 
-// add adds a vote with its timeout; false if the connection has ended.
+// add adds a vote with its timeout. It returns false if the connection has ended.
 func (p *pendingVotes) add(id uint64, timeout time.Duration, onTimeout func()) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -73,12 +73,12 @@
 	return true
 }
 
-// take removes a vote and tells whether it still waited.
-func (p *pendingVotes) take(id uint64) bool {
+// remove removes a vote and returns whether the vote was pending.
+func (p *pendingVotes) remove(id uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	timer, waits := p.timers[id]
-	if !waits {
+	timer, pending := p.timers[id]
+	if !pending {
 		return false
 	}
 	timer.Stop()
@@ -87,8 +87,8 @@
 	return true
 }
 
-// closeWhenEmpty calls closeConn as soon as no vote waits. It is called under the lock, so that no vote is added
-// between.
+// closeWhenEmpty calls closeConn as soon as no vote is pending. The call is made under the lock, so that no vote is
+// added between the check and the call.
 func (p *pendingVotes) closeWhenEmpty(closeConn func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,21 +102,21 @@
 	}
 }
 
-// stop takes no more votes, and returns the ids of those that waited and have not timed out.
-func (p *pendingVotes) stop() (waited []uint64) {
+// stop rejects further votes. It returns the ids of the pending votes that have not timed out.
+func (p *pendingVotes) stop() (pending []uint64) {
 	p.mu.Lock()
 	timers := p.timers
 	p.timers = nil
 	p.mu.Unlock()
 	for id, timer := range timers {
 		if timer.Stop() {
-			waited = append(waited, id)
+			pending = append(pending, id)
 		}
 	}
-	return waited
+	return pending
 }
 
-// idSequence numbers the calls, on all connections.
+// idSequence numbers the calls of all connections.
 type idSequence struct {
 	mu   sync.Mutex
 	last uint64
--- a/internal/rollout/wire.go
+++ b/internal/rollout/wire.go
@@ -1,6 +1,6 @@
 package rollout
 
-// The wire: JSON-RPC objects, one a line.
+// Wire format: JSON-RPC objects, one on each line.
 
 import (
 	"encoding/json"
@@ -11,8 +11,8 @@
 )
 
 var (
-	errNoMethod    = errors.New("neither a response nor a notification")
-	errNotFollowed = errors.New("response: the follow call was rejected")
+	errNoMethod       = errors.New("message has neither id nor method")
+	errFollowRejected = errors.New("follow call rejected")
 )
 
 // message is a JSON-RPC object from the rollout controller.
@@ -35,14 +35,15 @@
 		decision.VoteNone: "none", decision.VoteAdvance: "on", decision.VoteHold: "hold",
 		decision.VoteRollback: "back",
 	}
-	// voteResults are the results of votes that were not carried out.
+	// voteResults maps error messages to the results of votes that did not count.
 	voteResults = map[string]decision.VoteResult{
 		"Throttling": decision.VoteThrottled, "ConditionFailed": decision.VoteObsolete,
 		"InternalFailure": decision.VoteFailed, "ValidationError": decision.VoteFailed,
 	}
 )
 
-// DecodeStage reads the stage of the newest build.
+// DecodeStage decodes the stage of the newest build from the JSON object of a stage notification or a vote's response.
+// It returns an error if a required member is missing, a value is out of range, or the progress is unknown.
 func DecodeStage(raw []byte) (decision.StageUpdate, error) {
 	var stage struct {
 		Image    *int     `json:"image"`
@@ -58,7 +59,8 @@
 	complete := known && stage.Image != nil && stage.Ceiling != nil
 	if !complete || *stage.Ceiling < 0 || *stage.Ceiling > 1 || stage.Lag < 0 || stage.Ring < 0 {
 		return decision.StageUpdate{}, fmt.Errorf(
-			"stage: image, ceiling or progress %q missing or unknown, or a figure out of range", stage.Progress)
+			"stage: image or ceiling missing, progress %q unknown, or out of range: ceiling 0 to 1, ring and lag_ms 0 or more",
+			stage.Progress)
 	}
 	return decision.StageUpdate{
 		Age: stage.Lag, Build: decision.Build(*stage.Image), Phase: phase, ExposureCap: *stage.Ceiling,
@@ -66,7 +68,7 @@
 	}, nil
 }
 
-// decodeFlag reads that a client found a response wrong.
+// decodeFlag decodes a report that a client found a response to be wrong.
 func decodeFlag(raw []byte) (decision.ResponseFlagged, error) {
 	var flag struct {
 		Host string  `json:"host"`
@@ -81,7 +83,7 @@
 	}, nil
 }
 
-// event reads a notification; nil for a heartbeat and for unknown methods.
+// event decodes a notification. It returns nil for a heartbeat and for an unknown method.
 func (m *message) event() (decision.Event, error) {
 	switch m.Method {
 	case "":
@@ -94,27 +96,28 @@
 	return nil, nil
 }
 
-// voteResult reads the response to a vote. A vote with a malformed response may have counted: it has timed out.
+// voteResult decodes the response to a vote. A vote with a malformed response may have counted, so its result is
+// VoteTimedOut.
 func (m *message) voteResult() (decision.StageUpdate, error) {
 	if m.Error != nil {
 		result, known := voteResults[m.Error.Message]
 		if !known {
-			return voteFailedWith(decision.VoteTimedOut), fmt.Errorf("response: unknown error %q", m.Error.Message)
+			return failedVote(decision.VoteTimedOut), fmt.Errorf("vote response: unknown error %q", m.Error.Message)
 		}
-		return voteFailedWith(result), nil
+		return failedVote(result), nil
 	}
 	update, err := DecodeStage(m.Result)
 	if err != nil {
-		return voteFailedWith(decision.VoteTimedOut), err
+		return failedVote(decision.VoteTimedOut), err
 	}
 	update.IsVoteResult = true
 	return update, nil
 }
 
-// checkFollowed reads the response to the call that subscribes to events.
-func (m *message) checkFollowed() error {
+// checkFollowResponse returns an error unless the call that subscribes to events was accepted.
+func (m *message) checkFollowResponse() error {
 	if string(m.Result) != "true" {
-		return errNotFollowed
+		return errFollowRejected
 	}
 	return nil
 }
@@ -124,14 +127,15 @@
 }
 
 func encodeVote(id uint64, vote decision.Vote, fences []Fence) []byte {
-	member := "" // of the call's parameters
+	fencesMember := "" // left out without fences
 	if len(fences) > 0 {
 		raw, err := json.Marshal(fences)
 		if err != nil {
-			panic(err) // strings and numbers can always be encoded
+			panic(err) // cannot occur: strings and integers can always be encoded
 		}
-		member = `,"fences":` + string(raw)
+		fencesMember = `,"fences":` + string(raw)
 	}
 	return fmt.Appendf(nil, `{"jsonrpc":"2.0","id":%d,"method":"castBallot","params":`+
-		`{"image":%d,"ring":%d,"opinion":%q%s}}`+"\n", id, int(vote.Build), vote.Stage, verdicts[vote.Verdict], member)
+		`{"image":%d,"ring":%d,"opinion":%q%s}}`+"\n", id, int(vote.Build), vote.Stage, verdicts[vote.Verdict],
+		fencesMember)
 }
--- a/internal/rollout/wire_golden_test.go
+++ b/internal/rollout/wire_golden_test.go
@@ -15,41 +15,41 @@
 	"ottershed/internal/golden"
 )
 
-// callID is the id of a call, which depends on how many connections were opened before.
-var callID = regexp.MustCompile(`"id":\d+`)
+// callIDPattern matches the id of a call. Ids depend on how many connections were opened before.
+var callIDPattern = regexp.MustCompile(`"id":\d+`)
 
-// The lines that the rollout controller reads are those of the golden file, byte for byte: the follow call and a vote
-// of each kind, with and without fences. The ids of the calls vary and stand there as ID.
+// The lines to the rollout controller are a published protocol, so they are compared with the golden file byte for
+// byte: the follow call and a vote of each kind, with and without fences. ID replaces the calls' ids, which vary.
 func TestGoldenCalls(t *testing.T) {
-	calls, results, client := startGolden(t)
-	observed := golden.Section("follow", receive(t, calls))
+	calls, results, client := startRespondingController(t)
+	observed := golden.Section("follow", receiveText(t, calls))
 	for _, cast := range []struct {
 		title  string
 		vote   decision.Vote
 		fences []Fence
 	}{
-		{"no opinion", decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteNone}, nil},
-		{"on", decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteAdvance}, nil},
+		{"no verdict", decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteNone}, nil},
+		{"advance", decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteAdvance}, nil},
 		{"hold", decision.Vote{Build: 65535, Stage: 0, Verdict: decision.VoteHold}, nil},
-		{"back", decision.Vote{Build: 7, Stage: 3, Verdict: decision.VoteRollback}, nil},
+		{"rollback", decision.Vote{Build: 7, Stage: 3, Verdict: decision.VoteRollback}, nil},
 		{
-			"on, under fences",
+			"advance, with fences",
 			decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteAdvance},
 			[]Fence{{Lease: "trial/n0", Token: 9}, {Lease: "trial/n<1>", Token: 1 << 60}},
 		},
 	} {
 		client.VoteFenced(cast.vote, cast.fences)
-		observed += golden.Section(cast.title, receive(t, calls))
-		receive(t, results)
+		observed += golden.Section(cast.title, receiveText(t, calls))
+		receiveText(t, results)
 	}
 	if err := golden.Check("testdata/calls.golden", []byte(observed)); err != nil {
 		t.Error(err)
 	}
 }
 
-// startGolden runs a client and a rollout controller that responds to each line; calls has these lines. Votes
-// may be cast when it returns; results has an entry for the result of each.
-func startGolden(t *testing.T) (calls, results chan string, client *Client) {
+// startRespondingController starts a client and a fake rollout controller that responds to each line. It sends these
+// lines to calls, and a text to results for the result of each vote. Votes can be cast when it returns.
+func startRespondingController(t *testing.T) (calls, results chan string, client *Client) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -72,18 +72,18 @@
 		}
 		received <- struct{}{}
 	}, log)
-	client.heartbeat = 10 * time.Second // on a slow machine the controller must not count as unresponsive
-	run(t, client)
+	client.heartbeat = 10 * time.Second // keeps the connection even if the machine is slow
+	runClient(t, client)
 	select {
-	case <-received: // from now on votes go out on this connection
+	case <-received: // votes are sent on this connection from now on
 	case <-time.After(10 * time.Second):
-		t.Fatal("the client received nothing")
+		t.Fatal("got no event within 10s, want the first stage")
 	}
 	return calls, results, client
 }
 
-// respondToLines hands on each line that it reads, with its id replaced, and responds to it; to the follow call also
-// with the stage.
+// respondToLines responds to each line of a connection and sends it to calls with the id replaced. It also sends a
+// stage after its response to the follow call.
 func respondToLines(conn net.Conn, calls chan<- string) {
 	defer closeQuietly(conn)
 	lines := bufio.NewReader(conn)
@@ -92,24 +92,24 @@
 		if err != nil {
 			return
 		}
-		calls <- golden.Quote([]byte(callID.ReplaceAllString(text, `"id":ID`)))
-		id, _, _ := strings.Cut(callID.FindString(text), ",")
+		calls <- golden.Quote([]byte(callIDPattern.ReplaceAllString(text, `"id":ID`)))
+		id, _, _ := strings.Cut(callIDPattern.FindString(text), ",")
 		if strings.Contains(text, "follow") {
-			call{conn: conn}.send("{%s,\"result\":true}\n{\"method\":\"stage\",\"params\":%s}", id, stage)
+			call{conn: conn}.send("{%s,\"result\":true}\n{\"method\":\"stage\",\"params\":%s}", id, stageJSON)
 		} else {
-			call{conn: conn}.send("{%s,\"result\":%s}", id, stage)
+			call{conn: conn}.send("{%s,\"result\":%s}", id, stageJSON)
 		}
 	}
 }
 
-// receive returns the next text of a channel.
-func receive(t *testing.T, texts <-chan string) string {
+// receiveText returns the next text of a channel.
+func receiveText(t *testing.T, texts <-chan string) string {
 	t.Helper()
 	select {
 	case text := <-texts:
 		return text
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing came")
+		t.Fatal("got no text within 10s, want one")
 		return ""
 	}
 }
--- a/internal/rollout/wire_test.go
+++ b/internal/rollout/wire_test.go
@@ -10,21 +10,21 @@
 	"ottershed/internal/golden"
 )
 
-// A vote goes to the rollout controller with the fences under which it was cast.
-func TestVoteOnTheWire(t *testing.T) {
+// A vote is encoded with the fences under which it was cast.
+func TestVoteCarriesFences(t *testing.T) {
 	fences := []Fence{{Lease: "trial/a", Token: 11}, {Lease: "trial/c", Token: 9}}
 	golden.Filled(t, "fences", fences)
 	vote := decision.Vote{Build: 8, Stage: 2, Verdict: decision.VoteRollback}
 	golden.Compare(t, "vote.json", encodeVote(5, vote, fences))
 }
 
-func TestEvents(t *testing.T) {
+func TestNotificationsBecomeEvents(t *testing.T) {
 	for name, test := range map[string]struct {
 		line string
 		want decision.Event // nil: none
 	}{
 		"in trial": {
-			`{"jsonrpc":"2.0","method":"stage","params":` + stage + `}`,
+			`{"jsonrpc":"2.0","method":"stage","params":` + stageJSON + `}`,
 			decision.StageUpdate{Age: 310, Build: 42, Phase: 0, ExposureCap: 0.28, Stage: 1},
 		},
 		"rolling back": {
@@ -44,40 +44,40 @@
 			decision.ResponseFlagged{Endpoint: "s-1", Class: "lookup", Age: 1200},
 		},
 		"heartbeat":      {`{"method":"ping"}`, nil},
-		"unknown method": {`{"method":"weather","params":{}}`, nil},
+		"unknown method": {`{"method":"other","params":{}}`, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, calls, events := start(t)
-			conn := followed(t, calls, events)
+			_, calls, events := startClient(t)
+			conn := awaitSubscription(t, calls, events)
 			conn.send("%s", test.line)
 			conn.send(`{"method":"flag","params":{"host":"last"}}`)
 			if test.want == nil {
 				test.want = decision.ResponseFlagged{Endpoint: "last"}
 			}
-			if diff := cmp.Diff(test.want, wait(t, events)); diff != "" {
-				t.Errorf("received (-want +got):\n%s", diff)
+			if diff := cmp.Diff(test.want, nextEvent(t, events)); diff != "" {
+				t.Errorf("event (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// A malformed line ends the connection, and another one is opened.
-func TestUnreadable(t *testing.T) {
+// A malformed line ends its connection, and the client opens another one.
+func TestMalformedLineReplacesConnection(t *testing.T) {
 	for name, line := range map[string]string{
-		"no JSON":           "what?",
-		"no phase":          `{"method":"stage","params":{"image":1,"ceiling":1,"progress":"x"}}`,
-		"no exposure limit": `{"method":"stage","params":{"image":1,"progress":"live"}}`,
-		"flag of no object": `{"method":"flag","params":3}`,
-		"too long":          `{"method":"ping","params":"` + strings.Repeat("x", maxLine) + `"}`,
+		"no JSON":             "not JSON",
+		"unknown phase":       `{"method":"stage","params":{"image":1,"ceiling":1,"progress":"x"}}`,
+		"no exposure cap":     `{"method":"stage","params":{"image":1,"progress":"live"}}`,
+		"flag without object": `{"method":"flag","params":3}`,
+		"too long":            `{"method":"ping","params":"` + strings.Repeat("x", maxLineBytes) + `"}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, calls, events := start(t)
-			conn := followed(t, calls, events)
+			_, calls, events := startClient(t)
+			conn := awaitSubscription(t, calls, events)
 			conn.send("%s", line)
-			if ended := next(t, calls, "closed"); ended.conn != conn.conn {
-				t.Error("another connection was closed")
+			if ended := nextCall(t, calls, "closed"); ended.conn != conn.conn {
+				t.Error("closed connection: got another one, want the one with the malformed line")
 			}
-			followed(t, calls, events)
+			awaitSubscription(t, calls, events)
 		})
 	}
 }
