--- a/cmd/simadapter/batches.go
+++ b/cmd/simadapter/batches.go
@@ -1,6 +1,6 @@
 package main
 
-// Batches in, replies out.
+// Batches of events and their replies.
 
 import (
 	"bufio"
@@ -13,23 +13,24 @@
 	"ottershed/internal/simwire"
 )
 
-const bufferSize = 1 << 20 // bytes; a batch and its reply mostly fit
+const bufferSize = 1 << 20 // bytes; large enough for most batches and replies
 
-// server reads batches. A batch is open from its sync line to its commit line:
+// server handles the lines of batches. A batch is open from its sync line to its commit line:
 //
-//	sync TIME    closed -> open    the time of the events that follow
-//	commit       open -> closed    the reply is written
+//	sync TIME    closed -> open    TIME is the time of the following events
+//	commit       open -> closed    writes the reply
 //	other lines  open -> open
 type server struct {
 	out       *bufio.Writer
 	instances instances
 	decoder   simwire.Decoder
 	open      bool
-	now       float64 // ms, of the batch
-	reply     []byte  // to the batch so far
+	now       float64 // time of the batch, in milliseconds
+	reply     []byte  // reply to the batch so far
 }
 
-// serve replies to batches until the input ends between two of them.
+// serve reads batches from in and writes their replies to out. It returns nil when the input ends between two batches.
+// The error of a malformed input names the line.
 func serve(in io.Reader, out io.Writer) error {
 	lines := bufio.NewReaderSize(in, bufferSize)
 	s := &server{out: bufio.NewWriterSize(out, bufferSize), instances: instances{}}
@@ -41,7 +42,7 @@
 		case errors.Is(err, io.EOF) && line == "":
 			return fmt.Errorf("line %d: input ended inside a batch", number)
 		case err != nil:
-			return fmt.Errorf("line %d: cut short: %w", number, err)
+			return fmt.Errorf("line %d: incomplete: %w", number, err)
 		}
 		if err := s.handleLine(strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r")); err != nil {
 			var failed writeError
@@ -53,16 +54,16 @@
 	}
 }
 
-// writeError is a failure to write a reply, which is no line's fault.
+// writeError is a failure to write a reply. It is reported without a line number, because no input line caused it.
 type writeError struct{ error }
 
 func (s *server) handleLine(line string) error {
-	clock, isSync := strings.CutPrefix(line, "sync\t")
+	timeField, isSync := strings.CutPrefix(line, "sync\t")
 	switch {
 	case isSync == s.open:
-		return fmt.Errorf("%q is out of place", line)
+		return fmt.Errorf("unexpected line %q: a batch starts with sync and ends with commit", line)
 	case isSync:
-		return s.openBatch(clock)
+		return s.openBatch(timeField)
 	case line == "commit":
 		return s.closeBatch()
 	default:
@@ -70,10 +71,10 @@
 	}
 }
 
-func (s *server) openBatch(clock string) error {
-	now, err := strconv.ParseFloat(clock, 64)
+func (s *server) openBatch(timeField string) error {
+	now, err := strconv.ParseFloat(timeField, 64)
 	if err != nil {
-		return fmt.Errorf("sync: %q is not a time", clock)
+		return fmt.Errorf("sync: %q is not a time in milliseconds", timeField)
 	}
 	s.open = true
 	s.now = now
@@ -83,7 +84,7 @@
 
 func (s *server) closeBatch() error {
 	if s.decoder.Pending() {
-		return errors.New("the batch ended inside a list")
+		return errors.New("commit: endpoint list is incomplete")
 	}
 	s.open = false
 	if _, err := s.out.Write(append(s.reply, "end\n"...)); err != nil {
@@ -96,12 +97,12 @@
 }
 
 func (s *server) handleEvent(line string) error {
-	incoming, err := s.decoder.Line(line)
+	input, err := s.decoder.DecodeLine(line)
 	if err != nil {
 		return err
 	}
-	if incoming != nil {
-		s.reply = s.instances.handle(s.reply, s.now, incoming)
+	if input != nil {
+		s.reply = s.instances.handle(s.reply, s.now, input)
 	}
 	return nil
 }
--- a/cmd/simadapter/instances.go
+++ b/cmd/simadapter/instances.go
@@ -1,6 +1,6 @@
 package main
 
-// The instances, and faults of one.
+// Instances of the decision module.
 
 import (
 	"fmt"
@@ -12,54 +12,54 @@
 	"ottershed/internal/simwire"
 )
 
-// instances are the decision modules by the number of their instance.
+// instances holds the decision modules by the number of their instance.
 type instances map[int]*decision.Balancer
 
-// handle hands one event to its instance and appends the reply. Events of an instance that does not run are dropped.
-// A panic in the module becomes a fault of that instance, which ends.
-func (all instances) handle(reply []byte, now float64, incoming *simwire.Incoming) (extended []byte) {
+// handle applies one input to its instance and appends the resulting actions to the reply. It ignores events for an
+// instance that is not running. A panic in the module stops the instance and appends a fault.
+func (running instances) handle(reply []byte, now float64, input *simwire.Input) (extended []byte) {
 	defer func() {
 		if p := recover(); p != nil {
 			text := fmt.Sprintf("panic: %v at %s", p, panicLocation())
-			extended = simwire.AppendFault(reply, incoming.Instance, text)
-			delete(all, incoming.Instance)
+			extended = simwire.AppendFault(reply, input.Instance, text)
+			delete(running, input.Instance)
 		}
 	}()
 	switch {
-	case incoming.Start != nil:
-		return all.start(reply, incoming.Instance, incoming.Start)
-	case incoming.Stop:
-		delete(all, incoming.Instance)
+	case input.Start != nil:
+		return running.start(reply, input.Instance, input.Start)
+	case input.Stop:
+		delete(running, input.Instance)
 		return reply
 	}
-	balancer := all[incoming.Instance]
+	balancer := running[input.Instance]
 	if balancer == nil {
 		return reply
 	}
 	extended = reply
-	for _, action := range balancer.Handle(now, incoming.Event) {
-		extended = simwire.Append(extended, incoming.Instance, action)
+	for _, action := range balancer.Handle(now, input.Event) {
+		extended = simwire.AppendAction(extended, input.Instance, action)
 	}
 	return extended
 }
 
-// start starts an instance. With settings that are not valid, it replies with a fault instead.
-func (all instances) start(reply []byte, instance int, start *simwire.Start) []byte {
+// start starts an instance. If the settings are not valid, it appends a fault instead, and the instance does not run.
+func (running instances) start(reply []byte, instance int, start *simwire.Start) []byte {
 	if start.Err != nil {
-		delete(all, instance)
+		delete(running, instance)
 		return simwire.AppendFault(reply, instance, start.Err.Error())
 	}
-	all[instance] = decision.New(start.Settings, start.Seed)
+	running[instance] = decision.New(start.Settings, start.Seed)
 	return reply
 }
 
-// panicLocation returns the first frame of the project's own code under a panic. Only the function that recovers
-// may call it.
+// panicLocation returns file and line of the innermost frame of the project's own code under a panic. Only the deferred
+// function that recovers may call it, because the number of skipped frames depends on the caller.
 func panicLocation() string {
 	const maxFrames = 32
-	const skipped = 3 // runtime.Callers, this function and the one that recovers
-	counters := make([]uintptr, maxFrames)
-	frames := runtime.CallersFrames(counters[:runtime.Callers(skipped, counters)])
+	const skipped = 3 // runtime.Callers, panicLocation and the deferred function
+	pcs := make([]uintptr, maxFrames)
+	frames := runtime.CallersFrames(pcs[:runtime.Callers(skipped, pcs)])
 	for {
 		frame, more := frames.Next()
 		if strings.HasPrefix(frame.Function, "ottershed/") {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,10 +1,10 @@
-// Command simadapter hosts instances of the decision module on the simulator's wire: it reads batches of events from
-// standard input and writes one reply for each to standard output. The instances share nothing.
+// Command simadapter runs instances of the decision module for the simulator. It reads batches of events from standard
+// input and writes one reply to each batch to standard output. The instances share no state.
 //
-//	file         concern
-//	main.go      the program
-//	batches.go   batches in, replies out
-//	instances.go the instances, and faults of one
+//	file          contents
+//	main.go       main function
+//	batches.go    batches of events and their replies
+//	instances.go  instances of the decision module
 package main
 
 import (
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -1,6 +1,6 @@
 package simwire
 
-// Lines out.
+// Encoding of actions as lines.
 
 import (
 	"encoding/hex"
@@ -11,8 +11,8 @@
 	"ottershed/decision"
 )
 
-// Append appends an action of an instance as a line.
-func Append(line []byte, instance int, action decision.Action) []byte {
+// AppendAction appends an action of an instance as a line. An action that the protocol does not have appends nothing.
+func AppendAction(line []byte, instance int, action decision.Action) []byte {
 	name, values := encode(action)
 	if name == "" {
 		return line
@@ -27,13 +27,13 @@
 	return append(line, '\n')
 }
 
-// AppendFault appends a line that says that the decision module of an instance failed.
+// AppendFault appends a line that reports a failure of the decision module of an instance.
 func AppendFault(line []byte, instance int, text string) []byte {
-	return fmt.Appendf(line, "fault\t%d\t%s\n", instance, oneLine(text))
+	return fmt.Appendf(line, "fault\t%d\t%s\n", instance, replaceSeparators(text))
 }
 
-// encode returns an action's name on the wire and its fields after the instance. The name is empty for an action that
-// the wire does not have.
+// encode returns the name of an action in the protocol and the values that follow the instance. The name is empty for
+// an action that the protocol does not have.
 func encode(action decision.Action) (name string, values []any) {
 	switch action := action.(type) {
 	case decision.StartAttempt:
@@ -51,11 +51,11 @@
 	case decision.CloseIdle:
 		return "shut_idle", []any{action.Endpoint}
 	case decision.SendToPeer:
-		return "say", []any{receiver(action), orAbsent(hex.EncodeToString(action.Data))}
+		return "say", []any{recipient(action), textOrAbsent(hex.EncodeToString(action.Data))}
 	case decision.Log:
-		return "remark", []any{oneLine(action.Text)}
+		return "remark", []any{replaceSeparators(action.Text)}
 	case decision.WatchEndpoints:
-		return "observe", []any{bit(action.On)}
+		return "observe", []any{boolDigit(action.On)}
 	case decision.ResolveEndpoints:
 		return "lookup", nil
 	case decision.Vote:
@@ -66,29 +66,29 @@
 
 func millis(value decision.Millis) string { return strconv.FormatFloat(value, 'f', 3, 64) }
 
-func bit(on bool) int {
-	if on {
+func boolDigit(value bool) int {
+	if value {
 		return 1
 	}
 	return 0
 }
 
-// receiver is the instance that a message goes to, or * for all.
-func receiver(message decision.SendToPeer) string {
+// recipient returns the number of the instance that a message goes to, or * for all.
+func recipient(message decision.SendToPeer) string {
 	if message.All {
 		return "*"
 	}
 	return strconv.Itoa(int(message.To))
 }
 
-func orAbsent(text string) string {
+func textOrAbsent(text string) string {
 	if text == "" {
 		return absent
 	}
 	return text
 }
 
-// oneLine replaces the characters that separate fields and lines.
-func oneLine(text string) string {
+// replaceSeparators replaces the separators of fields and lines by spaces.
+func replaceSeparators(text string) string {
 	return strings.NewReplacer("\n", " ", "\t", " ", "\r", " ").Replace(text)
 }
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -1,14 +1,14 @@
-// Package simwire is the codec of the simulator's wire: it decodes lines into events of the decision module, and
-// encodes the module's actions as lines. It decides nothing, and only here are the words of the wire known.
+// Package simwire is the codec of the simulator's protocol. It decodes lines into events of the decision module and
+// encodes the module's actions as lines. The names that the protocol uses occur only in this package.
 //
-// Feed the lines of a batch to a [Decoder], one after another, and encode actions with [Append].
+// Pass the lines of a batch to a [Decoder] in order, and encode actions with [AppendAction].
 //
-//	file        concern
-//	decoder.go  lines in; endpoint lists that later lines refer to
+//	file        contents
+//	decoder.go  decoder of lines, with the endpoint lists that later lines refer to
 //	events.go   one decoder for each kind of line
-//	fields.go   the fields of a line
-//	words.go    words of the wire and what they stand for
-//	actions.go  lines out
+//	fields.go   decoding of single fields
+//	enums.go    enumerated values and their names in the protocol
+//	actions.go  encoding of actions as lines
 package simwire
 
 import (
@@ -18,36 +18,38 @@
 	"ottershed/decision"
 )
 
-// maxLists is how many endpoint lists a batch may number.
+// maxLists is the number of endpoint lists that a Decoder holds; lists are numbered from 0.
 const maxLists = 16
 
-// Incoming is one event for an instance, or its start or stop.
-type Incoming struct {
+// Input is one input to an instance: its start, its stop or an event.
+type Input struct {
 	Instance int
-	Start    *Start // nil: it doesn't start here
+	Start    *Start // nil unless the instance starts
 	Stop     bool
-	Event    decision.Event // nil at a start or stop
+	Event    decision.Event // nil for a start or stop
 }
 
-// Start is the start of an instance. Err names a setting that is missing or out of range.
+// Start holds the seed and the settings of an instance that starts. Err is set if a setting is missing or out of range.
 type Start struct {
 	Seed     uint64
 	Settings decision.Settings
 	Err      error
 }
 
-// Decoder decodes lines. It keeps the numbered endpoint lists that later lines refer to.
+// Decoder decodes lines. It holds the numbered endpoint lists that later lines refer to. The zero value is ready to
+// use.
 type Decoder struct {
 	lists     [maxLists][]decision.Endpoint
-	current   int // the list being read
-	remaining int // its entries still to come
+	current   int // number of the list that is being read
+	remaining int // entries of that list that have not been read
 }
 
-// Pending tells whether entries of a list are still to come.
+// Pending returns whether the current list has entries that have not been read.
 func (d *Decoder) Pending() bool { return d.remaining > 0 }
 
-// Line decodes one line of a batch. It returns nil for a line that only adds to a list.
-func (d *Decoder) Line(line string) (*Incoming, error) {
+// DecodeLine decodes one line of a batch. It returns nil for a line that belongs to an endpoint list. The error of a
+// malformed line names the line's kind, the field and what was expected.
+func (d *Decoder) DecodeLine(line string) (*Input, error) {
 	parsed := &fields{parts: strings.Split(line, "\t")}
 	kind, known := lineKinds[parsed.name()]
 	if !known {
@@ -63,15 +65,15 @@
 		kind.decodeList(d, parsed)
 		return nil, parsed.err
 	}
-	incoming := &Incoming{Instance: int(parsed.integer(1))}
-	kind.decode(d, parsed, incoming)
-	return incoming, parsed.err
+	input := &Input{Instance: int(parsed.integer(1))}
+	kind.decode(d, parsed, input)
+	return input, parsed.err
 }
 
-// startList reads the head of an endpoint list: its number and how many entries follow.
-func (d *Decoder) startList(f *fields) {
+// decodeListHeader decodes the header of an endpoint list: its number and the number of entries that follow.
+func (d *Decoder) decodeListHeader(f *fields) {
 	number, entries := f.integer(1), f.integer(2)
-	if f.err == nil && (!isListNumber(number) || entries < 0) {
+	if f.err == nil && (!validListNumber(number) || entries < 0) {
 		f.fail(1, "a list number with its size")
 	}
 	if f.err == nil {
@@ -81,8 +83,8 @@
 	}
 }
 
-// addEntry reads an entry of the endpoint list that is being read.
-func (d *Decoder) addEntry(f *fields) {
+// decodeListEntry decodes an entry and appends it to the current endpoint list.
+func (d *Decoder) decodeListEntry(f *fields) {
 	d.remaining--
 	d.lists[d.current] = append(d.lists[d.current], decision.Endpoint{
 		Cell:        decision.Cell(f.integer(1)),
@@ -90,10 +92,10 @@
 		Zone:        decision.Zone(f.text(3)),
 		Build:       decision.Build(f.number(4)),
 		MachineType: decision.MachineType(f.text(5)),
-		State:       word(f, 6, endpointStates),
+		State:       enumValue(f, 6, endpointStates),
 		Capacity:    f.number(7),
 		ID:          decision.EndpointID(f.text(8)),
 	})
 }
 
-func isListNumber(number int64) bool { return number >= 0 && number < maxLists }
+func validListNumber(number int64) bool { return number >= 0 && number < maxLists }
--- a/internal/simwire/words.go
+++ b/internal/simwire/enums.go
@@ -1,6 +1,6 @@
 package simwire
 
-// Words of the wire and what they stand for.
+// Enumerated values and their names in the protocol.
 
 import "ottershed/decision"
 
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -10,73 +10,73 @@
 	"ottershed/internal/settings"
 )
 
-// lineKind tells how a kind of line is decoded.
+// lineKind describes how a kind of line is decoded.
 type lineKind struct {
-	count      int  // of its fields, with its name
+	fieldCount int  // of its fields, with its name
 	openEnded  bool // the last field may be missing or repeated
-	isEntry    bool // an entry of an endpoint list
+	isEntry    bool // the line is an entry of an endpoint list
 	decodeList func(*Decoder, *fields)
-	decode     func(*Decoder, *fields, *Incoming) // unless decodeList is set
+	decode     func(*Decoder, *fields, *Input) // nil if decodeList is set
 }
 
-// lineKinds are the kinds of lines by their names.
+// lineKinds maps the names of lines to their kinds.
 var lineKinds = map[string]lineKind{
-	"sheet":            {count: 3, decodeList: (*Decoder).startList},
-	"node":             {count: 9, decodeList: (*Decoder).addEntry, isEntry: true},
-	"born":             {count: 4, openEnded: true, decode: decodeStart},
-	"down":             {count: 2, decode: decodeStop},
-	"backends_changed": {count: 5, decode: decodeEndpointsChanged},
-	"req":              {count: 9, decode: event(decodeRequest)},
-	"flowing":          {count: 6, decode: event(decodeResponseStarted)},
-	"verdict":          {count: 9, decode: event(decodeAttemptEnded)},
-	"aborted":          {count: 3, decode: event(decodeClientDisconnected)},
-	"tick_due":         {count: 3, decode: event(decodeTimer)},
-	"ping_result":      {count: 6, decode: event(decodeHealthCheckEnded)},
-	"message":          {count: 4, decode: event(decodePeerMessage)},
-	"stage":            {count: 9, decode: event(decodeStageUpdate)},
-	"metrics":          {count: 8, decode: event(decodeControllerCounts)},
-	"reported_wrong":   {count: 5, decode: event(decodeResponseFlagged)},
-}
-
-// checkCount checks the number of fields. A last field that may be missing is added.
+	"sheet":            {fieldCount: 3, decodeList: (*Decoder).decodeListHeader},
+	"node":             {fieldCount: 9, decodeList: (*Decoder).decodeListEntry, isEntry: true},
+	"born":             {fieldCount: 4, openEnded: true, decode: decodeStart},
+	"down":             {fieldCount: 2, decode: decodeStop},
+	"backends_changed": {fieldCount: 5, decode: decodeEndpointsChanged},
+	"req":              {fieldCount: 9, decode: eventDecoder(decodeRequest)},
+	"flowing":          {fieldCount: 6, decode: eventDecoder(decodeResponseStarted)},
+	"verdict":          {fieldCount: 9, decode: eventDecoder(decodeAttemptEnded)},
+	"aborted":          {fieldCount: 3, decode: eventDecoder(decodeClientDisconnected)},
+	"tick_due":         {fieldCount: 3, decode: eventDecoder(decodeTimer)},
+	"ping_result":      {fieldCount: 6, decode: eventDecoder(decodeHealthCheckEnded)},
+	"message":          {fieldCount: 4, decode: eventDecoder(decodePeerMessage)},
+	"stage":            {fieldCount: 9, decode: eventDecoder(decodeStageUpdate)},
+	"metrics":          {fieldCount: 8, decode: eventDecoder(decodeControllerCounts)},
+	"reported_wrong":   {fieldCount: 5, decode: eventDecoder(decodeResponseFlagged)},
+}
+
+// checkCount returns an error if the number of fields is wrong. It appends an empty last field if that may be missing.
 func (k lineKind) checkCount(f *fields) error {
-	if k.openEnded && len(f.parts) == k.count-1 {
+	if k.openEnded && len(f.parts) == k.fieldCount-1 {
 		f.parts = append(f.parts, "")
 	}
-	if len(f.parts) == k.count || k.openEnded && len(f.parts) > k.count {
+	if len(f.parts) == k.fieldCount || k.openEnded && len(f.parts) > k.fieldCount {
 		return nil
 	}
-	return fmt.Errorf("%s: %d fields, want %d", f.name(), len(f.parts)-1, k.count-1)
+	return fmt.Errorf("%s: %d fields, want %d", f.name(), len(f.parts)-1, k.fieldCount-1)
 }
 
-// event makes a line's decoder of one that needs the line's fields alone.
-func event(decode func(*fields) decision.Event) func(*Decoder, *fields, *Incoming) {
-	return func(_ *Decoder, f *fields, incoming *Incoming) { incoming.Event = decode(f) }
+// eventDecoder adapts a function that decodes an event from the line's fields alone.
+func eventDecoder(decode func(*fields) decision.Event) func(*Decoder, *fields, *Input) {
+	return func(_ *Decoder, f *fields, input *Input) { input.Event = decode(f) }
 }
 
-func decodeStart(_ *Decoder, f *fields, incoming *Incoming) {
+func decodeStart(_ *Decoder, f *fields, input *Input) {
 	start := &Start{Seed: f.token(2)}
 	start.Settings, start.Err = settings.ForModule(settings.Pairs(f.parts[3:]))
-	incoming.Start = start
+	input.Start = start
 }
 
-func decodeStop(_ *Decoder, _ *fields, incoming *Incoming) { incoming.Stop = true }
+func decodeStop(_ *Decoder, _ *fields, input *Input) { input.Stop = true }
 
-func decodeEndpointsChanged(d *Decoder, f *fields, incoming *Incoming) {
-	changed := decision.EndpointsChanged{Kind: word(f, 2, snapshotKinds)}
+func decodeEndpointsChanged(d *Decoder, f *fields, input *Input) {
+	changed := decision.EndpointsChanged{Kind: enumValue(f, 2, snapshotKinds)}
 	number := f.integer(4)
 	changed.Version = f.integer(3)
 	switch {
 	case changed.Kind == decision.PollRejected:
-	case isListNumber(number):
+	case validListNumber(number):
 		changed.Endpoints = d.lists[number]
 	default:
 		f.fail(4, "a list number")
 	}
-	incoming.Event = changed
+	input.Event = changed
 }
 
-// Bits of the last field of a request.
+// Bits of a request line's last field.
 const (
 	hasHintBit = 1 << 0
 	retriedBit = 1 << 1
@@ -110,7 +110,7 @@
 func decodeAttemptEnded(f *fields) decision.Event {
 	return decision.AttemptEnded{
 		Request:      f.request(),
-		Outcome:      word(f, 3, outcomes),
+		Outcome:      enumValue(f, 3, outcomes),
 		Endpoint:     f.endpoint(4),
 		Attempt:      int(f.integer(5)),
 		After:        f.number(6),
@@ -130,7 +130,7 @@
 func decodeHealthCheckEnded(f *fields) decision.Event {
 	return decision.HealthCheckEnded{
 		Endpoint: f.endpoint(2),
-		Outcome:  word(f, 3, outcomes),
+		Outcome:  enumValue(f, 3, outcomes),
 		After:    f.number(4),
 		Load:     f.load(5),
 	}
@@ -148,11 +148,11 @@
 	return decision.StageUpdate{
 		Age:          f.number(2),
 		Build:        decision.Build(f.integer(3)),
-		Phase:        word(f, 4, phases),
+		Phase:        enumValue(f, 4, phases),
 		IsVoteResult: f.integer(5) == 1,
 		ExposureCap:  f.number(6),
 		Stage:        int(f.integer(7)),
-		VoteResult:   word(f, 8, voteResults),
+		VoteResult:   enumValue(f, 8, voteResults),
 	}
 }
 
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -1,6 +1,6 @@
 package simwire
 
-// The fields of a line.
+// Decoding of single fields.
 
 import (
 	"fmt"
@@ -11,18 +11,19 @@
 	"ottershed/decision"
 )
 
-// absent stands for a field without a value.
+// absent marks a field without a value.
 const absent = "-"
 
-// fields reads the fields of one line. The first mistake stays in err; what cannot be read is the zero value.
+// fields decodes the fields of one line. The first error is kept in err, and the values of a line with an error must
+// not be used. An absent number, integer or text has the zero value.
 type fields struct {
-	parts []string // the first one names the kind of line
+	parts []string // the first part is the name of the line
 	err   error
 }
 
 func (f *fields) name() string { return f.parts[0] }
 
-// fail notes that a field is not what it should be.
+// fail records that a field does not have the expected form, unless an earlier error is recorded.
 func (f *fields) fail(i int, expected string) {
 	if f.err == nil {
 		f.err = fmt.Errorf("%s: field %d: %q is not %s", f.name(), i, f.parts[i], expected)
@@ -52,7 +53,7 @@
 	return integer
 }
 
-// request reads the id of a request, always the second field.
+// request decodes the id of a request, which is always field 2.
 func (f *fields) request() decision.RequestID {
 	const i = 2
 	id, err := strconv.ParseUint(f.parts[i], 10, 32)
@@ -90,16 +91,16 @@
 	return f.parts[i] == "1"
 }
 
-// word reads one of the words that a field may have.
-func word[T any](f *fields, i int, words map[string]T) T {
-	value, ok := words[f.parts[i]]
+// enumValue decodes a field that holds one of several names.
+func enumValue[T any](f *fields, i int, values map[string]T) T {
+	value, ok := values[f.parts[i]]
 	if !ok {
 		f.fail(i, "a known word")
 	}
 	return value
 }
 
-// load reads a load report, name:value pairs; unknown names are skipped, and missing ones are -1.
+// load decodes a load report of name:value pairs. It ignores unknown names, and missing values are -1.
 func (f *fields) load(i int) *decision.Load {
 	if f.parts[i] == absent {
 		return nil
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -9,8 +9,8 @@
 	"ottershed/internal/golden"
 )
 
-// bornLine starts an instance with every setting that the module reads.
-const bornLine = "born\t3\t5138197539985895\tn-instances=3\tzone=oulu\tgranularity-ms=5.5\tdiscovery=ask" +
+// startLine starts an instance with every setting that the module reads.
+const startLine = "born\t3\t5138197539985895\tn-instances=3\tzone=oulu\tgranularity-ms=5.5\tdiscovery=ask" +
 	"\trules.ask-within-ms=10000\tcharges.cross-zone=0.02\tcharges.probe=0.01\tlimits.probing=true" +
 	"\tlimits.cancel=true\tlimits.second-copies=1\tlimits.retry-after=true\tlimits.max-retry-after-ms=500" +
 	"\tlimits.most-tries=5\trules.cold-from=0.35\trules.warm-after-ms=4500\trules.overload-factor=3.5" +
@@ -25,14 +25,14 @@
 	"\tservices.2.give-up-ms=1500\tservices.2.idempotency=unsafe\ttenants.count=2" +
 	"\ttenants.0.name=tulvavahti\ttenants.1.name=jokisilma"
 
-// goldenLines are lines of every kind, with every word that the wire has for a field.
+// goldenLines returns lines of every kind, with every enumerated value that the protocol has for a field.
 func goldenLines() []string {
 	lines := []string{
-		bornLine, "born\t3\t7", "down\t3", "sheet\t1\t3", "node\t2\t7000.5\toulu\t42\tthree-core\tup\t1.5\t10.0.0.1:80",
+		startLine, "born\t3\t7", "down\t3", "sheet\t1\t3", "node\t2\t7000.5\toulu\t42\tthree-core\tup\t1.5\t10.0.0.1:80",
 		"node\t-\t-\t-\t41\t-\tdraining\t-\t10.0.0.2:80", "node\t3\t1\ta\t40\tk\tremoved\t2\t10.0.0.3:80",
 	}
-	for _, how := range []string{"changes", "all", "remembered"} {
-		lines = append(lines, "backends_changed\t3\t"+how+"\t5\t1")
+	for _, kind := range []string{"changes", "all", "remembered"} {
+		lines = append(lines, "backends_changed\t3\t"+kind+"\t5\t1")
 	}
 	lines = append(lines, "backends_changed\t3\trefused\t5\t-")
 	for bits := range 4 {
@@ -59,24 +59,24 @@
 		"reported_wrong\t3\t10.0.0.1:80\tlevel-read\t1200.5")
 }
 
-// Each line decodes into the event of the golden file, field by field. The names in that file are the test's own, so
-// that they stay when fields are renamed.
+// Each line decodes into the event of the golden file, with every field in its place. The golden file uses names of
+// this test, which don't change when a field is renamed.
 func TestGoldenEvents(t *testing.T) {
 	var observed strings.Builder
 	var decoder Decoder
 	for _, line := range goldenLines() {
-		incoming, err := decoder.Line(line)
+		input, err := decoder.DecodeLine(line)
 		if err != nil {
 			t.Fatalf("%q: %v", line, err)
 		}
-		fmt.Fprintf(&observed, "%s  %s\n", golden.Quote([]byte(line)), describe(incoming))
+		fmt.Fprintf(&observed, "%s  %s\n", golden.Quote([]byte(line)), describe(input))
 	}
 	if err := golden.Check("testdata/events.golden", []byte(observed.String())); err != nil {
 		t.Error(err)
 	}
 }
 
-// Each action is the line of the golden file; all its fields are set.
+// Each action with all its fields set encodes as the line of the golden file.
 func TestGoldenActions(t *testing.T) {
 	var lines []byte
 	for _, action := range []decision.Action{
@@ -98,7 +98,7 @@
 		decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteHold},
 		decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteRollback},
 	} {
-		lines = Append(lines, 3, action)
+		lines = AppendAction(lines, 3, action)
 	}
 	lines = AppendFault(lines, 3, "what\tfailed\n")
 	if err := golden.Check("testdata/actions.golden", []byte(golden.Quote(lines))); err != nil {
@@ -106,90 +106,92 @@
 	}
 }
 
-// describe prints what a line decodes into, in the words of the golden file.
-func describe(incoming *Incoming) string {
+// describe returns the text of a decoded line in the golden file.
+func describe(input *Input) string {
 	switch {
-	case incoming == nil:
-		return "adds to a list"
-	case incoming.Start != nil:
-		return fmt.Sprintf("instance %d starts: seed %d, fault %v\n%s", incoming.Instance, incoming.Start.Seed,
-			incoming.Start.Err, describeSettings(&incoming.Start.Settings))
-	case incoming.Stop:
-		return fmt.Sprintf("instance %d ends", incoming.Instance)
-	}
-	return fmt.Sprintf("instance %d: %s", incoming.Instance, describeEvent(incoming.Event))
+	case input == nil:
+		return "part of an endpoint list"
+	case input.Start != nil:
+		return fmt.Sprintf("instance %d starts: seed %d, error %v\n%s", input.Instance, input.Start.Seed,
+			input.Start.Err, describeSettings(&input.Start.Settings))
+	case input.Stop:
+		return fmt.Sprintf("instance %d stops", input.Instance)
+	}
+	return fmt.Sprintf("instance %d: %s", input.Instance, describeEvent(input.Event))
 }
 
 func describeEvent(event decision.Event) string {
 	switch event := event.(type) {
 	case decision.EndpointsChanged:
-		text := fmt.Sprintf("list: kind %d, number %d", int(event.Kind), event.Version)
+		text := fmt.Sprintf("endpoints changed: kind %d, version %d", int(event.Kind), event.Version)
 		for _, entry := range event.Endpoints {
-			text += fmt.Sprintf("; endpoint %q cell %d started %g zone %q build %d kind %q state %d units %g",
+			text += fmt.Sprintf("; endpoint %q cell %d started %g zone %q build %d machine type %q state %d capacity %g",
 				string(entry.ID), int(entry.Cell), entry.Started, string(entry.Zone), int(entry.Build),
 				string(entry.MachineType), int(entry.State), entry.Capacity)
 		}
 		return text
 	case decision.RequestReceived:
-		return fmt.Sprintf("request %d: class %q tenant %q key %q left %g hint %g repeated %t",
+		return fmt.Sprintf("request %d: class %q tenant %q key %q TTL %g hint %g retried %t",
 			uint64(event.Request), string(event.Class), string(event.Tenant),
 			string(event.Key), event.TTL, event.Hint, event.Retried)
 	case decision.ResponseStarted:
-		return fmt.Sprintf("answer begins: request %d attempt %d endpoint %q after %g", uint64(event.Request),
+		return fmt.Sprintf("response started: request %d attempt %d endpoint %q after %g", uint64(event.Request),
 			event.Attempt, string(event.Endpoint), event.After)
 	case decision.AttemptEnded:
-		return fmt.Sprintf("attempt ended: request %d ending %d endpoint %q attempt %d after %g request ended %t load %s",
+		return fmt.Sprintf("attempt ended: request %d outcome %d endpoint %q attempt %d after %g request ended %t load %s",
 			uint64(event.Request), int(event.Outcome), string(event.Endpoint), event.Attempt, event.After,
 			event.RequestEnded, describeLoad(event.Load))
 	case decision.ClientDisconnected:
-		return fmt.Sprintf("request gone: %d", uint64(event.Request))
+		return fmt.Sprintf("client disconnected: request %d", uint64(event.Request))
 	case decision.TimerFired:
-		return fmt.Sprintf("timer due: %d", uint64(event.Token))
+		return fmt.Sprintf("timer fired: %d", uint64(event.Token))
 	case decision.HealthCheckEnded:
-		return fmt.Sprintf("probe ended: endpoint %q ending %d after %g load %s", string(event.Endpoint),
+		return fmt.Sprintf("health check ended: endpoint %q outcome %d after %g load %s", string(event.Endpoint),
 			int(event.Outcome), event.After, describeLoad(event.Load))
 	case decision.PeerMessage:
-		return fmt.Sprintf("peer %d said %q", int(event.From), event.Data)
+		return fmt.Sprintf("message from peer %d: %q", int(event.From), event.Data)
 	case decision.StageUpdate:
-		return fmt.Sprintf("stage: age %g build %d phase %d to a vote %t cap %g stage %d fate %d", event.Age,
+		return fmt.Sprintf("stage: age %g build %d phase %d vote result %t cap %g stage %d result %d", event.Age,
 			int(event.Build), int(event.Phase), event.IsVoteResult, event.ExposureCap, event.Stage,
 			int(event.VoteResult))
 	case decision.ControllerCounts:
-		return fmt.Sprintf("tally: build %d class %q count %d failed %d mean %g age %g", int(event.Build),
+		return fmt.Sprintf("controller counts: build %d class %q count %d failed %d mean %g age %g", int(event.Build),
 			string(event.Class), event.Count, event.Failed, event.Mean, event.Age)
 	case decision.ResponseFlagged:
-		return fmt.Sprintf("reported wrong: endpoint %q class %q age %g", string(event.Endpoint),
+		return fmt.Sprintf("response flagged: endpoint %q class %q age %g", string(event.Endpoint),
 			string(event.Class), event.Age)
 	}
-	return "an event that this test does not know"
+	return "unknown event"
 }
 
-func describeLoad(l *decision.Load) string {
-	if l == nil {
+func describeLoad(load *decision.Load) string {
+	if load == nil {
 		return "none"
 	}
-	return fmt.Sprintf("busy %g waiting %g", l.Util, l.Queue)
+	return fmt.Sprintf("util %g queue %g", load.Util, load.Queue)
 }
 
-func describeSettings(set *decision.Settings) string {
+func describeSettings(cfg *decision.Settings) string {
 	lines := []string{
-		fmt.Sprintf("instances %d zone %q granularity %g asks %t within %g", set.Instances,
-			string(set.Zone), set.ClockGranularity, set.PollEndpoints, set.PollWithin),
-		fmt.Sprintf("prices: cross %g probe %g; may cancel %t copy %t probe %t",
-			set.CrossZonePrice, set.HealthCheckPrice, set.CancelAllowed, set.HedgingAllowed, set.HealthChecksAllowed),
-		fmt.Sprintf("come back %g attempts %d cold %g over %g warm %g over for %g",
-			set.MaxRetryAfter, set.MaxAttempts, set.SlowStartFloor, set.OverloadFactor, set.SlowStartWindow, set.OverloadWindow),
-		fmt.Sprintf("control %d in place %t caps %v stages %v free %g per class %t guarded %d keys stay %t reported %g",
-			int(set.Control), set.InPlace, set.ExposureCaps, set.Stages, set.FreeAttempts, set.ExposurePerClass,
-			set.GuardedStages, set.StickyKeys, set.FlagShare),
-		fmt.Sprintf("votes: life %g wait %g on %d back %d hold %d; tally every %g",
-			set.VoteTTL, set.VoteWait, set.AdvanceQuorum, set.RollbackQuorum, set.HoldQuorum, set.CountInterval),
-	}
-	for _, class := range set.Classes {
-		lines = append(lines, fmt.Sprintf("class %q target %g effect %d scope %d remembered %g", string(class.Name),
-			class.LatencyObjective, int(class.Idempotency), int(class.RetryScope), class.DedupWindow))
-	}
-	for _, tenant := range set.Tenants {
+		fmt.Sprintf("instances %d zone %q granularity %g poll %t within %g", cfg.Instances,
+			string(cfg.Zone), cfg.ClockGranularity, cfg.PollEndpoints, cfg.PollWithin),
+		fmt.Sprintf("prices: cross-zone %g health check %g; allowed: cancel %t hedging %t health check %t",
+			cfg.CrossZonePrice, cfg.HealthCheckPrice, cfg.CancelAllowed, cfg.HedgingAllowed, cfg.HealthChecksAllowed),
+		fmt.Sprintf(
+			"max retry-after %g max attempts %d slow start floor %g overload factor %g slow start window %g overload window %g",
+			cfg.MaxRetryAfter, cfg.MaxAttempts, cfg.SlowStartFloor, cfg.OverloadFactor, cfg.SlowStartWindow, cfg.OverloadWindow),
+		fmt.Sprintf(
+			"control %d in place %t caps %v stages %v free attempts %g per class %t guarded stages %d sticky keys %t flag share %g",
+			int(cfg.Control), cfg.InPlace, cfg.ExposureCaps, cfg.Stages, cfg.FreeAttempts, cfg.ExposurePerClass,
+			cfg.GuardedStages, cfg.StickyKeys, cfg.FlagShare),
+		fmt.Sprintf("votes: TTL %g wait %g advance quorum %d rollback quorum %d hold quorum %d; count interval %g",
+			cfg.VoteTTL, cfg.VoteWait, cfg.AdvanceQuorum, cfg.RollbackQuorum, cfg.HoldQuorum, cfg.CountInterval),
+	}
+	for _, class := range cfg.Classes {
+		lines = append(lines, fmt.Sprintf("class %q objective %g idempotency %d retry scope %d dedup window %g",
+			string(class.Name), class.LatencyObjective, int(class.Idempotency), int(class.RetryScope), class.DedupWindow))
+	}
+	for _, tenant := range cfg.Tenants {
 		lines = append(lines, fmt.Sprintf("tenant %q", string(tenant)))
 	}
 	return "    " + strings.Join(lines, "\n    ")
--- a/internal/simwire/lines_test.go
+++ b/internal/simwire/lines_test.go
@@ -9,7 +9,7 @@
 )
 
 // Each kind of line decodes into its event, with every field in its place.
-func TestLines(t *testing.T) {
+func TestLinesDecodeIntoEvents(t *testing.T) {
 	load := &decision.Load{Util: 0.5, Queue: 3}
 	for _, test := range []struct {
 		line string
@@ -41,38 +41,38 @@
 		{"reported_wrong\t3\tn1\tread\t1200", decision.ResponseFlagged{Endpoint: "n1", Class: "read", Age: 1200}},
 		{"backends_changed\t3\trefused\t5\t-", decision.EndpointsChanged{Kind: decision.PollRejected, Version: 5}},
 	} {
-		got, err := new(Decoder).Line(test.line)
+		got, err := new(Decoder).DecodeLine(test.line)
 		if err != nil || got.Instance != 3 || fmt.Sprintf("%#v", got.Event) != fmt.Sprintf("%#v", test.want) {
-			t.Errorf("%q: %+v, %v, want %+v", test.line, got, err, test.want)
+			t.Errorf("%q: got %+v, error %v, want %+v", test.line, got, err, test.want)
 		}
 	}
-	incoming, err := new(Decoder).Line("ping_result\t3\tn1\toverdue\t250\tcpu:0.5,waiting:3")
-	got, ok := incoming.Event.(decision.HealthCheckEnded)
+	input, err := new(Decoder).DecodeLine("ping_result\t3\tn1\toverdue\t250\tcpu:0.5,waiting:3")
+	got, ok := input.Event.(decision.HealthCheckEnded)
 	if err != nil || !ok || got.Outcome != decision.TimedOut || *got.Load != *load {
-		t.Errorf("health check: %+v, %v", incoming, err)
+		t.Errorf("health check: got %+v, error %v, want TimedOut with its load", input, err)
 	}
 }
 
-// An endpoint list is read once, and later lines refer to it by its number.
-func TestLists(t *testing.T) {
+// An endpoint list is decoded once, and later lines refer to the list by its number.
+func TestListIsReferredToByNumber(t *testing.T) {
 	var decoder Decoder
 	for i, line := range []string{"sheet\t1\t1", "node\t2\t7000\ta\t42\tk\tdraining\t1.5\tn1"} {
-		if got, err := decoder.Line(line); got != nil || err != nil || decoder.Pending() != (i == 0) {
-			t.Fatalf("%q: %+v, %v", line, got, err)
+		if got, err := decoder.DecodeLine(line); got != nil || err != nil || decoder.Pending() != (i == 0) {
+			t.Fatalf("%q: got %+v, error %v, want no event, and pending after the first line only", line, got, err)
 		}
 	}
-	got, err := decoder.Line("backends_changed\t3\tall\t5\t1")
+	got, err := decoder.DecodeLine("backends_changed\t3\tall\t5\t1")
 	want := decision.EndpointsChanged{Kind: decision.FullSnapshot, Version: 5, Endpoints: []decision.Endpoint{{
 		ID: "n1", Cell: 2, Started: 7000, Zone: "a",
 		Build: 42, MachineType: "k", State: decision.Draining, Capacity: 1.5,
 	}}}
 	if err != nil || fmt.Sprint(got.Event) != fmt.Sprint(want) {
-		t.Errorf("got %+v, %v, want %+v", got, err, want)
+		t.Errorf("endpoint list: got %+v, error %v, want %+v", got, err, want)
 	}
 }
 
-// The error of a malformed line says what was expected.
-func TestBadLines(t *testing.T) {
+// The error of a malformed line names what was expected.
+func TestMalformedLineErrorNamesExpectation(t *testing.T) {
 	for line, want := range map[string]string{
 		"what\t1":                              "unknown message",
 		"req\t3\t7":                            "req: 2 fields, want 8",
@@ -84,14 +84,14 @@
 		"node\t2\t7000\ta\t42\tk\tup\t1.5\tn1":     "0 nodes to come",
 		"message\t3\t2\tzz":                        "hex",
 	} {
-		if _, err := new(Decoder).Line(line); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", line, err, want)
+		if _, err := new(Decoder).DecodeLine(line); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%q: got error %v, want %q", line, err, want)
 		}
 	}
 }
 
 // Each action encodes as its line.
-func TestActions(t *testing.T) {
+func TestActionsEncodeAsLines(t *testing.T) {
 	for _, test := range []struct {
 		action decision.Action
 		want   string
@@ -110,8 +110,8 @@
 		{decision.ResolveEndpoints{}, "lookup\t3\n"},
 		{decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteRollback}, "cast_vote\t3\t42\t1\t3\n"},
 	} {
-		if got := string(Append(nil, 3, test.action)); got != test.want {
-			t.Errorf("%#v: %q, want %q", test.action, got, test.want)
+		if got := string(AppendAction(nil, 3, test.action)); got != test.want {
+			t.Errorf("%#v: got %q, want %q", test.action, got, test.want)
 		}
 	}
 }
