--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -11,7 +11,7 @@
 func (c *core) handleEndpoints(now decision.Millis, update EndpointUpdate) {
 	c.log.WithFields(logrus.Fields{
 		"how": update.Kind, "index": update.Version, "entries": len(update.Endpoints),
-	}).Debug("endpoint list")
+	}).Debug("endpoint list received")
 	event := decision.EndpointsChanged{Kind: update.Kind, Version: update.Version}
 	listed := map[decision.EndpointID]bool{}
 	for _, endpoint := range update.Endpoints {
--- a/internal/engine/messages.go
+++ b/internal/engine/messages.go
@@ -70,7 +70,7 @@
 	c.log.WithFields(logrus.Fields{
 		"build": update.Build, "stage": update.Stage, "phase": update.Phase, "cap": update.ExposureCap,
 		"age_ms": update.Age, "to_vote": update.IsVoteResult, "fate": update.VoteResult,
-	}).Debug("stage update")
+	}).Debug("stage update received")
 	if update.VoteResult != decision.VoteAccepted {
 		return
 	}
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -4,16 +4,16 @@
 
 import "ottershed/decision"
 
-// Request holds the decoded parts of a client's HTTP request. Every attempt sends the same ones.
+// Request holds the parts of a client's HTTP request. It is decoded once, for all attempts.
 type Request struct {
 	Method, URI, Host string
-	Fields            map[string][]string // of the header
+	Fields            map[string][]string // HTTP header fields
 	Body              []byte
 }
 
 // Response holds the header and the complete body of an endpoint's response.
 type Response struct {
-	Fields map[string][]string // of the header
+	Fields map[string][]string // HTTP header fields
 	Body   []byte
 }
 
@@ -35,7 +35,7 @@
 	id decision.RequestID // assigned by the event loop
 }
 
-// ResultKind is the way in which a request ended.
+// ResultKind tells how a request ended.
 type ResultKind int
 
 // The kinds of results. Only Succeeded has a response.
