--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -40,8 +40,8 @@
 	}
 	// Another start time or build means a new process, possibly at the same address. On an idle connection to the old
 	// process, the next attempt would be reset or never get a response.
-	before := c.endpoints[endpoint.ID]
-	if before.Address != endpoint.Address || before.Started != endpoint.Started || before.Build != endpoint.Build {
+	previous := c.endpoints[endpoint.ID]
+	if previous.Address != endpoint.Address || previous.Started != endpoint.Started || previous.Build != endpoint.Build {
 		c.upstream.SetAddress(endpoint.ID, endpoint.Address)
 	}
 	c.endpoints[endpoint.ID] = endpoint
--- a/internal/engine/messages.go
+++ b/internal/engine/messages.go
@@ -74,10 +74,10 @@
 	if update.VoteResult != decision.VoteAccepted {
 		return
 	}
-	before := c.recovery.stage
+	previous := c.recovery.stage
 	c.recovery.stage = &update
 	c.recovery.stageReceivedAt = now
-	if before != nil && update.Build == before.Build && update.ExposureCap < before.ExposureCap {
+	if previous != nil && update.Build == previous.Build && update.ExposureCap < previous.ExposureCap {
 		c.cancelUnsentForBuild(update.Build)
 	}
 }
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -135,8 +135,8 @@
 			continue
 		}
 		for _, other := range open.attempts {
-			to := c.endpoints[other.endpoint]
-			if !other.ended && to.Build < build && to.Address != "" {
+			target := c.endpoints[other.endpoint]
+			if !other.ended && target.Build < build && target.Address != "" {
 				c.upstream.CancelUnsent(other.endpoint)
 			}
 		}
