--- a/internal/cluster/membership/broadcast.go
+++ b/internal/cluster/membership/broadcast.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	gossipFanout     = 2    // members that a gossip round goes to
-	retransmitFactor = 4    // transmits of an update, times the number of digits of the number of members
-	maxPacketBytes   = 1200 // bytes of an encoded packet: every path carries them without fragmentation
+	gossipFanout     = 2    // members that receive a packet in a gossip round
+	retransmitFactor = 4    // an update is sent this often per decimal digit of the number of members
+	maxPacketBytes   = 1200 // of an encoded packet, as estimated by Packet.size; every path carries it unfragmented
 )
 
-// broadcastQueue holds the members whose newest update is still to be disseminated: each member once, so that the table
-// bounds it. Updates that were transmitted least often go first.
+// broadcastQueue holds the members whose newest update is still to be disseminated. Each member is queued at most once,
+// so the size of the table bounds the queue. Updates that were sent least often go first.
 type broadcastQueue struct {
-	levels        [][]*member // by number of transmits; a member that has moved on leaves a stale entry
+	levels        [][]*member // by number of transmits; a requeued or removed member leaves a stale entry
 	size          int         // members queued
-	transmitLimit int         // transmits of an update
+	transmitLimit int         // an update is removed after so many transmits
 	nextGossip    Millis      // when the next gossip round is due
 }
 
-// put queues a member's newest update with its count of transmits at zero.
-func (q *broadcastQueue) put(m *member) {
+// enqueue queues a member's newest update and resets its transmit count.
+func (q *broadcastQueue) enqueue(m *member) {
 	m.transmits = 0
 	if !m.queued {
 		m.queued = true
@@ -30,6 +30,7 @@
 	q.push(m)
 }
 
+// push adds a member to the level of its transmit count.
 func (q *broadcastQueue) push(m *member) {
 	for len(q.levels) <= m.transmits {
 		q.levels = append(q.levels, nil)
@@ -37,16 +38,17 @@
 	q.levels[m.transmits] = append(q.levels[m.transmits], m)
 }
 
-// drop removes a member; its entries in the levels become stale.
-func (q *broadcastQueue) drop(m *member) {
+// remove removes a member from the queue. Its entries in the levels become stale.
+func (q *broadcastQueue) remove(m *member) {
 	if m.queued {
 		m.queued = false
 		q.size--
 	}
 }
 
-// appendTo adds updates to those of a packet, within the remaining bytes.
-func (q *broadcastQueue) appendTo(updates []Update, remaining int) []Update {
+// appendUpdates appends queued updates to those of a packet, up to the remaining bytes, and counts them as sent. A
+// member that already stands among updates appended by this call is skipped.
+func (q *broadcastQueue) appendUpdates(updates []Update, remaining int) []Update {
 	first := len(updates)
 	var sent []*member
 	for level := range q.levels {
@@ -75,38 +77,40 @@
 	return updates
 }
 
-// countTransmits requeues the members whose updates were sent, or drops those that have reached the limit.
+// countTransmits requeues the members whose updates were sent, and removes those that have reached the transmit limit.
 func (q *broadcastQueue) countTransmits(sent []*member) {
 	for _, m := range sent {
 		m.transmits++
 		if m.transmits >= q.transmitLimit {
-			q.drop(m)
+			q.remove(m)
 		} else {
 			q.push(m)
 		}
 	}
 }
 
+// containsName reports whether one of the updates is about the named member.
 func containsName(updates []Update, name Name) bool {
 	return slices.ContainsFunc(updates, func(u Update) bool { return u.Name == name })
 }
 
-// gossip sends queued updates to some random members.
-func (d *Detector) gossip() {
+// sendGossip sends queued updates to gossipFanout random members.
+func (d *Detector) sendGossip() {
 	for _, m := range d.sample(gossipFanout, isPresent) {
 		d.send(m, Packet{Kind: Gossip})
 	}
 }
 
-// resize adapts the transmit limit to the number of members.
-func (d *Detector) resize() {
+// updateTransmitLimit adapts the transmit limit to the number of members.
+func (d *Detector) updateTransmitLimit() {
 	d.broadcasts.transmitLimit = retransmitFactor * int(math.Ceil(math.Log10(float64(d.table.present()+1))))
 }
 
-// send sends to a member, with as many queued updates as fit.
+// send sends a packet to a member, with as many queued updates as fit.
 func (d *Detector) send(m *member, p Packet) { d.sendTo(m.Address, m, p) }
 
-// sendTo sends to an address at which a member is thought to receive; m may be nil.
+// sendTo sends a packet to an address, with as many queued updates as fit. m is the member that is assumed to receive at
+// the address; nil if there is none.
 func (d *Detector) sendTo(address string, m *member, packet Packet) {
 	packet.From = d.self.Name
 	packet.Address = d.self.Address
@@ -118,13 +122,13 @@
 		packet.Updates = append(packet.Updates, d.self)
 	}
 	if m != nil && m.State > Alive && m.Name != d.settings.Name {
-		// The receiver's own state goes first, so that it can refute it (the buddy system of Lifeguard).
+		// The update about the receiver goes first, so that the receiver can refute it (the buddy system of Lifeguard).
 		remaining -= m.size()
 		packet.Updates = append(packet.Updates, m.Update)
 		if m.State == Dead {
-			d.table.write(m.Name).notifiedAt = d.now
+			d.table.writable(m.Name).notifiedAt = d.now
 		}
 	}
-	packet.Updates = d.broadcasts.appendTo(packet.Updates, remaining)
+	packet.Updates = d.broadcasts.appendUpdates(packet.Updates, remaining)
 	d.output.Sends = append(d.output.Sends, Send{To: address, Packet: packet})
 }
--- a/internal/cluster/membership/detector.go
+++ b/internal/cluster/membership/detector.go
@@ -6,12 +6,12 @@
 	"ottershed/internal/stats"
 )
 
-// phase is the life of a detector.
+// phase is a detector's stage of life.
 //
 //	from     to          on
 //	created  running     the first call of Tick, Receive or Leave (start)
 //	running  leaving     Leave
-//	running  superseded  a newer process of this name elsewhere (aboutSelf); nothing is sent any more
+//	running  superseded  a newer process of this name at another address (handleSelfUpdate); it sends nothing any more
 type phase int
 
 const (
@@ -21,32 +21,33 @@
 	superseded
 )
 
-// Detector is one member's view of all members, and the protocol that keeps it true. One goroutine owns it.
+// Detector holds one member's view of all members and runs the protocol that keeps it current. It must be used by one
+// goroutine at a time.
 type Detector struct {
 	settings     Settings
 	timing       timing
 	random       stats.Random
-	now          Millis // Unix; never decreases
+	now          Millis // Unix time; never decreases
 	phase        phase
-	supersededBy string // the address of a newer process of this name; empty: none
-	self         Update
+	supersededBy string // address of a newer process of this name; empty if none
+	self         Update // this member's own state
 	awareness    awareness
 
 	table      *table
-	rejected   int    // members not added because the table was full
+	rejected   int    // updates about unknown members that were rejected because the table was full
 	suspects   []Name // members under suspicion
-	nextSweep  Millis // when members that died long ago are forgotten
+	nextSweep  Millis // when sweep is due
 	probing    prober
 	broadcasts broadcastQueue
 	sync       antiEntropy
 	output     Output
 }
 
-// New makes a detector. The settings must have passed Settings.Check.
+// New returns a detector. The settings must have passed Settings.Check.
 func New(set Settings) *Detector {
 	detector := &Detector{
 		settings: set,
-		timing:   timingOf(&set),
+		timing:   deriveTiming(&set),
 		random:   stats.Random{Seed: set.RandomSeed},
 		table:    newTable(set.Initial),
 	}
@@ -54,7 +55,7 @@
 		Name: set.Name, Address: set.Address, State: Alive, Run: set.Run,
 		Incarnation: Incarnation(max(1, set.Start)),
 	}
-	if m := detector.table.write(set.Name); m != nil {
+	if m := detector.table.writable(set.Name); m != nil {
 		detector.self.Incarnation = max(detector.self.Incarnation, m.Incarnation)
 		detector.table.set(m, detector.self)
 	} else {
@@ -64,7 +65,7 @@
 	return detector
 }
 
-// Next is when Tick is to be called at the latest.
+// Next returns the time by which Tick must be called, in Unix milliseconds.
 func (d *Detector) Next() Millis {
 	if d.phase == created || d.phase == superseded {
 		return d.now + d.timing.period
@@ -81,18 +82,18 @@
 	return next
 }
 
-// Tick does what is due.
+// Tick advances the detector to a time, in Unix milliseconds, and performs the actions that are due.
 func (d *Detector) Tick(now Millis) Output {
 	d.resetOutput()
 	d.advance(now)
 	return d.output
 }
 
-// Receive handles a packet that has passed Packet.Check.
+// Receive advances the detector to a time, in Unix milliseconds, and handles a packet that has passed Packet.Check.
 func (d *Detector) Receive(now Millis, p *Packet) Output {
 	d.resetOutput()
-	// Time goes first: after a pause of this process, the packets that waited must not be handled before the pause is
-	// noticed.
+	// The time is advanced first. Otherwise packets that were queued during a pause of this process would be handled
+	// before the pause is detected.
 	d.advance(now)
 	if d.phase != superseded {
 		d.receive(p)
@@ -100,7 +101,8 @@
 	return d.output
 }
 
-// Leave announces the shutdown of this member. Call it once, and keep calling Tick for a moment to disseminate it.
+// Leave announces the shutdown of this member to other members. Only the first call, on a running detector, has this
+// effect. Later calls of Tick disseminate the announcement further.
 func (d *Detector) Leave(now Millis) Output {
 	d.resetOutput()
 	d.advance(now)
@@ -109,36 +111,38 @@
 	}
 	d.phase = leaving
 	d.announce(Left)
-	// A member that leaves has no time for gossip rounds: it sends at once what it would send in a period.
+	// A member that leaves may exit before the next gossip round. It sends at once what it would send in a probe period.
 	for _, m := range d.sample(2*indirectProbes+gossipFanout, isPresent) {
 		d.send(m, Packet{Kind: Gossip})
 	}
 	return d.output
 }
 
+// resetOutput discards the output of the previous call.
 func (d *Detector) resetOutput() {
 	d.output.Sends = d.output.Sends[:0]
 	d.output.Changes = d.output.Changes[:0]
 }
 
-// advance sets the time and does what is due, in a fixed order.
+// advance sets the time and performs the actions that are due, in a fixed order. A time before the last one counts as
+// the last one.
 func (d *Detector) advance(now Millis) {
 	now = max(now, d.now)
 	if d.phase == created {
 		d.start(now)
 	}
 	if due := d.Next(); d.phase != superseded && now-due > d.timing.period {
-		d.resumed(now - due)
+		d.handlePause(now - due)
 	}
 	d.now = now
 	if d.phase == superseded {
 		return
 	}
-	d.probesDue()
-	d.relaysDue()
-	d.suspicionsDue()
+	d.checkProbes()
+	d.checkRelays()
+	d.checkSuspicions()
 	if now >= d.probing.next {
-		d.probing.next = now + d.timing.period*d.awareness.factor()
+		d.probing.next = now + d.timing.period*d.awareness.timeoutFactor()
 		d.sync.packetsLeft = maxSyncPackets
 		d.probeNext()
 	}
@@ -147,17 +151,19 @@
 	}
 	if now >= d.broadcasts.nextGossip && d.broadcasts.size > 0 {
 		d.broadcasts.nextGossip = now + d.timing.gossipInterval
-		d.gossip()
+		d.sendGossip()
 	}
 	if now >= d.nextSweep {
 		d.nextSweep = now + d.timing.syncInterval
 		d.sweep()
 	}
-	// With an empty queue the time of the next round stays in the past, and the next update would look like a pause.
+	// While the queue is empty, no round updates nextGossip. If it stayed in the past, the next queued update would be
+	// overdue at once, which handlePause would take for a pause of this process.
 	d.broadcasts.nextGossip = max(d.broadcasts.nextGossip, now)
 }
 
-// start draws the first times at random: members that start together would otherwise probe in step from then on.
+// start schedules the first actions. The times are random, for members that start together would otherwise send their
+// probes at the same times from then on.
 func (d *Detector) start(now Millis) {
 	d.phase = running
 	d.now = now
@@ -170,34 +176,36 @@
 	d.nextSweep = now + d.timing.syncInterval*(1+d.random.Next())
 	d.broadcasts.nextGossip = now
 	d.sync.packetsLeft = maxSyncPackets
-	d.resize()
+	d.updateTransmitLimit()
 	d.emitChange(d.table.get(d.settings.Name), Dead, true)
 }
 
-// resumed handles a pause of this process. All others seem silent for as long: without it, the process would find its
-// probes failed and its suspicions timed out, and declare healthy members dead at once.
-func (d *Detector) resumed(stalledFor Millis) {
+// handlePause drops all probes and extends all suspicions after a pause of this process of stalledFor milliseconds. All
+// other members seem to have been silent for that time: otherwise this process would find its probes failed and its
+// suspicions timed out, and would declare healthy members dead at once.
+func (d *Detector) handlePause(stalledFor Millis) {
 	d.probing.probes = d.probing.probes[:0]
 	d.probing.relays = d.probing.relays[:0]
 	for _, name := range d.suspects {
 		if m := d.table.get(name); m != nil && m.suspicion != nil {
 			m.suspicion.startedAt += stalledFor
 			m.suspicion.endsAt += stalledFor
-			m.confirmedAt = 0
+			m.lastAliveAt = 0
 		}
 	}
-	d.awareness.worse(1)
+	d.awareness.increase(1)
 	d.probing.next = max(d.probing.next, d.now)
 }
 
-// sweep forgets members that died or left long ago. Forgotten at once, a late update about their lives would bring them
-// back; never forgotten, the table would grow with every name there ever was.
+// sweep removes the members that died or left longer than deadRetention ago. If they were removed at once, a late update
+// from before their death would add them again as alive. If they were never removed, the table would grow with each name
+// that was ever used.
 func (d *Detector) sweep() {
-	for _, m := range d.table.changed() {
-		if m.State >= Dead && m.Name != d.settings.Name && d.now-m.since >= d.timing.forgetAfter {
-			d.broadcasts.drop(m)
-			d.table.forget(m)
+	for _, m := range d.table.overridden() {
+		if m.State >= Dead && m.Name != d.settings.Name && d.now-m.since >= d.timing.deadRetention {
+			d.broadcasts.remove(m)
+			d.table.remove(m)
 		}
 	}
-	d.resize()
+	d.updateTransmitLimit()
 }
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// settings returns valid settings of a member that starts at time 1000, with run 7.
 func settings(name Name) Settings {
 	return Settings{
 		Name: name, Address: "127.0.0.1:1", Run: 7, Start: 1000, RandomSeed: 1, ToleratedPause: 4000, DetectionTimeout: 12000,
@@ -14,27 +15,28 @@
 	}
 }
 
-// packetFromB is a gossip packet from member b with updates.
+// packetFromB returns a gossip packet from member b with updates.
 func packetFromB(updates ...Update) *Packet {
 	return &Packet{Kind: Gossip, From: "b", Address: "127.0.0.2:1", Incarnation: 5, Run: 9, Updates: updates}
 }
 
-func TestSettingsChecked(t *testing.T) {
+// Each invalid setting is reported under its key in the operator's file.
+func TestSettingsCheckNamesInvalidKey(t *testing.T) {
 	for want, change := range map[string]func(*Settings){
-		"name: missing":                          func(s *Settings) { s.Name = "" },
-		"name: want no blanks":                   func(s *Settings) { s.Name = "a b" },
-		"membership.advertise: want ip:port":     func(s *Settings) { s.Address = "host:80" },
-		"membership.bear-pause":                  func(s *Settings) { s.ToleratedPause = -1 },
-		"membership.detect-within: want at":      func(s *Settings) { s.DetectionTimeout = s.ToleratedPause + 100 },
-		"membership.most-members":                func(s *Settings) { s.MaxMembers = 1 },
-		"membership.seeds[1].name: \"a\" comes":  func(s *Settings) { s.Seeds[1].Name = "a" },
-		"membership.seeds[1].address: want":      func(s *Settings) { s.Seeds[1].Address = "0.0.0.0:1" },
-		"membership.seeds[1].address: \"127.0.0": func(s *Settings) { s.Seeds[1].Address = s.Seeds[0].Address },
+		"name: missing":                                  func(s *Settings) { s.Name = "" },
+		"name: want no blanks":                           func(s *Settings) { s.Name = "a b" },
+		"membership.advertise: want ip:port":             func(s *Settings) { s.Address = "host:80" },
+		"membership.bear-pause":                          func(s *Settings) { s.ToleratedPause = -1 },
+		"membership.detect-within: want at":              func(s *Settings) { s.DetectionTimeout = s.ToleratedPause + 100 },
+		"membership.most-members":                        func(s *Settings) { s.MaxMembers = 1 },
+		"membership.seeds[1].name: \"a\" is a duplicate": func(s *Settings) { s.Seeds[1].Name = "a" },
+		"membership.seeds[1].address: want":              func(s *Settings) { s.Seeds[1].Address = "0.0.0.0:1" },
+		"membership.seeds[1].address: \"127.0.0":         func(s *Settings) { s.Seeds[1].Address = s.Seeds[0].Address },
 	} {
 		s := settings("a")
 		change(&s)
 		if err := s.Check(); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("want %q, got %v", want, err)
+			t.Errorf("got %v, want an error that begins with %q", err, want)
 		}
 	}
 	valid := settings("a")
@@ -43,9 +45,9 @@
 	}
 }
 
-// Packets are decoded as they were encoded and fit the size they are reckoned at; signatures, clusters and fields are
-// checked.
-func TestCodec(t *testing.T) {
+// A packet survives encoding and decoding and is no longer than its estimated size. A packet with a wrong signature, of
+// another cluster, truncated or with an invalid field is rejected.
+func TestCodecRoundTripAndRejections(t *testing.T) {
 	long := Name(strings.Repeat("n", maxNameBytes))
 	full := &Packet{
 		Kind: PingReq, From: long, Address: "127.255.255.255:65535", Incarnation: maxIncarnation - 1, Run: 1<<64 - 1,
@@ -54,141 +56,143 @@
 	for full.size() < maxPacketBytes-200 {
 		full.Updates = append(full.Updates, Update{
 			Name: long, Address: "127.255.255.255:65535", State: Dead,
-			Incarnation: maxIncarnation - 1, Run: 1<<64 - 1, By: long,
+			Incarnation: maxIncarnation - 1, Run: 1<<64 - 1, Accuser: long,
 		})
 	}
-	sealed := Codec{Cluster: strings.Repeat("c", maxClusterBytes), Key: []byte("sixteen bytes or more")}
-	raw, err := sealed.Encode(full)
+	signed := Codec{Cluster: strings.Repeat("c", maxClusterBytes), Key: []byte("sixteen bytes or more")}
+	raw, err := signed.Encode(full)
 	if err != nil || len(raw) > full.size() {
-		t.Fatalf("%d bytes, reckoned %d, %v", len(raw), full.size(), err)
+		t.Fatalf("encoded packet: got %d bytes, %v, want %d at most", len(raw), err, full.size())
 	}
-	if back, err := sealed.Decode(raw); err != nil || len(back.Updates) != len(full.Updates) ||
+	if back, err := signed.Decode(raw); err != nil || len(back.Updates) != len(full.Updates) ||
 		back.Updates[0] != full.Updates[0] || back.Seq != full.Seq || back.From != full.From ||
 		back.TargetAddress != full.TargetAddress {
-		t.Errorf("%+v, %v", back, err)
+		t.Errorf("decoded packet: got %+v, %v, want %+v", back, err, full)
 	}
-	checkSignature(t, sealed, raw)
+	checkSignature(t, signed, raw)
 	if raw, err = (Codec{Cluster: "other"}).Encode(full); err != nil {
 		t.Fatal(err)
 	}
-	open := Codec{Cluster: "c"}
-	if _, err := open.Decode(raw); !errors.Is(err, ErrCluster) {
-		t.Error(err)
+	unsigned := Codec{Cluster: "c"}
+	if _, err := unsigned.Decode(raw); !errors.Is(err, ErrCluster) {
+		t.Errorf("packet of another cluster: got %v, want %v", err, ErrCluster)
 	}
-	checkMalformed(t, open)
+	checkMalformed(t, unsigned)
 	for i := range raw {
-		if _, err := open.Decode(raw[:i]); err == nil {
-			t.Errorf("the first %d bytes pass", i)
+		if _, err := unsigned.Decode(raw[:i]); err == nil {
+			t.Errorf("packet truncated to %d bytes: got no error", i)
 		}
 	}
 }
 
-// checkSignature changes each byte of a signed packet in turn.
-func checkSignature(t *testing.T, sealed Codec, raw []byte) {
+// checkSignature changes each byte of a signed packet in turn, and expects ErrSignature.
+func checkSignature(t *testing.T, signed Codec, raw []byte) {
 	t.Helper()
 	for i := range raw {
 		changed := append([]byte(nil), raw...)
 		changed[i]++
-		if _, err := sealed.Decode(changed); !errors.Is(err, ErrSignature) {
-			t.Fatalf("byte %d changed: %v", i, err)
+		if _, err := signed.Decode(changed); !errors.Is(err, ErrSignature) {
+			t.Fatalf("byte %d changed: got %v, want %v", i, err, ErrSignature)
 		}
 	}
 }
 
-// checkMalformed decodes packets with one invalid field each.
-func checkMalformed(t *testing.T, open Codec) {
+// checkMalformed decodes packets with one invalid field each, and expects ErrMalformed.
+func checkMalformed(t *testing.T, unsigned Codec) {
 	t.Helper()
 	valid := Update{Name: "x", Address: "127.0.0.1:1", Incarnation: 1}
 	for name, change := range map[string]func(*Packet){
-		"kind":               func(p *Packet) { p.Kind = kindCount },
-		"no sender":          func(p *Packet) { p.From = "" },
-		"no address":         func(p *Packet) { p.Address = "" },
-		"a name to look up":  func(p *Packet) { p.Address = "example.org:80" },
-		"sums":               func(p *Packet) { p.Sums = make([]uint64, 3) },
-		"ping to nobody":     func(p *Packet) { p.Kind = Ping },
-		"request to nowhere": func(p *Packet) { p.Kind, p.Target = PingReq, "x" },
-		"state":              func(p *Packet) { p.Updates[0].State = 9 },
-		"incarnation 0":      func(p *Packet) { p.Updates[0].Incarnation = 0 },
-		"at the top":         func(p *Packet) { p.Updates[0].Incarnation = maxIncarnation },
-		"nobody accuses":     func(p *Packet) { p.Updates[0].State = Suspect },
+		"unknown kind":               func(p *Packet) { p.Kind = kindCount },
+		"no sender":                  func(p *Packet) { p.From = "" },
+		"no address":                 func(p *Packet) { p.Address = "" },
+		"host name as address":       func(p *Packet) { p.Address = "example.org:80" },
+		"too few checksums":          func(p *Packet) { p.Checksums = make([]uint64, 3) },
+		"ping without target":        func(p *Packet) { p.Kind = Ping },
+		"ping-req without address":   func(p *Packet) { p.Kind, p.Target = PingReq, "x" },
+		"unknown state":              func(p *Packet) { p.Updates[0].State = 9 },
+		"incarnation 0":              func(p *Packet) { p.Updates[0].Incarnation = 0 },
+		"incarnation above the max.": func(p *Packet) { p.Updates[0].Incarnation = maxIncarnation },
+		"suspect without accuser":    func(p *Packet) { p.Updates[0].State = Suspect },
 	} {
 		p := packetFromB(valid)
 		change(p)
-		raw, err := open.Encode(p)
+		raw, err := unsigned.Encode(p)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := open.Decode(raw); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: %v", name, err)
+		if _, err := unsigned.Decode(raw); !errors.Is(err, ErrMalformed) {
+			t.Errorf("%s: got %v, want %v", name, err, ErrMalformed)
 		}
 	}
 }
 
-// A newer process of the same name elsewhere supersedes a member; updates of an older one change nothing; an update of
-// an earlier run at the same address is refuted.
-func TestOneName(t *testing.T) {
+// An update about this member from a newer process at another address supersedes it, and one from an older process
+// changes nothing. An update from an earlier run at the same address is refuted by a higher incarnation, as is Dead at
+// the current incarnation.
+func TestSelfUpdateSupersedesOrIsRefuted(t *testing.T) {
 	for name, test := range map[string]struct {
-		u          Update
+		update     Update
 		superseded bool
-		raised     bool
+		refuted    bool // by a higher incarnation
 	}{
-		"newer, elsewhere":            {Update{Address: "127.0.0.9:1", Incarnation: 2000, Run: 8}, true, false},
-		"older, elsewhere":            {Update{Address: "127.0.0.9:1", Incarnation: 900, Run: 8}, false, false},
-		"earlier run, clock put back": {Update{Address: "127.0.0.1:1", Incarnation: 2000, Run: 8}, false, true},
+		"newer, at another address":   {Update{Address: "127.0.0.9:1", Incarnation: 2000, Run: 8}, true, false},
+		"older, at another address":   {Update{Address: "127.0.0.9:1", Incarnation: 900, Run: 8}, false, false},
+		"earlier run, clock set back": {Update{Address: "127.0.0.1:1", Incarnation: 2000, Run: 8}, false, true},
 		"dead at this incarnation": {
-			Update{Address: "127.0.0.1:1", Incarnation: 1000, Run: 7, State: Dead, By: "b"}, false, true,
+			Update{Address: "127.0.0.1:1", Incarnation: 1000, Run: 7, State: Dead, Accuser: "b"}, false, true,
 		},
-		"dead long ago": {
-			Update{Address: "127.0.0.1:1", Incarnation: 900, Run: 6, State: Dead, By: "b"}, false, false,
+		"dead at an earlier incarnation": {
+			Update{Address: "127.0.0.1:1", Incarnation: 900, Run: 6, State: Dead, Accuser: "b"}, false, false,
 		},
-		"its own word": {Update{Address: "127.0.0.1:1", Incarnation: 1000, Run: 7}, false, false},
+		"its own update": {Update{Address: "127.0.0.1:1", Incarnation: 1000, Run: 7}, false, false},
 	} {
 		d := New(settings("a"))
-		test.u.Name = "a"
+		test.update.Name = "a"
 		d.Tick(1000)
-		d.Receive(1001, packetFromB(test.u))
+		d.Receive(1001, packetFromB(test.update))
 		if got := d.View().Superseded != ""; got != test.superseded {
-			t.Errorf("%s: superseded %v", name, got)
+			t.Errorf("%s: got superseded %v, want %v", name, got, test.superseded)
 		}
-		if got := d.self.Incarnation > 1000; got != test.raised || test.raised && d.self.Incarnation <= test.u.Incarnation {
-			t.Errorf("%s: incarnation %d", name, d.self.Incarnation)
+		refuted := d.self.Incarnation > 1000
+		if refuted != test.refuted || test.refuted && d.self.Incarnation <= test.update.Incarnation {
+			t.Errorf("%s: got incarnation %d, want refuted %v", name, d.self.Incarnation, test.refuted)
 		}
 		if out := d.Tick(100000); test.superseded && len(out.Sends) > 0 {
-			t.Errorf("%s: it still sends packets", name)
+			t.Errorf("%s: got %d packets after it was superseded, want none", name, len(out.Sends))
 		}
 	}
 }
 
-// Another member's Dead counts as an accusation of a member that is alive here, and as a death of one that is
-// suspected.
-func TestDeathReports(t *testing.T) {
+// Another member's Dead makes a member suspect that is alive in this view, and dead if it is suspect already. An update
+// at the same incarnation does not revive it, a higher incarnation does.
+func TestDeadUpdateIsAccusationThenDeath(t *testing.T) {
 	detector := New(settings("a"))
 	detector.Tick(1000)
 	member := Update{Name: "c", Address: "127.0.0.3:1", Incarnation: 5, Run: 3}
 	detector.Receive(1001, packetFromB(member))
 	dead := member
-	dead.State, dead.By = Dead, "b"
+	dead.State, dead.Accuser = Dead, "b"
 	detector.Receive(1002, packetFromB(dead))
 	if s, _, _ := detector.StateOf("c"); s != Suspect {
-		t.Errorf("after the first report %v", s)
+		t.Errorf("after the first Dead: got %v, want %v", s, Suspect)
 	}
 	detector.Receive(1003, packetFromB(dead))
 	if s, _, _ := detector.StateOf("c"); s != Dead {
-		t.Errorf("after the second report %v", s)
+		t.Errorf("after the second Dead: got %v, want %v", s, Dead)
 	}
 	detector.Receive(1004, packetFromB(member))
 	if s, _, _ := detector.StateOf("c"); s != Dead {
-		t.Errorf("after a late update about its life: %v", s)
+		t.Errorf("after a late Alive: got %v, want %v", s, Dead)
 	}
 	member.Incarnation++
 	detector.Receive(1005, packetFromB(member))
 	if s, inc, _ := detector.StateOf("c"); s != Alive || inc != 6 {
-		t.Errorf("after its refutation: %v %d", s, inc)
+		t.Errorf("after its refutation: got %v at incarnation %d, want %v at 6", s, inc, Alive)
 	}
 }
 
-// The table stays within its bound, and forgets members that died or left long ago.
-func TestBounds(t *testing.T) {
+// The table rejects members beyond its capacity, and removes members that died or left long ago.
+func TestTableIsBounded(t *testing.T) {
 	detector := New(settings("a"))
 	detector.Tick(1000)
 	names := []Name{"c", "d", "e", "f"}
@@ -196,22 +200,23 @@
 		detector.Receive(1001, packetFromB(Update{Name: n, Address: "127.0.0.3:1", Incarnation: 5}))
 	}
 	if v := detector.View(); len(v.Members) != 4 || v.Rejected != 2 {
-		t.Errorf("%d members, %d refused", len(v.Members), v.Rejected)
+		t.Errorf("got %d members and %d rejected, want 4 and 2", len(v.Members), v.Rejected)
 	}
 	detector.Receive(1002, packetFromB(Update{Name: "c", Address: "127.0.0.3:1", Incarnation: 5, State: Left}))
 	for now := 1002.0; now < 200000; now = max(now+1, detector.Next()) {
 		detector.Tick(now)
 	}
 	if _, _, known := detector.StateOf("c"); known {
-		t.Error("one that left is never forgotten")
+		t.Error("a member that left was not removed from the table")
 	}
 	if detector.table.size() != 1 || len(detector.broadcasts.levels) > 20 || detector.broadcasts.size > 1 {
-		t.Errorf("%d members, queue of %d", detector.table.size(), detector.broadcasts.size)
+		t.Errorf("got %d members, queue of %d in %d levels, want 1, at most 1 and at most 20",
+			detector.table.size(), detector.broadcasts.size, len(detector.broadcasts.levels))
 	}
 }
 
-// After a pause of its own process a detector declares nobody dead.
-func TestOwnPause(t *testing.T) {
+// After a pause of its own process, a detector does not declare a suspect dead, and its awareness grows.
+func TestOwnPauseDeclaresNobodyDead(t *testing.T) {
 	d := New(settings("a"))
 	d.Tick(1000)
 	d.Receive(1001, packetFromB())
@@ -222,14 +227,15 @@
 	}
 	d.Tick(now + 60000)
 	if s, _, _ := d.StateOf("b"); s != Suspect {
-		t.Errorf("after its own pause %v", s)
+		t.Errorf("after its own pause: got %v, want %v", s, Suspect)
 	}
 	if d.awareness == 0 {
-		t.Error("its awareness has not grown")
+		t.Error("awareness after its own pause: got 0, want more")
 	}
 }
 
-// BenchmarkDetector measures one detector in a cluster, for a ping that it acknowledges and its share of ticks.
+// BenchmarkDetector measures how long one detector in a cluster takes to decode a ping and to encode the response, with
+// its share of periodic work.
 func BenchmarkDetector(b *testing.B) {
 	for _, members := range []int{5, 50, 1000} {
 		b.Run(strconv.Itoa(members), func(b *testing.B) {
--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -3,73 +3,75 @@
 import "slices"
 
 const (
-	indirectProbes = 3   // members that are asked to ping one that does not respond
-	maxProbes      = 16  // probes in flight: the periodic one, and those on others' accusations
-	maxRelays      = 128 // pings in flight on behalf of others
+	indirectProbes = 3   // members that are asked to ping a member that does not respond
+	maxProbes      = 16  // probes in flight: the periodic probe, and those started by accusations of other members
+	maxRelays      = 128 // pings in flight on behalf of other members
 )
 
-// prober is the state of this member's own probes and of those that it relays.
+// prober is the state of this member's own probes and of the pings that it relays.
 type prober struct {
 	next   Millis // when the next periodic probe is due
-	order  walk   // the random order of the present round
-	seq    uint64 // of the last ping
+	order  walk   // the random order of the current round
+	seq    uint64 // sequence number of the last ping
 	probes []*probe
 	relays []relay
 }
 
 // probe is a probe in flight.
 //
-//	state      leaves it on
-//	direct     an Ack: acked; directUntil: indirect
-//	indirect   an Ack from the target or a relay: acked; until: failed
-//	acked      removed by probesDue
-//	failed     removed by probesDue: probed again, or the target is suspected
+//	from      to        on
+//	direct    acked     an Ack
+//	direct    indirect  directDeadline
+//	indirect  acked     an Ack from the target or a relay
+//	indirect  failed    deadline
+//	acked     -         removed by checkProbes
+//	failed    -         removed by checkProbes; the target is probed again or suspected
 type probe struct {
-	seq           uint64
-	target        Name
-	directUntil   Millis // when others are asked
-	until         Millis // when it has failed
-	relays, nacks int    // members that were asked, and that reported no response
-	indirect      bool
-	acked         bool
-	retry         bool // the second in a row
+	seq            uint64
+	target         Name
+	directDeadline Millis // without an Ack by then, other members are asked to ping the target
+	deadline       Millis // without an Ack by then, the probe has failed
+	relays, nacks  int    // members that were asked to ping the target, and Nacks received from them
+	indirect       bool   // other members were asked
+	acked          bool
+	retry          bool // not a periodic probe: its failure leads to suspicion at once
 }
 
-// relay is a ping in flight on behalf of another member.
+// relay is a ping in flight on behalf of another member, the origin.
 type relay struct {
-	seq       uint64 // of this member's ping
-	originSeq uint64 // of the origin's ping
-	origin    string // the origin's address
+	seq       uint64 // sequence number of this member's ping
+	originSeq uint64 // sequence number of the origin's ping
+	origin    string // ip:port of the origin
 	target    Name
-	nackAt    Millis
-	until     Millis // when it is dropped
+	nackAt    Millis // without an Ack by then, the origin is sent a Nack
+	expiresAt Millis // when the relay is removed
 	nacked    bool
 }
 
-// nextDue is when probeNext, probesDue or relaysDue has something to do.
+// nextDue returns when probeNext, checkProbes or checkRelays is due.
 func (p *prober) nextDue() Millis {
 	next := p.next
 	for _, probe := range p.probes {
 		if !probe.indirect {
-			next = min(next, probe.directUntil)
+			next = min(next, probe.directDeadline)
 		}
-		next = min(next, probe.until)
+		next = min(next, probe.deadline)
 	}
 	for _, r := range p.relays {
 		if !r.nacked {
 			next = min(next, r.nackAt)
 		}
-		next = min(next, r.until)
+		next = min(next, r.expiresAt)
 	}
 	return next
 }
 
-// probeNext probes the next member of the round; a round probes each member once.
+// probeNext probes the next member of the round. A round probes each member once, in random order.
 func (d *Detector) probeNext() {
-	for range 2 { // what is left of this round, then a new one
+	for range 2 { // the rest of this round, then a new round
 		for m := d.probing.order.next(d.table); m != nil; m = d.probing.order.next(d.table) {
 			if m.Name != d.settings.Name && isPresent(m) {
-				d.ping(m, false)
+				d.startProbe(m, false)
 				return
 			}
 		}
@@ -77,44 +79,46 @@
 	}
 }
 
-// ping starts a probe. Its timeouts grow with awareness.
-func (d *Detector) ping(m *member, retry bool) {
+// startProbe sends a Ping to a member, unless maxProbes probes are in flight. The timeouts of the probe grow with
+// awareness. retry tells whether a failure of the probe leads to suspicion at once.
+func (d *Detector) startProbe(m *member, retry bool) {
 	if len(d.probing.probes) >= maxProbes {
 		return
 	}
 	d.probing.seq++
-	factor := d.awareness.factor()
+	factor := d.awareness.timeoutFactor()
 	d.probing.probes = append(d.probing.probes, &probe{
-		seq:         d.probing.seq,
-		target:      m.Name,
-		retry:       retry,
-		directUntil: d.now + d.timing.directTimeout*factor,
-		until:       d.now + d.timing.period*factor,
+		seq:            d.probing.seq,
+		target:         m.Name,
+		retry:          retry,
+		directDeadline: d.now + d.timing.directTimeout*factor,
+		deadline:       d.now + d.timing.period*factor,
 	})
 	d.send(m, Packet{Kind: Ping, Seq: d.probing.seq, Target: m.Name})
 }
 
-// probesDue asks others to ping the members that do not respond, and handles the probes that have failed.
-func (d *Detector) probesDue() {
+// checkProbes removes the probes that are acknowledged or have failed, handles the failed ones, and asks other members
+// to ping the targets that have not responded to a direct ping.
+func (d *Detector) checkProbes() {
 	var failed []*probe
 	d.probing.probes = slices.DeleteFunc(d.probing.probes, func(p *probe) bool {
-		if !p.acked && d.now >= p.until {
+		if !p.acked && d.now >= p.deadline {
 			failed = append(failed, p)
 			return true
 		}
 		return p.acked
 	})
 	for _, p := range d.probing.probes {
-		if m := d.table.get(p.target); m != nil && !p.indirect && d.now >= p.directUntil {
+		if m := d.table.get(p.target); m != nil && !p.indirect && d.now >= p.directDeadline {
 			d.probeIndirectly(p, m)
 		}
 	}
 	for _, p := range failed {
-		d.probeFailed(p)
+		d.handleFailedProbe(p)
 	}
 }
 
-// probeIndirectly repeats the ping, which may have been lost, and asks other members to ping.
+// probeIndirectly repeats the direct ping, which may have been lost, and asks other members to ping the target.
 func (d *Detector) probeIndirectly(p *probe, target *member) {
 	p.indirect = true
 	d.send(target, Packet{Kind: Ping, Seq: p.seq, Target: target.Name})
@@ -125,43 +129,45 @@
 	}
 }
 
-// probeFailed probes the target once more, and accuses it after the second failure in a row. A single failure is not
-// enough: where packets are lost, one probe in some tens fails, and each accusation and refutation goes to all members.
-func (d *Detector) probeFailed(p *probe) {
-	// A member whose own machine is slow or cut off would accuse all others in turn. Relays that do not even send a Nack
-	// are as silent to it as the target: that is evidence against this member itself.
+// handleFailedProbe probes the target once more, and suspects it after the second failure in a row. A single failure is
+// not sufficient: under packet loss, one probe in some tens fails, and each accusation and its refutation are sent to
+// all members.
+func (d *Detector) handleFailedProbe(p *probe) {
+	// A member whose own machine is slow or partitioned would accuse all others in turn. Relays that send neither Ack nor
+	// Nack are as silent as the target, which indicates that this member itself is at fault.
 	if missing := p.relays - p.nacks; missing > 0 {
-		d.awareness.worse(missing)
+		d.awareness.increase(missing)
 	} else if p.relays == 0 {
-		d.awareness.worse(1)
+		d.awareness.increase(1)
 	}
 	m := d.table.get(p.target)
 	switch {
-	case m == nil: // forgotten since
+	case m == nil: // removed from the table since the probe started
 	case m.State == Alive && !p.retry:
-		d.ping(m, true)
+		d.startProbe(m, true)
 	default:
 		d.suspectMember(m.Name, m.Incarnation, d.settings.Name)
 	}
 }
 
-// handlePing responds if this member is meant: after a restart elsewhere an address may be another member's, whose
-// response would prove nothing.
+// handlePing responds to a Ping whose target is this member. After a restart at another address, a member's old address
+// may belong to another member, whose response would prove nothing about the target.
 func (d *Detector) handlePing(p *Packet, sender *member) {
 	if p.Target == d.settings.Name {
 		d.sendTo(p.Address, sender, Packet{Kind: Ack, Seq: p.Seq, Target: d.settings.Name})
 	}
 }
 
-// handleAck ends a probe, or passes the Ack on to the member that the ping was relayed for.
+// handleAck ends a probe, or forwards the Ack to the member for which the ping was relayed.
 func (d *Detector) handleAck(p *Packet) {
 	for _, probe := range d.probing.probes {
 		if probe.seq == p.Seq && probe.target == p.Target {
 			probe.acked = true
-			d.awareness.better()
-			// A relayed Ack is a sign of life as well: a cut in one direction is no death.
+			d.awareness.decrease()
+			// A relayed Ack proves that the target is alive, too: a link that fails in one direction must not make the target
+			// dead.
 			if m := d.table.get(p.Target); m != nil && m.State == Suspect {
-				d.table.write(m.Name).confirmedAt = d.now
+				d.table.writable(m.Name).lastAliveAt = d.now
 			}
 			return
 		}
@@ -175,7 +181,7 @@
 	}
 }
 
-// handleNack counts a relay that is running and got no response either.
+// handleNack counts a relay that is running and got no response from the target either.
 func (d *Detector) handleNack(p *Packet) {
 	for _, probe := range d.probing.probes {
 		if probe.seq == p.Seq && probe.nacks < probe.relays {
@@ -184,7 +190,8 @@
 	}
 }
 
-// handlePingReq pings on behalf of the sender.
+// handlePingReq pings the target on behalf of the sender. It ignores the request while maxRelays relays are in flight,
+// and when the target is this member itself.
 func (d *Detector) handlePingReq(p *Packet) {
 	if len(d.probing.relays) >= maxRelays || p.Target == d.settings.Name {
 		return
@@ -196,14 +203,14 @@
 		origin:    p.Address,
 		target:    p.Target,
 		nackAt:    d.now + d.timing.directTimeout,
-		until:     d.now + d.timing.period,
+		expiresAt: d.now + d.timing.period,
 	})
 	d.sendTo(p.TargetAddress, d.table.get(p.Target), Packet{Kind: Ping, Seq: d.probing.seq, Target: p.Target})
 }
 
-// relaysDue sends a Nack for each relayed ping without a response.
-func (d *Detector) relaysDue() {
-	d.probing.relays = slices.DeleteFunc(d.probing.relays, func(r relay) bool { return d.now >= r.until })
+// checkRelays removes the relays that have expired, and sends a Nack for each relayed ping without a response.
+func (d *Detector) checkRelays() {
+	d.probing.relays = slices.DeleteFunc(d.probing.relays, func(r relay) bool { return d.now >= r.expiresAt })
 	for i := range d.probing.relays {
 		if r := &d.probing.relays[i]; !r.nacked && d.now >= r.nackAt {
 			r.nacked = true
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -1,20 +1,20 @@
 package membership
 
-// receive handles a packet: first its sender's own state, then its updates, then the packet by its kind.
+// receive handles a packet: first the sender's own state, then the updates, then the packet according to its kind.
 func (d *Detector) receive(packet *Packet) {
 	self := Update{
 		Name: packet.From, Address: packet.Address, State: Alive, Incarnation: packet.Incarnation, Run: packet.Run,
 	}
 	if packet.From == d.settings.Name {
-		d.aboutSelf(self)
+		d.handleSelfUpdate(self)
 		return
 	}
 	d.sync.joined = true
 	if !announcesLeave(packet) {
-		d.apply(self, packet.From)
+		d.applyUpdate(self, packet.From)
 	}
 	for i := range packet.Updates {
-		d.apply(packet.Updates[i], packet.From)
+		d.applyUpdate(packet.Updates[i], packet.From)
 	}
 	if d.phase == superseded {
 		return
@@ -24,16 +24,16 @@
 		return
 	}
 	if sender.State == Suspect && packet.Incarnation >= sender.Incarnation {
-		d.table.write(packet.From).confirmedAt = d.now
+		d.table.writable(packet.From).lastAliveAt = d.now
 	}
-	if packet.Kind != Records { // handleRecords sends what the sender has missed
-		d.correct(sender, packet.Updates)
+	if packet.Kind != Records { // for those, handleRecords sends the records that differ
+		d.sendRefutations(sender, packet.Updates)
 	}
 	d.dispatch(packet, sender)
 	d.notifyDead(packet)
 }
 
-// dispatch calls the handler of a packet's kind. Gossip needs none: its updates are applied already.
+// dispatch calls the handler for a packet's kind. Gossip has no handler, for its updates are already applied.
 func (d *Detector) dispatch(p *Packet, sender *member) {
 	switch p.Kind {
 	case Ping:
@@ -51,8 +51,8 @@
 	}
 }
 
-// notifyDead tells a sender that is held dead here, so that it can refute it. A Ping needs no extra packet, for its Ack
-// carries the update.
+// notifyDead sends the update about the sender to a sender that is dead in this member's view, at most once per period,
+// so that the sender can refute it. A Ping needs no extra packet, for its Ack carries the update.
 func (d *Detector) notifyDead(p *Packet) {
 	sender := d.table.get(p.From)
 	if sender == nil || sender.State != Dead || p.Kind == Ping {
@@ -63,7 +63,7 @@
 	}
 }
 
-// announcesLeave reports whether the sender of a packet says that it leaves.
+// announcesLeave reports whether a packet carries its sender's announcement of shutdown.
 func announcesLeave(p *Packet) bool {
 	for i := range p.Updates {
 		if p.Updates[i].Name == p.From && p.Updates[i].State == Left {
--- a/internal/cluster/membership/settings.go
+++ b/internal/cluster/membership/settings.go
@@ -6,7 +6,7 @@
 	"net/netip"
 )
 
-// Millis is a time or a duration in milliseconds, with fractions.
+// Millis is a time or a duration in milliseconds, with fractions. Times are Unix times.
 type Millis = float64
 
 // Seed is a member that is contacted to join the cluster.
@@ -19,32 +19,34 @@
 type Settings struct {
 	Name       Name   // 1 to 64 bytes without blanks and control characters
 	Address    string // ip:port at which the other members reach this one
-	Run        RunID
-	Start      Millis // Unix; the first incarnation
-	Seeds      []Seed // a seed of this member's own name is ignored
-	RandomSeed uint64 // seeds every random choice
+	Run        RunID  // identifies this process among those of the same name
+	Start      Millis // Unix time of the process's start; the first incarnation
+	Seeds      []Seed // members that are contacted to join; an entry with this member's own name is ignored
+	RandomSeed uint64 // seed of the random number generator
 
-	// ToleratedPause is a silence after which a member must not be declared dead; 0 or more, by default 4000. A higher
-	// value tolerates longer pauses and leaves less of DetectionTimeout for probing: more packets a second.
+	// ToleratedPause is the longest silence for which a member must not be declared dead; 0 or more, by default 4000. A
+	// higher value tolerates longer pauses and leaves less of DetectionTimeout for probing, which costs more packets per
+	// second.
 	ToleratedPause Millis
-	// DetectionTimeout is when a member that has died is declared dead by all, at the latest; ToleratedPause + 320 or
+	// DetectionTimeout is the longest time until all members have declared a dead member dead; ToleratedPause + 320 or
 	// more, by default 12000. A higher value trades slower detection for fewer packets and fewer false accusations.
 	DetectionTimeout Millis
-	// MaxMembers bounds the table; 2 to 1,048,576, by default 4096. A higher value admits more members for more memory;
-	// members beyond it are rejected and counted.
+	// MaxMembers is the capacity of the member table, this member included; 2 to 1,048,576, by default 4096. A higher value
+	// admits more members and takes more memory. Members beyond it are rejected and counted.
 	MaxMembers int
 
-	Initial *Roster // members held as alive from the start; nil: none
+	Initial *Roster // members that are assumed to be alive from the start; nil: none
 }
 
 const (
-	periodsPerDetection = 16      // probe periods in what DetectionTimeout leaves beyond ToleratedPause, see timingOf
-	minProbePeriod      = 20.0    // ms; a busy machine's timers are not accurate below it
+	periodsPerDetection = 16      // probe periods in DetectionTimeout - ToleratedPause, see deriveTiming
+	minProbePeriod      = 20.0    // ms; timers of a busy machine are not accurate to less
 	maxNameBytes        = 64      // bytes
 	maxTableSize        = 1 << 20 // members
 )
 
-// Check reports the first fault of the settings, by the key of the operator's file.
+// Check validates the settings and returns an error about the first invalid one, which names its key in the operator's
+// file.
 func (s *Settings) Check() error {
 	if err := s.Name.Check(); err != nil {
 		return fmt.Errorf("name: %w", err)
@@ -66,11 +68,12 @@
 		return err
 	}
 	if len(s.Seeds) > s.MaxMembers {
-		return fmt.Errorf("membership.seeds: %d, more than most-members, %d", len(s.Seeds), s.MaxMembers)
+		return fmt.Errorf("membership.seeds: want most-members at most, %d, got %d", s.MaxMembers, len(s.Seeds))
 	}
 	return nil
 }
 
+// checkSeeds validates the seeds; names and addresses must be unique.
 func checkSeeds(seeds []Seed) error {
 	names, addresses := map[Name]bool{}, map[string]bool{}
 	for i, seed := range seeds {
@@ -82,10 +85,10 @@
 			return fmt.Errorf("%s.address: %w", key, err)
 		}
 		if names[seed.Name] {
-			return fmt.Errorf("%s.name: %q comes twice", key, seed.Name)
+			return fmt.Errorf("%s.name: %q is a duplicate", key, seed.Name)
 		}
 		if addresses[seed.Address] {
-			return fmt.Errorf("%s.address: %q comes twice", key, seed.Address)
+			return fmt.Errorf("%s.address: %q is a duplicate", key, seed.Address)
 		}
 		names[seed.Name] = true
 		addresses[seed.Address] = true
@@ -93,7 +96,7 @@
 	return nil
 }
 
-// Check reports what is wrong with a name.
+// Check returns an error if a name is not 1 to 64 bytes long or has blanks or control characters.
 func (n Name) Check() error {
 	if n == "" {
 		return errors.New("missing")
@@ -109,8 +112,8 @@
 	return nil
 }
 
-// checkAddress accepts numeric addresses only: a host name would have to be resolved, and any sender of a packet could
-// cause such requests.
+// checkAddress accepts numeric addresses only. A host name would have to be resolved, and any sender of a packet could
+// trigger such requests.
 func checkAddress(address string) error {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil || at.Port() == 0 || at.Addr().IsUnspecified() || at.Addr().Zone() != "" {
@@ -122,19 +125,19 @@
 // timing holds the detector's intervals, derived from the two durations that an operator sets.
 type timing struct {
 	period         Millis // between two probes
-	directTimeout  Millis // of a ping, before others are asked to ping
+	directTimeout  Millis // for the Ack to a ping, before other members are asked to ping
 	gossipInterval Millis // between two gossip rounds
-	minSuspicion   Millis // timeout of a suspicion that enough others confirm
-	maxSuspicion   Millis // timeout of a suspicion that nobody confirms
-	syncInterval   Millis // between two digests
-	forgetAfter    Millis // until a member that is dead or left is dropped from the table
+	minSuspicion   Millis // timeout of a suspicion with enough confirmations
+	maxSuspicion   Millis // timeout of a suspicion without confirmations
+	syncInterval   Millis // the longest time between two digests
+	deadRetention  Millis // for which a dead or left member stays in the table
 }
 
-// timingOf divides what DetectionTimeout leaves beyond ToleratedPause into 16 periods. Eight are for the first probe to
-// meet the dead member: the other members probe in random order, so that none of them probes it within j periods with
-// probability exp(-j). Two are for that probe and the next to fail, five for the suspicion beyond the tolerated pause,
-// one for the dissemination of the death.
-func timingOf(s *Settings) timing {
+// deriveTiming divides DetectionTimeout - ToleratedPause into 16 periods. Eight are for the first probe that reaches the
+// dead member: the other members probe in random order, so the probability that none of them probes it within j periods
+// is exp(-j). Two are for that probe and its retry to fail, five for the suspicion beyond the tolerated pause, one for
+// the dissemination of the death.
+func deriveTiming(s *Settings) timing {
 	period := (s.DetectionTimeout - s.ToleratedPause) / periodsPerDetection
 	return timing{
 		period:         period,
@@ -143,6 +146,6 @@
 		minSuspicion:   s.ToleratedPause + period,
 		maxSuspicion:   s.ToleratedPause + 5*period,
 		syncInterval:   periodsPerDetection * period,
-		forgetAfter:    10 * s.DetectionTimeout,
+		deadRetention:  10 * s.DetectionTimeout,
 	}
 }
--- a/internal/cluster/membership/sim/events.go
+++ b/internal/cluster/membership/sim/events.go
@@ -8,25 +8,26 @@
 
 // event is the arrival of a packet at a member, or a wake-up of the member.
 type event struct {
-	due    Millis // Unix
-	seq    uint64 // breaks ties in the order of scheduling
-	member int
+	due    Millis             // Unix time
+	seq    uint64             // position in the order of scheduling, which breaks ties
+	member int                // index of the member
 	packet *membership.Packet // nil: a wake-up
 }
 
-// eventQueue yields events by time, and in the order of scheduling at one time.
+// eventQueue yields events in order of time. Events of the same time are yielded in the order of scheduling.
 type eventQueue struct {
 	heap    eventHeap
-	lastSeq uint64
+	lastSeq uint64 // of the event that was scheduled last
 }
 
+// push schedules an event.
 func (q *eventQueue) push(e event) {
 	q.lastSeq++
 	e.seq = q.lastSeq
 	heap.Push(&q.heap, e)
 }
 
-// popUntil removes the next event that is due by a time; false if there is none.
+// popUntil removes and returns the next event if it is due by a time; false if it is not, or there is none.
 func (q *eventQueue) popUntil(end Millis) (event, bool) {
 	if len(q.heap) == 0 || q.heap[0].due > end {
 		return event{}, false
--- a/internal/cluster/membership/sim/sim.go
+++ b/internal/cluster/membership/sim/sim.go
@@ -1,9 +1,10 @@
 // Package sim runs many membership detectors in simulated time, over a simulated network that loses and delays packets
-// and cuts links, with members that are killed, stalled and restarted. The detectors are those of a real process;
-// nothing else is real. The same settings and calls give the same run.
+// and cuts links, with members that are killed, stalled and restarted. The detectors are the code of a real process,
+// only time and network are simulated. The same settings and calls give the same run.
 //
-// Make a [Fleet] with [New], inject faults with its methods, advance time with [Fleet.Run], and observe it through
-// [Fleet.OnChange], [Fleet.Member] and [Fleet.Agree]. sim.go holds the fleet and its faults, events.go the event queue.
+// Create a [Fleet] with [New], inject faults with its methods, advance time with [Fleet.Run], and observe the members
+// through [Fleet.OnChange], [Fleet.Member] and [Fleet.CheckAgreement]. sim.go holds the fleet and its faults, events.go
+// the event queue.
 package sim
 
 import (
@@ -18,22 +19,22 @@
 
 // Settings describe a fleet.
 type Settings struct {
-	Members          int
-	Seeds            int     // the first so many members are seeds
-	Seed             uint64  // of every random choice
+	Members          int     // number of members
+	Seeds            int     // number of seeds; the members with the lowest indices are seeds
+	Seed             uint64  // seed of the random number generators
 	ToleratedPause   Millis  // as in membership.Settings
 	DetectionTimeout Millis  // as in membership.Settings
-	Loss             float64 // share of packets that are lost, 0 to 1, each drawn independently
+	Loss             float64 // probability that a packet is lost, 0 to 1, independent of other packets
 	Delay            Millis  // the longest delay of a packet; the shortest is a tenth of it
 	Prejoined        bool    // all members know each other from the start
 	Codec            membership.Codec
 }
 
-// Observation is a change in a member's view, and whether the member that it is about was running.
+// Observation is a change in a member's view, and whether the subject of the change was running.
 type Observation struct {
-	Observer int // the member whose view has changed
+	Observer int // index of the member whose view has changed
 	membership.Change
-	Running bool
+	Running bool // the subject was running at that time
 }
 
 // Member is one simulated process.
@@ -41,33 +42,33 @@
 	Name     membership.Name
 	Detector *membership.Detector
 	Running  bool
-	Stalled  bool // its clock stands still and its packets are queued
-	Starts   int
-	waiting  []*membership.Packet // received while stalled
-	wake     Millis               // the earliest wake-up in the queue; 0: none
+	Stalled  bool                 // the member does not run, and packets to it are queued
+	Starts   int                  // how often it was started
+	pending  []*membership.Packet // received while stalled
+	nextWake Millis               // Unix time of the earliest wake-up in the queue; 0: none
 }
 
 // Fleet is a simulation.
 type Fleet struct {
 	settings  Settings
-	now       Millis // Unix
+	now       Millis // Unix time
 	random    stats.Random
 	members   []*Member
 	byAddress map[string]int // indices of members
 	roster    *membership.Roster
-	cuts      map[[2]int]bool // links, from and to, that carry nothing
+	cuts      map[[2]int]bool // links that carry no packets, by sender and receiver
 	queue     eventQueue
 
-	OnChange func(Observation) // called for each change; may be nil
-	Packets  int               // sent
-	Bytes    int               // sent
+	OnChange func(Observation) // called for each change in a member's view; may be nil
+	Packets  int               // packets sent
+	Bytes    int               // bytes of the packets sent
 	Lost     int               // packets sent and not delivered
 }
 
 // startUnix is the Unix time at which a simulation begins, in milliseconds.
 const startUnix = 1_700_000_000_000
 
-// New makes a fleet and starts all members.
+// New returns a fleet whose members are all started. It returns an error if the settings are invalid.
 func New(set Settings) (*Fleet, error) {
 	fleet := &Fleet{
 		settings:  set,
@@ -96,15 +97,17 @@
 	return fleet, nil
 }
 
+// address returns the address of a member.
 func address(i int) string { return fmt.Sprintf("10.%d.%d.%d:7946", i>>16, i>>8&255, i&255) }
 
-// Now is the simulated time since the start.
+// Now returns the simulated time since the start.
 func (f *Fleet) Now() Millis { return f.now - startUnix }
 
 // Member returns the member of an index.
 func (f *Fleet) Member(i int) *Member { return f.members[i] }
 
-// Start starts a member, or restarts it with no memory of its earlier run.
+// Start starts a member, or restarts it without the state of its earlier run. It returns an error if the settings are
+// invalid.
 func (f *Fleet) Start(i int) error {
 	member := f.members[i]
 	set := membership.Settings{
@@ -134,28 +137,28 @@
 // Kill ends a member without any announcement.
 func (f *Fleet) Kill(i int) { f.members[i].Running = false }
 
-// Leave has a member announce its shutdown, and ends it.
+// Leave makes a member announce its shutdown and ends it.
 func (f *Fleet) Leave(i int) {
 	f.execute(i, f.members[i].Detector.Leave(f.now))
 	f.Kill(i)
 }
 
-// Stall stops a member's clock; packets to it are queued.
+// Stall pauses a member until Resume. Packets to it are queued.
 func (f *Fleet) Stall(i int) { f.members[i].Stalled = true }
 
 // Resume ends a stall: the member receives the queued packets.
 func (f *Fleet) Resume(i int) {
 	m := f.members[i]
 	m.Stalled = false
-	for _, p := range m.waiting {
+	for _, p := range m.pending {
 		f.execute(i, m.Detector.Receive(f.now, p))
 	}
-	m.waiting = nil
+	m.pending = nil
 	f.scheduleWake(i, f.now)
 }
 
-// Cut cuts the link from one member to another in that direction, or restores it.
-func (f *Fleet) Cut(from, to int, on bool) {
+// SetCut cuts the link from one member to another in this direction, or restores it.
+func (f *Fleet) SetCut(from, to int, on bool) {
 	if on {
 		f.cuts[[2]int{from, to}] = true
 	} else {
@@ -163,10 +166,10 @@
 	}
 }
 
-// Loss sets the share of packets that are lost.
-func (f *Fleet) Loss(share float64) { f.settings.Loss = share }
+// SetLoss sets the probability that a packet is lost, 0 to 1.
+func (f *Fleet) SetLoss(share float64) { f.settings.Loss = share }
 
-// Run advances the simulated time.
+// Run advances the simulated time by a span and handles all events of that span.
 func (f *Fleet) Run(span Millis) {
 	end := f.now + span
 	for next, due := f.queue.popUntil(end); due; next, due = f.queue.popUntil(end) {
@@ -176,24 +179,24 @@
 	f.now = end
 }
 
-// deliver hands a packet or a wake-up to its member.
+// deliver passes a packet or a wake-up to its member.
 func (f *Fleet) deliver(next event) {
 	m := f.members[next.member]
 	switch {
-	case !m.Running: // nobody receives it
+	case !m.Running: // the event is discarded
 	case m.Stalled && next.packet != nil:
-		m.waiting = append(m.waiting, next.packet)
+		m.pending = append(m.pending, next.packet)
 	case m.Stalled:
-		m.wake = 0 // Resume schedules the next
+		m.nextWake = 0 // Resume schedules the next wake-up
 	case next.packet != nil:
 		f.execute(next.member, m.Detector.Receive(f.now, next.packet))
-	case next.due == m.wake:
-		m.wake = 0
+	case next.due == m.nextWake:
+		m.nextWake = 0
 		f.execute(next.member, m.Detector.Tick(f.now))
 	}
 }
 
-// execute carries out the output of a member's detector.
+// execute sends the packets and reports the changes in the output of a member's detector.
 func (f *Fleet) execute(i int, out membership.Output) {
 	for _, s := range out.Sends {
 		f.send(i, s)
@@ -207,10 +210,11 @@
 	f.scheduleWake(i, f.members[i].Detector.Next())
 }
 
+// send schedules the arrival of a packet unless it is lost. The packet is encoded and decoded as on a real network.
 func (f *Fleet) send(from int, s membership.Send) {
 	raw, err := f.settings.Codec.Encode(&s.Packet)
 	if err != nil {
-		panic(err) // a fault of the codec: the detector's own packet
+		panic(err) // the codec is at fault: each packet of the detector can be encoded
 	}
 	f.Packets++
 	f.Bytes += len(raw)
@@ -226,19 +230,19 @@
 	f.queue.push(event{due: f.now + f.settings.Delay*(0.1+0.9*f.random.Next()), member: to, packet: packet})
 }
 
-// scheduleWake plans a wake-up unless an earlier one is planned.
+// scheduleWake schedules a wake-up of a member unless an earlier one is scheduled.
 func (f *Fleet) scheduleWake(i int, at Millis) {
 	m := f.members[i]
 	at = max(at, f.now)
-	if m.wake == 0 || at < m.wake {
-		m.wake = at
+	if m.nextWake == 0 || at < m.nextWake {
+		m.nextWake = at
 		f.queue.push(event{due: at, member: i})
 	}
 }
 
-// Agree reports the first view that is not true: a running member's of a running one that is not Alive there, or of a
-// stopped one that is.
-func (f *Fleet) Agree() error {
+// CheckAgreement returns an error about the first running member whose view is wrong: a running member is not Alive in
+// it, or a stopped member is Alive or Suspect.
+func (f *Fleet) CheckAgreement() error {
 	for i, m := range f.members {
 		if !m.Running {
 			continue
@@ -247,9 +251,11 @@
 			state, _, known := m.Detector.StateOf(other.Name)
 			switch {
 			case other.Running && (!known || state != membership.Alive):
-				return fmt.Errorf("%s holds %s for %v, known %v, and it runs", m.Name, other.Name, state, known)
+				return fmt.Errorf("view of %s: %s is running, got %v (known %v), want %v",
+					m.Name, other.Name, state, known, membership.Alive)
 			case !other.Running && known && state <= membership.Suspect:
-				return fmt.Errorf("%s holds %s for %v, and it is down", f.members[i].Name, f.members[j].Name, state)
+				return fmt.Errorf("view of %s: %s is not running, got %v, want %v or %v",
+					f.members[i].Name, f.members[j].Name, state, membership.Dead, membership.Left)
 			}
 		}
 	}
--- a/internal/cluster/membership/sim/sim_test.go
+++ b/internal/cluster/membership/sim/sim_test.go
@@ -6,6 +6,8 @@
 	"ottershed/internal/cluster/membership"
 )
 
+// fleet returns a fleet with the settings that all tests share: a delay of up to 20 ms, at most 3 seeds and, unless set,
+// a tolerated pause of 4 s and a detection timeout of 12 s.
 func fleet(t *testing.T, set Settings) *Fleet {
 	t.Helper()
 	if set.ToleratedPause == 0 {
@@ -19,19 +21,19 @@
 	return simulated
 }
 
-// falseDead counts the running members that anyone declares dead.
-func falseDead(f *Fleet) *int {
+// countFalseDeaths counts how often a member declares a running member dead, from now on.
+func countFalseDeaths(f *Fleet) *int {
 	n := 0
-	f.OnChange = func(h Observation) {
-		if h.State == membership.Dead && h.Running && !h.New {
+	f.OnChange = func(observed Observation) {
+		if observed.State == membership.Dead && observed.Running && !observed.New {
 			n++
 		}
 	}
 	return &n
 }
 
-// Members that know only the seeds come to know all others, in spite of packet loss.
-func TestJoin(t *testing.T) {
+// Members that know only the seeds discover all others, despite packet loss.
+func TestJoinThroughSeeds(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
 		members int
@@ -39,48 +41,49 @@
 	}{{2, 0}, {5, 0.2}, {50, 0}, {200, 0.2}} {
 		f := fleet(t, Settings{Members: test.members, Loss: test.loss, Seed: 1})
 		f.Run(30000)
-		f.Loss(0)
+		f.SetLoss(0)
 		f.Run(30000)
-		if err := f.Agree(); err != nil {
+		if err := f.CheckAgreement(); err != nil {
 			t.Errorf("%d members, loss %g: %v", test.members, test.loss, err)
 		}
 	}
 }
 
-// A member that dies is declared dead by all within the detection timeout, at every size and on every seed.
-func TestDeathWithinBound(t *testing.T) {
+// A member that dies is declared dead by all others within the detection timeout, in clusters of 2 to 100 members.
+func TestDeathDetectedWithinTimeout(t *testing.T) {
 	t.Parallel()
 	for _, members := range []int{2, 3, 5, 20, 100} {
 		for seed := range uint64(20) {
 			f := fleet(t, Settings{Members: members, Seed: seed, Prejoined: true})
 			f.Run(5000 + 100*Millis(seed))
 			killed, last, declared := f.Now(), Millis(0), map[int]bool{}
-			f.OnChange = func(h Observation) {
-				if h.State == membership.Dead && h.Name == f.Member(0).Name {
-					declared[h.Observer], last = true, f.Now()-killed
+			f.OnChange = func(observed Observation) {
+				if observed.State == membership.Dead && observed.Name == f.Member(0).Name {
+					declared[observed.Observer], last = true, f.Now()-killed
 				}
 			}
 			f.Kill(0)
 			f.Run(14000)
 			if len(declared) != members-1 || last > f.settings.DetectionTimeout {
-				t.Errorf("%d members, seed %d: %d declared it, the last after %.0f ms", members, seed, len(declared), last)
+				t.Errorf("%d members, seed %d: %d declared it dead, the last after %.0f ms, want %d within %.0f ms",
+					members, seed, len(declared), last, members-1, f.settings.DetectionTimeout)
 			}
-			if err := f.Agree(); err != nil {
-				t.Error(err)
+			if err := f.CheckAgreement(); err != nil {
+				t.Errorf("%d members, seed %d: %v", members, seed, err)
 			}
 		}
 	}
 }
 
-// Members that pause for no longer than the tolerated pause are not declared dead, and declare nobody dead.
-func TestPauses(t *testing.T) {
+// Members that pause for no longer than the tolerated pause are not declared dead, and do not declare others dead.
+func TestToleratedPauseCausesNoDeath(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
 		members, stalled int
 	}{{2, 1}, {5, 1}, {5, 2}, {5, 4}, {20, 10}} {
 		for seed := range uint64(10) {
 			f := fleet(t, Settings{Members: test.members, Seed: seed, Prejoined: true})
-			dead := falseDead(f)
+			falseDeaths := countFalseDeaths(f)
 			for range 5 {
 				f.Run(3000 + 200*Millis(seed))
 				for i := range test.stalled {
@@ -92,15 +95,16 @@
 				}
 			}
 			f.Run(8000)
-			if err := f.Agree(); err != nil || *dead > 0 {
-				t.Errorf("%d of %d members stalled, seed %d: %d declared dead, %v", test.stalled, test.members, seed, *dead, err)
+			if err := f.CheckAgreement(); err != nil || *falseDeaths > 0 {
+				t.Errorf("%d of %d members stalled, seed %d: %d false deaths, want 0; %v",
+					test.stalled, test.members, seed, *falseDeaths, err)
 			}
 		}
 	}
 }
 
-// A member that pauses for longer is declared dead, and rejoins under a higher incarnation.
-func TestLongPause(t *testing.T) {
+// A member that pauses for longer than tolerated is declared dead, and rejoins with a higher incarnation.
+func TestLongPauseIsDeathThenRejoin(t *testing.T) {
 	t.Parallel()
 	f := fleet(t, Settings{Members: 5, Seed: 3, Prejoined: true})
 	f.Run(3000)
@@ -108,75 +112,76 @@
 	f.Run(15000)
 	for i := range 5 {
 		if state, _, _ := f.Member(i).Detector.StateOf("n2"); i != 2 && state != membership.Dead {
-			t.Errorf("n%d: state %v", i, state)
+			t.Errorf("view of n%d: n2 is %v, want %v", i, state, membership.Dead)
 		}
 	}
 	f.Resume(2)
 	f.Run(12000)
-	if err := f.Agree(); err != nil {
+	if err := f.CheckAgreement(); err != nil {
 		t.Error(err)
 	}
 	if _, inc, _ := f.Member(0).Detector.StateOf("n2"); inc <= startUnix {
-		t.Errorf("incarnation %d", inc)
+		t.Errorf("incarnation of n2: got %d, want more than %d", inc, startUnix)
 	}
 }
 
-// Under packet loss and cuts in one direction no running member is declared dead.
-func TestLossAndCuts(t *testing.T) {
+// No running member is declared dead because of packet loss or of links that are cut in one direction.
+func TestLossAndCutsCauseNoDeath(t *testing.T) {
 	t.Parallel()
 	for name, cuts := range map[string][][2]int{
-		"loss alone":                  nil,
-		"one link":                    {{0, 1}},
-		"one receives from one only":  {{1, 0}, {2, 0}, {3, 0}},
-		"one is received by one only": {{0, 1}, {0, 2}, {0, 3}},
-		"both, by different members":  {{0, 1}, {0, 2}, {1, 0}, {3, 0}},
-		"both directions of a pair":   {{0, 1}, {1, 0}},
-		"a ring of links":             {{0, 1}, {1, 2}, {2, 3}, {3, 4}, {4, 0}},
+		"no cut":                          nil,
+		"one link":                        {{0, 1}},
+		"n0 receives from n4 only":        {{1, 0}, {2, 0}, {3, 0}},
+		"n0 reaches n4 only":              {{0, 1}, {0, 2}, {0, 3}},
+		"n0 partly, in both directions":   {{0, 1}, {0, 2}, {1, 0}, {3, 0}},
+		"n0 and n1, in both directions":   {{0, 1}, {1, 0}},
+		"each member to the next, a ring": {{0, 1}, {1, 2}, {2, 3}, {3, 4}, {4, 0}},
 	} {
 		for _, loss := range []float64{0, 0.2} {
 			for seed := range uint64(6) {
 				f := fleet(t, Settings{Members: 5, Seed: seed, Prejoined: true, Loss: loss})
-				dead := falseDead(f)
+				falseDeaths := countFalseDeaths(f)
 				for _, c := range cuts {
-					f.Cut(c[0], c[1], true)
+					f.SetCut(c[0], c[1], true)
 				}
 				f.Run(60000)
-				if *dead > 0 {
-					t.Errorf("%s, loss %g, seed %d: a running member was declared dead %d times", name, loss, seed, *dead)
+				if *falseDeaths > 0 {
+					t.Errorf("cut: %s, loss %g, seed %d: %d false deaths, want 0", name, loss, seed, *falseDeaths)
 				}
 			}
 		}
 	}
 }
 
-// The two sides of a healed partition merge, also if there is no seed on one side.
-func TestCutInTwo(t *testing.T) {
+// The two sides of a partition merge after it has healed, even if one side has no seed.
+func TestPartitionHeals(t *testing.T) {
 	t.Parallel()
 	simulated := fleet(t, Settings{Members: 6, Seed: 5, Prejoined: true})
-	part := func(on bool) {
+	setPartition := func(on bool) {
 		for i := range 6 {
 			for j := range 6 {
 				if (i < 4) != (j < 4) {
-					simulated.Cut(i, j, on)
+					simulated.SetCut(i, j, on)
 				}
 			}
 		}
 	}
 	simulated.Run(2000)
-	part(true)
+	setPartition(true)
 	simulated.Run(40000)
 	if by := simulated.Member(5).Detector.Count(); by[membership.Dead] != 4 {
-		t.Errorf("members by state on the smaller side: %v", by)
+		t.Errorf("members by state on the smaller side: got %v, want 4 dead", by)
 	}
-	part(false)
+	setPartition(false)
 	simulated.Run(30000)
-	if err := simulated.Agree(); err != nil {
+	if err := simulated.CheckAgreement(); err != nil {
 		t.Error(err)
 	}
 }
 
-// A restart raises the incarnation, before and after the death is known; a member that leaves is not declared dead.
-func TestRestartAndLeave(t *testing.T) {
+// A restart raises the incarnation, whether or not the others have noticed the death. A member that leaves has the state
+// Left and is not declared dead.
+func TestRestartRaisesIncarnationAndLeaveIsNoDeath(t *testing.T) {
 	t.Parallel()
 	for _, down := range []Millis{100, 2000, 20000} {
 		simulated := fleet(t, Settings{Members: 5, Seed: 7, Prejoined: true})
@@ -187,29 +192,30 @@
 			t.Fatal(err)
 		}
 		simulated.Run(15000)
-		if err := simulated.Agree(); err != nil {
+		if err := simulated.CheckAgreement(); err != nil {
 			t.Errorf("down for %g ms: %v", down, err)
 		}
+		want := membership.Incarnation(startUnix + 3000 + down)
 		for i := range 5 {
-			if _, inc, _ := simulated.Member(i).Detector.StateOf("n1"); inc < membership.Incarnation(startUnix+3000+down) {
-				t.Errorf("down for %g ms: n%d holds incarnation %d", down, i, inc)
+			if _, inc, _ := simulated.Member(i).Detector.StateOf("n1"); inc < want {
+				t.Errorf("down for %g ms: view of n%d: incarnation of n1 is %d, want %d or more", down, i, inc, want)
 			}
 		}
 		simulated.Leave(4)
 		simulated.Run(3000)
 		for i := range 4 {
 			if state, _, _ := simulated.Member(i).Detector.StateOf("n4"); state != membership.Left {
-				t.Errorf("n%d: state %v of the member that left", i, state)
+				t.Errorf("down for %g ms: view of n%d: n4 is %v, want %v", down, i, state, membership.Left)
 			}
 		}
 	}
 }
 
-// After random faults that end, all running members agree, and the same seed gives the same run.
-func TestRandomFaults(t *testing.T) {
+// After random faults have ended, all running members agree on the cluster. The same seed gives the same run.
+func TestAgreementAfterRandomFaults(t *testing.T) {
 	t.Parallel()
 	packets := map[uint64]int{}
-	for again := range 2 {
+	for repetition := range 2 {
 		for seed := range uint64(25) {
 			simulated := fleet(t, Settings{Members: 5, Seed: seed, Loss: 0.1})
 			for range 40 {
@@ -218,20 +224,20 @@
 			}
 			heal(t, simulated)
 			simulated.Run(60000)
-			if err := simulated.Agree(); err != nil {
+			if err := simulated.CheckAgreement(); err != nil {
 				t.Errorf("seed %d: %v", seed, err)
 			}
-			if again == 0 {
+			if repetition == 0 {
 				packets[seed] = simulated.Packets
 			} else if packets[seed] != simulated.Packets {
-				t.Errorf("seed %d: %d packets, and %d before", seed, simulated.Packets, packets[seed])
+				t.Errorf("seed %d: got %d packets, want %d as in the first run", seed, simulated.Packets, packets[seed])
 			}
 		}
 	}
 }
 
-// randomFault kills, starts, stalls or resumes one of five members, or cuts or restores a link. A fault that does not
-// apply to the member's state is left out.
+// randomFault kills, starts, stalls or resumes one of five members, or cuts or restores a link. It does nothing if the
+// fault does not apply to the member's state.
 func randomFault(t *testing.T, f *Fleet) {
 	t.Helper()
 	i := int(5 * f.random.Next())
@@ -247,17 +253,17 @@
 	case fault == 3 && member.Stalled && member.Running:
 		f.Resume(i)
 	case fault >= 4:
-		f.Cut(i, j, fault == 4)
+		f.SetCut(i, j, fault == 4)
 	}
 }
 
-// heal ends all faults of a fleet of five.
+// heal ends all faults in a fleet of five members.
 func heal(t *testing.T, f *Fleet) {
 	t.Helper()
-	f.Loss(0)
+	f.SetLoss(0)
 	for i := range 5 {
 		for j := range 5 {
-			f.Cut(i, j, false)
+			f.SetCut(i, j, false)
 		}
 		if !f.Member(i).Running {
 			start(t, f, i)
@@ -267,6 +273,7 @@
 	}
 }
 
+// start starts a member and fails the test if that returns an error.
 func start(t *testing.T, f *Fleet, i int) {
 	t.Helper()
 	if err := f.Start(i); err != nil {
--- a/internal/cluster/membership/state.go
+++ b/internal/cluster/membership/state.go
@@ -6,25 +6,26 @@
 	"strconv"
 )
 
-// State is the state of a member in another's view. Of two updates with one incarnation the higher state outranks.
+// State is the state of a member in another member's view. Of two updates with the same incarnation, the one with the
+// higher state takes precedence.
 //
 //	from              to        on
 //	(unknown)         Alive     any update but Dead and Left, or a packet from the member (addMember)
-//	(unknown)         Dead Left an update that says so: kept against late updates about its life (addMember)
+//	(unknown)         Dead Left such an update; the entry rejects late updates from before the death (addMember)
 //	Alive             Suspect   a second failed probe in a row, or an accusation; also another's Dead (suspectMember)
-//	Suspect           Alive     a refutation: a higher incarnation from the member itself (apply)
-//	Suspect           Dead      the timeout without a sign of life (suspicionsDue), or another's Dead (apply)
-//	Alive Suspect     Left      the member's own announcement (apply); it outranks Dead as well
-//	Dead Left         Alive     a higher incarnation: a refutation or a restart (apply)
+//	Suspect           Alive     a refutation: a higher incarnation from the member itself (applyUpdate)
+//	Suspect           Dead      the timeout without a sign of life (checkSuspicions), or another's Dead (applyUpdate)
+//	Alive Suspect     Left      the member's own announcement (applyUpdate); it takes precedence over Dead, too
+//	Dead Left         Alive     a higher incarnation: a refutation or a restart (applyUpdate)
 //	Dead Left         Suspect   an accusation at a higher incarnation, by way of Alive (applyAccusation)
-//	Left              Dead      another's Dead at a higher incarnation (apply)
-//	Dead Left         (unknown) Settings.DetectionTimeout times ten (sweep)
+//	Left              Dead      another's Dead at a higher incarnation (applyUpdate)
+//	Dead Left         (unknown) ten times Settings.DetectionTimeout later (sweep)
 type State int
 
-// The states of a member. The numbers go over the wire.
+// The states of a member. Their names and order are part of the wire format.
 const (
 	Alive   State = iota
-	Suspect       // did not respond to a probe and has not refuted that yet
+	Suspect       // accused of a failure, which it has not refuted yet
 	Dead          // did not refute the suspicion in time
 	Left          // announced its shutdown
 )
@@ -38,10 +39,10 @@
 	return stateNames[s]
 }
 
-// MarshalText encodes the state as a word.
+// MarshalText encodes the state as its name.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText decodes the word.
+// UnmarshalText decodes the name of a state. It returns an error for any other text.
 func (s *State) UnmarshalText(text []byte) error {
 	for i, name := range stateNames {
 		if name == string(text) {
@@ -49,13 +50,13 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("want a state of a member, got %q", text)
+	return fmt.Errorf("want alive, suspect, dead or left, got %q", text)
 }
 
-// apply merges an update that the member from has sent.
-func (d *Detector) apply(update Update, from Name) {
+// applyUpdate merges an update that was received from the member from.
+func (d *Detector) applyUpdate(update Update, from Name) {
 	if update.Name == d.settings.Name {
-		d.aboutSelf(update)
+		d.handleSelfUpdate(update)
 		return
 	}
 	known := d.table.get(update.Name)
@@ -64,36 +65,38 @@
 		return
 	}
 	if known.Run != update.Run && update.Incarnation == known.Incarnation {
-		return // two processes of one name started at one instant: the first stands until one of them gives way
+		return // two processes of one name started at the same time: the known one is kept until one is superseded
 	}
-	// A member that receives nothing any more declares all others dead. So another's Dead counts as an accusation only,
-	// for a member that is not suspected here or has shown a sign of life.
-	accusation := update.State == Dead && (known.State == Alive || d.confirmedAlive(known))
+	// A member that no longer receives any packets declares all others dead. So another member's Dead is only an
+	// accusation if the subject is not suspected here, or has shown a sign of life since it was.
+	accusation := update.State == Dead && (known.State == Alive || d.aliveSinceAccusation(known))
 	if update.State == Suspect || accusation {
 		d.applyAccusation(update, known, from)
 		return
 	}
 	if update.supersedes(&known.Update) {
-		d.setState(d.table.write(update.Name), update)
+		d.setState(d.table.writable(update.Name), update)
 	}
 }
 
+// applyAccusation handles an update that accuses a known member. An accusation at a higher incarnation implies that the
+// member was alive at that incarnation.
 func (d *Detector) applyAccusation(update Update, known *member, from Name) {
-	accuser := update.By
+	accuser := update.Accuser
 	if accuser == "" {
 		accuser = from
 	}
 	if update.Incarnation > known.Incarnation {
 		alive := update
 		alive.State = Alive
-		alive.By = ""
-		d.setState(d.table.write(update.Name), alive)
+		alive.Accuser = ""
+		d.setState(d.table.writable(update.Name), alive)
 	}
 	d.suspectMember(update.Name, update.Incarnation, accuser)
 }
 
-// correct sends the sender of updates the refutations that it has missed.
-func (d *Detector) correct(sender *member, updates []Update) {
+// sendRefutations sends the refutations of outdated accusations to the member that sent them.
+func (d *Detector) sendRefutations(sender *member, updates []Update) {
 	var refuted []Update
 	for i := range updates {
 		update := &updates[i]
@@ -109,24 +112,25 @@
 	}
 }
 
-// addMember adds a member that was not known.
+// addMember adds an unknown member to the table, or counts it as rejected if the table is full.
 func (d *Detector) addMember(update Update) {
 	if d.table.size() >= d.settings.MaxMembers {
 		d.rejected++
 		return
 	}
 	suspected := update.State == Suspect
-	accuser := update.By
+	accuser := update.Accuser
 	if suspected {
 		update.State = Alive
-		update.By = ""
+		update.Accuser = ""
 	}
 	m := d.table.add(update)
 	m.since = d.now
-	d.resize()
-	// Updates about dead members circulate for a while; a member that did not know them must not disseminate them anew.
+	d.updateTransmitLimit()
+	// Updates about dead members circulate for a while. If members that did not know the dead ones queued such updates
+	// again, they would circulate without end.
 	if update.State <= Suspect {
-		d.broadcasts.put(m)
+		d.broadcasts.enqueue(m)
 	}
 	d.emitChange(m, Dead, true)
 	if suspected {
@@ -134,35 +138,36 @@
 	}
 }
 
-// setState gives a member a new state and disseminates it. A suspicion ends with it.
+// setState updates a member in the table and queues the update for dissemination. Any state but Suspect ends a
+// suspicion of the member.
 func (d *Detector) setState(target *member, update Update) {
-	was := target.State
+	previous := target.State
 	run := target.Run
 	if update.State == Alive {
-		update.By = ""
+		update.Accuser = ""
 	}
 	d.table.set(target, update)
 	if update.State != Suspect {
 		target.suspicion = nil
-		target.confirmedAt = 0
+		target.lastAliveAt = 0
 		d.suspects = slices.DeleteFunc(d.suspects, func(name Name) bool { return name == target.Name })
 	}
-	d.broadcasts.put(target)
-	d.resize()
-	if was != update.State || run != update.Run {
+	d.broadcasts.enqueue(target)
+	d.updateTransmitLimit()
+	if previous != update.State || run != update.Run {
 		target.since = d.now
-		d.emitChange(target, was, false)
+		d.emitChange(target, previous, false)
 	}
 }
 
-// aboutSelf handles what others tell about this member: it refutes what is not true, and gives way to a newer process
-// of its name.
-func (d *Detector) aboutSelf(update Update) {
+// handleSelfUpdate handles an update about this member: it refutes a false statement, or stops the protocol if a newer
+// process of this name runs at another address.
+func (d *Detector) handleSelfUpdate(update Update) {
 	if d.phase != running || update.Incarnation < d.self.Incarnation {
 		return
 	}
-	// A process that was declared dead and replaced elsewhere would compete with its successor for the name, each
-	// refuting the other without end. The one that started last keeps it.
+	// A process that was declared dead and replaced at another address would compete with its replacement for the name,
+	// each refuting the other without end. The process that started last keeps the name.
 	other := update.Run != d.self.Run && update.Address != d.self.Address
 	newer := update.Incarnation > d.self.Incarnation || update.Run > d.self.Run
 	if other && update.State == Alive && newer {
@@ -177,15 +182,15 @@
 		return
 	}
 	if update.State == Suspect && update.Run == d.self.Run {
-		d.awareness.worse(1) // it responded too late for the accuser
+		d.awareness.increase(1) // this member responded too late for the accuser
 	}
 	d.self.Incarnation = update.Incarnation
 	d.announce(Alive)
 }
 
-// announce disseminates a new incarnation of this member.
+// announce increments this member's incarnation and queues the update for dissemination.
 func (d *Detector) announce(s State) {
 	d.self.Incarnation++
 	d.self.State = s
-	d.setState(d.table.write(d.settings.Name), d.self)
+	d.setState(d.table.writable(d.settings.Name), d.self)
 }
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -6,36 +6,36 @@
 )
 
 const (
-	maxConfirmations = 3 // accusers beside the first that bring a suspicion down to its shortest timeout
-	maxFinalChecks   = 3 // one in each of the last periods of a suspicion, for packets get lost
-	confirmingProbes = 8 // members of the whole cluster that probe for themselves on another's accusation, on average
+	maxConfirmations = 3 // further accusers that shorten a suspicion to its minimum timeout
+	maxFinalChecks   = 3 // one in each of the last periods of a suspicion, for packets can be lost
+	confirmingProbes = 8 // members of the cluster that start a probe because of another's accusation, on average
 )
 
-// suspicion is the time in which a member can refute an accusation.
+// suspicion is the state of a member that is accused of a failure and can still refute the accusation.
 type suspicion struct {
 	startedAt           Millis
 	endsAt              Millis
-	accusers            []Name // each once, at most confirmationsWanted+1
-	confirmationsWanted int    // accusers beside the first that bring it to its shortest timeout
-	finalChecks         int    // so far
+	accusers            []Name // distinct, at most confirmationsWanted+1
+	confirmationsWanted int    // further accusers that shorten the suspicion to its minimum timeout
+	finalChecks         int    // made so far
 }
 
-// timeout is the whole duration of a suspicion. It shrinks with the logarithm of the number of independent accusers, as
-// in Lifeguard: a single accuser may itself be the one that is cut off.
+// timeout returns the whole duration of a suspicion. It shrinks with the logarithm of the number of independent
+// accusers, as in Lifeguard: a single accuser may itself be partitioned.
 func (s *suspicion) timeout(p *timing) Millis {
-	if s.confirmationsWanted <= 0 { // nobody could confirm it
+	if s.confirmationsWanted <= 0 { // there is no further member that could confirm it
 		return p.minSuspicion
 	}
 	part := math.Log(float64(len(s.accusers))) / math.Log(float64(s.confirmationsWanted+1))
 	return max(p.minSuspicion, p.maxSuspicion-(p.maxSuspicion-p.minSuspicion)*part)
 }
 
-// nextFinalCheck is when others are asked next, shortly before the suspicion ends.
+// nextFinalCheck returns when the next final check is due, shortly before the suspicion ends.
 func (s *suspicion) nextFinalCheck(p *timing) Millis {
 	return s.endsAt - p.period*Millis(maxFinalChecks-s.finalChecks)
 }
 
-// nextDue is when suspicionsDue has something to do for this suspicion.
+// nextDue returns when checkSuspicions has to handle this suspicion.
 func (s *suspicion) nextDue(p *timing) Millis {
 	if s.finalChecks < maxFinalChecks {
 		return min(s.endsAt, s.nextFinalCheck(p))
@@ -43,9 +43,11 @@
 	return s.endsAt
 }
 
-// suspectMember handles an accusation by another member, or by this one's own probes.
+// suspectMember handles an accusation by another member, or by a failed probe of this member. It starts a suspicion or
+// confirms the one in progress. Accusations of this member, of dead or left members and at an earlier incarnation are
+// ignored.
 func (d *Detector) suspectMember(name Name, inc Incarnation, accuser Name) {
-	m := d.table.write(name)
+	m := d.table.writable(name)
 	if m == nil || m.State >= Dead || inc < m.Incarnation || name == d.settings.Name {
 		return
 	}
@@ -54,38 +56,39 @@
 		return
 	}
 	d.startSuspicion(m, inc, accuser)
-	// A single accuser may be cut off in one direction. So other members probe for themselves: all of a small cluster,
-	// and so few of a large one that the suspect is not flooded.
+	// A single accuser may have lost its connection in one direction. So other members probe the suspect themselves: all
+	// members of a small cluster, but only a few of a large cluster, so that the suspect is not flooded with pings.
 	if accuser != d.settings.Name && d.random.Next() < confirmingProbes/float64(d.table.present()) {
-		d.ping(m, true)
+		d.startProbe(m, true)
 	}
 }
 
+// startSuspicion makes a member suspect and queues the accusation for dissemination.
 func (d *Detector) startSuspicion(target *member, inc Incarnation, accuser Name) {
-	was := target.State
+	previous := target.State
 	update := target.Update
 	update.State = Suspect
 	update.Incarnation = inc
-	update.By = accuser
+	update.Accuser = accuser
 	d.table.set(target, update)
-	d.broadcasts.put(target)
+	d.broadcasts.enqueue(target)
 	if target.suspicion == nil {
 		d.suspects = append(d.suspects, target.Name)
 	}
-	target.confirmedAt = 0
+	target.lastAliveAt = 0
 	target.suspicion = &suspicion{
 		startedAt:           d.now,
 		accusers:            []Name{accuser},
 		confirmationsWanted: min(maxConfirmations, d.table.present()-2),
 	}
 	target.suspicion.endsAt = d.now + target.suspicion.timeout(&d.timing)
-	if was != Suspect {
+	if previous != Suspect {
 		target.since = d.now
-		d.emitChange(target, was, false)
+		d.emitChange(target, previous, false)
 	}
 }
 
-// confirmSuspicion counts a further accuser.
+// confirmSuspicion counts a further accuser, which shortens the suspicion, and queues the accusation again.
 func (d *Detector) confirmSuspicion(m *member, accuser Name) {
 	s := m.suspicion
 	if len(s.accusers) > s.confirmationsWanted || slices.Contains(s.accusers, accuser) {
@@ -94,13 +97,14 @@
 	s.accusers = append(s.accusers, accuser)
 	s.endsAt = s.startedAt + s.timeout(&d.timing)
 	update := m.Update
-	update.By = accuser // so that the others count it as well
+	update.Accuser = accuser // other members count this accuser, too
 	d.table.set(m, update)
-	d.broadcasts.put(m)
+	d.broadcasts.enqueue(m)
 }
 
-// suspicionsDue makes the final checks, and declares dead the members that have not refuted their suspicion in time.
-func (d *Detector) suspicionsDue() {
+// checkSuspicions makes the final checks that are due, and declares dead the members that have not refuted their
+// suspicion in time.
+func (d *Detector) checkSuspicions() {
 	for _, name := range slices.Clone(d.suspects) {
 		suspect := d.table.get(name)
 		if suspect == nil || suspect.suspicion == nil {
@@ -112,7 +116,7 @@
 		if d.now < suspect.suspicion.endsAt {
 			continue
 		}
-		if d.confirmedAlive(suspect) {
+		if d.aliveSinceAccusation(suspect) {
 			d.extendSuspicion(suspect)
 			continue
 		}
@@ -122,8 +126,8 @@
 	}
 }
 
-// finalCheck tells other members of the suspicion: the refutation may have reached them and not this member, and who
-// knows better corrects it.
+// finalCheck sends the accusation to other members and to the suspect. The refutation may have reached other members but
+// not this one; they respond with it, see sendRefutations.
 func (d *Detector) finalCheck(m *member) {
 	m.suspicion.finalChecks++
 	for _, other := range d.sample(indirectProbes, isAlive) {
@@ -132,20 +136,20 @@
 	d.send(m, Packet{Kind: Gossip})
 }
 
-// extendSuspicion starts the timeout anew for a suspect that has shown a sign of life: the accusation or its refutation
-// was lost on the way. Each further packet to the suspect carries the accusation.
+// extendSuspicion restarts the timeout for a suspect that has shown a sign of life: the accusation or its refutation was
+// lost. Each further packet to the suspect carries the accusation, see sendTo.
 func (d *Detector) extendSuspicion(m *member) {
 	s := m.suspicion
 	s.startedAt = d.now
 	s.accusers = s.accusers[:1]
 	s.finalChecks = 0
 	s.endsAt = d.now + s.timeout(&d.timing)
-	m.confirmedAt = 0
-	d.broadcasts.put(m)
-	d.ping(m, true)
+	m.lastAliveAt = 0
+	d.broadcasts.enqueue(m)
+	d.startProbe(m, true)
 }
 
-// confirmedAlive reports whether this member has seen a sign of life of a suspect since it was accused.
-func (d *Detector) confirmedAlive(m *member) bool {
-	return m.suspicion != nil && m.confirmedAt > m.suspicion.startedAt
+// aliveSinceAccusation reports whether this member has seen a sign of life of a suspect since the suspicion started.
+func (d *Detector) aliveSinceAccusation(m *member) bool {
+	return m.suspicion != nil && m.lastAliveAt > m.suspicion.startedAt
 }
--- a/internal/cluster/membership/sync.go
+++ b/internal/cluster/membership/sync.go
@@ -2,18 +2,18 @@
 
 import "slices"
 
-// maxSyncPackets bounds the Records packets that a member sends in a probe period.
+// maxSyncPackets is the maximum number of Records packets that a member sends in a probe period.
 const maxSyncPackets = 64
 
 // antiEntropy is the state of the periodic comparison of whole tables.
 type antiEntropy struct {
 	next        Millis // when the next digest is due
-	joined      bool   // some member has sent a packet, or an initial roster is given
+	joined      bool   // a packet of another member was received, or an initial roster is given
 	packetsLeft int    // Records packets that may still be sent in this period
 }
 
 // startSync sends digests: to the seeds until a member responds, then to one random member at a time. Anti-entropy
-// repairs what gossip has missed and merges the sides of a healed partition.
+// delivers updates that gossip did not, and merges the sides of a healed partition.
 func (d *Detector) startSync() {
 	d.sync.next = d.now + d.timing.syncInterval*(1+d.random.Next())/2
 	if !d.sync.joined {
@@ -24,16 +24,18 @@
 	for _, m := range d.sample(1, isPresent) {
 		d.send(m, d.digest())
 	}
-	// After a partition each side holds the other for dead and would never contact it again.
-	lost := d.sample(1, func(m *member) bool { return m.State == Dead })
-	for _, m := range lost {
+	// During a partition each side declares the other dead. Without digests to dead members, neither side would contact
+	// the other after the partition has healed.
+	dead := d.sample(1, func(m *member) bool { return m.State == Dead })
+	for _, m := range dead {
 		d.send(m, d.digest())
 	}
-	if len(lost) == 0 {
-		d.contactLostSeed()
+	if len(dead) == 0 {
+		d.contactAbsentSeed()
 	}
 }
 
+// contactSeeds sends a digest to each seed but this member itself.
 func (d *Detector) contactSeeds() {
 	for _, seed := range d.settings.Seeds {
 		if seed.Name != d.settings.Name {
@@ -42,8 +44,8 @@
 	}
 }
 
-// contactLostSeed sends a digest to a random seed if that is neither alive nor suspected.
-func (d *Detector) contactLostSeed() {
+// contactAbsentSeed draws a seed at random and sends it a digest if it is neither alive nor suspected.
+func (d *Detector) contactAbsentSeed() {
 	seeds := d.settings.Seeds
 	if len(seeds) == 0 {
 		return
@@ -54,47 +56,50 @@
 	}
 }
 
-func (d *Detector) digest() Packet { return Packet{Kind: Digest, Sums: d.checksums()} }
+// digest returns a Digest of this member's table.
+func (d *Detector) digest() Packet { return Packet{Kind: Digest, Checksums: d.checksums()} }
 
+// checksums returns a copy of the table's checksums, by bucket.
 func (d *Detector) checksums() []uint64 { return slices.Clone(d.table.checksums[:]) }
 
-// handleDigest sends the records that differ, with this member's own checksums to ask for records in return.
+// handleDigest sends the records of the buckets that differ. It adds this member's own checksums, by which the receiver
+// sends its records in return.
 func (d *Detector) handleDigest(p *Packet, sender *member) {
-	if len(p.Sums) != buckets {
+	if len(p.Checksums) != bucketCount {
 		return
 	}
-	differing := d.differing(p.Sums)
+	differing := d.differingBuckets(p.Checksums)
 	if len(differing) > 0 {
 		d.sendRecords(differing, sender, d.checksums())
 	}
 }
 
-// handleRecords sends records in return if the sender asks for them; the updates of p are applied already.
+// handleRecords sends records in return if the packet has checksums. The updates of p are already applied.
 func (d *Detector) handleRecords(p *Packet, sender *member) {
-	if len(p.Sums) == buckets {
-		d.sendRecords(d.differing(p.Sums), sender, nil)
+	if len(p.Checksums) == bucketCount {
+		d.sendRecords(d.differingBuckets(p.Checksums), sender, nil)
 	}
 }
 
-// differing is the set of buckets whose checksums differ.
-func (d *Detector) differing(sums []uint64) map[int]bool {
+// differingBuckets returns the set of buckets whose checksums differ from those of this member's table.
+func (d *Detector) differingBuckets(checksums []uint64) map[int]bool {
 	differing := map[int]bool{}
-	for bucket, sum := range sums {
-		if sum != d.table.checksums[bucket] {
+	for bucket, checksum := range checksums {
+		if checksum != d.table.checksums[bucket] {
 			differing[bucket] = true
 		}
 	}
 	return differing
 }
 
-// sendRecords sends the members of some buckets in random order, in as many packets as the period still allows. A
-// digest is small and its response large: the bound limits the amplification of forged digests.
-func (d *Detector) sendRecords(wanted map[int]bool, receiver *member, sums []uint64) {
+// sendRecords sends the members of some buckets in random order, in as many packets as this period still allows. A
+// digest is small and its response is large, so maxSyncPackets limits the amplification of forged digests.
+func (d *Detector) sendRecords(wanted map[int]bool, receiver *member, checksums []uint64) {
 	if len(wanted) == 0 {
 		return
 	}
-	pages := recordPages{detector: d, receiver: receiver}
-	pages.begin(sums)
+	pages := recordBatcher{detector: d, receiver: receiver}
+	pages.startPacket(checksums)
 	order := d.newWalk()
 	for m := order.next(d.table); m != nil; m = order.next(d.table) {
 		if !wanted[bucketFor(m.Name)] || m.Name == receiver.Name {
@@ -106,31 +111,32 @@
 		pages.packet.Updates = append(pages.packet.Updates, m.Update)
 		pages.remaining -= m.size()
 	}
-	if len(pages.packet.Updates) > 0 || sums != nil {
+	if len(pages.packet.Updates) > 0 || checksums != nil {
 		pages.flush()
 	}
 }
 
-// recordPages divides records into packets. Only the first packet carries checksums.
-type recordPages struct {
+// recordBatcher divides records into packets for one receiver. Only the first packet carries checksums.
+type recordBatcher struct {
 	detector  *Detector
 	receiver  *member
 	packet    Packet
-	remaining int // bytes that the packet can still take
+	remaining int // bytes left in the packet
 }
 
-func (r *recordPages) begin(sums []uint64) {
-	r.packet = Packet{Kind: Records, Sums: sums}
+// startPacket starts a new packet.
+func (r *recordBatcher) startPacket(checksums []uint64) {
+	r.packet = Packet{Kind: Records, Checksums: checksums}
 	r.remaining = maxPacketBytes - r.packet.size() - r.detector.self.size()
 }
 
-// flush sends the packet and begins the next; false if this period allows no more.
-func (r *recordPages) flush() bool {
+// flush sends the packet and starts the next. It returns false if no more packets are allowed in this period.
+func (r *recordBatcher) flush() bool {
 	if r.detector.sync.packetsLeft <= 0 {
 		return false
 	}
 	r.detector.sync.packetsLeft--
 	r.detector.send(r.receiver, r.packet)
-	r.begin(nil)
+	r.startPacket(nil)
 	return true
 }
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -12,11 +12,11 @@
 // member is an entry of the table.
 type member struct {
 	Update
-	since       Millis     // when this state began
-	suspicion   *suspicion // nil unless Suspect
-	confirmedAt Millis     // the last sign of life while Suspect, seen by this member itself
-	notifiedAt  Millis     // when the member was last sent its own state, while Dead
-	transmits   int        // of its newest update
+	since       Millis     // when the member entered its state
+	suspicion   *suspicion // nil unless the state is Suspect
+	lastAliveAt Millis     // while Suspect: when this member itself last saw a sign of life
+	notifiedAt  Millis     // while Dead: when the member was last sent the update about itself
+	transmits   int        // how often its newest update was sent
 	queued      bool       // its newest update is still to be disseminated
 }
 
@@ -24,10 +24,10 @@
 type Roster struct {
 	members   []member
 	index     map[Name]int
-	checksums [buckets]uint64
+	checksums [bucketCount]uint64
 }
 
-// NewRoster makes a roster of members that are alive; of entries with one name the first is used.
+// NewRoster returns a roster in which all members are alive. Of several entries with the same name the first is used.
 func NewRoster(updates []Update) *Roster {
 	r := &Roster{index: make(map[Name]int, len(updates))}
 	for _, u := range updates {
@@ -35,26 +35,27 @@
 			continue
 		}
 		u.State = Alive
-		u.By = ""
+		u.Accuser = ""
 		r.index[u.Name] = len(r.members)
 		r.members = append(r.members, member{Update: u})
-		r.checksums[bucketFor(u.Name)] ^= u.sum()
+		r.checksums[bucketFor(u.Name)] ^= u.checksum()
 	}
 	return r
 }
 
-// table holds the members. Those that have not changed since the start stay in the shared roster. Settings.MaxMembers
-// and the time after which dead members are forgotten bound it.
+// table holds the members. Members that have not changed since the start stay in the shared roster. The table is bounded
+// by Settings.MaxMembers, and by the removal of dead members after timing.deadRetention.
 type table struct {
 	base      *Roster
-	overrides map[Name]*member // changed or new members; nil for one of the roster that was forgotten
-	added     []Name           // new members, in the order of their addition
-	checksums [buckets]uint64  // XOR of the sums of a bucket's members
-	forgotten int              // members of the roster that were forgotten
-	version   uint64           // grows with each change
-	count     [4]int           // members by State
+	overrides map[Name]*member    // members changed or added since the start; nil for a removed member of the roster
+	added     []Name              // members that are not in the roster, in the order of their addition
+	checksums [bucketCount]uint64 // by bucket: XOR of the checksums of its members
+	removed   int                 // members of the roster that were removed
+	version   uint64              // increases with each change
+	count     [4]int              // members by State
 }
 
+// newTable returns a table with the members of a roster; nil is an empty roster.
 func newTable(base *Roster) *table {
 	if base == nil {
 		base = &Roster{}
@@ -64,16 +65,16 @@
 	return t
 }
 
-// slots is the number of indices that memberAt takes.
+// slots returns the number of slots, whose indices memberAt accepts. Slots of removed members count.
 func (t *table) slots() int { return len(t.base.members) + len(t.added) }
 
-// size is the number of members.
-func (t *table) size() int { return t.slots() - t.forgotten }
+// size returns the number of members.
+func (t *table) size() int { return t.slots() - t.removed }
 
-// present is the number of members that are alive or suspected.
+// present returns the number of members that are alive or suspected.
 func (t *table) present() int { return t.count[Alive] + t.count[Suspect] }
 
-// memberAt is the member in a slot, to be read only; nil if it was forgotten.
+// memberAt returns the member in a slot, read-only; nil if it was removed.
 func (t *table) memberAt(i int) *member {
 	if i >= len(t.base.members) {
 		return t.overrides[t.added[i-len(t.base.members)]]
@@ -85,7 +86,7 @@
 	return m
 }
 
-// get is the member of a name, to be read only; nil if it is not known.
+// get returns the member of a name, read-only; nil if it is unknown.
 func (t *table) get(name Name) *member {
 	if m, changed := t.overrides[name]; changed {
 		return m
@@ -96,8 +97,9 @@
 	return nil
 }
 
-// write is the member of a name, copied out of the roster so that it can be changed; nil if it is not known.
-func (t *table) write(name Name) *member {
+// writable returns the member of a name for writing; nil if it is unknown. A member that is only in the roster is copied
+// into overrides first.
+func (t *table) writable(name Name) *member {
 	m, changed := t.overrides[name]
 	if !changed {
 		i, known := t.base.index[name]
@@ -111,40 +113,40 @@
 	return m
 }
 
-// add adds a member that is not known.
+// add adds an unknown member.
 func (t *table) add(u Update) *member {
 	m := &member{Update: u}
 	t.version++
-	if _, based := t.base.index[u.Name]; based {
-		t.forgotten--
+	if _, inBase := t.base.index[u.Name]; inBase {
+		t.removed--
 	} else {
 		t.added = append(t.added, u.Name)
 	}
 	t.overrides[u.Name] = m
 	t.count[u.State]++
-	t.checksums[bucketFor(u.Name)] ^= u.sum()
+	t.checksums[bucketFor(u.Name)] ^= u.checksum()
 	return m
 }
 
-// set gives a member that write has returned a new update.
+// set replaces the update of a member that was returned by writable or add.
 func (t *table) set(m *member, u Update) {
 	b := bucketFor(m.Name)
 	t.version++
-	t.checksums[b] ^= m.sum()
+	t.checksums[b] ^= m.checksum()
 	t.count[m.State]--
 	m.Update = u
 	t.count[m.State]++
-	t.checksums[b] ^= m.sum()
+	t.checksums[b] ^= m.checksum()
 }
 
-// forget removes a member.
-func (t *table) forget(m *member) {
+// remove removes a member.
+func (t *table) remove(m *member) {
 	t.version++
-	t.checksums[bucketFor(m.Name)] ^= m.sum()
+	t.checksums[bucketFor(m.Name)] ^= m.checksum()
 	t.count[m.State]--
-	if _, based := t.base.index[m.Name]; based {
+	if _, inBase := t.base.index[m.Name]; inBase {
 		t.overrides[m.Name] = nil
-		t.forgotten++
+		t.removed++
 		return
 	}
 	delete(t.overrides, m.Name)
@@ -153,8 +155,8 @@
 	}
 }
 
-// changed lists the members that were copied out of the roster or added, by name.
-func (t *table) changed() []*member {
+// overridden returns the members that were changed or added since the start, sorted by name.
+func (t *table) overridden() []*member {
 	var out []*member
 	for _, name := range slices.Sorted(maps.Keys(t.overrides)) {
 		if m := t.overrides[name]; m != nil {
@@ -164,13 +166,15 @@
 	return out
 }
 
-// buckets is the number of checksums in a Digest. It goes over the wire.
-const buckets = 64
+// bucketCount is the number of checksums in a Digest. It is part of the wire format.
+const bucketCount = 64
 
-func bucketFor(name Name) int { return int(crc32.ChecksumIEEE([]byte(name)) % buckets) }
+// bucketFor returns the bucket of a name, 0 to bucketCount-1.
+func bucketFor(name Name) int { return int(crc32.ChecksumIEEE([]byte(name)) % bucketCount) }
 
-// sum is a member's part of its bucket's checksum. A suspicion counts as Alive: it is transient, and gossip spreads it.
-func (u *Update) sum() uint64 {
+// checksum returns a member's part of its bucket's checksum. Suspect counts as Alive: a suspicion is transient and
+// disseminated by gossip, so it must not start a transfer of records.
+func (u *Update) checksum() uint64 {
 	state := u.State
 	if state == Suspect {
 		state = Alive
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -12,21 +12,21 @@
 	State       State       `json:"state"`
 	Incarnation Incarnation `json:"incarnation"`
 	Run         RunID       `json:"run,string"`
-	Since       Millis      `json:"since_ms"`     // Unix; when this state began
-	By          Name        `json:"by,omitempty"` // the accuser
+	Since       Millis      `json:"since_ms"`     // Unix time at which the member entered its state
+	By          Name        `json:"by,omitempty"` // the accuser of a member that is suspect or dead
 }
 
-// View is an immutable snapshot of one member's table, itself included.
+// View is an immutable snapshot of one member's table, which includes that member itself.
 type View struct {
 	Self       Name     `json:"self"`
-	At         Millis   `json:"at_ms"`                   // Unix
-	Health     int      `json:"health"`                  // its awareness: 0 (healthy) to 8
-	Superseded string   `json:"superseded_by,omitempty"` // the address of a newer process of its name
-	Rejected   int      `json:"refused"`                 // members not added because the table was full
-	Members    []Member `json:"members"`                 // by name
+	At         Millis   `json:"at_ms"`                   // Unix time of the snapshot
+	Health     int      `json:"health"`                  // local health multiplier of Self: 0 (healthy) to 8
+	Superseded string   `json:"superseded_by,omitempty"` // ip:port of a newer process of Self's name; empty if none
+	Rejected   int      `json:"refused"`                 // updates about unknown members, rejected by a full table
+	Members    []Member `json:"members"`                 // sorted by name
 }
 
-// View is a snapshot of the present state.
+// View returns a snapshot of the current state.
 func (d *Detector) View() View {
 	v := View{
 		Self: d.settings.Name, At: d.now, Health: int(d.awareness), Superseded: d.supersededBy, Rejected: d.rejected,
@@ -40,13 +40,13 @@
 	return v
 }
 
-// Version grows with each change of the members in View.
+// Version returns a number that increases with each change of the members in View.
 func (d *Detector) Version() uint64 { return d.table.version }
 
-// Count is the number of members by State, without making a view.
-func (d *Detector) Count() (by [4]int) { return d.table.count }
+// Count returns the number of members by State. It is cheaper than View.
+func (d *Detector) Count() (byState [4]int) { return d.table.count }
 
-// StateOf is the state of one member; known is false if it is not in the table.
+// StateOf returns the state and incarnation of a member; known is false if it is not in the table.
 func (d *Detector) StateOf(name Name) (s State, inc Incarnation, known bool) {
 	m := d.table.get(name)
 	if m == nil {
@@ -55,7 +55,7 @@
 	return m.State, m.Incarnation, true
 }
 
-// Get returns a member; false if it is not in the view.
+// Get returns the member of a name; false if it is not in the view.
 func (v *View) Get(name Name) (Member, bool) {
 	i, found := slices.BinarySearchFunc(v.Members, name, func(m Member, n Name) int { return cmp.Compare(m.Name, n) })
 	if !found {
@@ -64,7 +64,7 @@
 	return v.Members[i], true
 }
 
-// Present lists the names of the members that are alive or suspected, in order.
+// Present returns the sorted names of the members that are alive or suspected.
 func (v *View) Present() []Name {
 	var out []Name
 	for _, m := range v.Members {
@@ -75,21 +75,23 @@
 	return out
 }
 
+// snapshot returns a copy of the member for callers.
 func (m *member) snapshot() Member {
 	return Member{
 		Name: m.Name, Address: m.Address, State: m.State, Incarnation: m.Incarnation, Run: m.Run,
-		Since: m.since, By: m.By,
+		Since: m.since, By: m.Accuser,
 	}
 }
 
-// emitChange reports a change of a member to the caller; fresh says that the member was not known.
-func (d *Detector) emitChange(m *member, was State, fresh bool) {
+// emitChange adds a change of a member to the output. isNew says that the member was not known before. Nothing is
+// reported before the detector has started.
+func (d *Detector) emitChange(m *member, previous State, isNew bool) {
 	if d.phase == created {
 		return
 	}
-	if fresh {
-		m = d.table.write(m.Name)
+	if isNew {
+		m = d.table.writable(m.Name)
 		m.since = d.now
 	}
-	d.output.Changes = append(d.output.Changes, Change{At: d.now, Previous: was, New: fresh, Member: m.snapshot()})
+	d.output.Changes = append(d.output.Changes, Change{At: d.now, Previous: previous, New: isNew, Member: m.snapshot()})
 }
--- a/internal/cluster/membership/view_test.go
+++ b/internal/cluster/membership/view_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
-// A view is decoded from JSON as it was encoded: the operator commands and the testbed read it.
-func TestViewAsJSON(t *testing.T) {
+// A view survives encoding to JSON and decoding, which the operator commands and the testbed rely on. An unknown state
+// is rejected.
+func TestViewJSONRoundTrip(t *testing.T) {
 	d := New(settings("a"))
 	d.Tick(1000)
 	d.Receive(1001, packetFromB(Update{
-		Name: "c", Address: "127.0.0.3:1", State: Suspect, Incarnation: 7, Run: 1<<64 - 1, By: "b",
+		Name: "c", Address: "127.0.0.3:1", State: Suspect, Incarnation: 7, Run: 1<<64 - 1, Accuser: "b",
 	}))
 	v := d.View()
 	raw, err := json.Marshal(v)
@@ -23,16 +24,16 @@
 	}
 	c, known := back.Get("c")
 	if want, _ := v.Get("c"); !known || c != want || c.State != Suspect || c.By != "b" {
-		t.Errorf("%+v, want %+v", c, want)
+		t.Errorf("member c: got %+v, known %v, want %+v", c, known, want)
 	}
 	if p := back.Present(); len(p) != 3 || p[0] != "a" {
-		t.Errorf("%v", p)
+		t.Errorf("present members: got %v, want a and 2 others", p)
 	}
 	if _, known := back.Get("x"); known {
-		t.Error("an unknown member is found")
+		t.Error("unknown member x: got it from the view, want none")
 	}
 	var s State
 	if s.UnmarshalText([]byte("well")) == nil {
-		t.Error("an invalid state is accepted")
+		t.Error(`state "well": got no error, want one`)
 	}
 }
--- a/internal/cluster/membership/walk.go
+++ b/internal/cluster/membership/walk.go
@@ -1,14 +1,15 @@
 package membership
 
-// walk visits all slots of the table once, from a random start with a random stride that is coprime to their number:
-// a random order for each round that takes no memory.
-type walk struct{ at, stride, slots, left int }
+// walk visits each slot of the table once, from a random start with a random stride that is coprime to the number of
+// slots. This gives each round a random order that takes no memory.
+type walk struct{ position, stride, slots, remaining int }
 
+// newWalk returns a walk over the current slots of the table.
 func (d *Detector) newWalk() walk {
 	slots := d.table.slots()
-	order := walk{slots: slots, left: slots}
+	order := walk{slots: slots, remaining: slots}
 	if slots > 1 {
-		order.at = int(d.random.Next() * float64(slots))
+		order.position = int(d.random.Next() * float64(slots))
 		order.stride = 1 + int(d.random.Next()*float64(slots-1))
 		for gcd(order.stride, slots) != 1 {
 			order.stride = order.stride%(slots-1) + 1
@@ -17,18 +18,19 @@
 	return order
 }
 
-// next is the next member; nil at the end, and once the number of slots has changed.
+// next returns the next member; nil at the end, or when the number of slots has changed since newWalk.
 func (w *walk) next(t *table) *member {
-	for w.left > 0 && w.slots == t.slots() {
-		w.left--
-		w.at = (w.at + w.stride) % w.slots
-		if m := t.memberAt(w.at); m != nil {
+	for w.remaining > 0 && w.slots == t.slots() {
+		w.remaining--
+		w.position = (w.position + w.stride) % w.slots
+		if m := t.memberAt(w.position); m != nil {
 			return m
 		}
 	}
 	return nil
 }
 
+// gcd returns the greatest common divisor of two positive numbers.
 func gcd(a, b int) int {
 	for b != 0 {
 		a, b = b, a%b
@@ -36,7 +38,7 @@
 	return a
 }
 
-// sample draws up to n other members that are eligible.
+// sample returns up to n random members that are eligible, without this member itself.
 func (d *Detector) sample(n int, eligible func(*member) bool) []*member {
 	var drawn []*member
 	order := d.newWalk()
@@ -48,6 +50,6 @@
 	return drawn
 }
 
-// isAlive and isPresent are conditions for sample.
+// isAlive and isPresent are conditions for sample. A member is present if it is alive or suspected.
 func isAlive(m *member) bool   { return m.State == Alive }
 func isPresent(m *member) bool { return m.State <= Suspect }
