--- a/internal/cluster/gossip/changes.go
+++ b/internal/cluster/gossip/changes.go
@@ -8,28 +8,29 @@
 	"ottershed/internal/cluster/membership"
 )
 
-// changeQueue bounds the changes that wait for their reader.
-const changeQueue = 256
+// changeQueueSize is the maximum number of changes that wait for the reader.
+const changeQueueSize = 256
 
-// publisher is what others see of the detector: the view and the changes.
+// publisher holds what other goroutines can read of the detector: the view and the changes.
 type publisher struct {
 	view      atomic.Pointer[membership.View]
-	version   uint64 // of the published view; Run's goroutine owns it
+	version   uint64 // of the published view; used by the goroutine of Run only
 	changes   chan membership.Change
 	hasReader atomic.Bool // Changes was called
 }
 
-// View is the present view. It is never nil and does not change.
+// View returns the current view. It is never nil and immutable. Any goroutine may call View.
 func (t *Transport) View() *membership.View { return t.published.view.Load() }
 
-// Changes reports changes of members' states, from the first call on. It has one reader and a bounded queue: a reader
-// that falls behind misses changes, which Counters counts, and finds the present states in View.
+// Changes returns a channel that carries the changes of members' states from the first call on. The channel must have
+// one reader only, and its queue is bounded. A reader that falls behind misses changes, which Counters.DroppedChanges
+// counts, and finds the current states in View.
 func (t *Transport) Changes() <-chan membership.Change {
 	t.published.hasReader.Store(true)
 	return t.published.changes
 }
 
-// publish replaces the view if it has changed.
+// publish replaces the view if it has changed, and logs and queues the changes.
 func (t *Transport) publish(changes []membership.Change) {
 	if t.detector.Version() != t.published.version || len(changes) > 0 {
 		t.publishView()
@@ -40,12 +41,14 @@
 	}
 }
 
+// publishView replaces the view by the detector's current one.
 func (t *Transport) publishView() {
 	view := t.detector.View()
 	t.published.version = t.detector.Version()
 	t.published.view.Store(&view)
 }
 
+// logChange logs a change of a member's state.
 func (t *Transport) logChange(change membership.Change) {
 	view := t.View()
 	line := t.log.WithFields(logrus.Fields{
@@ -57,7 +60,7 @@
 	}
 	switch {
 	case change.Name == view.Self && view.Superseded != "":
-		line.WithField("superseded_by", view.Superseded).Error("membership: superseded by a newer process of this name")
+		line.WithField("superseded_by", view.Superseded).Error("membership: superseded by a newer process with this name")
 	case change.New:
 		line.Info("member found")
 	case change.State == membership.Suspect, change.State == membership.Dead:
@@ -67,6 +70,7 @@
 	}
 }
 
+// queueChange queues a change for the reader of Changes, or counts it as dropped if the queue is full.
 func (t *Transport) queueChange(change membership.Change) {
 	if !t.published.hasReader.Load() {
 		return
--- a/internal/cluster/gossip/counters.go
+++ b/internal/cluster/gossip/counters.go
@@ -2,17 +2,17 @@
 
 import "sync/atomic"
 
-// Counters are totals since the start.
+// Counters holds totals since the start of the process.
 type Counters struct {
-	PacketsIn      uint64 `json:"packets_in"`
+	PacketsIn      uint64 `json:"packets_in"` // valid packets received
 	PacketsOut     uint64 `json:"packets_out"`
-	BytesIn        uint64 `json:"bytes_in"`
+	BytesIn        uint64 `json:"bytes_in"` // of valid packets
 	BytesOut       uint64 `json:"bytes_out"`
-	Rejected       uint64 `json:"refused"` // packets that could not be decoded or were not of this cluster
-	DroppedChanges uint64 `json:"missed"`  // changes that the reader did not take in time
+	Rejected       uint64 `json:"refused"` // packets rejected: wrong signature, another cluster or malformed
+	DroppedChanges uint64 `json:"missed"`  // changes dropped because the reader of Changes fell behind
 }
 
-// counters are the counters as they are counted.
+// counters holds the running totals; any goroutine may update them.
 type counters struct {
 	packetsIn      atomic.Uint64
 	packetsOut     atomic.Uint64
@@ -22,17 +22,19 @@
 	droppedChanges atomic.Uint64
 }
 
+// received counts a valid packet of so many bytes.
 func (c *counters) received(bytes int) {
 	c.packetsIn.Add(1)
 	c.bytesIn.Add(uint64(bytes))
 }
 
+// sent counts a packet of so many bytes that was sent.
 func (c *counters) sent(bytes int) {
 	c.packetsOut.Add(1)
 	c.bytesOut.Add(uint64(bytes))
 }
 
-// Counters are the present totals.
+// Counters returns the current totals. Any goroutine may call it.
 func (t *Transport) Counters() Counters {
 	return Counters{
 		PacketsIn:      t.counters.packetsIn.Load(),
--- a/internal/cluster/gossip/transport.go
+++ b/internal/cluster/gossip/transport.go
@@ -18,36 +18,37 @@
 )
 
 const (
-	receiveQueue    = 256  // received packets that wait for the detector; further ones are dropped
-	maxPacketBytes  = 4096 // bytes read of a datagram
-	leaveBroadcasts = 3    // calls of Detector.Leave
+	receiveQueueSize   = 256  // received packets that wait for the detector; further packets are dropped
+	readBufferBytes    = 4096 // bytes read of a datagram; the rest of a longer one is discarded
+	leaveAnnouncements = 3    // calls of Detector.Leave
 )
 
-// Config configures a transport, from the operator's file.
+// Config configures a transport, according to the operator's file.
 type Config struct {
-	Membership membership.Settings // Run, Start and RandomSeed are set by Listen
-	Bind       string              // ip:port, UDP, to receive on
+	Membership membership.Settings // Listen sets Run, Start and RandomSeed
+	Bind       string              // ip:port of the UDP socket
 	Codec      membership.Codec
 }
 
-// Transport is this process's part in the membership of its cluster.
+// Transport runs this process's failure detector over a UDP socket.
 type Transport struct {
 	conn      *net.UDPConn
 	codec     membership.Codec
 	clock     *clock.Clock
 	log       logrus.FieldLogger
-	logLimit  logging.Limiter      // of lines about single packets
-	detector  *membership.Detector // Run's goroutine owns it
+	logLimit  logging.Limiter      // limits log lines about single packets
+	detector  *membership.Detector // used by the goroutine of Run only
 	run       membership.RunID
-	packets   chan *membership.Packet // received
-	leave     chan chan struct{}      // requests of Leave; the channel that is sent is closed once done
+	received  chan *membership.Packet // decoded packets for the detector
+	leave     chan chan struct{}      // requests of Leave; the channel sent is closed when the request is done
 	published publisher
 	counters  counters
 }
 
-// Listen opens the socket; Run does the rest. An error names the key of the operator's file.
+// Listen validates the configuration and opens the socket of a transport, which Run starts. An error names the invalid
+// key of the operator's file.
 func Listen(cfg Config, processClock *clock.Clock, log logrus.FieldLogger) (*Transport, error) {
-	settings, err := complete(cfg.Membership, processClock)
+	settings, err := withStartValues(cfg.Membership, processClock)
 	if err != nil {
 		return nil, err
 	}
@@ -69,30 +70,31 @@
 		log:       log,
 		detector:  membership.New(settings),
 		run:       settings.Run,
-		packets:   make(chan *membership.Packet, receiveQueue),
+		received:  make(chan *membership.Packet, receiveQueueSize),
 		leave:     make(chan chan struct{}),
-		published: publisher{changes: make(chan membership.Change, changeQueue)},
+		published: publisher{changes: make(chan membership.Change, changeQueueSize)},
 	}
 	transport.publishView()
 	return transport, nil
 }
 
-// complete sets the settings that are drawn or measured at the start.
-func complete(settings membership.Settings, processClock *clock.Clock) (membership.Settings, error) {
-	var drawn [16]byte
-	if _, err := rand.Read(drawn[:]); err != nil {
-		return settings, fmt.Errorf("membership: %w", err)
+// withStartValues returns the settings with a random run ID and random seed, and with the current time as start time.
+func withStartValues(settings membership.Settings, processClock *clock.Clock) (membership.Settings, error) {
+	var random [16]byte
+	if _, err := rand.Read(random[:]); err != nil {
+		return settings, fmt.Errorf("membership: draw run ID: %w", err)
 	}
-	settings.Run = membership.RunID(binary.BigEndian.Uint64(drawn[:8]))
-	settings.RandomSeed = binary.BigEndian.Uint64(drawn[8:])
+	settings.Run = membership.RunID(binary.BigEndian.Uint64(random[:8]))
+	settings.RandomSeed = binary.BigEndian.Uint64(random[8:])
 	settings.Start = processClock.Now()
 	return settings, nil
 }
 
-// RunID tells this process from others of its name.
+// RunID returns the random ID that distinguishes this process from others with its name.
 func (t *Transport) RunID() membership.RunID { return t.run }
 
-// Leave announces the shutdown of this member, and returns once that is sent.
+// Leave announces the shutdown of this member. It returns when the announcement was sent, or when ctx ends before Run
+// accepts the request. Call it while Run is running.
 func (t *Transport) Leave(ctx context.Context) {
 	sent := make(chan struct{})
 	select {
@@ -102,7 +104,8 @@
 	}
 }
 
-// Run owns the detector until ctx ends.
+// Run drives the detector until ctx ends: it passes on received packets, ticks and requests of Leave, and carries out
+// the detector's output. It closes the socket before it returns.
 func (t *Transport) Run(ctx context.Context) {
 	read := make(chan struct{})
 	go func() {
@@ -119,12 +122,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case packet := <-t.packets:
+		case packet := <-t.received:
 			t.execute(t.detector.Receive(t.clock.Now(), packet))
 		case <-wake.C:
 			t.execute(t.detector.Tick(t.clock.Now()))
 		case sent := <-t.leave:
-			for range leaveBroadcasts {
+			for range leaveAnnouncements {
 				t.execute(t.detector.Leave(t.clock.Now()))
 			}
 			close(sent)
@@ -133,37 +136,37 @@
 	}
 }
 
-// read decodes datagrams for Run until the socket is closed.
+// read decodes datagrams and queues them for Run until the socket is closed.
 func (t *Transport) read() {
-	raw := make([]byte, maxPacketBytes)
+	raw := make([]byte, readBufferBytes)
 	for {
 		length, _, err := t.conn.ReadFromUDPAddrPort(raw)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // an ICMP error about a datagram sent earlier; the socket is still good
+			continue // an ICMP error about a datagram sent earlier; the socket remains usable
 		}
 		packet, err := t.codec.Decode(raw[:length])
 		if err != nil {
 			t.counters.rejected.Add(1)
-			t.warn("refused", "membership: packet rejected", err)
+			t.warnLimited("refused", "membership: packet rejected", err)
 			continue
 		}
 		t.counters.received(length)
 		select {
-		case t.packets <- packet:
-		default: // dropped, as if lost on the network
+		case t.received <- packet:
+		default: // the queue is full; the protocol tolerates lost packets
 		}
 	}
 }
 
-// execute carries out an output of the detector.
+// execute sends the packets and publishes the changes in an output of the detector.
 func (t *Transport) execute(out membership.Output) {
 	for i := range out.Sends {
 		length, err := t.send(&out.Sends[i])
 		if err != nil {
-			t.warn("send", "membership: packet not sent", err)
+			t.warnLimited("send", "membership: packet not sent", err)
 			continue
 		}
 		t.counters.sent(length)
@@ -171,7 +174,7 @@
 	t.publish(out.Changes)
 }
 
-// send encodes and sends a packet and returns its length.
+// send encodes and sends a packet, and returns its length in bytes.
 func (t *Transport) send(s *membership.Send) (int, error) {
 	raw, err := t.codec.Encode(&s.Packet)
 	if err != nil {
@@ -184,8 +187,8 @@
 	return t.conn.WriteToUDPAddrPort(raw, address)
 }
 
-// warn logs an error of a single packet, limited for each cause.
-func (t *Transport) warn(cause, message string, err error) {
+// warnLimited logs an error about a single packet, with a limited rate for each cause.
+func (t *Transport) warnLimited(cause, message string, err error) {
 	if t.logLimit.Allow(cause) {
 		t.log.WithError(err).Warn(message)
 	}
--- a/internal/cluster/logclock/reading.go
+++ b/internal/cluster/logclock/reading.go
@@ -1,21 +1,22 @@
 package logclock
 
-// readingTTL is how long a LeaderReading can be used, in milliseconds. Two clocks that each run a tenth fast or slow
-// differ by a fifth of it at most.
+// readingTTL is how long a LeaderReading can be used, in milliseconds. Two clocks that run fast or slow by up to a tenth
+// diverge by a fifth of readingTTL at most in that time.
 const readingTTL Millis = 10_000
 
-// LeaderReading is what a proposer knows of a leader's clock. The zero value is no reading.
+// LeaderReading is a reading of a leader's clock that a proposer has received. The zero value means no reading.
 type LeaderReading struct {
 	Stamp             // the leader's clock when it wrote a response
-	ReceivedAt Millis // when that response had arrived, by the proposer's own monotonic clock
+	ReceivedAt Millis // when the response was received, by the proposer's own monotonic clock
 }
 
-// Deadline returns the leader's reading after which a proposal must not be committed, for a proposer that waits until
-// end by its own clock; false where the reading is too old or there is none.
+// Deadline returns the reading of the leader's clock after which a proposal must not be committed. now and end are
+// readings of the proposer's own clock: the current one, and the one until which the proposer waits. Deadline returns
+// false if there is no reading, or if it is older than readingTTL.
 //
-// It guards against a proposal that a network partition delays and that is committed minutes after its proposer was
-// notified of a failure. The leader wrote its reading before the proposer received it, so when the leader's clock shows
-// the deadline, the proposer's clock shows end at the latest, but for the difference in rate.
+// The deadline guards against a proposal that is delayed by a network partition and committed minutes after its proposer
+// was told of a failure. The leader took its reading before the proposer received it. So when the leader's clock shows
+// the deadline, the proposer's clock shows end at the latest, apart from the difference in rate.
 func (r *LeaderReading) Deadline(now, end Millis) (Millis, bool) {
 	if r.Process == 0 || now-r.ReceivedAt > readingTTL {
 		return 0, false
--- a/internal/cluster/membership/sync.go
+++ b/internal/cluster/membership/sync.go
@@ -98,21 +98,21 @@
 	if len(wanted) == 0 {
 		return
 	}
-	pages := recordBatcher{detector: d, receiver: receiver}
-	pages.startPacket(checksums)
+	batcher := recordBatcher{detector: d, receiver: receiver}
+	batcher.startPacket(checksums)
 	order := d.newWalk()
 	for m := order.next(d.table); m != nil; m = order.next(d.table) {
 		if !wanted[bucketFor(m.Name)] || m.Name == receiver.Name {
 			continue
 		}
-		if m.size() > pages.remaining && !pages.flush() {
+		if m.size() > batcher.remaining && !batcher.flush() {
 			return
 		}
-		pages.packet.Updates = append(pages.packet.Updates, m.Update)
-		pages.remaining -= m.size()
+		batcher.packet.Updates = append(batcher.packet.Updates, m.Update)
+		batcher.remaining -= m.size()
 	}
-	if len(pages.packet.Updates) > 0 || checksums != nil {
-		pages.flush()
+	if len(batcher.packet.Updates) > 0 || checksums != nil {
+		batcher.flush()
 	}
 }
 
