--- a/internal/cluster/gossip/doc.go
+++ b/internal/cluster/gossip/doc.go
@@ -4,6 +4,6 @@
 // Open the socket with [Listen] and call [Transport.Run]. The detector is used by the goroutine of Run only, a second
 // goroutine reads the socket. All other methods may be called from any goroutine.
 //
-// transport.go holds the socket and the event loop of the detector, changes.go the view and the changes, counters.go the
-// counters.
+// transport.go holds the socket and the event loop of the detector, changes.go the view and the changes, counters.go
+// the counters.
 package gossip
--- a/internal/cluster/logclock/clock.go
+++ b/internal/cluster/logclock/clock.go
@@ -1,5 +1,5 @@
-// Package logclock implements the clock of a replicated log, which shows the same time at all servers and is independent
-// of their wall clocks. It has no I/O. A Clock is not safe for concurrent use.
+// Package logclock implements the clock of a replicated log, which shows the same time at all servers and is
+// independent of their wall clocks. It has no I/O. A Clock is not safe for concurrent use.
 //
 // A leader adds a [Stamp] to each entry. Each server advances its [Clock] by the stamps of the entries that it applies.
 // A proposer uses a [LeaderReading] to set a deadline after which its proposal must not be committed.
@@ -22,9 +22,9 @@
 // Clock is the clock of a log. All servers that have applied the same entries have the same time.
 //
 // The clock advances by the difference between two successive stamps of the same process; with the first stamp of a new
-// leader it stands still. Readings of two machines are never compared. The time between the last entry of one leader and
-// the first of the next is not counted: the log's time may lag behind real time, and runs ahead of it only as far as a
-// leader's clock runs fast. It never goes back.
+// leader it stands still. Readings of two machines are never compared. The time between the last entry of one leader
+// and the first of the next is not counted: the log's time may lag behind real time, and runs ahead of it only as far
+// as a leader's clock runs fast. It never goes back.
 type Clock struct {
 	Now  Millis `msgpack:"Now"`  // the log's time
 	Last Stamp  `msgpack:"Last"` // of the last entry that advanced the clock or came from another process
@@ -47,8 +47,8 @@
 }
 
 // AdvanceTo advances the clock to the wall-clock time of an entry without a stamp, in Unix milliseconds, unless the
-// clock is past that time, and returns the log's time. Earlier releases wrote such entries. A duration that started with
-// such an entry, for example of a lease, keeps its length.
+// clock is past that time, and returns the log's time. Earlier releases wrote such entries. A duration that started
+// with such an entry, for example of a lease, keeps its length.
 func (c *Clock) AdvanceTo(unix Millis) Millis {
 	c.Now = max(c.Now, unix)
 	return c.Now
--- a/internal/cluster/logclock/clock_test.go
+++ b/internal/cluster/logclock/clock_test.go
@@ -34,8 +34,8 @@
 }
 
 // With leaders whose clocks differ by up to an hour from the real time and run fast or slow by up to a tenth, the log's
-// time never exceeds the real time by more than a tenth. It lags behind by a tenth at most, and by the times between two
-// leaders.
+// time never exceeds the real time by more than a tenth. It lags behind by a tenth at most, and by the times between
+// two leaders.
 func TestClockStaysNearRealTime(t *testing.T) {
 	for seed := range uint64(200) {
 		checkRandomLeaders(t, seed)
@@ -70,7 +70,7 @@
 		got := clock.Advance(Stamp{uint64(current + 1), leaders[current].offset + now*leaders[current].rate})
 		elapsed := now - started
 		if got < before || got > 1.1*elapsed+1e-3 || got < 0.9*(elapsed-betweenLeaders)-1e-3 {
-			t.Fatalf("seed %d: got log time %v after %v, want it within a tenth of the real time %v, of which %v between leaders",
+			t.Fatalf("seed %d: got log time %v after %v, want about the real time %v, of which %v passed between leaders",
 				seed, got, before, elapsed, betweenLeaders)
 		}
 		last = now
--- a/internal/cluster/membership/broadcast.go
+++ b/internal/cluster/membership/broadcast.go
@@ -109,8 +109,8 @@
 // send sends a packet to a member, with as many queued updates as fit.
 func (d *Detector) send(m *member, p Packet) { d.sendTo(m.Address, m, p) }
 
-// sendTo sends a packet to an address, with as many queued updates as fit. m is the member that is assumed to receive at
-// the address; nil if there is none.
+// sendTo sends a packet to an address, with as many queued updates as fit. m is the member that is assumed to receive
+// at the address; nil if there is none.
 func (d *Detector) sendTo(address string, m *member, packet Packet) {
 	packet.From = d.self.Name
 	packet.Address = d.self.Address
--- a/internal/cluster/membership/detector.go
+++ b/internal/cluster/membership/detector.go
@@ -197,9 +197,9 @@
 	d.probing.next = max(d.probing.next, d.now)
 }
 
-// sweep removes the members that died or left longer than deadRetention ago. If they were removed at once, a late update
-// from before their death would add them again as alive. If they were never removed, the table would grow with each name
-// that was ever used.
+// sweep removes the members that died or left longer than deadRetention ago. If they were removed at once, a late
+// update from before their death would add them again as alive. If they were never removed, the table would grow with
+// each name that was ever used.
 func (d *Detector) sweep() {
 	for _, m := range d.table.overridden() {
 		if m.State >= Dead && m.Name != d.settings.Name && d.now-m.since >= d.timing.deadRetention {
--- a/internal/cluster/membership/settings.go
+++ b/internal/cluster/membership/settings.go
@@ -31,8 +31,8 @@
 	// DetectionTimeout is the longest time until all members have declared a dead member dead; ToleratedPause + 320 or
 	// more, by default 12000. A higher value trades slower detection for fewer packets and fewer false accusations.
 	DetectionTimeout Millis
-	// MaxMembers is the capacity of the member table, this member included; 2 to 1,048,576, by default 4096. A higher value
-	// admits more members and takes more memory. Members beyond it are rejected and counted.
+	// MaxMembers is the capacity of the member table, this member included; 2 to 1,048,576, by default 4096. A higher
+	// value admits more members and takes more memory. Members beyond it are rejected and counted.
 	MaxMembers int
 
 	Initial *Roster // members that are assumed to be alive from the start; nil: none
@@ -133,10 +133,10 @@
 	deadRetention  Millis // for which a dead or left member stays in the table
 }
 
-// deriveTiming divides DetectionTimeout - ToleratedPause into 16 periods. Eight are for the first probe that reaches the
-// dead member: the other members probe in random order, so the probability that none of them probes it within j periods
-// is exp(-j). Two are for that probe and its retry to fail, five for the suspicion beyond the tolerated pause, one for
-// the dissemination of the death.
+// deriveTiming divides DetectionTimeout - ToleratedPause into 16 periods. Eight are for the first probe that reaches
+// the dead member: the other members probe in random order, so the probability that none of them probes it within j
+// periods is exp(-j). Two are for that probe and its retry to fail, five for the suspicion beyond the tolerated pause,
+// one for the dissemination of the death.
 func deriveTiming(s *Settings) timing {
 	period := (s.DetectionTimeout - s.ToleratedPause) / periodsPerDetection
 	return timing{
--- a/internal/cluster/membership/sim/sim_test.go
+++ b/internal/cluster/membership/sim/sim_test.go
@@ -6,8 +6,8 @@
 	"ottershed/internal/cluster/membership"
 )
 
-// fleet returns a fleet with the settings that all tests share: a delay of up to 20 ms, at most 3 seeds and, unless set,
-// a tolerated pause of 4 s and a detection timeout of 12 s.
+// fleet returns a fleet with the settings that all tests share: a delay of up to 20 ms, at most 3 seeds and, unless
+// set, a tolerated pause of 4 s and a detection timeout of 12 s.
 func fleet(t *testing.T, set Settings) *Fleet {
 	t.Helper()
 	if set.ToleratedPause == 0 {
@@ -179,8 +179,8 @@
 	}
 }
 
-// A restart raises the incarnation, whether or not the others have noticed the death. A member that leaves has the state
-// Left and is not declared dead.
+// A restart raises the incarnation, whether or not the others have noticed the death. A member that leaves has the
+// state Left and is not declared dead.
 func TestRestartRaisesIncarnationAndLeaveIsNoDeath(t *testing.T) {
 	t.Parallel()
 	for _, down := range []Millis{100, 2000, 20000} {
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -126,8 +126,8 @@
 	}
 }
 
-// finalCheck sends the accusation to other members and to the suspect. The refutation may have reached other members but
-// not this one; they respond with it, see sendRefutations.
+// finalCheck sends the accusation to other members and to the suspect. The refutation may have reached other members
+// but not this one; they respond with it, see sendRefutations.
 func (d *Detector) finalCheck(m *member) {
 	m.suspicion.finalChecks++
 	for _, other := range d.sample(indirectProbes, isAlive) {
@@ -136,8 +136,8 @@
 	d.send(m, Packet{Kind: Gossip})
 }
 
-// extendSuspicion restarts the timeout for a suspect that has shown a sign of life: the accusation or its refutation was
-// lost. Each further packet to the suspect carries the accusation, see sendTo.
+// extendSuspicion restarts the timeout for a suspect that has shown a sign of life: the accusation or its refutation
+// was lost. Each further packet to the suspect carries the accusation, see sendTo.
 func (d *Detector) extendSuspicion(m *member) {
 	s := m.suspicion
 	s.startedAt = d.now
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -43,8 +43,8 @@
 	return r
 }
 
-// table holds the members. Members that have not changed since the start stay in the shared roster. The table is bounded
-// by Settings.MaxMembers, and by the removal of dead members after timing.deadRetention.
+// table holds the members. Members that have not changed since the start stay in the shared roster. The table is
+// bounded by Settings.MaxMembers, and by the removal of dead members after timing.deadRetention.
 type table struct {
 	base      *Roster
 	overrides map[Name]*member    // members changed or added since the start; nil for a removed member of the roster
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// writable returns the member of a name for writing; nil if it is unknown. A member that is only in the roster is copied
-// into overrides first.
+// writable returns the member of a name for writing; nil if it is unknown. A member that is only in the roster is
+// copied into overrides first.
 func (t *table) writable(name Name) *member {
 	m, changed := t.overrides[name]
 	if !changed {
--- a/internal/cluster/membership/wire.go
+++ b/internal/cluster/membership/wire.go
@@ -16,8 +16,8 @@
 	maxClusterBytes = 32   // of a cluster's name
 )
 
-// wirePacket is the encoded form of a packet: a msgpack array, so that field names are not sent. The order of the fields
-// is part of the wire format.
+// wirePacket is the encoded form of a packet: a msgpack array, so that field names are not sent. The order of the
+// fields is part of the wire format.
 type wirePacket struct {
 	_msgpack      struct{} `msgpack:",as_array"` //nolint:unused // msgpack reads its tag
 	Version       int
@@ -89,8 +89,8 @@
 )
 
 // Decode verifies, decodes and validates a packet. It returns an error that wraps ErrSignature, ErrCluster or
-// ErrMalformed. Anyone who reaches the port can send arbitrary bytes, so no field is trusted, and the length of a packet
-// bounds the memory that it takes.
+// ErrMalformed. Anyone who reaches the port can send arbitrary bytes, so no field is trusted, and the length of a
+// packet bounds the memory that it takes.
 func (c Codec) Decode(raw []byte) (*Packet, error) {
 	if len(raw) > maxWireBytes {
 		return nil, fmt.Errorf("%w: want %d bytes at most, got %d", ErrMalformed, maxWireBytes, len(raw))
@@ -185,8 +185,8 @@
 	return nil
 }
 
-// Estimates of the most bytes that parts of an encoded packet take, without their strings. The name of an update's state
-// is not counted, so a packet of many updates can be encoded to more bytes than estimated.
+// Estimates of the most bytes that parts of an encoded packet take, without their strings. The name of an update's
+// state is not counted, so a packet of many updates can be encoded to more bytes than estimated.
 const (
 	fixedBytes    = 9*4 + 24 // a packet: four numbers of nine bytes, headers and short fields
 	updateBytes   = 9*2 + 8  // an update: two numbers of nine bytes, headers
--- a/internal/cluster/quorum/doc.go
+++ b/internal/cluster/quorum/doc.go
@@ -1,7 +1,7 @@
-// Package quorum decides how a server gets its place among the servers of a replicated log: whether it bootstraps a new
-// log, joins an existing one, or has to be readmitted because its store was lost. It is free of I/O and has no state;
-// internal/cluster/raftlog carries the decisions out.
+// Package quorum decides how a server joins the servers of a replicated log: whether it bootstraps a new log, or has to
+// be readmitted to an existing log because its store was lost. The package has no I/O and no state.
+// Package internal/cluster/raftlog carries out the decisions.
 //
-//	start.go    how a server without a log begins
+//	start.go    how a server without a log starts
 //	readmit.go  the steps by which a leader readmits a server
 package quorum
--- a/internal/cluster/quorum/readmit.go
+++ b/internal/cluster/quorum/readmit.go
@@ -1,31 +1,32 @@
 package quorum
 
-// Membership is a server's place in the log's configuration, as the leader has it.
+// Membership is a server's role in the log's configuration, as known to the leader.
 type Membership int
 
-// The places in the log's configuration.
+// The roles in the log's configuration.
 const (
 	Absent  Membership = iota // not in the configuration
 	Learner                   // receives entries and has no vote
 	Voter                     // receives entries and votes
 )
 
-// Step is what a leader does for a server that asks for readmission. Its numbers are sent to that server and stay.
+// Step is a step by which a leader readmits a server that has lost its store. The numbers are part of the wire format.
 type Step int
 
 // The steps. A server that has lost its store goes through Remove, AddLearner, CatchUp, Promote and Done, in this
 // order.
 const (
-	NoStep     Step = iota // nothing was decided
-	Remove                 // remove the voter: its votes from before the loss must not count
-	AddLearner             // add it as a learner
-	CatchUp                // it may start as a learner and has to catch up
-	Promote                // give the learner its vote
-	Done                   // it is a voter that has caught up
+	NoStep     Step = iota // no step was decided
+	Remove                 // remove the voter: without the record of its votes it could vote twice in a term
+	AddLearner             // add the server as a learner
+	CatchUp                // the server may start as a learner and has to catch up
+	Promote                // make the learner a voter
+	Done                   // the server is a voter that has caught up
 )
 
-// Readmit decides the next step. A server is empty until it has started; applied is the index of the last entry that it
-// has applied, committed the index of the last one that was committed when it asked.
+// Readmit returns the next step for a server. empty means that the server has not started since it lost its store.
+// applied is the index of the last entry that the server has applied, committed the index of the last entry that was
+// committed when the server requested the step.
 func Readmit(membership Membership, empty bool, applied, committed uint64) Step {
 	switch {
 	case membership == Voter && empty:
--- a/internal/cluster/quorum/readmit_test.go
+++ b/internal/cluster/quorum/readmit_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// readmitted is a server that has lost its store, as the leader sees it.
-type readmitted struct {
+// readmittedServer is a server that has lost its store, as known to the leader.
+type readmittedServer struct {
 	membership Membership
 	empty      bool
 	applied    uint64
 }
 
-// follow carries out one step.
-func (s *readmitted) follow(step Step) {
+// execute carries out one step.
+func (s *readmittedServer) execute(step Step) {
 	switch step {
 	case Remove:
 		s.membership = Absent
@@ -24,30 +24,31 @@
 	}
 }
 
-// A server that lost its store goes step by step from a voter without its votes to one that has caught up, and gets its
-// vote back last.
-func TestReadmit(t *testing.T) {
+// A server that has lost its store is removed, comes back as a learner, and becomes a voter only after it has caught
+// up.
+func TestReadmitPromotesAfterCatchUp(t *testing.T) {
 	const committed = 40
-	server := readmitted{membership: Voter, empty: true}
+	server := readmittedServer{membership: Voter, empty: true}
 	var steps []Step
 	for range 10 {
 		step := Readmit(server.membership, server.empty, server.applied, committed)
 		steps = append(steps, step)
 		if step == Promote && (server.empty || server.applied < committed) {
-			t.Errorf("promoted with %d", server.applied)
+			t.Errorf("promoted with empty %v and %d applied, want false and %d or more",
+				server.empty, server.applied, committed)
 		}
-		server.follow(step)
+		server.execute(step)
 		if step == Done {
 			break
 		}
 	}
 	want := []Step{Remove, AddLearner, CatchUp, CatchUp, Promote, Done}
 	if len(steps) != len(want) {
-		t.Fatalf("%v, want %v", steps, want)
+		t.Fatalf("steps: got %v, want %v", steps, want)
 	}
 	for i := range want {
 		if steps[i] != want[i] {
-			t.Errorf("%v, want %v", steps, want)
+			t.Errorf("steps: got %v, want %v", steps, want)
 		}
 	}
 }
--- a/internal/cluster/quorum/start.go
+++ b/internal/cluster/quorum/start.go
@@ -1,37 +1,37 @@
 package quorum
 
-// PeerState is what another server reported of itself.
+// PeerState is what another server reported about itself.
 type PeerState struct {
-	Reached     bool // it has answered; if not, the rest is not known
-	Established bool // it holds a log
+	Reachable   bool // the server has responded; if not, the rest is unknown
+	Established bool // the server has a log
 }
 
-// Start is how a server without a log begins.
-type Start int
+// StartDecision is how a server without a log starts.
+type StartDecision int
 
-// The ways to begin.
+// The ways to start.
 const (
-	Wait      Start = iota // too few servers have answered; ask again
-	Bootstrap              // begin a new log together with the others
-	Rejoin                 // there is a log: ask its leader for readmission
+	Wait      StartDecision = iota // too few servers have responded; ask them again
+	Bootstrap                      // start a new log together with the other servers
+	Rejoin                         // there is a log: ask its leader for readmission
 )
 
-// DecideStart decides how a server without a log begins, by the states of its peers; others is their number, whether
-// reached or not.
-func DecideStart(others int, peers []PeerState) Start {
-	empty := 1 // servers without a log; this is one
+// DecideStart returns how a server without a log starts, given the states of its peers. others is the number of other
+// servers, reachable or not.
+func DecideStart(others int, peers []PeerState) StartDecision {
+	empty := 1 // servers without a log, this server included
 	for _, peer := range peers {
-		if !peer.Reached {
+		if !peer.Reachable {
 			continue
 		}
 		if peer.Established {
-			// This server has lost its store and with it the record of its votes. If it voted again in the same term, that
-			// term could get two leaders. So it comes back without a vote until it holds all that is committed.
+			// This server has lost its store, and with it the record of its votes. If it voted again in the same term, that
+			// term could get two leaders. So it rejoins without a vote until it has all committed entries.
 			return Rejoin
 		}
 		empty++
 	}
-	// A majority holds every established log, so at least one of a majority would know of it.
+	// Every established log is held by a majority, so a majority of servers without a log proves that there is none.
 	if empty > (others+1)/2 {
 		return Bootstrap
 	}
--- a/internal/cluster/raftlog/client.go
+++ b/internal/cluster/raftlog/client.go
@@ -16,24 +16,26 @@
 )
 
 const (
-	maxMessageBytes     = 4 << 20 // bytes of a request or a response
+	maxMessageBytes     = 4 << 20 // of the body of a proposal or a response
 	idleConnTimeout     = time.Minute
 	maxIdleConnsPerHost = 2
 )
 
-// ErrNoLeader means that no leader responded in time. Whether a proposal was committed is then unknown.
+// ErrNoLeader is returned if no leader responded in time. It is then unknown whether a proposal was committed.
 var ErrNoLeader = errors.New("log: no leader answered in time")
 
-// Client reaches the log from a process that does not keep it. It remembers the last leader. All fields are required.
+// Client accesses the log from a process that may not be a server. It remembers the last leader. All exported fields
+// are required. Its methods may be called from any goroutine.
 type Client struct {
 	Servers         []Server
-	HTTP            *http.Client
-	ElectionTimeout time.Duration
+	HTTP            *http.Client  // from NewHTTPClient
+	ElectionTimeout time.Duration // as in Config
 	Clock           *clock.Clock
 	readings        leaderReadings
 }
 
-// NewHTTPClient makes a client for calls to servers; the host of a URL is a server's address.
+// NewHTTPClient returns an HTTP client for calls to servers, authenticated by key. The host of a URL is the ip:port of
+// a server.
 func NewHTTPClient(key []byte) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		Proxy:               nil,
@@ -45,7 +47,8 @@
 	}}
 }
 
-// Get makes a GET request to one server after another until one responds.
+// Get sends a GET request to one server after another until one succeeds, and decodes the response as Call does. It
+// returns the error of the last server.
 func (c *Client) Get(ctx context.Context, path string, reply any) (err error) {
 	for _, s := range c.Servers {
 		tryCtx, cancel := context.WithTimeout(ctx, c.ElectionTimeout)
@@ -58,6 +61,7 @@
 	return err
 }
 
+// address returns the address of a server; empty if there is no server of this name.
 func (c *Client) address(name string) string {
 	for _, s := range c.Servers {
 		if s.Name == name {
@@ -67,7 +71,7 @@
 	return ""
 }
 
-// callLeader makes a POST request to the leader, whichever server that is by then, until it succeeds or ctx ends.
+// callLeader sends a POST request to the current leader, again and again until it succeeds or ctx ends.
 func (n *Node) callLeader(ctx context.Context, path string, request, reply any) error {
 	raw, err := json.Marshal(request)
 	if err != nil {
@@ -75,7 +79,8 @@
 	}
 	for try := 0; ; try++ {
 		address := n.leaderAddress()
-		// A server that is cut off from its leader still names it; so every other try asks the next server.
+		// A server that has lost the connection to its leader still names it as leader, so every other attempt goes to the
+		// next server in turn.
 		if address == "" || try%2 == 1 {
 			address = n.cfg.Servers[try/2%len(n.cfg.Servers)].Address
 		}
@@ -91,7 +96,7 @@
 	}
 }
 
-// leaderAddress is the address of the leader that this server knows of; empty if it knows none.
+// leaderAddress returns the address of the leader as known to this server; empty if it knows none.
 func (n *Node) leaderAddress() string {
 	name := n.leaderName()
 	if name == n.cfg.Name && !n.IsLeader() {
@@ -104,7 +109,8 @@
 	return address
 }
 
-// Call makes a request to a server and decodes its response: JSON, or the bytes as they are if reply is a *[]byte.
+// Call sends a request with the body raw to the server at an address, and decodes the response into reply: the bytes
+// unchanged if reply is a *[]byte, else JSON. Any status but 200 is an error.
 func Call(ctx context.Context, c *http.Client, address, method, path string, raw []byte, reply any) error {
 	res, err := exchange(ctx, c, address, method, path, raw)
 	if err != nil {
@@ -123,14 +129,14 @@
 	return nil
 }
 
-// response is a response that was read whole.
+// response is an HTTP response with its complete body.
 type response struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// exchange makes a request and reads the response, whatever its status.
+// exchange sends a request and reads the response, regardless of its status.
 func exchange(ctx context.Context, c *http.Client, address, method, path string, raw []byte) (response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(raw))
 	if err != nil {
@@ -140,7 +146,7 @@
 	if err != nil {
 		return response{}, fmt.Errorf("call %s: %w", address, err)
 	}
-	defer func() { _ = res.Body.Close() }() // it was read, or the read has failed
+	defer func() { _ = res.Body.Close() }() // the body was read, or the error of the read is returned
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxMessageBytes))
 	if err != nil {
 		return response{}, fmt.Errorf("call %s: %w", address, err)
@@ -148,7 +154,7 @@
 	return response{status: res.StatusCode, header: res.Header, body: body}, nil
 }
 
-// WriteJSON writes a response.
+// WriteJSON writes a value as a JSON response.
 func WriteJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(v); err != nil {
@@ -156,7 +162,7 @@
 	}
 }
 
-// sleepContext waits; false if ctx ended before.
+// sleepContext waits for a span. It returns false if ctx ends before.
 func sleepContext(ctx context.Context, span time.Duration) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
--- a/internal/cluster/raftlog/entry.go
+++ b/internal/cluster/raftlog/entry.go
@@ -7,16 +7,16 @@
 	"ottershed/internal/cluster/logclock"
 )
 
-// Kind is the first byte of a command: it names the state machine that the command belongs to.
+// Kind is the first byte of a command. It identifies the state machine that applies the command.
 type Kind = byte
 
-// stampedEntry is the first byte of an entry that carries its leader's stamp before the command. Entries of releases
-// before stamps begin with the command's own kind.
+// stampedEntry is the first byte of an entry that has its leader's stamp in front of the command. Entries of releases
+// before stamps begin with the command's kind.
 const stampedEntry Kind = 't'
 
-const stampBytes = 16 // process and uptime, eight bytes each, big endian
+const stampBytes = 16 // process and uptime, eight bytes each, big-endian
 
-// prependStamp encodes an entry.
+// prependStamp returns an entry that consists of a stamp and a command.
 func prependStamp(s logclock.Stamp, command []byte) []byte {
 	entry := make([]byte, 0, 1+stampBytes+len(command))
 	entry = append(entry, stampedEntry)
@@ -25,7 +25,7 @@
 	return append(entry, command...)
 }
 
-// cutStamp decodes an entry; false if it has no valid stamp.
+// cutStamp splits an entry into its stamp and its command. It returns false if the entry has no valid stamp.
 func cutStamp(entry []byte) (logclock.Stamp, []byte, bool) {
 	if len(entry) < 2+stampBytes || entry[0] != stampedEntry {
 		return logclock.Stamp{}, entry, false
--- a/internal/cluster/raftlog/fsm.go
+++ b/internal/cluster/raftlog/fsm.go
@@ -17,14 +17,17 @@
 // StateMachine applies the commands of one kind, in the order of the log, with the same result at every server. Its
 // methods are never called concurrently.
 type StateMachine interface {
-	// Apply applies a command; at is the log's time, see logclock.Clock. The reply goes to the proposer.
+	// Apply applies the command of the entry at an index. at is the log's time at that entry, see logclock.Clock. The
+	// reply is sent to the proposer.
 	Apply(index uint64, at logclock.Millis, command []byte) (reply []byte)
+	// Snapshot encodes the state.
 	Snapshot() ([]byte, error)
+	// Restore replaces the state by one that Snapshot has encoded.
 	Restore(raw []byte) error
 }
 
-// clocked is a state machine with a time of its own in its snapshots, from releases before the log had one.
-type clocked interface{ LogTime() logclock.Millis }
+// legacyClock is a state machine whose snapshots have a time of their own, from releases before the log had a clock.
+type legacyClock interface{ LogTime() logclock.Millis }
 
 // fsm implements raft.FSM: it dispatches commands to the state machines.
 type fsm struct {
@@ -32,11 +35,12 @@
 	machines map[Kind]StateMachine
 	logClock logclock.Clock
 	// lastApplied is the index of the newest command that the state machines have applied. Raft's own AppliedIndex also
-	// counts entries that are still queued for them; a rejoining server would be promoted before it holds everything.
+	// counts entries that are still queued for the state machines. By that index, a rejoining server would be promoted
+	// before it has applied all committed entries.
 	lastApplied atomic.Uint64
 }
 
-// Apply implements raft.FSM. Its result is the reply of the state machine, a []byte.
+// Apply implements raft.FSM. It returns the reply of the state machine, a []byte.
 func (f *fsm) Apply(entry *raft.Log) any {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -56,8 +60,8 @@
 	return reply
 }
 
-// decode advances the log's time to an entry and returns its command with the kind in front; false for an entry with an
-// invalid stamp, which no leader writes.
+// decode advances the log's time to an entry, and returns that time and the entry's command, which begins with the
+// kind. It returns false for an entry with an invalid stamp, which no leader writes.
 func (f *fsm) decode(entry *raft.Log) (logclock.Millis, []byte, bool) {
 	stamp, command, stamped := cutStamp(entry.Data)
 	switch {
@@ -70,7 +74,7 @@
 	}
 }
 
-// Keys of a snapshot beside the kinds of the state machines. They are stored.
+// Names of the parts of a snapshot, besides those of the state machines. They are stored and must not change.
 const (
 	lastKey  = "last"  // the index of the newest command
 	clockKey = "clock" // the log's time
@@ -99,11 +103,12 @@
 	return snapshot(appendChecksum(raw)), nil
 }
 
+// machineKey returns the name of a state machine's part of a snapshot.
 func machineKey(kind Kind) string { return strconv.Itoa(int(kind)) }
 
 // Restore implements raft.FSM.
 func (f *fsm) Restore(from io.ReadCloser) error {
-	defer func() { _ = from.Close() }() // it was read to its end and checked
+	defer func() { _ = from.Close() }() // the snapshot was read to its end and its checksum verified
 	parts, err := readSnapshot(from)
 	if err != nil {
 		return err
@@ -126,6 +131,7 @@
 	return nil
 }
 
+// readSnapshot verifies and decodes a snapshot, and returns its parts by name.
 func readSnapshot(from io.Reader) (map[string][]byte, error) {
 	raw, err := io.ReadAll(from)
 	if err != nil {
@@ -141,8 +147,8 @@
 	return parts, nil
 }
 
-// restoreClock restores the log's time; without one, from a release before entries had stamps, it starts at the time of
-// the state machines.
+// restoreClock restores the log's time. A snapshot of a release before stamps has none (raw is nil): the log's time
+// then starts at the highest time of the state machines.
 func (f *fsm) restoreClock(raw []byte) error {
 	f.logClock = logclock.Clock{}
 	if raw != nil {
@@ -152,7 +158,7 @@
 		return nil
 	}
 	for _, machine := range f.machines {
-		if c, ok := machine.(clocked); ok {
+		if c, ok := machine.(legacyClock); ok {
 			f.logClock.AdvanceTo(c.LogTime())
 		}
 	}
@@ -165,7 +171,7 @@
 // Persist implements raft.FSMSnapshot.
 func (s snapshot) Persist(to raft.SnapshotSink) error {
 	if _, err := to.Write(s); err != nil {
-		_ = to.Cancel() // the error of the write is the cause
+		_ = to.Cancel() // the error of the write is returned
 		return err
 	}
 	return to.Close()
--- a/internal/cluster/raftlog/golden_test.go
+++ b/internal/cluster/raftlog/golden_test.go
@@ -25,14 +25,14 @@
 	"ottershed/internal/golden"
 )
 
-// Kinds of the log's commands. Packages policysync and failover define them and import this package, so they are
-// repeated here; the fixtures of entries there begin with them.
+// Kinds of commands. Packages policysync and failover define them and import this package, so they are repeated here.
+// The fixtures of entries there begin with them.
 const (
 	policyKind byte = 'p'
 	leaseKind  byte = 'l'
 )
 
-// policyMachine and leaseMachine behave like those of packages policysync and failover.
+// policyMachine behaves as the state machine of package policysync.
 type policyMachine struct{ policy.State }
 
 func (p *policyMachine) Apply(_ uint64, _ logclock.Millis, command []byte) []byte {
@@ -45,42 +45,43 @@
 
 func (p *policyMachine) Snapshot() ([]byte, error) { return p.Encode() }
 
+// leaseMachine behaves as the state machine of package failover.
 type leaseMachine struct{ lease.Table }
 
-func (p *leaseMachine) Apply(_ uint64, at logclock.Millis, raw []byte) []byte {
+func (l *leaseMachine) Apply(_ uint64, at logclock.Millis, raw []byte) []byte {
 	var command lease.Command
 	if err := msgpack.Unmarshal(raw, &command); err != nil {
 		return []byte(err.Error())
 	}
-	return []byte(p.Table.Apply(&command, at).Rejection)
+	return []byte(l.Table.Apply(&command, at).Rejection)
 }
 
-func (p *leaseMachine) Snapshot() ([]byte, error) { return p.Encode() }
+func (l *leaseMachine) Snapshot() ([]byte, error) { return l.Encode() }
 
-// goldenMachine has the state machines that a server has.
+// goldenMachine returns an fsm with the state machines of a real server.
 func goldenMachine() (*fsm, *policyMachine, *leaseMachine) {
 	policy, leases := &policyMachine{}, &leaseMachine{Table: *lease.NewTable()}
 	return &fsm{machines: map[byte]StateMachine{policyKind: policy, leaseKind: leases}}, policy, leases
 }
 
-// namedCommand is a command of the log with the name of its fixture.
+// namedCommand is a command with the name of its fixture.
 type namedCommand struct {
 	name    string
 	command any
 }
 
-// goldenCommands are commands of each kind, in an order in which all of them succeed. They leave a lease and an
-// abandoned lease, with no field empty.
+// goldenCommands returns commands of each kind, in an order in which all of them succeed. They result in a lease and an
+// abandoned lease in which no field is empty.
 func goldenCommands() []namedCommand {
 	first := lease.Holder{Name: "a", Incarnation: 5}
 	second := lease.Holder{Name: "b", Incarnation: 6}
-	claim := func(id lease.ID, by lease.Holder) lease.Command {
+	acquire := func(id lease.ID, by lease.Holder) lease.Command {
 		return lease.Command{Operation: lease.Acquire, ID: id, Holder: by, TTL: 60000}
 	}
 	release := func(id lease.ID, token lease.Token) lease.Command {
 		return lease.Command{Operation: lease.Release, ID: id, Holder: second, Token: token}
 	}
-	take := func(id lease.ID) lease.Command {
+	takeOver := func(id lease.ID) lease.Command {
 		return lease.Command{Operation: lease.TakeOver, ID: id, Holder: first, TTL: 60000}
 	}
 	return []namedCommand{
@@ -89,26 +90,28 @@
 			ID: "second", By: "b", At: 1764700001123.5, Based: true, Base: 1,
 			Body: []byte(`{"note":"another"}`),
 		}},
-		{"claim_a", claim("trial/a", first)},
-		{"claim_b", claim("trial/b", second)},
-		{"claim_c", claim("trial/c", second)},
-		{"keep_a", lease.Command{
+		{"acquire_a", acquire("trial/a", first)},
+		{"acquire_b", acquire("trial/b", second)},
+		{"acquire_c", acquire("trial/c", second)},
+		{"renew_a", lease.Command{
 			Operation: lease.Renew, ID: "trial/a", Holder: first, Token: 1, TTL: 60000,
 			Checkpoint: []byte("seen"), CheckpointSeq: 3,
 		}},
 		{"release_b", release("trial/b", 2)},
 		{"release_c", release("trial/c", 3)},
-		{"take_b", take("trial/b")},
-		{"take_c", take("trial/c")},
+		{"takeover_b", takeOver("trial/b")},
+		{"takeover_c", takeOver("trial/c")},
 		{"merge_b", lease.Command{
 			Operation: lease.Merge, ID: "trial/b", Holder: first, Token: 4, TTL: 60000,
 			Checkpoint: []byte("both"), Into: "trial/a", IntoToken: 1, CheckpointSeq: 4,
 		}},
-		{"end_c", lease.Command{Operation: lease.Abandon, ID: "trial/c", Holder: first, Token: 5, Reason: "can't be read"}},
+		{"abandon_c", lease.Command{
+			Operation: lease.Abandon, ID: "trial/c", Holder: first, Token: 5, Reason: "can't be read",
+		}},
 	}
 }
 
-// goldenEntries are the entries of these commands, each with its leader's stamp.
+// goldenEntries returns the entries of goldenCommands, each with its leader's stamp.
 func goldenEntries(t *testing.T) (entries []*raft.Log) {
 	t.Helper()
 	for i, c := range goldenCommands() {
@@ -130,13 +133,13 @@
 	return entries
 }
 
-// applied has applied all golden entries.
-func applied(t *testing.T) *fsm {
+// appliedMachine returns an fsm that has applied all golden entries.
+func appliedMachine(t *testing.T) *fsm {
 	t.Helper()
 	m, policy, leases := goldenMachine()
 	for _, entry := range goldenEntries(t) {
 		if reply := m.Apply(entry).([]byte); len(reply) > 0 {
-			t.Fatalf("entry %d: %s", entry.Index, reply)
+			t.Fatalf("entry %d: got rejection %q, want none", entry.Index, reply)
 		}
 	}
 	golden.Filled(t, "clock", m.logClock)
@@ -148,7 +151,7 @@
 }
 
 // Each entry is encoded as earlier releases stored it, and decoded into its stamp and command.
-func TestStoredEntries(t *testing.T) {
+func TestEntryEncoding(t *testing.T) {
 	commands := goldenCommands()
 	for i, entry := range goldenEntries(t) {
 		name := "entry_" + commands[i].name + ".bin"
@@ -156,7 +159,7 @@
 		stamp, command, ok := cutStamp(golden.Read(t, name))
 		want, wantCommand, _ := cutStamp(entry.Data)
 		if !ok || stamp != want || !bytes.Equal(command, wantCommand) {
-			t.Errorf("%s: stamp %+v of %q", name, stamp, command)
+			t.Errorf("%s: got stamp %+v and command %q, want %+v and %q", name, stamp, command, want, wantCommand)
 		}
 		golden.Filled(t, name, stamp)
 	}
@@ -169,22 +172,23 @@
 func (*buffer) Cancel() error { return nil }
 func (*buffer) Close() error  { return nil }
 
-func persisted(t *testing.T, m *fsm) []byte {
+// persistedSnapshot returns the bytes of an fsm's snapshot.
+func persistedSnapshot(t *testing.T, m *fsm) []byte {
 	t.Helper()
-	taken, err := m.Snapshot()
+	snapshot, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var sink buffer
-	if err := taken.Persist(&sink); err != nil {
+	if err := snapshot.Persist(&sink); err != nil {
 		t.Fatal(err)
 	}
 	return sink.Bytes()
 }
 
-// canonical is a snapshot with its parts sorted by key, for the order of the encoded map is random. Each part stays as
-// it is, byte by byte, and the checksum is verified.
-func canonical(t *testing.T, raw []byte) []byte {
+// sortedParts verifies a snapshot's checksum and returns the snapshot with its parts sorted by name, for the order of
+// the encoded map is random. The parts themselves are unchanged.
+func sortedParts(t *testing.T, raw []byte) []byte {
 	t.Helper()
 	plain, err := verifyChecksum(raw)
 	if err != nil {
@@ -201,21 +205,21 @@
 		err = errors.Join(err, encoder.EncodeString(name), encoder.EncodeBytes(parts[name]))
 	}
 	if err != nil || out.Len() != len(plain) {
-		t.Errorf("snapshot has %d bytes, its sorted form %d, %v", len(plain), out.Len(), err)
+		t.Errorf("snapshot with sorted parts: got %d bytes, %v, want %d", out.Len(), err, len(plain))
 	}
 	return out.Bytes()
 }
 
 // A snapshot is encoded as earlier releases stored it, but for the order of its parts, and restores the same state.
-func TestStoredSnapshot(t *testing.T) {
+func TestSnapshotEncoding(t *testing.T) {
 	const name = "snapshot.bin"
-	want := applied(t)
-	written := persisted(t, want)
+	want := appliedMachine(t)
+	written := persistedSnapshot(t, want)
 	if golden.Updating() {
 		golden.Write(t, name, written)
 	}
-	if got, stored := canonical(t, written), canonical(t, golden.Read(t, name)); !bytes.Equal(got, stored) {
-		t.Errorf("%s: encoded differently:\n got %q\nwant %q", name, got, stored)
+	if got, stored := sortedParts(t, written), sortedParts(t, golden.Read(t, name)); !bytes.Equal(got, stored) {
+		t.Errorf("%s: encoded snapshot:\n got %q\nwant %q", name, got, stored)
 	}
 	got, _, _ := goldenMachine()
 	if err := got.Restore(io.NopCloser(bytes.NewReader(golden.Read(t, name)))); err != nil {
@@ -226,8 +230,8 @@
 	golden.Equal(t, name, got.machines, want.machines)
 }
 
-// goldenKept is the user value in which policy stores the version that ran last.
-func goldenKept(t *testing.T) []byte {
+// goldenUserValue returns the user value in which package policysync stores the policy version that was applied last.
+func goldenUserValue(t *testing.T) []byte {
 	t.Helper()
 	raw, err := policy.EncodeRecord(&policy.Record{
 		Version: 2, ID: "second", By: "b", At: 1764700001123.5,
@@ -239,9 +243,9 @@
 	return raw
 }
 
-// goldenStored are the entries of the store, from the first index on, as in a store without a snapshot. No field of the
-// last one is empty.
-func goldenStored(t *testing.T) []*raft.Log {
+// goldenStoredEntries returns the entries of the store, from index 1 on, as in a store without a snapshot. No field of
+// the last entry is empty.
+func goldenStoredEntries(t *testing.T) []*raft.Log {
 	t.Helper()
 	entries := goldenEntries(t)
 	last := *entries[len(entries)-1]
@@ -254,13 +258,14 @@
 	return entries
 }
 
+// writeStore writes a store with the golden entries, a term, a vote and a user value.
 func writeStore(t *testing.T, dir string) {
 	t.Helper()
-	store := opened(t, dir)
+	store := openIntactStore(t, dir)
 	defer closeStore(t, store)
 	for _, err := range []error{
-		store.StoreLogs(goldenStored(t)), store.SetUint64([]byte("CurrentTerm"), 2),
-		store.Set([]byte("LastVoteCand"), []byte("a")), store.PutUser("policy", goldenKept(t)),
+		store.StoreLogs(goldenStoredEntries(t)), store.SetUint64([]byte("CurrentTerm"), 2),
+		store.Set([]byte("LastVoteCand"), []byte("a")), store.PutUser("policy", goldenUserValue(t)),
 	} {
 		if err != nil {
 			t.Fatal(err)
@@ -268,15 +273,17 @@
 	}
 }
 
-func opened(t *testing.T, dir string) *Store {
+// openIntactStore opens a store and fails the test if it is corrupt.
+func openIntactStore(t *testing.T, dir string) *Store {
 	t.Helper()
-	store, aside, err := OpenStore(dir)
-	if err != nil || aside != "" {
-		t.Fatalf("store of %s: aside %q, %v", dir, aside, err)
+	store, quarantined, err := OpenStore(dir)
+	if err != nil || quarantined != "" {
+		t.Fatalf("store in %s: got quarantined %q, %v, want an intact store", dir, quarantined, err)
 	}
 	return store
 }
 
+// closeStore closes a store and reports an error.
 func closeStore(t *testing.T, store *Store) {
 	t.Helper()
 	if err := store.Close(); err != nil {
@@ -284,8 +291,8 @@
 	}
 }
 
-// content lists all keys and values of a store.
-func content(t *testing.T, store *Store) (lines []string) {
+// listContent lists all keys and values of a store, by bucket.
+func listContent(t *testing.T, store *Store) (lines []string) {
 	t.Helper()
 	if err := store.db.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(bucket []byte, b *bbolt.Bucket) error {
@@ -300,8 +307,8 @@
 	return lines
 }
 
-// copied is a directory with a copy of the fixture, for opening a store writes to its file.
-func copied(t *testing.T) string {
+// copyFixture returns a directory with a copy of the fixture store.db, for opening a store writes to its file.
+func copyFixture(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, storeFile), golden.Read(t, "store.db"), 0o600); err != nil {
@@ -310,8 +317,8 @@
 	return dir
 }
 
-// The store has the keys and values that earlier releases wrote, byte by byte; the layout of its pages may differ.
-func TestStoredStore(t *testing.T) {
+// A store has the keys and values that earlier releases wrote, byte by byte. The layout of its pages may differ.
+func TestStoreEncoding(t *testing.T) {
 	dir := t.TempDir()
 	writeStore(t, dir)
 	if golden.Updating() {
@@ -321,21 +328,21 @@
 		}
 		golden.Write(t, "store.db", raw)
 	}
-	written, stored := opened(t, dir), opened(t, copied(t))
+	written, stored := openIntactStore(t, dir), openIntactStore(t, copyFixture(t))
 	defer closeStore(t, written)
 	defer closeStore(t, stored)
-	got, want := content(t, written), content(t, stored)
-	if len(want) != len(goldenStored(t))+3 {
-		t.Errorf("%d values are stored", len(want))
+	got, want := listContent(t, written), listContent(t, stored)
+	if wantLen := len(goldenStoredEntries(t)) + 3; len(want) != wantLen {
+		t.Errorf("values in the fixture: got %d, want %d", len(want), wantLen)
 	}
 	golden.Equal(t, "store.db", got, want)
 	readStore(t, stored)
 }
 
-// readStore reads a store as raft and policy do.
+// readStore reads a store as raft and package policysync do, and compares the values with the golden ones.
 func readStore(t *testing.T, store *Store) {
 	t.Helper()
-	for _, want := range goldenStored(t) {
+	for _, want := range goldenStoredEntries(t) {
 		var entry raft.Log
 		if err := store.GetLog(want.Index, &entry); err != nil {
 			t.Fatal(err)
@@ -343,15 +350,16 @@
 		entry.AppendedAt = entry.AppendedAt.UTC()
 		golden.Equal(t, "entry of store.db", &entry, want)
 	}
-	term, terr := store.GetUint64([]byte("CurrentTerm"))
-	vote, verr := store.Get([]byte("LastVoteCand"))
-	kept, kerr := store.GetUser("policy")
-	if terr != nil || verr != nil || kerr != nil || term != 2 || string(vote) != "a" || !bytes.Equal(kept, goldenKept(t)) {
-		t.Errorf("term %d, vote %q, kept %q; %v, %v, %v", term, vote, kept, terr, verr, kerr)
+	term, termErr := store.GetUint64([]byte("CurrentTerm"))
+	vote, voteErr := store.Get([]byte("LastVoteCand"))
+	value, valueErr := store.GetUser("policy")
+	if err := errors.Join(termErr, voteErr, valueErr); err != nil || term != 2 || string(vote) != "a" ||
+		!bytes.Equal(value, goldenUserValue(t)) {
+		t.Errorf("got term %d, vote %q, user value %q, %v, want 2, \"a\", %q", term, vote, value, err, goldenUserValue(t))
 	}
 }
 
-// encodeResponse is the body of a response.
+// encodeResponse returns the body of an HTTP response with a value.
 func encodeResponse(value any) ([]byte, error) {
 	recorder := httptest.NewRecorder()
 	WriteJSON(recorder, value)
@@ -359,7 +367,7 @@
 }
 
 // Requests and responses between servers are encoded as earlier releases send and read them.
-func TestCallsOnTheWire(t *testing.T) {
+func TestCallEncoding(t *testing.T) {
 	golden.RoundTrip(t, "state.json", serverState{Established: true}, encodeResponse, json.Unmarshal)
 	readmit := readmitRequest{Name: "b", Empty: true, Applied: 7}
 	golden.RoundTrip(t, "readmission.json", readmit, json.Marshal, json.Unmarshal)
--- a/internal/cluster/raftlog/handshake.go
+++ b/internal/cluster/raftlog/handshake.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Kinds of connections between servers: the first byte that the dialing side sends.
+// Kinds of connections. The dialing side sends the kind as its first byte.
 const (
 	raftKind = 'r'
 	httpKind = 'h'
@@ -24,7 +24,7 @@
 	handshakeTimeout = 5 * time.Second
 )
 
-// Roles in a proof, so that one side's proof is of no use to the other.
+// Roles in a proof. Without them, a client could send a server's proof back as its own.
 const (
 	clientRole = 'c'
 	serverRole = 's'
@@ -32,7 +32,8 @@
 
 var errKey = errors.New("the other side has another key")
 
-// proof shows the possession of the key for the nonces of both sides, the client's first.
+// proof returns an HMAC of the role and the nonces of both sides, the client's nonce first. It proves the possession of
+// the key.
 func proof(key []byte, role byte, nonces []byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte{role})
@@ -40,21 +41,22 @@
 	return mac.Sum(nil)
 }
 
-// limitHandshake bounds the time of a handshake and returns a function that lifts the bound.
-func limitHandshake(conn net.Conn, until time.Time) func() {
-	_ = conn.SetDeadline(until) // fails on a closed connection only, as the next read does
+// setHandshakeDeadline sets the deadline of a handshake and returns a function that removes the deadline.
+func setHandshakeDeadline(conn net.Conn, until time.Time) func() {
+	_ = conn.SetDeadline(until) // fails only on a closed connection, on which the next read fails, too
 	return func() {
 		_ = conn.SetDeadline(time.Time{}) // likewise
 	}
 }
 
-// acceptHandshake is the accepting side's part: it returns the kind of the connection.
+// acceptHandshake performs the handshake on the accepting side, the server, and returns the kind of the connection. The
+// sides send:
 //
 //	client  kind, nonce
 //	server  nonce, proof    only with a key
 //	client  proof           only with a key
 func acceptHandshake(conn net.Conn, key []byte) (byte, error) {
-	defer limitHandshake(conn, time.Now().Add(handshakeTimeout))()
+	defer setHandshakeDeadline(conn, time.Now().Add(handshakeTimeout))()
 	hello := make([]byte, 1+nonceBytes)
 	if _, err := io.ReadFull(conn, hello); err != nil {
 		return 0, err
@@ -74,37 +76,37 @@
 	if _, err := conn.Write(slices.Concat(nonce, proof(key, serverRole, nonces))); err != nil {
 		return 0, err
 	}
-	theirs := make([]byte, sha256.Size)
-	if _, err := io.ReadFull(conn, theirs); err != nil {
+	clientProof := make([]byte, sha256.Size)
+	if _, err := io.ReadFull(conn, clientProof); err != nil {
 		return 0, err
 	}
-	if !hmac.Equal(theirs, proof(key, clientRole, nonces)) {
+	if !hmac.Equal(clientProof, proof(key, clientRole, nonces)) {
 		return 0, errKey
 	}
 	return kind, nil
 }
 
-// dial opens a connection of a kind.
+// dial opens a connection of a kind to a server and performs the handshake.
 func dial(ctx context.Context, address string, kind byte, key []byte) (net.Conn, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	if err := handshake(ctx, conn, kind, key); err != nil {
-		_ = conn.Close() // the error of the handshake is the cause
+	if err := dialHandshake(ctx, conn, kind, key); err != nil {
+		_ = conn.Close() // the error of the handshake is returned
 		return nil, fmt.Errorf("%s: %w", address, err)
 	}
 	return conn, nil
 }
 
-// handshake is the dialing side's part, see acceptHandshake.
-func handshake(ctx context.Context, conn net.Conn, kind byte, key []byte) error {
+// dialHandshake performs the handshake on the dialing side, see acceptHandshake.
+func dialHandshake(ctx context.Context, conn net.Conn, kind byte, key []byte) error {
 	until := time.Now().Add(handshakeTimeout)
 	if end, ok := ctx.Deadline(); ok && end.Before(until) {
 		until = end
 	}
-	defer limitHandshake(conn, until)()
+	defer setHandshakeDeadline(conn, until)()
 	hello := make([]byte, 1+nonceBytes)
 	if _, err := rand.Read(hello); err != nil {
 		return err
@@ -113,12 +115,12 @@
 	if _, err := conn.Write(hello); err != nil || len(key) == 0 {
 		return err
 	}
-	back := make([]byte, nonceBytes+sha256.Size)
-	if _, err := io.ReadFull(conn, back); err != nil {
+	response := make([]byte, nonceBytes+sha256.Size)
+	if _, err := io.ReadFull(conn, response); err != nil {
 		return err
 	}
-	nonces := slices.Concat(hello[1:], back[:nonceBytes])
-	if !hmac.Equal(back[nonceBytes:], proof(key, serverRole, nonces)) {
+	nonces := slices.Concat(hello[1:], response[:nonceBytes])
+	if !hmac.Equal(response[nonceBytes:], proof(key, serverRole, nonces)) {
 		return errKey
 	}
 	_, err := conn.Write(proof(key, clientRole, nonces))
--- a/internal/cluster/raftlog/join.go
+++ b/internal/cluster/raftlog/join.go
@@ -13,11 +13,12 @@
 )
 
 const (
-	joinIntervalDivisor = 4       // of ElectionTimeout: between two attempts to join or rejoin
-	maxReadmitBytes     = 1 << 10 // bytes of a readmitRequest
+	joinIntervalDivisor = 4       // attempts to join or rejoin per ElectionTimeout
+	maxReadmitBytes     = 1 << 10 // of a readmitRequest
 )
 
-// join starts a server without a log: it bootstraps a new log with the other servers, or rejoins theirs.
+// join starts a server without a log: it bootstraps a new log with the other servers, or rejoins their log. It returns
+// an error if raft does not start, or when ctx ends.
 func (n *Node) join(ctx context.Context) error {
 	for {
 		peers := n.peerStates(ctx)
@@ -29,16 +30,18 @@
 			return n.rejoin(ctx)
 		case quorum.Wait: // too few servers have responded
 		}
-		if !n.sleepJoin(ctx) {
+		if !n.sleepJoinInterval(ctx) {
 			return ctx.Err()
 		}
 	}
 }
 
-func (n *Node) sleepJoin(ctx context.Context) bool {
+// sleepJoinInterval waits between two attempts to join or rejoin. It returns false if ctx ends before.
+func (n *Node) sleepJoinInterval(ctx context.Context) bool {
 	return sleepContext(ctx, n.cfg.ElectionTimeout/joinIntervalDivisor)
 }
 
+// peerStates requests the states of the other servers.
 func (n *Node) peerStates(ctx context.Context) []quorum.PeerState {
 	var peers []quorum.PeerState
 	for _, s := range n.cfg.Servers {
@@ -47,12 +50,13 @@
 		}
 		var state serverState
 		err := Call(ctx, n.httpClient, s.Address, http.MethodGet, "/log/state", nil, &state)
-		peers = append(peers, quorum.PeerState{Reached: err == nil, Established: state.Established})
+		peers = append(peers, quorum.PeerState{Reachable: err == nil, Established: state.Established})
 	}
 	return peers
 }
 
-// rejoin requests one readmission step after another from the leader until this server is a voter again.
+// rejoin requests readmission steps from the leader until this server is a voter again. It starts raft when the leader
+// has added the server as a learner.
 func (n *Node) rejoin(ctx context.Context) error {
 	for {
 		request := readmitRequest{Name: n.cfg.Name, Empty: n.raft.Load() == nil}
@@ -70,7 +74,7 @@
 			n.log.Info("raft: rejoined as a voter")
 			return nil
 		}
-		if !n.sleepJoin(ctx) {
+		if !n.sleepJoinInterval(ctx) {
 			return ctx.Err()
 		}
 	}
@@ -78,22 +82,24 @@
 
 // serverState is the response to GET /log/state.
 type serverState struct {
-	Established bool `json:"established"` // the server holds a log
+	Established bool `json:"established"` // the server has a log
 }
 
+// handleState handles GET /log/state.
 func (n *Node) handleState(w http.ResponseWriter, _ *http.Request) {
 	r := n.raft.Load()
-	WriteJSON(w, serverState{Established: n.hadLog.Load() || r != nil && r.CommitIndex() > 0})
+	WriteJSON(w, serverState{Established: n.hadExistingLog.Load() || r != nil && r.CommitIndex() > 0})
 }
 
 // readmitRequest is the body of POST /log/readmit, by which a server that has lost its store rejoins. The response is
-// the quorum.Step that the leader has taken.
+// the quorum.Step that the leader has carried out.
 type readmitRequest struct {
 	Name    string `json:"name"`
-	Empty   bool   `json:"empty"` // raft has not started
-	Applied uint64 `json:"has"`   // index of the newest command that it has applied
+	Empty   bool   `json:"empty"` // the server has not started raft
+	Applied uint64 `json:"has"`   // index of the newest command that the server has applied
 }
 
+// handleReadmit handles POST /log/readmit.
 func (n *Node) handleReadmit(w http.ResponseWriter, req *http.Request) {
 	var request readmitRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxReadmitBytes)).Decode(&request); err != nil {
@@ -116,7 +122,7 @@
 	WriteJSON(w, step)
 }
 
-// readmit takes the next step for a server that rejoins.
+// readmit carries out the next step for a server that rejoins, and returns the step.
 func (n *Node) readmit(leader *raft.Raft, request readmitRequest) (quorum.Step, error) {
 	current := leader.GetConfiguration()
 	if err := current.Error(); err != nil {
@@ -136,6 +142,7 @@
 	return step, nil
 }
 
+// membershipOf returns a server's role in a configuration.
 func membershipOf(configuration raft.Configuration, id raft.ServerID) quorum.Membership {
 	membership := quorum.Absent
 	for _, s := range configuration.Servers {
@@ -150,8 +157,8 @@
 	return membership
 }
 
-// changeConfiguration starts the change that a step asks for, if the configuration is still that of an index; nil for a
-// step without a change.
+// changeConfiguration starts the configuration change of a step. The change fails if the configuration is no longer the
+// one at index. It returns nil for a step without a configuration change.
 func changeConfiguration(
 	leader *raft.Raft, step quorum.Step, id raft.ServerID, index uint64, timeout time.Duration,
 ) raft.IndexFuture {
--- a/internal/cluster/raftlog/listener.go
+++ b/internal/cluster/raftlog/listener.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	maxHandshakes    = 64 // connections in their handshake; further ones are closed
+	maxHandshakes    = 64 // concurrent handshakes; further connections are closed
 	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// mux shares one listener between raft and HTTP, by the kind that a connection's handshake names.
+// mux shares one listener between raft and HTTP. The handshake of a connection states its kind.
 type mux struct {
 	listener net.Listener
 	key      []byte
@@ -25,6 +25,7 @@
 	once     sync.Once
 }
 
+// newMux returns a mux that accepts connections from a listener. Connections are authenticated by key.
 func newMux(listener net.Listener, key []byte) *mux {
 	m := &mux{
 		listener: listener,
@@ -33,11 +34,12 @@
 		http:     make(chan net.Conn),
 		done:     make(chan struct{}),
 	}
-	go m.accept()
+	go m.acceptLoop()
 	return m
 }
 
-func (m *mux) accept() {
+// acceptLoop accepts connections until the listener is closed, and performs each handshake in a goroutine of its own.
+func (m *mux) acceptLoop() {
 	handshakes := make(chan struct{}, maxHandshakes)
 	for {
 		conn, err := m.listener.Accept()
@@ -45,14 +47,14 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptRetryDelay) // out of file descriptors, for example
+			time.Sleep(acceptRetryDelay) // for example, out of file descriptors
 			continue
 		}
 		select {
 		case handshakes <- struct{}{}:
 		default:
-			// Connections that send nothing occupy the handshakes for handshakeTimeout at most.
-			_ = conn.Close() // nothing was exchanged
+			// Too many handshakes are in progress. A connection that sends nothing ends its handshake after handshakeTimeout.
+			_ = conn.Close() // no data was exchanged
 			continue
 		}
 		go func() {
@@ -67,7 +69,7 @@
 	}
 }
 
-// deliver hands a connection to raft or HTTP.
+// deliver passes a connection to raft or HTTP, according to its kind.
 func (m *mux) deliver(conn net.Conn, kind byte) {
 	to := m.http
 	if kind == raftKind {
@@ -80,7 +82,7 @@
 	}
 }
 
-// next waits for a connection.
+// next waits for a connection. It returns net.ErrClosed after close.
 func (m *mux) next(from chan net.Conn) (net.Conn, error) {
 	select {
 	case conn := <-from:
@@ -90,7 +92,7 @@
 	}
 }
 
-// close closes the listener and ends the wait for connections.
+// close closes the listener and ends all waits for connections.
 func (m *mux) close() {
 	m.once.Do(func() {
 		close(m.done)
@@ -98,7 +100,7 @@
 	})
 }
 
-// httpListener implements net.Listener for HTTP.
+// httpListener implements net.Listener for HTTP connections.
 type httpListener struct{ mux *mux }
 
 func (l httpListener) Accept() (net.Conn, error) { return l.mux.next(l.mux.http) }
@@ -108,8 +110,8 @@
 	return nil
 }
 
-// streamLayer implements raft.StreamLayer. In raft's configuration a server's address is its name; each server finds
-// the address of a name in its own operator's file.
+// streamLayer implements raft.StreamLayer. In raft's configuration the address of a server is its name. Each server
+// looks up the ip:port of a name in its own operator's file.
 type streamLayer struct {
 	mux     *mux
 	name    string
--- a/internal/cluster/raftlog/node.go
+++ b/internal/cluster/raftlog/node.go
@@ -19,32 +19,33 @@
 )
 
 const (
-	snapshotsDir         = "snapshots" // below the store's directory; raft's file snapshot store names it
+	snapshotsDir         = "snapshots" // below the store's directory; the name is that of raft's file snapshot store
 	snapshotsRetained    = 2
-	snapshotThreshold    = 256 // entries since the last snapshot
-	trailingLogs         = 256 // entries that stay in the log behind a snapshot
-	commitTimeoutDivisor = 200 // of ElectionTimeout; followers learn of a commit by then at the latest
+	snapshotThreshold    = 256 // entries since the last snapshot that cause a new one
+	trailingLogs         = 256 // entries that stay in the log after a snapshot
+	commitTimeoutDivisor = 200 // a follower learns of a commit within this fraction of ElectionTimeout
 	raftPoolSize         = 3   // idle connections to each server
 )
 
-// Node is one server's part in the log.
+// Node is one server of the log.
 type Node struct {
-	cfg        Config
-	log        logrus.FieldLogger
-	clock      *clock.Clock
-	store      *Store
-	mux        *mux
-	routes     *http.ServeMux
-	server     *http.Server
-	httpClient *http.Client
-	client     *Client // proposes, to whichever server leads
-	fsm        *fsm
-	processID  uint64                    // identifies this process in the stamps of the entries that it writes as leader
-	raft       atomic.Pointer[raft.Raft] // nil until the server has bootstrapped, restarted or rejoined
-	hadLog     atomic.Bool               // the store held a log at the start
+	cfg            Config
+	log            logrus.FieldLogger
+	clock          *clock.Clock
+	store          *Store
+	mux            *mux
+	routes         *http.ServeMux
+	server         *http.Server
+	httpClient     *http.Client
+	client         *Client // sends proposals to the leader
+	fsm            *fsm
+	processID      uint64                    // identifies this process in the stamps that it writes as leader
+	raft           atomic.Pointer[raft.Raft] // nil until the server has bootstrapped, restarted or rejoined
+	hadExistingLog atomic.Bool               // the store had a log at the start
 }
 
-// Open opens the port. Run does the rest. The caller keeps the store and closes it after Run.
+// Open opens the port of a server and starts to serve HTTP requests. Run starts raft. The caller retains the store and
+// must close it after Run has returned. An error names the invalid key of the operator's file.
 func Open(cfg Config, store *Store, processClock *clock.Clock, log logrus.FieldLogger) (*Node, error) {
 	listener, err := net.Listen("tcp", cfg.Bind)
 	if err != nil {
@@ -59,7 +60,7 @@
 		routes:     http.NewServeMux(),
 		httpClient: NewHTTPClient(cfg.Key),
 		fsm:        &fsm{machines: map[Kind]StateMachine{}},
-		processID:  rand.Uint64() | 1, // 0 means an unknown process
+		processID:  rand.Uint64() | 1, // must not be 0, which means an unknown process
 	}
 	node.client = &Client{
 		Servers: cfg.Servers, HTTP: node.httpClient, ElectionTimeout: cfg.ElectionTimeout, Clock: processClock,
@@ -75,44 +76,47 @@
 	return node, nil
 }
 
-// Register gives the commands of a kind to a state machine. Call it before Run.
+// Register registers the state machine for the commands of a kind. Call it before Run.
 func (n *Node) Register(kind Kind, machine StateMachine) { n.fsm.machines[kind] = machine }
 
-// Handle registers a handler for requests of other members. Call it before Run.
+// Handle registers a handler for HTTP requests of other members. Call it before Run.
 func (n *Node) Handle(pattern string, h http.HandlerFunc) { n.routes.HandleFunc(pattern, h) }
 
-// HTTPClient makes requests to other servers.
+// HTTPClient returns the HTTP client for requests to other servers.
 func (n *Node) HTTPClient() *http.Client { return n.httpClient }
 
+// address returns the address of a server by name.
 func (n *Node) address(name string) (string, error) {
 	for _, s := range n.cfg.Servers {
 		if s.Name == name {
 			return s.Address, nil
 		}
 	}
-	return "", fmt.Errorf("no server is called %q", name)
+	return "", fmt.Errorf("unknown server %q", name)
 }
 
-// Run bootstraps, restarts or rejoins the log and keeps it until ctx ends.
+// Run bootstraps, restarts or rejoins the log, and replicates it until ctx ends. Then it shuts the server down. Call it
+// once.
 func (n *Node) Run(ctx context.Context) {
 	defer n.shutdown()
 	existing, err := n.hasExistingLog()
 	if err != nil {
-		n.log.WithError(err).Error("raft: store unreadable")
+		n.log.WithError(err).Error("raft: cannot read store")
 		return
 	}
-	n.hadLog.Store(existing)
+	n.hadExistingLog.Store(existing)
 	if existing {
 		err = n.startRaft(false)
 	} else {
 		err = n.join(ctx)
 	}
 	if err != nil && ctx.Err() == nil {
-		n.log.WithError(err).Error("raft: not started")
+		n.log.WithError(err).Error("raft: start failed")
 	}
 	<-ctx.Done()
 }
 
+// shutdown stops raft, and closes the port and the HTTP connections.
 func (n *Node) shutdown() {
 	if r := n.raft.Load(); r != nil {
 		if err := r.Shutdown().Error(); err != nil {
@@ -124,6 +128,7 @@
 	n.httpClient.CloseIdleConnections()
 }
 
+// hasExistingLog reports whether the store or its snapshots hold a log.
 func (n *Node) hasExistingLog() (bool, error) {
 	snapshots, err := n.snapshotStore()
 	if err != nil {
@@ -132,15 +137,16 @@
 	return raft.HasExistingState(n.store, n.store, snapshots)
 }
 
+// snapshotStore opens the store of raft's snapshots.
 func (n *Node) snapshotStore() (*raft.FileSnapshotStore, error) {
 	return raft.NewFileSnapshotStore(n.cfg.Dir, snapshotsRetained, io.Discard)
 }
 
-// startRaft starts raft on what the store holds. With bootstrap, a new log begins with all servers as voters.
+// startRaft starts raft with the content of the store. With bootstrap, it starts a new log with all servers as voters.
 func (n *Node) startRaft(bootstrap bool) error {
 	snapshots, err := n.snapshotStore()
 	if err != nil {
-		return fmt.Errorf("log: %w", err)
+		return fmt.Errorf("open snapshot store: %w", err)
 	}
 	settings := n.raftSettings()
 	layer := streamLayer{mux: n.mux, name: n.cfg.Name, address: n.address}
@@ -148,36 +154,38 @@
 	if bootstrap {
 		err := raft.BootstrapCluster(settings, n.store, n.store, snapshots, transport, n.initialConfiguration())
 		if err != nil {
-			return fmt.Errorf("log: %w", err)
+			return fmt.Errorf("bootstrap log: %w", err)
 		}
 	}
 	r, err := raft.NewRaft(settings, n.fsm, n.store, n.store, snapshots, transport)
 	if err != nil {
-		return fmt.Errorf("log: %w", err)
+		return fmt.Errorf("start raft: %w", err)
 	}
 	n.raft.Store(r)
 	n.log.WithFields(logrus.Fields{"new": bootstrap, "last_index": r.LastIndex()}).Info("raft: started")
 	return nil
 }
 
+// raftSettings returns the configuration of hashicorp/raft.
 func (n *Node) raftSettings() *raft.Config {
 	settings := raft.DefaultConfig()
 	settings.LocalID = raft.ServerID(n.cfg.Name)
 	settings.HeartbeatTimeout = n.cfg.ElectionTimeout
 	settings.ElectionTimeout = n.cfg.ElectionTimeout
 	settings.LeaderLeaseTimeout = n.cfg.ElectionTimeout / 2
-	// A policy version takes effect at a server only once that has learnt of its commit.
+	// A server applies a policy version only after it has learned of its commit, so followers must learn of it soon.
 	settings.CommitTimeout = n.cfg.ElectionTimeout / commitTimeoutDivisor
 	settings.SnapshotThreshold = snapshotThreshold
 	settings.TrailingLogs = trailingLogs
 	settings.SnapshotInterval = 10 * n.cfg.ElectionTimeout
-	settings.ShutdownOnRemove = false // a server is removed for a moment as it rejoins
+	settings.ShutdownOnRemove = false // a server that rejoins is removed for a short time
 	settings.LogOutput = raftLogWriter{n.log}
 	settings.LogLevel = "WARN"
 	return settings
 }
 
-// initialConfiguration has all servers as voters, in an order that is the same at each.
+// initialConfiguration returns a configuration with all servers as voters, sorted so that it is the same at each
+// server.
 func (n *Node) initialConfiguration() raft.Configuration {
 	var all raft.Configuration
 	for _, s := range n.cfg.Servers {
@@ -187,25 +195,25 @@
 	return all
 }
 
-// raftLogWriter turns the log lines of hashicorp/raft into debug lines with a field.
+// raftLogWriter writes the log lines of hashicorp/raft as debug lines, with the text in the field raft.
 type raftLogWriter struct{ log logrus.FieldLogger }
 
 func (l raftLogWriter) Write(p []byte) (int, error) {
-	l.log.WithField("raft", strings.TrimSpace(string(p))).Debug("log")
+	l.log.WithField("raft", strings.TrimSpace(string(p))).Debug("raft: log line")
 	return len(p), nil
 }
 
-// Status is what a server knows of the log.
+// Status is the state of the log as known to one server.
 type Status struct {
-	Role    string   `json:"role"` // leader, follower, candidate, shutdown; placing: raft has not started
-	Leader  string   `json:"leader"`
-	Term    uint64   `json:"term"`
-	Commit  uint64   `json:"commit_index"`
-	Applied uint64   `json:"applied_index"` // of the newest command that the state machines have applied
-	Voters  []string `json:"voters"`
+	Role    string   `json:"role"`          // leader, follower, candidate or shutdown; placing: raft has not started
+	Leader  string   `json:"leader"`        // name of the leader; empty if unknown
+	Term    uint64   `json:"term"`          // current term
+	Commit  uint64   `json:"commit_index"`  // index of the last committed entry
+	Applied uint64   `json:"applied_index"` // index of the newest command that the state machines have applied
+	Voters  []string `json:"voters"`        // names of the voters
 }
 
-// Status is the present status.
+// Status returns the current status. Any goroutine may call it.
 func (n *Node) Status() Status {
 	r := n.raft.Load()
 	if r == nil {
@@ -229,13 +237,13 @@
 	return status
 }
 
-// IsLeader reports whether this server leads, as far as it knows.
+// IsLeader reports whether this server is the leader, as far as it knows: another server may have been elected since.
 func (n *Node) IsLeader() bool {
 	r := n.raft.Load()
 	return r != nil && r.State() == raft.Leader
 }
 
-// leaderName is the leader that this server knows of; empty if it knows none.
+// leaderName returns the name of the leader as known to this server; empty if it knows none.
 func (n *Node) leaderName() string {
 	if n.IsLeader() {
 		return n.cfg.Name
--- a/internal/cluster/raftlog/propose.go
+++ b/internal/cluster/raftlog/propose.go
@@ -18,29 +18,31 @@
 
 // Headers of responses to proposals.
 const (
-	clockHeader  = "X-Log-Clock"  // the responding process and its uptime in milliseconds
-	leaderHeader = "X-Log-Leader" // the leader that the responding server follows
+	clockHeader  = "X-Log-Clock"  // the ID of the responding process and its uptime in milliseconds
+	leaderHeader = "X-Log-Leader" // the leader as known to the responding server
 )
 
-// Propose appends a command to the log and returns the reply of its state machine. A reply can be lost with its leader;
-// the command is then proposed again, until a reply comes or ctx ends: the state machine must recognize a command that
-// it has applied already.
+// Propose appends a command to the log and returns the reply of its state machine. A reply can be lost if the leader
+// fails. The command is then proposed again, until a reply is received or ctx ends, so the state machine must recognize
+// a command that it has already applied. An error wraps ErrNoLeader. Any goroutine may call Propose.
 func (n *Node) Propose(ctx context.Context, kind Kind, command []byte) ([]byte, error) {
 	first := n.leaderName()
 	if first == "" {
 		first = n.client.readings.lastLeader()
 	}
-	return n.client.propose(ctx, first, withKind(kind, command))
+	return n.client.propose(ctx, first, prependKind(kind, command))
 }
 
-// Propose does as Node.Propose.
+// Propose behaves as Node.Propose.
 func (c *Client) Propose(ctx context.Context, kind Kind, command []byte) ([]byte, error) {
-	return c.propose(ctx, c.readings.lastLeader(), withKind(kind, command))
+	return c.propose(ctx, c.readings.lastLeader(), prependKind(kind, command))
 }
 
-func withKind(kind Kind, command []byte) []byte { return append([]byte{kind}, command...) }
+// prependKind returns a command with its kind in front.
+func prependKind(kind Kind, command []byte) []byte { return append([]byte{kind}, command...) }
 
-// Barrier returns when this server's state machines have applied all that was committed when it was called.
+// Barrier waits until this server's state machines have applied all commands that were committed when Barrier was
+// called. It returns an error if ctx ends before.
 func (n *Node) Barrier(ctx context.Context) error {
 	var index uint64
 	if err := n.callLeader(ctx, "/log/barrier", nil, &index); err != nil {
@@ -54,11 +56,11 @@
 	return nil
 }
 
-// leaderReadings is what a proposer knows of the servers: readings of their clocks, and who led last.
+// leaderReadings stores what a proposer knows of the servers: readings of their clocks, and the last leader.
 type leaderReadings struct {
 	mu        sync.Mutex
 	byAddress map[string]logclock.LeaderReading
-	leader    string
+	leader    string // name of the server that accepted the last proposal
 }
 
 func (r *leaderReadings) lastLeader() string {
@@ -79,8 +81,9 @@
 	return r.byAddress[address]
 }
 
-// receive stores the reading in a response's clockHeader; false if there is none.
-func (r *leaderReadings) receive(address, header string, now logclock.Millis) bool {
+// store parses the clockHeader of a response, which was received at now, and stores the reading. It returns false if
+// the header has no valid reading.
+func (r *leaderReadings) store(address, header string, now logclock.Millis) bool {
 	process, uptime, ok := strings.Cut(header, ":")
 	id, idErr := strconv.ParseUint(process, 16, 64)
 	reading, readingErr := strconv.ParseFloat(uptime, 64)
@@ -96,44 +99,44 @@
 	return true
 }
 
-// proposalRoute chooses the server that a proposal goes to next: the presumed leader, then the one that a server names
-// as its leader, else the servers in turn.
+// proposalRoute chooses the next server for a proposal: the presumed leader, then the leader that a server names, else
+// the servers in turn.
 type proposalRoute struct {
-	client *Client
-	target string // may be unknown: then the servers in turn
-	failed string // the last server that failed and named no leader
-	hops   int    // redirects in a row
-	turn   int    // servers tried in turn
+	client     *Client
+	target     string // name of the current server; if it is unknown, the servers are tried in turn
+	lastFailed string // the last server that failed and named no leader
+	redirects  int    // successive redirects
+	nextServer int    // number of servers tried in turn
 }
 
-// next is the server to ask.
+// next returns the name of the server to propose to.
 func (r *proposalRoute) next() string {
 	servers := r.client.Servers
 	if r.client.address(r.target) == "" {
-		r.target = servers[r.turn%len(servers)].Name
-		r.turn++
+		r.target = servers[r.nextServer%len(servers)].Name
+		r.nextServer++
 	}
 	return r.target
 }
 
-// redirect handles a failure of the target, which names a leader or none. It reports whether that leader is to be asked
-// at once. A server that is cut off from its leader still names it: so a leader that has just failed is not asked
-// again, and redirects in a row are bounded by the number of servers.
-func (r *proposalRoute) redirect(leader string) bool {
+// handleFailure handles a failed proposal to the target, whose response names a leader or none. It reports whether to
+// propose to that leader at once. A server that has lost the connection to its leader still names it as leader. So a
+// leader that has just failed is not tried again, and successive redirects are limited to the number of servers.
+func (r *proposalRoute) handleFailure(leader string) bool {
 	if leader == "" {
-		r.failed = r.target
+		r.lastFailed = r.target
 	}
-	if leader != "" && leader != r.target && leader != r.failed && r.hops < len(r.client.Servers) {
+	if leader != "" && leader != r.target && leader != r.lastFailed && r.redirects < len(r.client.Servers) {
 		r.target = leader
-		r.hops++
+		r.redirects++
 		return true
 	}
 	r.target = ""
-	r.hops = 0
+	r.redirects = 0
 	return false
 }
 
-// propose proposes to one server after another until one replies; first is the presumed leader.
+// propose proposes to one server after another until one replies or ctx ends. first is the name of the presumed leader.
 func (c *Client) propose(ctx context.Context, first string, command []byte) ([]byte, error) {
 	route := proposalRoute{client: c, target: first}
 	for {
@@ -145,7 +148,7 @@
 			c.readings.setLeader(name)
 			return reply, nil
 		}
-		if route.redirect(leader) {
+		if route.handleFailure(leader) {
 			continue
 		}
 		if !sleepContext(ctx, c.ElectionTimeout/10) {
@@ -154,22 +157,23 @@
 	}
 }
 
-// proposeTo proposes to one server; leader is the one that it names instead. A server whose clock is not known, or that
-// is another process by now, is asked once more, with the reading that its response carried.
+// proposeTo proposes to the server at an address. If that server is no leader, leader is the leader that it names. The
+// first attempt fails if the server's clock is unknown, or if its process has been replaced. The proposal is then sent
+// a second time, with the reading from the first response.
 func (c *Client) proposeTo(
 	ctx context.Context, address string, command []byte,
 ) (reply []byte, leader string, err error) {
-	for again := false; ; again = true {
+	for retried := false; ; retried = true {
 		path := "/log/propose" + c.deadlineQuery(ctx, address)
 		res, err := exchange(ctx, c.HTTP, address, http.MethodPost, path, command)
 		if err != nil {
 			return nil, "", err
 		}
-		received := c.readings.receive(address, res.header.Get(clockHeader), c.Clock.Uptime())
+		received := c.readings.store(address, res.header.Get(clockHeader), c.Clock.Uptime())
 		if res.status == http.StatusOK {
 			return res.body, "", nil
 		}
-		if res.status == http.StatusConflict && received && !again {
+		if res.status == http.StatusConflict && received && !retried {
 			continue
 		}
 		err = fmt.Errorf("call %s/log/propose: %d: %s", address, res.status, bytes.TrimSpace(res.body))
@@ -177,7 +181,9 @@
 	}
 }
 
-// deadlineQuery tells the leader, by its own clock, until when the proposer waits; empty without a deadline.
+// deadlineQuery returns the query parameters that tell the leader, by the leader's own clock, until when the proposer
+// waits; empty if ctx has no deadline. Without a usable reading they name process 0, which the leader does not accept:
+// its response has a reading.
 func (c *Client) deadlineQuery(ctx context.Context, address string) string {
 	end, bounded := ctx.Deadline()
 	if !bounded {
@@ -192,13 +198,13 @@
 	return fmt.Sprintf("?process=%x&until=%.3f", reading.Process, until)
 }
 
-// stamp is this process's reading of its own clock.
+// stamp returns this process's reading of its own clock.
 func (n *Node) stamp() logclock.Stamp {
 	return logclock.Stamp{Process: n.processID, Uptime: n.clock.Uptime()}
 }
 
-// expired reports whether the proposer has given up by now; known is false if the deadline is not by this process's
-// clock.
+// expired reports whether the deadline of a proposal has passed. process and until are the query parameters of the
+// request; without them there is no deadline. known is false if the deadline is invalid or not by this process's clock.
 func (n *Node) expired(process, until string) (late, known bool) {
 	if process == "" {
 		return false, true
@@ -211,6 +217,7 @@
 	return n.clock.Uptime() > end, true
 }
 
+// handlePropose handles POST /log/propose.
 func (n *Node) handlePropose(w http.ResponseWriter, req *http.Request) {
 	reading := n.stamp()
 	w.Header().Set(clockHeader, fmt.Sprintf("%x:%.3f", reading.Process, reading.Uptime))
@@ -223,8 +230,8 @@
 	if leader == nil {
 		return
 	}
-	// A proposal that a partition has delayed can arrive minutes after its proposer has reported a failure. The wall
-	// clocks of two machines can't tell; so the proposer names its deadline by this process's clock.
+	// A proposal that was delayed by a partition can arrive minutes after its proposer has reported a failure. The wall
+	// clocks of two machines cannot detect that, so the proposer states its deadline by this process's clock.
 	late, known := n.expired(req.URL.Query().Get("process"), req.URL.Query().Get("until"))
 	switch {
 	case !known:
@@ -239,15 +246,17 @@
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	_, _ = w.Write(applied.Response().([]byte)) // a proposer that has gone proposes again
+	_, _ = w.Write(applied.Response().([]byte)) // a proposer that does not receive the reply proposes again
 }
 
+// handleBarrier handles POST /log/barrier. The response is the index of the newest command that was applied.
 func (n *Node) handleBarrier(w http.ResponseWriter, _ *http.Request) {
 	leader := n.requireLeader(w)
 	if leader == nil {
 		return
 	}
-	// A new leader knows how far its predecessor has committed only once an entry of its own term is committed.
+	// A new leader does not know up to which index its predecessor has committed until an entry of its own term is
+	// committed.
 	if err := leader.Barrier(2 * n.cfg.ElectionTimeout).Error(); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
@@ -255,8 +264,8 @@
 	WriteJSON(w, n.fsm.lastApplied.Load())
 }
 
-// requireLeader returns raft if this server leads. Otherwise it responds with the leader that this server follows, and
-// returns nil.
+// requireLeader returns raft if this server is the leader. Otherwise it responds with an error that names the leader as
+// known to this server, and returns nil.
 func (n *Node) requireLeader(w http.ResponseWriter) *raft.Raft {
 	r := n.raft.Load()
 	if r != nil && r.State() == raft.Leader {
--- a/internal/cluster/raftlog/propose_test.go
+++ b/internal/cluster/raftlog/propose_test.go
@@ -17,71 +17,75 @@
 	"ottershed/internal/cluster/logclock"
 )
 
-// timesMachine records the log's time of each command.
-type timesMachine struct {
+// timeRecorder is a state machine that records the log's time of each command.
+type timeRecorder struct {
 	times []logclock.Millis
 	time  logclock.Millis
 }
 
-func (p *timesMachine) Apply(_ uint64, at logclock.Millis, command []byte) []byte {
-	p.times, p.time = append(p.times, at), at
+func (r *timeRecorder) Apply(_ uint64, at logclock.Millis, command []byte) []byte {
+	r.times, r.time = append(r.times, at), at
 	return command
 }
-func (p *timesMachine) Snapshot() ([]byte, error) { return []byte("s"), nil }
-func (p *timesMachine) Restore([]byte) error      { return nil }
-func (p *timesMachine) LogTime() logclock.Millis  { return p.time }
+func (r *timeRecorder) Snapshot() ([]byte, error) { return []byte("s"), nil }
+func (r *timeRecorder) Restore([]byte) error      { return nil }
+func (r *timeRecorder) LogTime() logclock.Millis  { return r.time }
 
-func entry(m *fsm, data []byte, at time.Time) any {
+// applyEntry applies an entry with a wall-clock time.
+func applyEntry(m *fsm, data []byte, at time.Time) any {
 	return m.Apply(&raft.Log{Type: raft.LogCommand, Data: data, AppendedAt: at})
 }
 
-// A stamped entry advances the log's time by what its leader measured since its last one, independent of the entry's
-// wall clock. An entry without a stamp counts by its wall clock, so that what it granted expires when it was meant to.
-func TestStampedEntries(t *testing.T) {
-	p := &timesMachine{}
-	machine := &fsm{machines: map[byte]StateMachine{'x': p}}
+// A stamped entry advances the log's time by the time that its leader measured since its previous entry, independent of
+// the entry's wall clock. An entry without a stamp advances the log's time to its wall clock, so that leases granted by
+// it expire at the intended time. An entry with an invalid stamp is not applied.
+func TestLogTimeFollowsStamps(t *testing.T) {
+	recorder := &timeRecorder{}
+	machine := &fsm{machines: map[byte]StateMachine{'x': recorder}}
 	day := time.Unix(1_700_000_000, 0)
-	entry(machine, []byte("xold"), day)
+	applyEntry(machine, []byte("xold"), day)
 	for i, s := range []logclock.Stamp{{Process: 5, Uptime: 100}, {Process: 5, Uptime: 350}, {Process: 6, Uptime: 9e6}} {
-		got := entry(machine, prependStamp(s, []byte("xnew")), day.Add(time.Duration(i)*time.Hour))
+		got := applyEntry(machine, prependStamp(s, []byte("xnew")), day.Add(time.Duration(i)*time.Hour))
 		if string(got.([]byte)) != "new" {
-			t.Errorf("the state machine got %q", got)
+			t.Errorf("stamp %+v: got command %q, want \"new\"", s, got)
 		}
 	}
 	base := 1.7e12
-	if want := []logclock.Millis{base, base, base + 250, base + 250}; fmt.Sprint(p.times) != fmt.Sprint(want) {
-		t.Errorf("at %v, want %v", p.times, want)
+	if want := []logclock.Millis{base, base, base + 250, base + 250}; fmt.Sprint(recorder.times) != fmt.Sprint(want) {
+		t.Errorf("log times: got %v, want %v", recorder.times, want)
 	}
 	for _, corrupt := range []string{"t", "t12345678", "t12345678\x7f\xf8\x00\x00\x00\x00\x00\x01x"} {
-		if got := entry(machine, []byte(corrupt), day); len(got.([]byte)) != 0 || len(p.times) != 4 {
-			t.Errorf("%q: applied as %q", corrupt, got)
+		if got := applyEntry(machine, []byte(corrupt), day); len(got.([]byte)) != 0 || len(recorder.times) != 4 {
+			t.Errorf("corrupt entry %q: got reply %q and %d commands applied, want none and 4",
+				corrupt, got, len(recorder.times))
 		}
 	}
 	snap, err := machine.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := &fsm{machines: map[byte]StateMachine{'x': &timesMachine{}}}
-	err = back.Restore(io.NopCloser(bytes.NewReader(snap.(snapshot))))
-	if err != nil || back.logClock != machine.logClock {
-		t.Errorf("%v: clock %+v, want %+v", err, back.logClock, machine.logClock)
+	restored := &fsm{machines: map[byte]StateMachine{'x': &timeRecorder{}}}
+	err = restored.Restore(io.NopCloser(bytes.NewReader(snap.(snapshot))))
+	if err != nil || restored.logClock != machine.logClock {
+		t.Errorf("restored clock: got %+v, %v, want %+v", restored.logClock, err, machine.logClock)
 	}
 }
 
 // A snapshot without a clock, from a release before stamps, starts the log's time at that of its state machines.
-func TestOldSnapshot(t *testing.T) {
+func TestSnapshotWithoutClockUsesStateMachines(t *testing.T) {
 	raw := snapshot(appendChecksum([]byte{0x80})) // no state machine and no clock
-	m := &fsm{machines: map[byte]StateMachine{'x': &timesMachine{time: 1.7e12}}}
+	m := &fsm{machines: map[byte]StateMachine{'x': &timeRecorder{time: 1.7e12}}}
 	if err := m.Restore(io.NopCloser(bytes.NewReader(raw))); err != nil || m.logClock.Now != 1.7e12 {
-		t.Errorf("%v: %+v", err, m.logClock)
+		t.Errorf("restored clock: got %+v, %v, want 1.7e12", m.logClock, err)
 	}
 }
 
-// A proposer follows a redirect at once; a redirect to a server that is down or no leader costs a turn.
-func TestProposer(t *testing.T) {
+// A proposer follows a redirect at once. After a redirect to a server that is down or no leader, it tries the servers
+// in turn. The next proposal goes to the last leader.
+func TestProposerFollowsRedirects(t *testing.T) {
 	node := &Node{processID: 9, clock: clock.New()}
-	serve := func(reply func(http.ResponseWriter, *http.Request)) string {
-		s := httptest.NewServer(http.HandlerFunc(reply))
+	serve := func(handler func(http.ResponseWriter, *http.Request)) string {
+		s := httptest.NewServer(http.HandlerFunc(handler))
 		t.Cleanup(s.Close)
 		return strings.TrimPrefix(s.URL, "http://")
 	}
@@ -100,9 +104,9 @@
 		late, known := node.expired(r.URL.Query().Get("process"), r.URL.Query().Get("until"))
 		switch {
 		case !known:
-			http.Error(w, "by whose clock?", http.StatusConflict)
+			http.Error(w, "deadline by another clock", http.StatusConflict)
 		case late:
-			http.Error(w, "late", http.StatusGone)
+			http.Error(w, "deadline passed", http.StatusGone)
 		default:
 			if _, err := io.WriteString(w, "done"); err != nil {
 				t.Error(err)
@@ -110,17 +114,17 @@
 		}
 	}
 	for _, test := range []struct {
-		name  string
-		named string // by the first server
-		asks  string
+		name     string
+		redirect string // the leader that server a names
+		requests string // by server
 	}{
-		{"it names the leader", "c", "map[a:1 c:2]"}, // twice, for its clock is not known at first
-		{"it names one that is down", "d", "map[a:1 b:1 c:2]"},
-		{"it names nobody", "", "map[a:1 b:1 c:2]"},
+		{"redirect to the leader", "c", "map[a:1 c:2]"}, // c twice, for its clock is not known at first
+		{"redirect to a server that is down", "d", "map[a:1 b:1 c:2]"},
+		{"no redirect", "", "map[a:1 b:1 c:2]"},
 	} {
 		clear(requests)
 		servers := []Server{
-			{"a", serve(follower("a", test.named))},
+			{"a", serve(follower("a", test.redirect))},
 			{"b", serve(follower("b", "c"))},
 			{"c", serve(leader)},
 			{"d", "127.0.0.1:1"},
@@ -128,20 +132,22 @@
 		client := Client{Servers: servers, HTTP: &http.Client{}, ElectionTimeout: 50 * time.Millisecond, Clock: clock.New()}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		reply, err := client.propose(ctx, "", []byte("x"))
-		if err != nil || string(reply) != "done" || fmt.Sprint(requests) != test.asks || client.readings.lastLeader() != "c" {
-			t.Errorf("%s: %q, %v, asked %v", test.name, reply, err, requests)
+		if err != nil || string(reply) != "done" || fmt.Sprint(requests) != test.requests ||
+			client.readings.lastLeader() != "c" {
+			t.Errorf("%s: got reply %q, %v, requests %v, leader %q, want \"done\", requests %s, leader \"c\"",
+				test.name, reply, err, requests, client.readings.lastLeader(), test.requests)
 		}
 		clear(requests)
 		_, err = client.propose(ctx, client.readings.lastLeader(), []byte("x"))
 		if err != nil || fmt.Sprint(requests) != "map[c:1]" {
-			t.Errorf("%s, again: %v, asked %v", test.name, err, requests)
+			t.Errorf("%s, second proposal: got %v, requests %v, want map[c:1]", test.name, err, requests)
 		}
 		cancel()
 	}
 }
 
-// A proposal that a partition has delayed expires by the leader's own clock, independent of wall clocks.
-func TestTooLate(t *testing.T) {
+// A proposal that was delayed by a partition expires by the leader's own clock, independent of wall clocks.
+func TestProposalExpiresByLeadersClock(t *testing.T) {
 	n := &Node{processID: 9, clock: clock.New()}
 	now := n.clock.Uptime()
 	for _, test := range []struct {
@@ -156,7 +162,8 @@
 		{"9", "soon", false, false},
 	} {
 		if late, known := n.expired(test.process, test.until); late != test.late || known != test.known {
-			t.Errorf("%+v: late %v, known %v", test, late, known)
+			t.Errorf("process %q, until %q: got late %v, known %v, want %v, %v",
+				test.process, test.until, late, known, test.late, test.known)
 		}
 	}
 }
--- a/internal/cluster/raftlog/store.go
+++ b/internal/cluster/raftlog/store.go
@@ -14,55 +14,57 @@
 	"go.etcd.io/bbolt"
 )
 
-// The layout of the file. Each value is followed by its checksum.
+// The buckets of the file. Each value is followed by its checksum. The names are stored and must not change.
 var (
 	logsBucket   = []byte("logs")   // entries, by index
 	stableBucket = []byte("stable") // raft's term and vote
-	userBucket   = []byte("kept")   // values of the store's user
+	userBucket   = []byte("kept")   // values of PutUser
 	allBuckets   = [][]byte{logsBucket, stableBucket, userBucket}
 )
 
 const (
 	storeFile     = "store.db"
-	lockTimeout   = 5 * time.Second // for another process to release the file
-	indexBytes    = 8               // of an index or a number, big endian
-	checksumBytes = 8               // xxhash64, big endian
+	lockTimeout   = 5 * time.Second // wait for another process to release its lock on the file
+	indexBytes    = 8               // of an index or a number, big-endian
+	checksumBytes = 8               // of a checksum, xxhash64, big-endian
 )
 
-// errNotFound has the text by which hashicorp/raft recognizes a key that was never set.
+// errNotFound is returned for a key that was never set. hashicorp/raft recognizes it by its text.
 var errNotFound = errors.New("not found")
 
 // Store stores the log, raft's term and vote, and values of its user in one bbolt file. It implements raft.LogStore and
-// raft.StableStore.
+// raft.StableStore. Its methods may be called from any goroutine.
 type Store struct {
 	db *bbolt.DB
 }
 
-// OpenStore opens the store of a directory. A corrupt one is moved to a directory that aside names, and the store is
-// then empty.
-func OpenStore(dir string) (s *Store, aside string, err error) {
+// OpenStore opens the store in a directory, which is created if it is missing. The files of a corrupt store are moved
+// to a new directory below dir, whose path is returned as quarantined, and the opened store is empty. quarantined is
+// empty if the store was intact.
+func OpenStore(dir string) (s *Store, quarantined string, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, "", fmt.Errorf("store: %w", err)
 	}
 	path := filepath.Join(dir, storeFile)
 	err = verify(path)
 	if errors.Is(err, ErrCorrupt) {
-		aside, err = setAside(dir, err)
+		quarantined, err = quarantine(dir, err)
 	}
 	if err != nil {
 		return nil, "", err
 	}
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
-		return nil, aside, fmt.Errorf("store %s: %w", path, err)
+		return nil, quarantined, fmt.Errorf("store %s: %w", path, err)
 	}
 	if err := db.Update(createBuckets); err != nil {
-		_ = db.Close() // the error of the update is the cause
-		return nil, aside, fmt.Errorf("store %s: %w", path, err)
+		_ = db.Close() // the error of the update is returned
+		return nil, quarantined, fmt.Errorf("store %s: %w", path, err)
 	}
-	return &Store{db: db}, aside, nil
+	return &Store{db: db}, quarantined, nil
 }
 
+// createBuckets creates the buckets that do not exist yet.
 func createBuckets(tx *bbolt.Tx) error {
 	for _, name := range allBuckets {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -72,12 +74,12 @@
 	return nil
 }
 
-// appendChecksum encodes a value.
+// appendChecksum returns a copy of a value with its checksum appended.
 func appendChecksum(v []byte) []byte {
 	return binary.BigEndian.AppendUint64(append(make([]byte, 0, len(v)+checksumBytes), v...), xxhash.Sum64(v))
 }
 
-// verifyChecksum decodes a value into a copy.
+// verifyChecksum returns a copy of a value without its checksum, or ErrCorrupt if the checksum does not match.
 func verifyChecksum(v []byte) ([]byte, error) {
 	cut := len(v) - checksumBytes
 	if cut < 0 || xxhash.Sum64(v[:cut]) != binary.BigEndian.Uint64(v[cut:]) {
@@ -89,9 +91,9 @@
 // Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Bytes is the size of the stored keys and values, without the free pages of the file.
+// Bytes returns the size of the stored keys and values in bytes, without the free pages of the file.
 func (s *Store) Bytes() (n int64) {
-	_ = s.db.View(func(tx *bbolt.Tx) error { // fails on a closed store only
+	_ = s.db.View(func(tx *bbolt.Tx) error { // fails only on a closed store
 		for _, name := range allBuckets {
 			stats := tx.Bucket(name).Stats()
 			n += int64(stats.LeafInuse + stats.BranchInuse)
@@ -101,14 +103,16 @@
 	return n
 }
 
+// put stores a value with its checksum.
 func (s *Store) put(bucket, key, value []byte) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(key, appendChecksum(value)) })
 	if err != nil {
-		return fmt.Errorf("store: %w", err)
+		return fmt.Errorf("write store: %w", err)
 	}
 	return nil
 }
 
+// get returns a value after its checksum was verified. It returns errNotFound or ErrCorrupt.
 func (s *Store) get(bucket, key []byte) (value []byte, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
 		raw := tx.Bucket(bucket).Get(key)
@@ -121,10 +125,10 @@
 	return value, err
 }
 
-// PutUser stores a value of the store's user.
+// PutUser stores a value under a key of the store's user. User values are separate from those of raft.
 func (s *Store) PutUser(key string, value []byte) error { return s.put(userBucket, []byte(key), value) }
 
-// GetUser returns a value that PutUser has stored; nil if there is none.
+// GetUser returns a value stored by PutUser; nil if there is none.
 func (s *Store) GetUser(key string) ([]byte, error) {
 	v, err := s.get(userBucket, []byte(key))
 	if errors.Is(err, errNotFound) {
@@ -133,21 +137,23 @@
 	return v, err
 }
 
+// indexKey encodes an index or a number, so that the order of the keys is that of the indices.
 func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// FirstIndex is the index of the oldest entry; 0: none.
+// FirstIndex returns the index of the oldest entry; 0 if there is none.
 func (s *Store) FirstIndex() (uint64, error) {
 	return s.boundaryIndex(func(c *bbolt.Cursor) ([]byte, []byte) { return c.First() })
 }
 
-// LastIndex is the index of the newest entry; 0: none.
+// LastIndex returns the index of the newest entry; 0 if there is none.
 func (s *Store) LastIndex() (uint64, error) {
 	return s.boundaryIndex(func(c *bbolt.Cursor) ([]byte, []byte) { return c.Last() })
 }
 
-func (s *Store) boundaryIndex(of func(*bbolt.Cursor) ([]byte, []byte)) (index uint64, err error) {
+// boundaryIndex returns the index of the entry to which seek moves a cursor; 0 if there is none.
+func (s *Store) boundaryIndex(seek func(*bbolt.Cursor) ([]byte, []byte)) (index uint64, err error) {
 	err = s.db.View(func(tx *bbolt.Tx) error {
-		if k, _ := of(tx.Bucket(logsBucket).Cursor()); k != nil {
+		if k, _ := seek(tx.Bucket(logsBucket).Cursor()); k != nil {
 			index = binary.BigEndian.Uint64(k)
 		}
 		return nil
@@ -155,14 +161,14 @@
 	return index, err
 }
 
-// GetLog reads an entry; raft.ErrLogNotFound if there is none.
+// GetLog reads the entry at an index. It returns raft.ErrLogNotFound if there is none.
 func (s *Store) GetLog(index uint64, to *raft.Log) error {
 	raw, err := s.get(logsBucket, indexKey(index))
 	if errors.Is(err, errNotFound) {
 		return raft.ErrLogNotFound
 	}
 	if err != nil {
-		return fmt.Errorf("log %d: %w", index, err)
+		return fmt.Errorf("read entry %d: %w", index, err)
 	}
 	return msgpack.Unmarshal(raw, to)
 }
@@ -185,12 +191,12 @@
 		return nil
 	})
 	if err != nil {
-		return fmt.Errorf("store logs: %w", err)
+		return fmt.Errorf("write entries: %w", err)
 	}
 	return nil
 }
 
-// DeleteRange deletes the entries from one index to another, both included.
+// DeleteRange deletes the entries from one index to another, inclusive.
 func (s *Store) DeleteRange(from, to uint64) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		c := tx.Bucket(logsBucket).Cursor()
@@ -203,16 +209,16 @@
 	})
 }
 
-// Set stores a value of raft.
+// Set stores a value of raft, see raft.StableStore.
 func (s *Store) Set(k, v []byte) error { return s.put(stableBucket, k, v) }
 
-// Get returns a value that Set has stored; errNotFound if there is none.
+// Get returns a value stored by Set. It returns errNotFound if there is none.
 func (s *Store) Get(k []byte) ([]byte, error) { return s.get(stableBucket, k) }
 
-// SetUint64 stores a number of raft.
+// SetUint64 stores a number of raft, see raft.StableStore.
 func (s *Store) SetUint64(k []byte, v uint64) error { return s.Set(k, indexKey(v)) }
 
-// GetUint64 returns a number that SetUint64 has stored; errNotFound if there is none.
+// GetUint64 returns a number stored by SetUint64. It returns errNotFound if there is none.
 func (s *Store) GetUint64(k []byte) (uint64, error) {
 	raw, err := s.Get(k)
 	if err != nil {
--- a/internal/cluster/raftlog/store_test.go
+++ b/internal/cluster/raftlog/store_test.go
@@ -12,8 +12,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// The store fulfils the contract of raft.LogStore and raft.StableStore, also after it was reopened.
-func TestStore(t *testing.T) {
+// The store fulfils the contracts of raft.LogStore and raft.StableStore, and retains its content when it is reopened.
+func TestStoreRetainsContent(t *testing.T) {
 	dir := t.TempDir()
 	store, _, err := OpenStore(dir)
 	if err != nil {
@@ -21,10 +21,10 @@
 	}
 	// hashicorp/raft recognizes a missing key by this text.
 	if _, err := store.GetUint64([]byte("term")); err == nil || err.Error() != "not found" {
-		t.Error(err)
+		t.Errorf("missing key: got %v, want \"not found\"", err)
 	}
 	if err := store.GetLog(1, &raft.Log{}); !errors.Is(err, raft.ErrLogNotFound) {
-		t.Error(err)
+		t.Errorf("missing entry: got %v, want %v", err, raft.ErrLogNotFound)
 	}
 	var logs []*raft.Log
 	for i := range uint64(10) {
@@ -41,31 +41,31 @@
 	defer closeStore(t, store)
 	checkReopened(t, store)
 	if none, err := store.GetUser("other"); none != nil || err != nil {
-		t.Errorf("%q, %v", none, err)
+		t.Errorf("missing user value: got %q, %v, want none", none, err)
 	}
 }
 
-// checkReopened reads what TestStore has written.
+// checkReopened checks the content that TestStoreRetainsContent has written.
 func checkReopened(t *testing.T, store *Store) {
 	t.Helper()
 	first, firstErr := store.FirstIndex()
 	last, lastErr := store.LastIndex()
 	if err := errors.Join(firstErr, lastErr); err != nil || first != 1 || last != 8 {
-		t.Errorf("entries %d to %d, %v", first, last, err)
+		t.Errorf("entries: got %d to %d, %v, want 1 to 8", first, last, err)
 	}
 	term, termErr := store.GetUint64([]byte("term"))
-	kept, keptErr := store.GetUser("k")
-	if err := errors.Join(termErr, keptErr); err != nil || term != 7 || string(kept) != "v" {
-		t.Errorf("term %d, user value %q, %v", term, kept, err)
+	value, valueErr := store.GetUser("k")
+	if err := errors.Join(termErr, valueErr); err != nil || term != 7 || string(value) != "v" {
+		t.Errorf("got term %d, user value %q, %v, want 7 and \"v\"", term, value, err)
 	}
 	var entry raft.Log
 	if err := store.GetLog(8, &entry); err != nil || entry.Data[0] != 7 {
-		t.Errorf("%+v, %v", entry, err)
+		t.Errorf("entry 8: got %+v, %v, want data 7", entry, err)
 	}
 }
 
-// cutSnapshot takes a snapshot and truncates its file.
-func cutSnapshot(t *testing.T, dir string, _ *Store) {
+// truncateSnapshot creates a snapshot and truncates its file.
+func truncateSnapshot(t *testing.T, dir string, _ *Store) {
 	t.Helper()
 	snapshots, err := raft.NewFileSnapshotStore(dir, snapshotsRetained, os.Stderr)
 	if err != nil {
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, err = sink.Write([]byte("what was committed"))
+	_, err = sink.Write([]byte("committed state"))
 	if err := errors.Join(err, sink.Close()); err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-// deleteEntries deletes entries as raft never does.
+// deleteEntries returns a function that deletes entries which raft would not delete.
 func deleteEntries(from, to uint64) func(*testing.T, string, *Store) {
 	return func(t *testing.T, _ string, store *Store) {
 		t.Helper()
@@ -95,13 +95,14 @@
 	}
 }
 
-// A corrupt store is set aside; one that is complete is opened.
-func TestCorruptStore(t *testing.T) {
+// A corrupt store is quarantined and an empty one is opened. An intact store is opened with its content.
+func TestCorruptStoreIsQuarantined(t *testing.T) {
+	const intact = "intact"
 	for name, corrupt := range map[string]func(t *testing.T, dir string, store *Store){
-		"a log is missing":           deleteEntries(3, 3),
-		"the first logs are missing": deleteEntries(1, 2),
-		"a snapshot is cut":          cutSnapshot,
-		"":                           func(*testing.T, string, *Store) {},
+		"entry missing":         deleteEntries(3, 3),
+		"first entries missing": deleteEntries(1, 2),
+		"snapshot truncated":    truncateSnapshot,
+		intact:                  func(*testing.T, string, *Store) {},
 	} {
 		dir := t.TempDir()
 		store, _, err := OpenStore(dir)
@@ -115,7 +116,7 @@
 		}
 		corrupt(t, dir, store)
 		closeStore(t, store)
-		store, aside, err := OpenStore(dir)
+		store, quarantined, err := OpenStore(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -123,51 +124,51 @@
 		if err != nil {
 			t.Error(err)
 		}
-		if (aside != "") != (name != "") || (last == 0) != (name != "") {
-			t.Errorf("%q: aside %q, last log %d", name, aside, last)
+		if want := name != intact; (quarantined != "") != want || (last == 0) != want {
+			t.Errorf("%s: got quarantined %q, last index %d, want quarantined and empty %v", name, quarantined, last, want)
 		}
 		closeStore(t, store)
 	}
 }
 
-// A connection is accepted only between sides with the same key, and only for the kind that it names.
-func TestHandshake(t *testing.T) {
+// A connection is accepted only if both sides have the same key or none, and only for the kind that it states.
+func TestHandshakeRequiresSameKey(t *testing.T) {
 	for name, test := range map[string]struct {
-		kind         byte
-		theirs, ours string
-		passes       bool
+		kind                 byte
+		serverKey, clientKey string
+		accepted             bool
 	}{
-		"no key":       {httpKind, "", "", true},
-		"one key":      {raftKind, "0123456789abcdef", "0123456789abcdef", true},
-		"other keys":   {raftKind, "0123456789abcdef", "0123456789abcdeF", false},
-		"none here":    {httpKind, "0123456789abcdef", "", false},
-		"unknown kind": {'x', "", "", false},
+		"no keys":                {httpKind, "", "", true},
+		"same key":               {raftKind, "0123456789abcdef", "0123456789abcdef", true},
+		"different keys":         {raftKind, "0123456789abcdef", "0123456789abcdeF", false},
+		"client without the key": {httpKind, "0123456789abcdef", "", false},
+		"unknown kind":           {'x', "", "", false},
 	} {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		shared := newMux(listener, []byte(test.theirs))
+		shared := newMux(listener, []byte(test.serverKey))
 		from := shared.http
 		if test.kind == raftKind {
 			from = shared.raft
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
-		conn, err := dial(ctx, listener.Addr().String(), test.kind, []byte(test.ours))
-		passed := false
+		conn, err := dial(ctx, listener.Addr().String(), test.kind, []byte(test.clientKey))
+		accepted := false
 		if err == nil {
-			// Without a key, data goes out where the other side waits for a proof.
-			_, _ = conn.Write([]byte("hello")) // the other side may have closed the connection
+			// A client without a key sends data while the server waits for a proof.
+			_, _ = conn.Write([]byte("hello")) // the server may have closed the connection
 			select {
 			case got := <-from:
-				passed = true
+				accepted = true
 				_ = got.Close() // nothing is read from it
 			case <-time.After(200 * time.Millisecond):
 			}
-			_ = conn.Close() // the other side may have closed it
+			_ = conn.Close() // the server may have closed it
 		}
-		if passed != test.passes {
-			t.Errorf("%s: passed %v, %v", name, passed, err)
+		if accepted != test.accepted {
+			t.Errorf("%s: got accepted %v, %v, want %v", name, accepted, err, test.accepted)
 		}
 		cancel()
 		shared.close()
--- a/internal/cluster/raftlog/verify.go
+++ b/internal/cluster/raftlog/verify.go
@@ -16,27 +16,29 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// ErrCorrupt means that a store or a part of it was not written completely.
-var ErrCorrupt = errors.New("store: torn")
+// ErrCorrupt is returned if a store or a part of it is corrupt, for example because it was not written completely.
+var ErrCorrupt = errors.New("store: corrupt")
 
-// setAside moves the files of a directory into a new one below it, so that nothing is deleted.
-func setAside(dir string, cause error) (string, error) {
-	aside := filepath.Join(dir, "torn-"+strconv.FormatInt(time.Now().UnixMilli(), 10))
-	if err := os.Mkdir(aside, 0o700); err != nil {
-		return "", fmt.Errorf("%w; and it can't be set aside: %w", cause, err)
+// quarantine moves the files of a corrupt store from dir to a new directory below dir and returns the path of the new
+// directory. The files are moved, not deleted, so that they can be examined. cause says why the store is corrupt; a
+// returned error wraps it.
+func quarantine(dir string, cause error) (string, error) {
+	quarantined := filepath.Join(dir, "torn-"+strconv.FormatInt(time.Now().UnixMilli(), 10))
+	if err := os.Mkdir(quarantined, 0o700); err != nil {
+		return "", fmt.Errorf("%w; cannot move its files: %w", cause, err)
 	}
 	for _, name := range []string{storeFile, snapshotsDir} {
-		err := os.Rename(filepath.Join(dir, name), filepath.Join(aside, name))
+		err := os.Rename(filepath.Join(dir, name), filepath.Join(quarantined, name))
 		if err != nil && !errors.Is(err, os.ErrNotExist) {
-			return "", fmt.Errorf("%w; and it can't be set aside: %w", cause, err)
+			return "", fmt.Errorf("%w; cannot move its files: %w", cause, err)
 		}
 	}
-	return aside, nil
+	return quarantined, nil
 }
 
-// verify reads a whole store, if there is one: the checksum of each value, and that no entry is missing. It must pass
-// before the store is used, for bbolt maps its file: reading one that was truncated would end the process, and one that
-// was written in part would be served as it is.
+// verify reads a whole store, if there is one, and verifies the checksum of each value and that no entry is missing. It
+// must succeed before the store is used, because bbolt maps its file into memory: reading a truncated file would end
+// the process, and a partly written file would be served without an error.
 func verify(path string) (err error) {
 	info, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -55,14 +57,14 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = db.Close() }() // nothing was written
+	defer func() { _ = db.Close() }() // opened read-only, so no write can be lost
 	snapshotIndex, err := verifySnapshots(filepath.Dir(path))
 	if err != nil {
 		return err
 	}
 	return db.View(func(tx *bbolt.Tx) error {
 		if tx.Size() > info.Size() {
-			return fmt.Errorf("%w: %s: %d bytes of %d", ErrCorrupt, path, info.Size(), tx.Size())
+			return fmt.Errorf("%w: %s: got %d bytes, want %d", ErrCorrupt, path, info.Size(), tx.Size())
 		}
 		for _, name := range allBuckets {
 			if err := verifyBucket(tx.Bucket(name), name, snapshotIndex); err != nil {
@@ -73,8 +75,8 @@
 	})
 }
 
-// openReadOnly opens a store for verification. A store that can't be opened is corrupt, unless this process may not
-// read it or another process has locked it.
+// openReadOnly opens a store for verification. A store that cannot be opened counts as corrupt, unless this process is
+// not permitted to read it, or another process has locked it.
 func openReadOnly(path string) (*bbolt.DB, error) {
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: true})
 	switch {
@@ -83,12 +85,13 @@
 	case errors.Is(err, os.ErrPermission):
 		return nil, fmt.Errorf("store: %w", err)
 	case errors.Is(err, bbolterrors.ErrTimeout):
-		return nil, fmt.Errorf("store %s: another process has it: %w", path, err)
+		return nil, fmt.Errorf("store %s: locked by another process: %w", path, err)
 	}
 	return nil, fmt.Errorf("%w: %s: %w", ErrCorrupt, path, err)
 }
 
-// verifyBucket checks the values of a bucket; nil is one that was never created.
+// verifyBucket verifies the values of a bucket; nil is a bucket that was never created. snapshotIndex is the index up
+// to which snapshots cover the entries.
 func verifyBucket(bucket *bbolt.Bucket, name []byte, snapshotIndex uint64) error {
 	if bucket == nil {
 		return nil
@@ -96,7 +99,7 @@
 	order := entryOrder{next: snapshotIndex + 1}
 	return bucket.ForEach(func(key, value []byte) error {
 		if _, err := verifyChecksum(value); err != nil {
-			return fmt.Errorf("%s %x", name, key)
+			return fmt.Errorf("bucket %s, key %x: checksum does not match", name, key)
 		}
 		if string(name) == string(logsBucket) {
 			return order.check(binary.BigEndian.Uint64(key))
@@ -105,22 +108,25 @@
 	})
 }
 
-// entryOrder checks that entries follow each other without a gap. The first may be covered by a snapshot.
+// entryOrder verifies that the indices of entries follow one another without a gap. The first index may be lower than
+// next, for snapshots can cover entries that are still in the log.
 type entryOrder struct {
-	next  uint64
-	begun bool
+	next    uint64 // the next index expected
+	started bool   // an entry was checked
 }
 
+// check verifies the index of the next entry.
 func (o *entryOrder) check(index uint64) error {
-	if index > o.next || o.begun && index != o.next {
-		return fmt.Errorf("logs before %d are missing", index)
+	if index > o.next || o.started && index != o.next {
+		return fmt.Errorf("entries before index %d are missing", index)
 	}
 	o.next = index + 1
-	o.begun = true
+	o.started = true
 	return nil
 }
 
-// verifySnapshots reads all snapshots, each of which has a checksum of its own, and returns the highest index in them.
+// verifySnapshots reads all snapshots, each of which has a checksum of its own, and returns the highest index that a
+// snapshot covers; 0 if there is none.
 func verifySnapshots(dir string) (index uint64, err error) {
 	if _, err := os.Stat(filepath.Join(dir, snapshotsDir)); errors.Is(err, os.ErrNotExist) {
 		return 0, nil
@@ -138,7 +144,7 @@
 		if err != nil {
 			return 0, fmt.Errorf("%w: snapshot %s: %w", ErrCorrupt, meta.ID, err)
 		}
-		_ = content.Close() // Open has read it to its end
+		_ = content.Close() // Open has verified the content
 		index = max(index, meta.Index)
 	}
 	return index, nil
--- a/internal/cluster/raftlog/wire_golden_test.go
+++ b/internal/cluster/raftlog/wire_golden_test.go
@@ -19,9 +19,9 @@
 func (fixedMachine) Snapshot() ([]byte, error)                    { return []byte("held"), nil }
 func (fixedMachine) Restore([]byte) error                         { return nil }
 
-// Messages between servers, a stamped entry and a snapshot's clock are those of the golden file. The order of a
-// snapshot's parts is random, so they are listed by name.
-func TestGoldenMessages(t *testing.T) {
+// Messages between servers, a stamped entry and the parts of a snapshot are encoded as in the golden file. The order of
+// a snapshot's parts is random, so they are listed by name.
+func TestMessageEncodingMatchesGoldenFile(t *testing.T) {
 	stamp := logclock.Stamp{Process: 1 << 63, Uptime: 1234.5}
 	observed := golden.Section("a stamped entry", golden.Quote(prependStamp(stamp, []byte("xcommand")))+"\n")
 	for _, message := range []struct {
@@ -44,7 +44,7 @@
 	}
 }
 
-// snapshotParts lists the parts of a snapshot.
+// snapshotParts lists the parts of a snapshot, sorted by name.
 func snapshotParts(t *testing.T, stamp logclock.Stamp) string {
 	t.Helper()
 	m := &fsm{machines: map[byte]StateMachine{'x': fixedMachine{}}, logClock: logclock.Clock{Now: 2000.5, Last: stamp}}
