--- a/internal/cluster/membership/detector.go
+++ b/internal/cluster/membership/detector.go
@@ -180,9 +180,10 @@
 	d.emitChange(d.table.get(d.settings.Name), Dead, true)
 }
 
-// handlePause drops all probes and extends all suspicions after a pause of this process of stalledFor milliseconds. All
-// other members seem to have been silent for that time: otherwise this process would find its probes failed and its
-// suspicions timed out, and would declare healthy members dead at once.
+// handlePause drops all probes and extends all suspicions after a pause of this process, which lasted stalledFor
+// milliseconds. During the pause no packets were handled, so all other members seem to have been silent. Without
+// handlePause, this process would find its probes failed and its suspicions timed out, and would declare healthy members
+// dead at once.
 func (d *Detector) handlePause(stalledFor Millis) {
 	d.probing.probes = d.probing.probes[:0]
 	d.probing.relays = d.probing.relays[:0]
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -16,7 +16,7 @@
 }
 
 // goldenPacket returns a packet with every field set, including those that its kind does not need.
-func goldenPacket(kind Kind) *Packet {
+func goldenPacket(kind PacketKind) *Packet {
 	p := &Packet{
 		Kind: kind, From: "a", Address: "127.0.0.1:7001", Incarnation: 1764700000001, Run: 0x123456789abcdef0, Seq: 99,
 		Target: "b", TargetAddress: "127.0.0.2:7002", Updates: []Update{goldenUpdate(Suspect), goldenUpdate(Dead)},
@@ -50,7 +50,7 @@
 
 // Packets of every kind are encoded as in earlier releases: members of different releases must understand each other.
 func TestPacketEncodingOfEveryKind(t *testing.T) {
-	kinds := map[string]Kind{
+	kinds := map[string]PacketKind{
 		"ping": Ping, "ack": Ack, "ping_req": PingReq, "nack": Nack, "gossip": Gossip, "digest": Digest,
 		"records": Records,
 	}
--- a/internal/cluster/membership/packet.go
+++ b/internal/cluster/membership/packet.go
@@ -26,25 +26,25 @@
 	return u.Incarnation > earlier.Incarnation || u.Incarnation == earlier.Incarnation && u.State > earlier.State
 }
 
-// Kind is the type of a packet.
-type Kind int
+// PacketKind is the type of a packet.
+type PacketKind int
 
 // The kinds of packets. The numbers are part of the wire format.
 const (
-	Ping      Kind = iota + 1 // probes Target
-	Ack                       // the response to a Ping; a relay forwards it to the origin of a PingReq
-	PingReq                   // asks the receiver to ping Target at TargetAddress
-	Nack                      // from a relay: Target did not respond, the relay itself is running
-	Gossip                    // carries updates only
-	Digest                    // checksums of the sender's table; asks for the records that differ
-	Records                   // the response to a Digest, or to Records with checksums
-	kindCount                 // one more than the highest kind
+	Ping      PacketKind = iota + 1 // probes Target
+	Ack                             // the response to a Ping; a relay forwards it to the origin of a PingReq
+	PingReq                         // asks the receiver to ping Target at TargetAddress
+	Nack                            // from a relay: Target did not respond, the relay itself is running
+	Gossip                          // carries updates only
+	Digest                          // checksums of the sender's table; asks for the records that differ
+	Records                         // the response to a Digest, or to Records with checksums
+	kindCount                       // one more than the highest kind
 )
 
 // Packet is one message between members. Each packet carries its sender's incarnation, which implies that the sender is
 // alive, and as many queued updates as fit.
 type Packet struct {
-	Kind          Kind
+	Kind          PacketKind
 	From          Name
 	Address       string // ip:port at which the sender receives responses
 	Incarnation   Incarnation
--- a/internal/cluster/membership/settings.go
+++ b/internal/cluster/membership/settings.go
@@ -40,7 +40,7 @@
 
 const (
 	periodsPerDetection = 16      // probe periods in DetectionTimeout - ToleratedPause, see deriveTiming
-	minProbePeriod      = 20.0    // ms; timers of a busy machine are not accurate to less
+	minProbePeriod      = 20.0    // ms; timers of a busy machine are too inaccurate for a shorter period
 	maxNameBytes        = 64      // bytes
 	maxTableSize        = 1 << 20 // members
 )
--- a/internal/cluster/membership/state.go
+++ b/internal/cluster/membership/state.go
@@ -68,7 +68,7 @@
 		return // two processes of one name started at the same time: the known one is kept until one is superseded
 	}
 	// A member that no longer receives any packets declares all others dead. So another member's Dead is only an
-	// accusation if the subject is not suspected here, or has shown a sign of life since it was.
+	// accusation if the subject is not suspected here, or has shown a sign of life since the suspicion started.
 	accusation := update.State == Dead && (known.State == Alive || d.aliveSinceAccusation(known))
 	if update.State == Suspect || accusation {
 		d.applyAccusation(update, known, from)
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -22,23 +22,23 @@
 
 // timeout returns the whole duration of a suspicion. It shrinks with the logarithm of the number of independent
 // accusers, as in Lifeguard: a single accuser may itself be partitioned.
-func (s *suspicion) timeout(p *timing) Millis {
+func (s *suspicion) timeout(intervals *timing) Millis {
 	if s.confirmationsWanted <= 0 { // there is no further member that could confirm it
-		return p.minSuspicion
+		return intervals.minSuspicion
 	}
-	part := math.Log(float64(len(s.accusers))) / math.Log(float64(s.confirmationsWanted+1))
-	return max(p.minSuspicion, p.maxSuspicion-(p.maxSuspicion-p.minSuspicion)*part)
+	fraction := math.Log(float64(len(s.accusers))) / math.Log(float64(s.confirmationsWanted+1))
+	return max(intervals.minSuspicion, intervals.maxSuspicion-(intervals.maxSuspicion-intervals.minSuspicion)*fraction)
 }
 
 // nextFinalCheck returns when the next final check is due, shortly before the suspicion ends.
-func (s *suspicion) nextFinalCheck(p *timing) Millis {
-	return s.endsAt - p.period*Millis(maxFinalChecks-s.finalChecks)
+func (s *suspicion) nextFinalCheck(intervals *timing) Millis {
+	return s.endsAt - intervals.period*Millis(maxFinalChecks-s.finalChecks)
 }
 
 // nextDue returns when checkSuspicions has to handle this suspicion.
-func (s *suspicion) nextDue(p *timing) Millis {
+func (s *suspicion) nextDue(intervals *timing) Millis {
 	if s.finalChecks < maxFinalChecks {
-		return min(s.endsAt, s.nextFinalCheck(p))
+		return min(s.endsAt, s.nextFinalCheck(intervals))
 	}
 	return s.endsAt
 }
--- a/internal/cluster/membership/wire.go
+++ b/internal/cluster/membership/wire.go
@@ -22,7 +22,7 @@
 	_msgpack      struct{} `msgpack:",as_array"` //nolint:unused // msgpack reads its tag
 	Version       int
 	Cluster       string
-	Kind          Kind
+	Kind          PacketKind
 	From          Name
 	Address       string
 	Incarnation   Incarnation
--- a/internal/cluster/raftlog/entry.go
+++ b/internal/cluster/raftlog/entry.go
@@ -7,12 +7,12 @@
 	"ottershed/internal/cluster/logclock"
 )
 
-// Kind is the first byte of a command. It identifies the state machine that applies the command.
-type Kind = byte
+// CommandKind is the first byte of a command. It identifies the state machine that applies the command.
+type CommandKind = byte
 
 // stampedEntry is the first byte of an entry that has its leader's stamp in front of the command. Entries of releases
 // before stamps begin with the command's kind.
-const stampedEntry Kind = 't'
+const stampedEntry CommandKind = 't'
 
 const stampBytes = 16 // process and uptime, eight bytes each, big-endian
 
--- a/internal/cluster/raftlog/fsm.go
+++ b/internal/cluster/raftlog/fsm.go
@@ -32,7 +32,7 @@
 // fsm implements raft.FSM: it dispatches commands to the state machines.
 type fsm struct {
 	mu       sync.Mutex
-	machines map[Kind]StateMachine
+	machines map[CommandKind]StateMachine
 	logClock logclock.Clock
 	// lastApplied is the index of the newest command that the state machines have applied. Raft's own AppliedIndex also
 	// counts entries that are still queued for the state machines. By that index, a rejoining server would be promoted
@@ -104,7 +104,7 @@
 }
 
 // machineKey returns the name of a state machine's part of a snapshot.
-func machineKey(kind Kind) string { return strconv.Itoa(int(kind)) }
+func machineKey(kind CommandKind) string { return strconv.Itoa(int(kind)) }
 
 // Restore implements raft.FSM.
 func (f *fsm) Restore(from io.ReadCloser) error {
--- a/internal/cluster/raftlog/node.go
+++ b/internal/cluster/raftlog/node.go
@@ -59,7 +59,7 @@
 		mux:        newMux(listener, cfg.Key),
 		routes:     http.NewServeMux(),
 		httpClient: NewHTTPClient(cfg.Key),
-		fsm:        &fsm{machines: map[Kind]StateMachine{}},
+		fsm:        &fsm{machines: map[CommandKind]StateMachine{}},
 		processID:  rand.Uint64() | 1, // must not be 0, which means an unknown process
 	}
 	node.client = &Client{
@@ -77,7 +77,7 @@
 }
 
 // Register registers the state machine for the commands of a kind. Call it before Run.
-func (n *Node) Register(kind Kind, machine StateMachine) { n.fsm.machines[kind] = machine }
+func (n *Node) Register(kind CommandKind, machine StateMachine) { n.fsm.machines[kind] = machine }
 
 // Handle registers a handler for HTTP requests of other members. Call it before Run.
 func (n *Node) Handle(pattern string, h http.HandlerFunc) { n.routes.HandleFunc(pattern, h) }
--- a/internal/cluster/raftlog/propose.go
+++ b/internal/cluster/raftlog/propose.go
@@ -25,7 +25,7 @@
 // Propose appends a command to the log and returns the reply of its state machine. A reply can be lost if the leader
 // fails. The command is then proposed again, until a reply is received or ctx ends, so the state machine must recognize
 // a command that it has already applied. An error wraps ErrNoLeader. Any goroutine may call Propose.
-func (n *Node) Propose(ctx context.Context, kind Kind, command []byte) ([]byte, error) {
+func (n *Node) Propose(ctx context.Context, kind CommandKind, command []byte) ([]byte, error) {
 	first := n.leaderName()
 	if first == "" {
 		first = n.client.readings.lastLeader()
@@ -34,12 +34,12 @@
 }
 
 // Propose behaves as Node.Propose.
-func (c *Client) Propose(ctx context.Context, kind Kind, command []byte) ([]byte, error) {
+func (c *Client) Propose(ctx context.Context, kind CommandKind, command []byte) ([]byte, error) {
 	return c.propose(ctx, c.readings.lastLeader(), prependKind(kind, command))
 }
 
 // prependKind returns a command with its kind in front.
-func prependKind(kind Kind, command []byte) []byte { return append([]byte{kind}, command...) }
+func prependKind(kind CommandKind, command []byte) []byte { return append([]byte{kind}, command...) }
 
 // Barrier waits until this server's state machines have applied all commands that were committed when Barrier was
 // called. It returns an error if ctx ends before.
@@ -106,7 +106,7 @@
 	target     string // name of the current server; if it is unknown, the servers are tried in turn
 	lastFailed string // the last server that failed and named no leader
 	redirects  int    // successive redirects
-	nextServer int    // number of servers tried in turn
+	nextServer int    // index of the next server in turn, modulo their number
 }
 
 // next returns the name of the server to propose to.
