--- a/internal/cluster/failover/checkpoint.go
+++ b/internal/cluster/failover/checkpoint.go
@@ -13,8 +13,8 @@
 // decision module had not received yet. Another version may resume from it, so the tags stay whatever the fields are
 // called.
 type checkpoint struct {
-	Parts  []decision.Evidence `msgpack:"Parts"`
-	Merged []lease.Grant       `msgpack:"Merged"` // leases whose evidence is in Parts
+	Evidence []decision.Evidence `msgpack:"Parts"`
+	Merged   []lease.Grant       `msgpack:"Merged"` // leases whose evidence is in Parts
 }
 
 // decodeCheckpoint returns the checkpoint of a lease; one that was never written is empty.
@@ -28,9 +28,9 @@
 
 // slot is held while a checkpoint is gathered and written. Two at once could be written in the wrong order, and
 // evidence that was gathered before a merge would overwrite the merged one.
-type slot chan struct{}
+type contextMutex chan struct{}
 
-func (s slot) lock(ctx context.Context) error {
+func (s contextMutex) lock(ctx context.Context) error {
 	select {
 	case s <- struct{}{}:
 		return nil
@@ -39,7 +39,7 @@
 	}
 }
 
-func (s slot) tryLock() bool {
+func (s contextMutex) tryLock() bool {
 	select {
 	case s <- struct{}{}:
 		return true
@@ -48,24 +48,24 @@
 	}
 }
 
-func (s slot) unlock() { <-s }
+func (s contextMutex) unlock() { <-s }
 
 // gather returns the module's evidence as a checkpoint, and false where no build is on trial. The caller holds the
 // slot.
-func (mgr *Manager) gather(ctx context.Context) (checkpoint, bool) {
+func (mgr *Manager) collectCheckpoint(ctx context.Context) (checkpoint, bool) {
 	ctx, cancel := context.WithTimeout(ctx, mgr.renewInterval())
 	defer cancel()
 	evidence, onTrial := mgr.engine.Evidence(ctx)
 	if !onTrial {
 		return checkpoint{}, false
 	}
-	return checkpoint{Parts: []decision.Evidence{evidence}, Merged: mgr.own.mergedFor(evidence.Build)}, true
+	return checkpoint{Evidence: []decision.Evidence{evidence}, Merged: mgr.own.mergedFor(evidence.Build)}, true
 }
 
 // encodedCheckpoint returns the module's evidence as it is written to the lease, nil where there is none or it is too
 // long. The caller holds the slot.
-func (mgr *Manager) encodedCheckpoint(ctx context.Context) []byte {
-	gathered, onTrial := mgr.gather(ctx)
+func (mgr *Manager) collectEncodedCheckpoint(ctx context.Context) []byte {
+	gathered, onTrial := mgr.collectCheckpoint(ctx)
 	if !onTrial {
 		return nil
 	}
@@ -78,11 +78,11 @@
 }
 
 // resume hands the evidence of a checkpoint to the module, and returns how many responses are in it.
-func (mgr *Manager) resume(c *checkpoint) (responses int) {
+func (mgr *Manager) deliverEvidence(c *checkpoint) (responses int) {
 	mgr.own.addMerged(c.Merged...)
-	for i := range c.Parts {
-		mgr.engine.AcquireEvidence(c.Parts[i])
-		responses += countResponses(&c.Parts[i])
+	for i := range c.Evidence {
+		mgr.engine.AcquireEvidence(c.Evidence[i])
+		responses += countResponses(&c.Evidence[i])
 	}
 	return responses
 }
--- a/internal/cluster/failover/checkpoint_golden_test.go
+++ b/internal/cluster/failover/checkpoint_golden_test.go
@@ -14,9 +14,9 @@
 
 // The bytes of a checkpoint with every field set are those of the golden file, because an instance of another version
 // may resume from it. So is the JSON of an evidence summary.
-func TestGoldenCheckpoint(t *testing.T) {
+func TestCheckpointMatchesGolden(t *testing.T) {
 	checkpointBytes, err := msgpack.Marshal(&checkpoint{
-		Parts: []decision.Evidence{{
+		Evidence: []decision.Evidence{{
 			Build: 42, Stage: 1,
 			Classes: []decision.ClassEvidence{{Class: "read", Baseline: []float64{1, math.Inf(1)}, Candidate: []float64{0.5}}},
 			Counts:  []decision.EndpointCount{{Endpoint: "10.0.0.1:80", Build: 41, Class: "read", Succeeded: 20.5, Failed: 2}},
--- a/internal/cluster/failover/golden_test.go
+++ b/internal/cluster/failover/golden_test.go
@@ -13,18 +13,18 @@
 )
 
 // Checkpoints are stored in the log, in leases and in snapshots.
-func TestStoredCheckpoint(t *testing.T) {
+func TestStoredCheckpointMatchesGolden(t *testing.T) {
 	evidence := decision.Evidence{
 		Build: 8, Stage: 2,
 		Classes: []decision.ClassEvidence{{Class: "read", Baseline: []float64{0.5, 1.25}, Candidate: []float64{0.75}}},
 		Counts:  []decision.EndpointCount{{Endpoint: "node-1", Build: 7, Class: "read", Succeeded: 40.5, Failed: 2.25}},
 	}
-	stored := checkpoint{Parts: []decision.Evidence{evidence}, Merged: []lease.Grant{{ID: "trial/c", Token: 9}}}
+	stored := checkpoint{Evidence: []decision.Evidence{evidence}, Merged: []lease.Grant{{ID: "trial/c", Token: 9}}}
 	golden.RoundTrip(t, "checkpoint.msgpack", stored, msgpack.Marshal, msgpack.Unmarshal)
 }
 
 // Entries of the log begin with the kind of their command.
-func TestStoredEntry(t *testing.T) {
+func TestStoredEntryMatchesGolden(t *testing.T) {
 	command := lease.Command{
 		Operation: lease.Merge, ID: "trial/b", Holder: lease.Holder{Name: "a", Incarnation: 5}, Token: 10,
 		TTL: 1500.5, Checkpoint: []byte("seen"), Into: "trial/a", IntoToken: 11, CheckpointSeq: 4, Reason: "can't be read",
@@ -36,7 +36,7 @@
 }
 
 // Status lines and summaries are what the admin address returns.
-func TestStatusOnTheWire(t *testing.T) {
+func TestStatusMatchesGolden(t *testing.T) {
 	line := LeaseStatus{
 		Lease: "trial/a", Holder: "a", Incarnation: 0xfedcba9876543210, Token: 11, RemainingMS: 500.5, Expired: true,
 		CheckpointAt: 4000.25, CheckpointAge: 250.5, Merged: []lease.Grant{{ID: "trial/c", Token: 9}},
--- a/internal/cluster/failover/manager.go
+++ b/internal/cluster/failover/manager.go
@@ -68,7 +68,7 @@
 	changes <-chan membership.Change // takeover begins as soon as a death is known
 
 	own             ownLease
-	checkpointSlot  slot                // held while a checkpoint is gathered and written
+	checkpointMutex contextMutex        // held while a checkpoint is gathered and written
 	manualTakeovers chan manualTakeover // from operators
 }
 
@@ -91,7 +91,7 @@
 			Holder: lease.Holder{Name: cfg.Name, Incarnation: cfg.Incarnation},
 			TTL:    float64(cfg.TTL) / float64(time.Millisecond),
 		}},
-		checkpointSlot:  make(slot, 1),
+		checkpointMutex: make(contextMutex, 1),
 		manualTakeovers: make(chan manualTakeover),
 	}
 }
--- a/internal/cluster/failover/manager_test.go
+++ b/internal/cluster/failover/manager_test.go
@@ -24,7 +24,7 @@
 // fakeLog is a log of one server, whose time the test sets.
 type fakeLog struct {
 	mu        sync.Mutex
-	part      StateMachine
+	machine   StateMachine
 	now       float64
 	intercept func(*lease.Command) error // before a command, without the lock; an error loses the command
 }
@@ -44,13 +44,13 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.part.Apply(0, l.now, raw), nil
+	return l.machine.Apply(0, l.now, raw), nil
 }
 
 func (l *fakeLog) Get(_ context.Context, _ string, to any) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	*to.(*lease.List) = l.part.table.List()
+	*to.(*lease.List) = l.machine.table.List()
 	return nil
 }
 
@@ -58,7 +58,7 @@
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if r := l.part.table.Apply(&c, l.now); r.Rejection != "" {
+	if r := l.machine.table.Apply(&c, l.now); r.Rejection != "" {
 		t.Fatalf("%+v: %s", c, r.Rejection)
 	}
 }
@@ -66,7 +66,7 @@
 func (l *fakeLog) get(id lease.ID) (lease.Lease, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.part.table.Get(id)
+	return l.machine.table.Get(id)
 }
 
 func (l *fakeLog) setIntercept(intercept func(*lease.Command) error) {
@@ -84,14 +84,14 @@
 
 // fakeEngine has evidence of so many responses, to which it adds what it acquires.
 type fakeEngine struct {
-	mu        sync.Mutex
-	responses float64
-	notified  int // events handled
-	revoked   int // how often its evidence was revoked
+	mu            sync.Mutex
+	responses     float64
+	handledEvents int // events handled
+	revocations   int // how often its evidence was revoked
 }
 
 func (e *fakeEngine) Evidence(context.Context) (decision.Evidence, bool) {
-	return evidenceOf(e.count()), true
+	return evidenceWith(e.responseCount()), true
 }
 
 func (e *fakeEngine) AcquireEvidence(evidence decision.Evidence) {
@@ -105,23 +105,23 @@
 func (e *fakeEngine) RevokeEvidence() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.revoked++
+	e.revocations++
 }
 
 func (e *fakeEngine) HandleEvent(decision.Event) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.notified++
+	e.handledEvents++
 }
 
-func (e *fakeEngine) count() float64 {
+func (e *fakeEngine) responseCount() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.responses
 }
 
 // evidenceOf is evidence of so many responses.
-func evidenceOf(responses float64) decision.Evidence {
+func evidenceWith(responses float64) decision.Evidence {
 	return decision.Evidence{Build: 8, Counts: []decision.EndpointCount{{Endpoint: "a", Build: 8, Succeeded: responses}}}
 }
 
@@ -150,7 +150,7 @@
 // checkpoint.
 func startManager(t *testing.T, ttl time.Duration, theirs []byte) (*fakeLog, *fakeEngine, *Manager) {
 	t.Helper()
-	log := &fakeLog{part: StateMachine{table: lease.NewTable()}}
+	log := &fakeLog{machine: StateMachine{table: lease.NewTable()}}
 	dead := lease.Holder{Name: "a", Incarnation: 1}
 	log.apply(t, lease.Command{Operation: lease.Acquire, ID: "trial/a", Holder: dead, TTL: 1000})
 	log.apply(t, lease.Command{
@@ -180,8 +180,8 @@
 
 // While a merge waits for its reply, the instance renews its own lease, and writes no checkpoint that lacks what it is
 // about to take over.
-func TestRenewsDuringTakeover(t *testing.T) {
-	theirs, err := msgpack.Marshal(&checkpoint{Parts: []decision.Evidence{evidenceOf(40)}})
+func TestRenewalsDuringMergeWriteNoCheckpoint(t *testing.T) {
+	theirs, err := msgpack.Marshal(&checkpoint{Evidence: []decision.Evidence{evidenceWith(40)}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -210,7 +210,7 @@
 	}
 	close(free)
 	waitFor(t, "merged", func() bool { _, there := log.get("trial/a"); return !there })
-	waitFor(t, "evidence acquired", func() bool { return engine.count() == 43 })
+	waitFor(t, "evidence acquired", func() bool { return engine.responseCount() == 43 })
 	waitFor(t, "checkpoints again", func() bool { return <-renewals > 0 })
 	l, _ := log.get("trial/b")
 	united, err := decodeCheckpoint(l.Checkpoint)
@@ -218,7 +218,7 @@
 		t.Errorf("%v: %+v", err, united)
 	}
 	sum := 0
-	for _, e := range united.Parts {
+	for _, e := range united.Evidence {
 		sum += countResponses(&e)
 	}
 	if sum != 43 {
@@ -227,7 +227,7 @@
 }
 
 // A checkpoint that can't be read abandons its lease, once, even where the first command is lost, and is listed.
-func TestUnreadableCheckpoint(t *testing.T) {
+func TestUnreadableCheckpointIsAbandonedOnce(t *testing.T) {
 	log, engine, manager := startManager(t, 200*time.Millisecond, []byte("not a checkpoint"))
 	lost := false
 	log.setIntercept(func(c *lease.Command) error {
@@ -244,7 +244,7 @@
 		!strings.Contains(lines[1].AbandonReason, "can't be read") {
 		t.Errorf("%v: %+v", err, lines)
 	}
-	if n := engine.count(); n != 3 {
+	if n := engine.responseCount(); n != 3 {
 		t.Errorf("%v responses", n)
 	}
 	if l, _ := log.get("trial/b"); l.Token != 2 {
@@ -253,22 +253,22 @@
 }
 
 // Without a valid lease a rollback vote is sent, and a vote that advances or holds a build is not.
-func TestVotesUnderLease(t *testing.T) {
+func TestVoteWithoutLeaseSendsRollbackOnly(t *testing.T) {
 	engine := &fakeEngine{}
-	manager := newManager(&fakeLog{part: StateMachine{table: lease.NewTable()}}, engine, time.Second)
+	manager := newManager(&fakeLog{machine: StateMachine{table: lease.NewTable()}}, engine, time.Second)
 	for _, test := range []struct {
 		verdict decision.Verdict
 		want    int // votes reported as failed, with those before
 	}{{decision.VoteAdvance, 1}, {decision.VoteHold, 2}, {decision.VoteRollback, 2}, {decision.VoteNone, 2}} {
 		manager.Vote(decision.Vote{Verdict: test.verdict})
-		if engine.notified != test.want {
-			t.Errorf("verdict %v: %d votes reported as failed, want %d", test.verdict, engine.notified, test.want)
+		if engine.handledEvents != test.want {
+			t.Errorf("verdict %v: %d votes reported as failed, want %d", test.verdict, engine.handledEvents, test.want)
 		}
 	}
 }
 
 // Callers tell by type why a takeover failed.
-func TestTakeoverErrors(t *testing.T) {
+func TestTakeOverErrorTypes(t *testing.T) {
 	_, _, manager := startManager(t, 200*time.Millisecond, []byte("not a checkpoint"))
 	if err := manager.TakeOver(t.Context(), "trial/b"); !errors.Is(err, ErrOwnLease) {
 		t.Errorf("its own lease: %v", err)
@@ -281,7 +281,7 @@
 }
 
 // A takeover that can't resume the work reports that it abandoned the lease.
-func TestAbandonedTakeover(t *testing.T) {
+func TestTakeOverReportsAbandonedLease(t *testing.T) {
 	log, _, manager := startManager(t, time.Minute, []byte("not a checkpoint")) // so long that no takeover is automatic
 	log.expire()
 	var abandoned *AbandonedError
--- a/internal/cluster/failover/ownlease.go
+++ b/internal/cluster/failover/ownlease.go
@@ -38,7 +38,7 @@
 }
 
 // newSeq is the number of the next checkpoint.
-func (o *ownLease) newSeq() uint64 {
+func (o *ownLease) nextSeq() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.seq++
--- a/internal/cluster/failover/propose.go
+++ b/internal/cluster/failover/propose.go
@@ -57,7 +57,7 @@
 	for {
 		reply, err := mgr.propose(ctx, command)
 		if err == nil {
-			return rejected(reply)
+			return rejectionError(reply)
 		}
 		select {
 		case <-ctx.Done():
@@ -68,7 +68,7 @@
 }
 
 // rejected is the rejection in a reply as an error, nil if the command was applied.
-func rejected(r *lease.Reply) error {
+func rejectionError(r *lease.Reply) error {
 	if r.Rejection == "" {
 		return nil
 	}
--- a/internal/cluster/failover/release.go
+++ b/internal/cluster/failover/release.go
@@ -10,11 +10,11 @@
 
 // ReleaseAll writes a last checkpoint and releases this instance's lease, so that a successor takes it over at once.
 func (mgr *Manager) ReleaseAll(ctx context.Context) {
-	if mgr.checkpointSlot.lock(ctx) != nil {
+	if mgr.checkpointMutex.lock(ctx) != nil {
 		return
 	}
-	defer mgr.checkpointSlot.unlock()
-	raw := mgr.encodedCheckpoint(ctx)
+	defer mgr.checkpointMutex.unlock()
+	raw := mgr.collectEncodedCheckpoint(ctx)
 	session := mgr.own.current()
 	if !session.Valid(mgr.clock.Now()) {
 		return
--- a/internal/cluster/failover/renew.go
+++ b/internal/cluster/failover/renew.go
@@ -12,9 +12,9 @@
 // lease is renewed without one.
 func (mgr *Manager) renew(ctx context.Context) {
 	var raw []byte
-	if mgr.checkpointSlot.tryLock() {
-		defer mgr.checkpointSlot.unlock()
-		raw = mgr.encodedCheckpoint(ctx)
+	if mgr.checkpointMutex.tryLock() {
+		defer mgr.checkpointMutex.unlock()
+		raw = mgr.collectEncodedCheckpoint(ctx)
 	}
 	command := mgr.own.nextCommand(raw)
 	reply, err := mgr.propose(ctx, &command)
@@ -26,12 +26,12 @@
 	case command.Operation == lease.Acquire && reply.Rejection != "":
 		mgr.logger.WithFields(logrus.Fields{"work": command.ID, "refused": reply.Rejection}).Debug("lease not acquired")
 	case command.Operation == lease.Acquire:
-		mgr.acquired(&reply.Lease)
+		mgr.handleAcquired(&reply.Lease)
 	}
 }
 
 // acquired resumes from the checkpoint of the lease that was granted.
-func (mgr *Manager) acquired(l *lease.Lease) {
+func (mgr *Manager) handleAcquired(l *lease.Lease) {
 	mgr.logger.WithFields(logrus.Fields{
 		"work": mgr.own.current().ID, "token": uint64(l.Token), "bytes": len(l.Checkpoint),
 	}).Info("lease acquired")
@@ -40,5 +40,5 @@
 		mgr.logger.WithError(err).Error("checkpoint unreadable")
 		return
 	}
-	mgr.resume(&resumed)
+	mgr.deliverEvidence(&resumed)
 }
--- a/internal/cluster/failover/renew_test.go
+++ b/internal/cluster/failover/renew_test.go
@@ -10,8 +10,8 @@
 
 // Each renewal numbers its checkpoint. When a renewal is rejected because another instance has the lease, the
 // evidence is revoked once, with the leases that were merged into it.
-func TestRenewUntilLost(t *testing.T) {
-	log, engine := &fakeLog{part: StateMachine{table: lease.NewTable()}}, &fakeEngine{responses: 3}
+func TestLostRenewalRevokesEvidenceOnce(t *testing.T) {
+	log, engine := &fakeLog{machine: StateMachine{table: lease.NewTable()}}, &fakeEngine{responses: 3}
 	manager := newManager(log, engine, time.Second)
 	for range 4 { // acquires, and renews three times
 		manager.renew(t.Context())
@@ -29,8 +29,8 @@
 	for range 2 { // rejected as stale, and rejected because another holds the lease
 		manager.renew(t.Context())
 	}
-	if engine.revoked != 1 {
-		t.Errorf("evidence was revoked %d times", engine.revoked)
+	if engine.revocations != 1 {
+		t.Errorf("evidence was revoked %d times", engine.revocations)
 	}
 	if allowed, fences := manager.own.mayVote(decision.VoteAdvance, manager.clock.Now()); allowed || len(fences) != 1 {
 		t.Errorf("after the loss: a vote may be sent: %v, under %+v", allowed, fences)
--- a/internal/cluster/failover/takeover.go
+++ b/internal/cluster/failover/takeover.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	if err := rejected(granted); err != nil {
+	if err := rejectionError(granted); err != nil {
 		return err
 	}
 	grant := lease.Grant{ID: leaseID, Token: granted.Lease.Token}
@@ -66,14 +66,14 @@
 	if err != nil {
 		return mgr.abandon(ctx, grant, fmt.Sprintf("its checkpoint can't be read: %v", err))
 	}
-	if err := mgr.checkpointSlot.lock(ctx); err != nil {
+	if err := mgr.checkpointMutex.lock(ctx); err != nil {
 		return err
 	}
-	defer mgr.checkpointSlot.unlock()
+	defer mgr.checkpointMutex.unlock()
 	if err := mgr.merge(ctx, &session, grant, &inherited); err != nil {
 		return err
 	}
-	responses := mgr.resume(&inherited)
+	responses := mgr.deliverEvidence(&inherited)
 	mgr.own.addMerged(grant)
 	mgr.logger.WithFields(logrus.Fields{
 		"work": leaseID, "token": uint64(grant.Token), "into": session.ID, "hits": responses,
@@ -85,10 +85,10 @@
 // instance's own lease. A united checkpoint that is too long for a lease abandons the one that was taken over. The
 // caller holds the checkpoint slot.
 func (mgr *Manager) merge(ctx context.Context, session *lease.Session, grant lease.Grant, inherited *checkpoint) error {
-	gathered, _ := mgr.gather(ctx) // nothing where no build is on trial
+	gathered, _ := mgr.collectCheckpoint(ctx) // nothing where no build is on trial
 	united := checkpoint{
-		Parts:  append(gathered.Parts, inherited.Parts...),
-		Merged: append(mgr.own.mergedWith(inherited.Merged...), grant),
+		Evidence: append(gathered.Evidence, inherited.Evidence...),
+		Merged:   append(mgr.own.mergedWith(inherited.Merged...), grant),
 	}
 	raw, err := msgpack.Marshal(&united)
 	if err != nil {
@@ -99,7 +99,7 @@
 	}
 	return mgr.proposeUntilReply(ctx, &lease.Command{
 		Operation: lease.Merge, ID: grant.ID, Holder: session.Holder, Token: grant.Token, TTL: session.TTL,
-		Into: session.ID, IntoToken: session.Token(), Checkpoint: raw, CheckpointSeq: mgr.own.newSeq(),
+		Into: session.ID, IntoToken: session.Token(), Checkpoint: raw, CheckpointSeq: mgr.own.nextSeq(),
 	})
 }
 
--- a/internal/cluster/failover/takeover_test.go
+++ b/internal/cluster/failover/takeover_test.go
@@ -13,10 +13,10 @@
 
 // A merge whose first command is lost is sent again, without a second takeover, and its checkpoint holds the evidence
 // and the merged leases of both.
-func TestMergeCommand(t *testing.T) {
+func TestLostMergeIsResent(t *testing.T) {
 	earlier := lease.Grant{ID: "trial/c", Token: 1}
 	theirs, err := msgpack.Marshal(&checkpoint{
-		Parts: []decision.Evidence{evidenceOf(40)}, Merged: []lease.Grant{earlier},
+		Evidence: []decision.Evidence{evidenceWith(40)}, Merged: []lease.Grant{earlier},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 	}
 	first := <-merges
 	united, err := decodeCheckpoint(first.Checkpoint)
-	if err != nil || len(united.Parts) != 2 || countResponses(&united.Parts[0])+countResponses(&united.Parts[1]) != 43 {
+	if err != nil || len(united.Evidence) != 2 || countResponses(&united.Evidence[0])+countResponses(&united.Evidence[1]) != 43 {
 		t.Errorf("%v: %+v", err, united)
 	}
 	want := []lease.Grant{earlier, {ID: "trial/a", Token: first.Token}}
--- a/internal/cluster/lease/clockskew_test.go
+++ b/internal/cluster/lease/clockskew_test.go
@@ -9,59 +9,61 @@
 
 const skewTTL Millis = 5000
 
-// skewedInstance has a clock of its own, which is off by up to an hour and runs fast or slow by up to a tenth.
+// skewedInstance is an instance whose local clock differs from true time by up to an hour and whose clock rate differs
+// by up to a tenth.
 type skewedInstance struct {
-	offset, rate Millis // ms; ms of its clock a true ms
+	offset, rate Millis // offset in ms; rate in local ms per true ms
 	session      Session
 	dead         bool
 }
 
-func (m *skewedInstance) clock(at Millis) Millis { return m.offset + at*m.rate }
+func (m *skewedInstance) localTime(at Millis) Millis { return m.offset + at*m.rate }
 
-// renewalDue tells whether the instance has no lease, or half of it is left at most.
+// renewalDue reports whether the instance has no lease, or at most half of the lease's TTL is left.
 func (m *skewedInstance) renewalDue(sent Millis) bool {
 	return m.session.token == 0 || sent >= m.session.trustedUntil-skewTTL/2
 }
 
-// skewedCluster is five instances, of which one leads the log, and the log's table.
+// skewedCluster simulates five instances, one of which leads the log, and the lease table that the log maintains.
 type skewedCluster struct {
-	seed        uint64
-	chance      *rand.Rand
-	instances   []*skewedInstance
-	leader      int
-	table       *Table
-	clock       logclock.Clock
-	at          Millis // true time
-	died, taken Millis // when the first instance died and its lease was taken over; below 0: not yet
+	seed                uint64
+	rng                 *rand.Rand
+	instances           []*skewedInstance
+	leader              int
+	table               *Table
+	clock               logclock.Clock
+	now                 Millis // true time
+	diedAt, takenOverAt Millis // death of the first instance and takeover of its lease, true time; below 0: not yet
 }
 
 func newSkewedCluster(seed uint64) *skewedCluster {
-	s := &skewedCluster{seed: seed, chance: rand.New(rand.NewPCG(seed, 9)), table: NewTable(), died: -1, taken: -1}
+	s := &skewedCluster{seed: seed, rng: rand.New(rand.NewPCG(seed, 9)), table: NewTable(), diedAt: -1, takenOverAt: -1}
 	for _, name := range []string{"a", "b", "c", "d", "e"} {
 		s.instances = append(s.instances, &skewedInstance{
-			offset: (s.chance.Float64() - 0.5) * 7.2e6, rate: 0.9 + 0.2*s.chance.Float64(),
+			offset: (s.rng.Float64() - 0.5) * 7.2e6, rate: 0.9 + 0.2*s.rng.Float64(),
 			session: Session{ID: TrialID(name), Holder: Holder{name, 1}, TTL: skewTTL},
 		})
 	}
 	return s
 }
 
-// apply appends a command to the log, stamped by its leader's clock.
+// apply appends a command to the log, stamped by the leader's clock.
 func (s *skewedCluster) apply(c *Command) Reply {
-	stamp := logclock.Stamp{Process: uint64(s.leader + 1), Uptime: s.instances[s.leader].clock(s.at)}
+	stamp := logclock.Stamp{Process: uint64(s.leader + 1), Uptime: s.instances[s.leader].localTime(s.now)}
 	return s.table.Apply(c, s.clock.Advance(stamp))
 }
 
-// advance moves the time on, changes leaders now and then, and has the first instance die after 20 s.
+// advance moves true time forward by up to 20 ms. One call in 50 elects another leader, and the first instance dies
+// after 20 s.
 func (s *skewedCluster) advance() {
-	s.at += 20 * s.chance.Float64()
-	if s.chance.IntN(50) == 0 {
-		s.leader = s.chance.IntN(len(s.instances))
+	s.now += 20 * s.rng.Float64()
+	if s.rng.IntN(50) == 0 {
+		s.leader = s.rng.IntN(len(s.instances))
 		s.skipDeadLeader()
 	}
-	if s.died < 0 && s.at > 20_000 {
+	if s.diedAt < 0 && s.now > 20_000 {
 		s.instances[0].dead = true
-		s.died = s.at
+		s.diedAt = s.now
 		s.leader = 0
 		s.skipDeadLeader()
 	}
@@ -69,34 +71,34 @@
 
 func (s *skewedCluster) skipDeadLeader() {
 	for s.instances[s.leader].dead {
-		s.leader = s.chance.IntN(len(s.instances))
+		s.leader = s.rng.IntN(len(s.instances))
 	}
 }
 
-// step has a random instance keep its lease, or try to take over another's.
+// step makes a random instance renew its lease or try to take over the lease of another instance.
 func (s *skewedCluster) step(t *testing.T) {
 	t.Helper()
-	instance := s.instances[s.chance.IntN(len(s.instances))]
+	instance := s.instances[s.rng.IntN(len(s.instances))]
 	if instance.dead {
 		return
 	}
-	sent := instance.clock(s.at)
-	if s.chance.IntN(4) > 0 && instance.renewalDue(sent) {
+	sent := instance.localTime(s.now)
+	if s.rng.IntN(4) > 0 && instance.renewalDue(sent) {
 		command := instance.session.Next(nil)
-		s.at += 50 * s.chance.Float64() // on the way
+		s.now += 50 * s.rng.Float64() // network delay
 		reply := s.apply(&command)
 		if instance.session.HandleReply(&command, sent, &reply) {
-			t.Fatalf("seed %d: %s lost its lease at %.0f ms: %s", s.seed, instance.session.Holder.Name, s.at, reply.Rejection)
+			t.Fatalf("seed %d: %s lost its lease at %.0f ms: %s", s.seed, instance.session.Holder.Name, s.now, reply.Rejection)
 		}
 		return
 	}
-	victim := s.instances[s.chance.IntN(len(s.instances))]
+	victim := s.instances[s.rng.IntN(len(s.instances))]
 	if victim != instance {
 		s.takeOver(t, instance, victim)
 	}
 }
 
-// takeOver expects that the victim's lease is granted only if the victim does not rely on it any more.
+// takeOver tries to take over the victim's lease. A grant while a live victim still trusts its lease fails the test.
 func (s *skewedCluster) takeOver(t *testing.T, instance, victim *skewedInstance) {
 	t.Helper()
 	reply := s.apply(&Command{Operation: TakeOver, ID: victim.session.ID, Holder: instance.session.Holder, TTL: skewTTL})
@@ -104,31 +106,32 @@
 		return
 	}
 	if victim.dead {
-		if s.taken < 0 {
-			s.taken = s.at
+		if s.takenOverAt < 0 {
+			s.takenOverAt = s.now
 		}
 		return
 	}
-	if victim.session.Valid(victim.clock(s.at)) {
-		t.Fatalf("seed %d: %s took over at %.0f ms what %s holds by its own clock", s.seed, instance.session.Holder.Name,
-			s.at, victim.session.Holder.Name)
+	if victim.session.Valid(victim.localTime(s.now)) {
+		t.Fatalf("seed %d: %s took over at %.0f ms the lease of %s, want it held while its holder trusts it", s.seed,
+			instance.session.Holder.Name, s.now, victim.session.Holder.Name)
 	}
-	// It expired because its holder had no turn to renew it; give it back.
+	// The lease expired because step did not pick the victim in time. Releasing the lease lets the victim acquire it
+	// again.
 	s.apply(&Command{Operation: Release, ID: victim.session.ID, Holder: instance.session.Holder, Token: reply.Lease.Token})
 	victim.session.token, victim.session.lost = 0, false
 }
 
-// With clocks that differ in time and rate and any instance leading the log, no lease is taken over that its holder
-// still relies on by its own clock, and a dead instance's lease is taken over soon.
-func TestLeasesUnderClockSkew(t *testing.T) {
+// Guards against a takeover while the holder still trusts its lease. Local clocks that differ in offset and rate, and a
+// leader of the log that changes, could cause one. The lease of a dead instance must be taken over within 1.5 TTL.
+func TestClockSkewNeverRevokesTrustedLease(t *testing.T) {
 	for seed := range uint64(300) {
 		cluster := newSkewedCluster(seed)
-		for cluster.at < 60_000 {
+		for cluster.now < 60_000 {
 			cluster.advance()
 			cluster.step(t)
 		}
-		if wait := cluster.taken - cluster.died; cluster.taken < 0 || wait > 1.5*skewTTL {
-			t.Errorf("seed %d: the dead instance's lease was taken over after %.0f ms", seed, wait)
+		if wait := cluster.takenOverAt - cluster.diedAt; cluster.takenOverAt < 0 || wait > 1.5*skewTTL {
+			t.Errorf("seed %d: got takeover of the dead instance's lease after %.0f ms, want at most 1.5 TTL", seed, wait)
 		}
 	}
 }
--- a/internal/cluster/lease/command.go
+++ b/internal/cluster/lease/command.go
@@ -5,43 +5,43 @@
 	"strings"
 )
 
-// Operation is what a command does. The values are stored in the log.
+// Operation selects what a command does to a lease. The values are stored in the log.
 type Operation int
 
-// Operations of a command. Each names what the table does with the lease; see Lease for the transitions.
+// Operations of a command. Lease lists the state transitions that they cause.
 const (
-	Acquire  Operation = iota + 1 // an instance's own lease: absent, expired, or held by the same instance
-	Renew                         // extend the lease, with a newer checkpoint where there is one
-	TakeOver                      // another instance's lease, once it has expired
-	Merge                         // end a lease that was taken over: its work is now in the holder's own checkpoint
-	Release                       // expire the lease at once
-	Abandon                       // end a lease that was taken over and whose work can't be resumed
+	Acquire  Operation = iota + 1 // grants an instance its own lease if absent, expired, or held by the same instance
+	Renew                         // extends the lease and writes the checkpoint if the command has a newer one
+	TakeOver                      // grants the expired lease of another instance
+	Merge                         // ends a lease that was taken over and writes its work to the holder's own checkpoint
+	Release                       // expires the lease immediately
+	Abandon                       // ends a lease that was taken over and whose work can't be resumed
 )
 
-// Command is one entry of the log. Which fields count depends on the operation.
+// Command is one entry of the log. Each operation uses a subset of the fields.
 type Command struct {
 	Operation     Operation `msgpack:"Verb"`
 	ID            ID        `msgpack:"Work"`
-	Holder        Holder    `msgpack:"By"`         // who proposes it
+	Holder        Holder    `msgpack:"By"`         // the proposing process
 	Token         Token     `msgpack:"Token"`      // of the lease ID; unused by Acquire and TakeOver
 	TTL           Millis    `msgpack:"Span"`       // minTTL to maxTTL, higher delays takeover; unused by Release, Abandon
-	Checkpoint    []byte    `msgpack:"Checkpoint"` // Renew and Merge; nil in Renew: the earlier one stays
+	Checkpoint    []byte    `msgpack:"Checkpoint"` // Renew and Merge; nil in Renew keeps the stored checkpoint
 	Into          ID        `msgpack:"Into"`       // Merge: the holder's own lease
 	IntoToken     Token     `msgpack:"IntoToken"`  // Merge: of the lease Into
-	CheckpointSeq uint64    `msgpack:"Seq"`        // of Checkpoint: higher than every one that this holder wrote before
+	CheckpointSeq uint64    `msgpack:"Seq"`        // of Checkpoint; a holder increases the number with each checkpoint
 	Reason        string    `msgpack:"Why"`        // Abandon: up to MaxReasonBytes
 }
 
-// Reply says what became of a command.
+// Reply is the result of a command.
 type Reply struct {
-	Rejection string `msgpack:"Refused"` // why the command changed nothing; empty: it was applied
-	Lease     Lease  `msgpack:"Lease"`   // Acquire and TakeOver: as granted, with the checkpoint to resume from
+	Rejection string `msgpack:"Refused"` // why the command was rejected and changed nothing; empty if it was applied
+	Lease     Lease  `msgpack:"Lease"`   // Acquire and TakeOver: the granted lease, with the checkpoint to resume from
 }
 
-// Bounds of commands and of the table.
+// Limits of commands and of the table.
 const (
-	MaxCheckpointBytes = 256 << 10 // of an encoded checkpoint
-	MaxReasonBytes     = 200       // of a reason for an abandonment
+	MaxCheckpointBytes = 256 << 10 // length of an encoded checkpoint
+	MaxReasonBytes     = 200       // length of the reason for an abandonment
 
 	maxIDBytes            = 80
 	maxHolderBytes        = 64
@@ -49,22 +49,22 @@
 	maxTTL         Millis = 3.6e6
 
 	maxLeases    = 8192
-	maxMerged    = 64 // grants that a lease remembers, to fence votes and to recognize a repeated Merge
-	maxAbandoned = 64 // abandoned leases that a table remembers
+	maxMerged    = 64 // merged leases that a lease keeps, to fence votes and to recognize a repeated Merge
+	maxAbandoned = 64 // abandoned leases that a table keeps
 )
 
-// check returns why a command is invalid whatever the table holds, or "".
-func (c *Command) check() string {
+// validate checks the command independently of the table's content. It returns why the command is invalid, or "".
+func (c *Command) validate() string {
 	if c.Operation < Acquire || c.Operation > Abandon {
 		return fmt.Sprintf("no command %d", c.Operation)
 	}
-	if fault := c.checkNames(); fault != "" {
-		return fault
+	if reason := c.validateNames(); reason != "" {
+		return reason
 	}
-	return c.checkBounds()
+	return c.validateLimits()
 }
 
-func (c *Command) checkNames() string {
+func (c *Command) validateNames() string {
 	switch {
 	case c.ID == "" || len(c.ID) > maxIDBytes || len(c.Into) > maxIDBytes || !strings.Contains(string(c.ID), "/"):
 		return fmt.Sprintf("no piece of work: %q", c.ID)
@@ -74,7 +74,7 @@
 	return ""
 }
 
-func (c *Command) checkBounds() string {
+func (c *Command) validateLimits() string {
 	switch {
 	case len(c.Reason) > MaxReasonBytes:
 		return fmt.Sprintf("a reason of %d bytes", len(c.Reason))
--- a/internal/cluster/lease/golden_test.go
+++ b/internal/cluster/lease/golden_test.go
@@ -9,7 +9,7 @@
 	"ottershed/internal/golden"
 )
 
-// goldenLease is a lease with every field set.
+// goldenLease returns a lease with every field set.
 func goldenLease() Lease {
 	return Lease{
 		ID: "trial/a", Holder: Holder{Name: "a", Incarnation: 0xfedcba9876543210}, Token: 11, ExpiresAt: 5000.5,
@@ -21,8 +21,8 @@
 	return Abandoned{ID: "trial/d", Token: 8, Holder: "a", Reason: "can't be read", At: 3000.75}
 }
 
-// Commands are entries of the replicated log.
-func TestStoredCommands(t *testing.T) {
+// Guards the encoding of commands, which are entries of the replicated log.
+func TestStoredCommandsMatchGolden(t *testing.T) {
 	operations := map[string]Operation{
 		"claim": Acquire, "keep": Renew, "take": TakeOver, "merge": Merge, "release": Release, "end": Abandon,
 	}
@@ -35,20 +35,20 @@
 	}
 }
 
-// Replies are what the log returns for a command.
-func TestReplyOnTheWire(t *testing.T) {
+// Guards the encoding of replies, which a server of the log sends to the proposer of a command.
+func TestReplyMatchesGolden(t *testing.T) {
 	reply := Reply{Rejection: "held by another", Lease: goldenLease()}
 	golden.RoundTrip(t, "reply.msgpack", reply, msgpack.Marshal, msgpack.Unmarshal)
 }
 
-// The list of leases is what a server of the log returns.
-func TestListOnTheWire(t *testing.T) {
+// Guards the encoding of the list of leases, which servers of the log send to instances.
+func TestListMatchesGolden(t *testing.T) {
 	list := List{Now: 4500.5, Leases: []Lease{goldenLease()}, Abandoned: []Abandoned{goldenAbandoned()}}
 	golden.RoundTrip(t, "list.json", list, json.Marshal, json.Unmarshal)
 }
 
-// The table is a part of the log's snapshots.
-func TestStoredTable(t *testing.T) {
+// Guards the encoding of the table, which is part of the log's snapshots.
+func TestStoredTableMatchesGolden(t *testing.T) {
 	lease, second := goldenLease(), goldenLease()
 	second.ID, second.Token = "trial/b", 10
 	stored := &Table{
--- a/internal/cluster/lease/log_golden_test.go
+++ b/internal/cluster/lease/log_golden_test.go
@@ -16,9 +16,9 @@
 	Merged: []Grant{{ID: "trial/n1", Token: 3}, {ID: "trial/n2", Token: 4}},
 }
 
-// The bytes of commands, replies and snapshots in the replicated log, and the list that servers return, are those of
-// the golden file: servers of different versions read each other's, and stores outlive restarts.
-func TestGoldenLog(t *testing.T) {
+// Guards the encoding of commands, replies and snapshots in the replicated log, and of the list that servers return.
+// Servers of different versions read each other's data, and stored data outlives upgrades.
+func TestLogEncodingsMatchGolden(t *testing.T) {
 	table := NewTable()
 	table.leases["trial/n0"], table.lastToken, table.now = &wireLease, 10, 2000.5
 	table.abandoned = []Abandoned{{ID: "trial/n4", Token: 2, Holder: "n0", Reason: "unreadable", At: 900.5}}
@@ -26,20 +26,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	observed := golden.Section("command", packed(t, &Command{
+	observed := golden.Section("command", encodeMsgpack(t, &Command{
 		Operation: Merge, ID: "trial/n1", Holder: Holder{Name: "n0", Incarnation: 5}, Token: 3,
 		TTL: 5000, Checkpoint: []byte("seen"), Into: "trial/n0", IntoToken: 9, CheckpointSeq: 7, Reason: "why",
 	})) +
-		golden.Section("reply", packed(t, &Reply{Rejection: "why", Lease: wireLease})) +
+		golden.Section("reply", encodeMsgpack(t, &Reply{Rejection: "why", Lease: wireLease})) +
 		golden.Section("snapshot", golden.Quote(snapshot)) +
-		golden.Section("list", plain(t, List{Now: 2000.5, Leases: []Lease{wireLease}, Abandoned: table.abandoned}))
+		golden.Section("list", encodeJSON(t, List{Now: 2000.5, Leases: []Lease{wireLease}, Abandoned: table.abandoned}))
 	if err := golden.Check("testdata/log.golden", []byte(observed)); err != nil {
 		t.Error(err)
 	}
 }
 
-// packed encodes a value as the log stores it.
-func packed(t *testing.T, value any) string {
+// encodeMsgpack returns the quoted msgpack encoding of a value, which the log stores.
+func encodeMsgpack(t *testing.T, value any) string {
 	t.Helper()
 	raw, err := msgpack.Marshal(value)
 	if err != nil {
@@ -48,8 +48,8 @@
 	return golden.Quote(raw) + "\n"
 }
 
-// plain encodes a value as servers return it.
-func plain(t *testing.T, value any) string {
+// encodeJSON returns the indented JSON of a value, which servers return.
+func encodeJSON(t *testing.T, value any) string {
 	t.Helper()
 	raw, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
--- a/internal/cluster/lease/resume.go
+++ b/internal/cluster/lease/resume.go
@@ -2,19 +2,19 @@
 
 import "ottershed/decision"
 
-// ResumeDecision is what becomes of a request that its client sends again because the instance that had it died
-// before it responded. How far the first attempt came is unknown.
+// ResumeDecision says how to handle a request that the client resends because the instance that received it first died
+// before responding. The progress of the first attempt is unknown.
 type ResumeDecision int
 
-// Decisions on a request that is sent again.
+// Decisions on a resent request.
 const (
-	ResumeAdmit  ResumeDecision = iota // handle it as any other request
-	ResumeReject                       // fail it at once, without an attempt
+	ResumeAdmit  ResumeDecision = iota // handle the request like any other
+	ResumeReject                       // fail the request immediately, without an attempt
 )
 
-// DecideResume decides by what a second execution would do. The first attempt may have run at an endpoint that is
-// unknown. A non-idempotent request must not run twice. One that is idempotent with its key is safe only at endpoints
-// that share the key, for the length of their deduplication window, and when that began is unknown too.
+// DecideResume admits a resent request only if a second execution does no harm. The first attempt may have run at an
+// endpoint that is unknown here. A non-idempotent request must not run twice. A request that is idempotent with its key
+// is safe only at endpoints that share the key and within their deduplication window, whose start is unknown too.
 func DecideResume(class *decision.RequestClass) ResumeDecision {
 	if class.Idempotency == decision.Idempotent {
 		return ResumeAdmit
--- a/internal/cluster/lease/resume_test.go
+++ b/internal/cluster/lease/resume_test.go
@@ -6,8 +6,8 @@
 	"ottershed/decision"
 )
 
-// A request that is sent again is admitted only where a second execution does no harm.
-func TestDecideResume(t *testing.T) {
+// Guards against a second execution of a resent request whose class is not idempotent, or only with its key.
+func TestDecideResumeAdmitsIdempotentOnly(t *testing.T) {
 	zoneKey := decision.RequestClass{Idempotency: decision.IdempotentWithKey, RetryScope: decision.ScopeZone}
 	sharedKey := decision.RequestClass{
 		Idempotency: decision.IdempotentWithKey, RetryScope: decision.ScopeAll, DedupWindow: 1000,
--- a/internal/cluster/lease/session.go
+++ b/internal/cluster/lease/session.go
@@ -2,33 +2,33 @@
 
 import "ottershed/decision"
 
-// trustedShare is the share of a lease's TTL, 0 to 1, that its holder relies on. The log's time runs by its leader's
-// clock: with that clock a tenth fast and the holder's a tenth slow, a holder that relied on the whole TTL would
-// still act while a successor already may. A higher share tolerates longer outages of the log and less difference in
-// clock rates.
+// trustedShare is the part of a lease's TTL, 0 to 1, during which the holder acts under the lease. The log's time
+// advances with its leader's clock. If that clock runs a tenth fast and the holder's clock a tenth slow, a holder that
+// trusted the whole TTL would still act after a successor has taken over. A higher share tolerates longer outages of
+// the log, but only smaller differences in clock rate.
 const trustedShare = 0.8
 
-// Session is an instance's own lease as the instance knows it. Its states:
+// Session is an instance's view of its own lease. Its states are:
 //
 //	unheld  no lease was granted yet
-//	held    granted; valid until trustedUntil by the instance's own clock, and valid again when a renewal arrives
-//	lost    rejected as stale: another instance holds the lease, or it is gone
+//	held    granted; valid until trustedUntil by the instance's local clock, and valid again after a renewal
+//	lost    rejected as stale: another instance holds the lease, or the lease has ended
 //
-// Transitions, all in HandleReply:
+// HandleReply makes all transitions:
 //
 //	unheld, lost  -> held  Acquire was applied
-//	held          -> held  Renew was applied; its time is extended
-//	held          -> lost  Renew was rejected under the session's token, or Merge into its lease
+//	held          -> held  Renew was applied and extended the lease
+//	held          -> lost  Renew under the session's token, or Merge into the session's lease, was rejected
 //
 // A Session is not safe for concurrent use.
 type Session struct {
 	ID     ID
 	Holder Holder
-	TTL    Millis // of the lease, asked for in each command
+	TTL    Millis // of the lease, requested in each command
 
-	token        Token  // the newest that was granted; stays while the lease is lost
-	trustedUntil Millis // by the instance's own clock, see trustedShare
-	lost         bool   // since token was granted
+	token        Token  // the newest granted token; stays set while the lease is lost
+	trustedUntil Millis // by the instance's local clock, see trustedShare
+	lost         bool   // whether the lease granted under token was lost
 }
 
 type sessionState int
@@ -50,14 +50,14 @@
 	}
 }
 
-// Valid tells whether the instance may act under its lease, at a time of the instance's own clock.
+// Valid reports whether the instance may act under its lease at now, a time of the instance's local clock.
 func (s *Session) Valid(now Millis) bool { return s.state() == held && now < s.trustedUntil }
 
-// Token is the newest token of the session, 0 before the first.
+// Token returns the newest granted token, or 0 before the first grant.
 func (s *Session) Token() Token { return s.token }
 
-// Next is the command to propose now: it acquires a lease, or renews the one that is held, with a checkpoint unless
-// nil.
+// Next returns the command to propose next. The command renews the lease if it is held, with a checkpoint unless that
+// is nil; otherwise the command acquires the lease.
 func (s *Session) Next(checkpoint []byte) Command {
 	if s.state() != held {
 		return Command{Operation: Acquire, ID: s.ID, Holder: s.Holder, TTL: s.TTL}
@@ -65,37 +65,38 @@
 	return Command{Operation: Renew, ID: s.ID, Holder: s.Holder, Token: s.token, TTL: s.TTL, Checkpoint: checkpoint}
 }
 
-// HandleReply takes the reply to a command that was sent at a time of the instance's own clock. It tells whether the
-// lease was lost just now: the instance has to drop its evidence then, which a successor has resumed from the last
-// checkpoint, or the same outcomes would be judged twice.
+// HandleReply processes the reply to a command that was sent at sent, a time of the instance's local clock. It reports
+// whether this reply revoked the lease. The instance must then drop its evidence: a successor has resumed from the last
+// checkpoint, and the same outcomes would be judged twice.
 func (s *Session) HandleReply(c *Command, sent Millis, r *Reply) (revoked bool) {
 	applied := r.Rejection == ""
 	switch {
 	case c.Operation == Acquire && applied:
 		s.token = r.Lease.Token
-		s.trustedUntil = s.trustedFrom(sent)
+		s.trustedUntil = s.trustLimit(sent)
 		s.lost = false
 	case c.Operation == Renew && applied && c.Token == s.token:
-		s.trustedUntil = max(s.trustedUntil, s.trustedFrom(sent))
-	case s.lostBy(c) && !applied:
+		s.trustedUntil = max(s.trustedUntil, s.trustLimit(sent))
+	case s.invalidatedBy(c) && !applied:
 		revoked = s.state() != lost
 		s.lost = true
 	}
 	return revoked
 }
 
-// trustedFrom is until when a lease is trusted that was asked for at a time. Counted from the reply, the instance would
-// rely on it for longer than the log grants it.
-func (s *Session) trustedFrom(sent Millis) Millis { return sent + trustedShare*s.TTL }
+// trustLimit returns until when the instance may trust a lease that it requested at sent. Counting from the reply
+// instead would let the instance trust the lease for longer than the log grants it.
+func (s *Session) trustLimit(sent Millis) Millis { return sent + trustedShare*s.TTL }
 
-// lostBy tells whether a rejection of the command means that the session's lease is another's or gone.
-func (s *Session) lostBy(c *Command) bool {
+// invalidatedBy reports whether a rejection of the command means that the session's lease is held by another instance
+// or has ended.
+func (s *Session) invalidatedBy(c *Command) bool {
 	return c.Operation == Renew && c.Token == s.token || c.Operation == Merge && c.IntoToken == s.token
 }
 
-// MayVote tells whether a vote may be sent now. Votes that advance or hold a build need a valid lease: an instance that
-// has lost its lease without knowing it would vote by evidence that a successor has too. A rollback vote does no harm
-// when cast twice and must not wait for the log.
+// MayVote reports whether a vote may be sent at now, a time of the instance's local clock. Votes that advance or hold a
+// build need a valid lease: an instance that has lost its lease without knowing would vote on evidence that a successor
+// has too. A rollback vote does no harm when cast twice and must not wait for the log.
 func (s *Session) MayVote(v decision.Verdict, now Millis) bool {
 	return v == decision.VoteRollback || v == decision.VoteNone || s.Valid(now)
 }
--- a/internal/cluster/lease/snapshot.go
+++ b/internal/cluster/lease/snapshot.go
@@ -8,46 +8,49 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// tableSnapshot is a table as stored in a snapshot of the log.
+// tableSnapshot is the stored form of a table in a snapshot of the log.
 type tableSnapshot struct {
 	Leases    []Lease     `msgpack:"Leases"` // by ID
-	Token     Token       `msgpack:"Token"`
+	LastToken Token       `msgpack:"Token"`
 	Now       Millis      `msgpack:"Now"`
 	Abandoned []Abandoned `msgpack:"Ended"`
 }
 
-// TokenError is a snapshot with a lease under a token that the snapshot's counter has not reached: restored, the table
-// would grant that token a second time.
+// TokenError reports a snapshot with a lease whose token exceeds the snapshot's token counter. A table restored from
+// that snapshot would grant the token a second time.
 type TokenError struct {
 	ID    ID
 	Token Token
 }
 
 func (e *TokenError) Error() string {
-	return fmt.Sprintf("leases: %s has token %d, above all that were given", e.ID, e.Token)
+	return fmt.Sprintf("restore lease table: %s has token %d, above the highest granted token", e.ID, e.Token)
 }
 
-// Encode returns the table as Restore reads it.
+// Encode returns the stored form of the table, which Restore reads.
 func (t *Table) Encode() ([]byte, error) {
-	all := tableSnapshot{Token: t.lastToken, Now: t.now, Abandoned: t.abandoned}
+	snapshot := tableSnapshot{LastToken: t.lastToken, Now: t.now, Abandoned: t.abandoned}
 	for _, id := range slices.Sorted(maps.Keys(t.leases)) {
-		all.Leases = append(all.Leases, *t.leases[id])
+		snapshot.Leases = append(snapshot.Leases, *t.leases[id])
 	}
-	raw, err := msgpack.Marshal(&all)
+	raw, err := msgpack.Marshal(&snapshot)
 	if err != nil {
-		return nil, fmt.Errorf("leases: %w", err)
+		return nil, fmt.Errorf("encode lease table: %w", err)
 	}
 	return raw, nil
 }
 
-// Restore replaces the table's content by what Encode returned. After an error the table is not to be used.
+// Restore replaces the table's content with that of a table encoded by Encode. After an error the table must not be
+// used; a [*TokenError] means that the snapshot has a token above its counter.
 func (t *Table) Restore(raw []byte) error {
-	var all tableSnapshot
-	if err := msgpack.Unmarshal(raw, &all); err != nil {
-		return fmt.Errorf("leases: %w", err)
+	var snapshot tableSnapshot
+	if err := msgpack.Unmarshal(raw, &snapshot); err != nil {
+		return fmt.Errorf("decode lease table: %w", err)
 	}
-	*t = Table{leases: map[ID]*Lease{}, lastToken: all.Token, now: all.Now, abandoned: all.Abandoned}
-	for _, l := range all.Leases {
+	*t = Table{
+		leases: map[ID]*Lease{}, lastToken: snapshot.LastToken, now: snapshot.Now, abandoned: snapshot.Abandoned,
+	}
+	for _, l := range snapshot.Leases {
 		if l.Token > t.lastToken {
 			return &TokenError{ID: l.ID, Token: l.Token}
 		}
--- a/internal/cluster/lease/successors.go
+++ b/internal/cluster/lease/successors.go
@@ -9,12 +9,14 @@
 	"ottershed/internal/cluster/membership"
 )
 
-// successorDelay is how long a successor waits for each one before it in the order, as a share of the TTL. A higher one
-// makes two successors at once rarer, and takeover slower where the first ones are gone too.
+// successorDelay is the time that a successor waits for each earlier successor in the order, as a share of the TTL. A
+// higher delay makes concurrent takeovers by two successors rarer, but slows takeover down if the first successors are
+// dead too.
 const successorDelay = 0.5
 
-// Successors orders the members that may take a lease over, the first to do so first. The order follows from the names
-// alone (rendezvous hashing), so all members agree on it, and the leases of a member are spread over many.
+// Successors returns the live members in the order in which they may take the lease over. The order depends on the
+// names only (rendezvous hashing), so all members agree on the order, and the leases of one member are spread over many
+// successors.
 func Successors(id ID, alive []string) []string {
 	out := slices.Clone(alive)
 	weight := func(name string) uint64 { return xxhash.Sum64String(string(id) + "\x00" + name) }
@@ -24,12 +26,11 @@
 	return out
 }
 
-// DueForTakeover returns the leases that this instance should take over now. They have expired by the log's time, which
-// the list carries, so that no machine's own clock enters, and their holders are dead or have left by membership. The
-// instance waits successorDelay of the TTL for each successor before it.
+// DueForTakeover returns the leases that the instance self should take over now. Their holders are dead or have left
+// according to membership, and the leases have expired by the log's time. The list carries that time, so that no local
+// clock affects the result. The instance waits successorDelay of the TTL for each successor before it.
 //
-// Leases that this instance took over and has not merged are due as well, whatever their state: the reply to its
-// takeover may have been lost.
+// Leases that self has taken over and not merged are due in any state: the reply to the takeover may have been lost.
 func DueForTakeover(self string, view *membership.View, list List, ttl Millis) []ID {
 	var alive []string
 	members := map[string]membership.Member{}
@@ -49,7 +50,7 @@
 			continue
 		}
 		holder, known := members[l.Holder.Name]
-		if !l.Expired(list.Now) || known && keepsOwnWork(l, holder.State) {
+		if !l.Expired(list.Now) || known && holderRetainsWork(l, holder.State) {
 			continue
 		}
 		rank := slices.Index(Successors(l.ID, alive), self)
@@ -60,8 +61,9 @@
 	return out
 }
 
-// keepsOwnWork tells whether the holder of an expired lease still has the work: a live instance that is only cut off
-// from the log has its own in memory. What it took over from another and has not merged, it has not.
-func keepsOwnWork(l *Lease, holder membership.State) bool {
+// holderRetainsWork reports whether the holder of an expired lease still has the work. A live instance that is only cut
+// off from the log still has the work of its own lease in memory, but not that of a lease that it has taken over and
+// not merged.
+func holderRetainsWork(l *Lease, holder membership.State) bool {
 	return holder <= membership.Suspect && l.ID == TrialID(l.Holder.Name)
 }
--- a/internal/cluster/lease/table.go
+++ b/internal/cluster/lease/table.go
@@ -6,32 +6,32 @@
 	"slices"
 )
 
-// Table holds all leases. Its clock is the replicated log's, which no machine's wall clock enters; it never goes back. A
-// Table is not safe for concurrent use.
+// Table holds all leases. It uses the time of the replicated log, which is independent of wall clocks and never goes
+// back. A Table is not safe for concurrent use.
 type Table struct {
 	leases    map[ID]*Lease
 	abandoned []Abandoned // the newest last, up to maxAbandoned
-	lastToken Token       // the highest that was granted
+	lastToken Token       // the highest granted token
 	now       Millis      // the highest time of a command
 }
 
-// List is the table as others may read it.
+// List is the readable content of a table, as sent to instances and operators.
 type List struct {
-	Now       Millis      `json:"Now"`    // the log's time at its newest entry; it may lag, and never leads
-	Leases    []Lease     `json:"Leases"` // without their checkpoints, by ID
+	Now       Millis      `json:"Now"`    // the log's time at its newest entry; may lag, but never leads
+	Leases    []Lease     `json:"Leases"` // sorted by ID, without checkpoints
 	Abandoned []Abandoned `json:"Ended"`  // the newest last
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table { return &Table{leases: map[ID]*Lease{}} }
 
-// Now is the log's time at the newest command.
+// Now returns the log's time at the newest command.
 func (t *Table) Now() Millis { return t.now }
 
-// List returns all leases, without checkpoints, and those that were abandoned.
+// List returns all leases, without checkpoints, and the abandoned leases.
 func (t *Table) List() List { return List{t.now, t.Leases(), slices.Clone(t.abandoned)} }
 
-// Leases returns all leases by ID, without checkpoints.
+// Leases returns all leases sorted by ID, without checkpoints.
 func (t *Table) Leases() []Lease {
 	var out []Lease
 	for _, id := range slices.Sorted(maps.Keys(t.leases)) {
@@ -42,7 +42,7 @@
 	return out
 }
 
-// Get returns a lease with its checkpoint, and whether there is one.
+// Get returns the lease with its checkpoint, or false if the table has no lease with the ID.
 func (t *Table) Get(id ID) (Lease, bool) {
 	l := t.leases[id]
 	if l == nil {
@@ -51,11 +51,12 @@
 	return *l, true
 }
 
-// Apply carries out the next command of the log, at the log's time.
+// Apply executes the next command of the log; at is the log's time. The reply to an invalid or stale command has the
+// reason for the rejection.
 func (t *Table) Apply(command *Command, at Millis) Reply {
 	t.now = max(t.now, at)
-	if fault := command.check(); fault != "" {
-		return Reply{Rejection: fault}
+	if reason := command.validate(); reason != "" {
+		return Reply{Rejection: reason}
 	}
 	l := t.leases[command.ID]
 	switch command.Operation {
@@ -69,13 +70,13 @@
 		return t.merge(l, command)
 	case Release:
 		return t.release(l, command)
-	default: // check admits no other
+	default: // validate admits no other operation
 		return t.abandon(l, command)
 	}
 }
 
-// acquire grants an instance its own lease. A new process of the instance need not wait until the lease expires: the
-// earlier process has ended, or is fenced by the new token.
+// acquire grants an instance its own lease. A new process of the instance need not wait until the lease expires,
+// because the earlier process has ended or is fenced by the new token.
 func (t *Table) acquire(l *Lease, c *Command) Reply {
 	if l != nil && l.Holder.Name != c.Holder.Name && !l.Expired(t.now) {
 		return Reply{Rejection: fmt.Sprintf("%s is held by %s under token %d", c.ID, l.Holder.Name, l.Token)}
@@ -86,8 +87,8 @@
 	return t.grant(l, c)
 }
 
-// takeOver grants another instance's lease once it has expired. Repeated by the holder, whose reply was lost, it
-// returns the lease as it is.
+// takeOver grants the lease of another instance once the lease has expired. If the holder repeats the command because
+// the reply was lost, takeOver returns the lease unchanged.
 func (t *Table) takeOver(l *Lease, c *Command) Reply {
 	switch {
 	case l == nil:
@@ -102,7 +103,8 @@
 	return t.grant(l, c)
 }
 
-// grant gives a lease to the command's holder under a new token. The checkpoint stays, for the holder to resume from.
+// grant assigns the lease to the command's holder under a new token. The checkpoint is kept so that the new holder can
+// resume from it.
 func (t *Table) grant(l *Lease, c *Command) Reply {
 	if l == nil {
 		l = &Lease{ID: c.ID}
@@ -116,11 +118,11 @@
 	return Reply{Lease: *l}
 }
 
-// renew extends a lease and writes the checkpoint, if the command has one that is no older than the lease's: a
-// checkpoint that was gathered before a merge may arrive after it, and would drop the merged work.
+// renew extends the lease and writes the command's checkpoint unless it is older than the stored one. A checkpoint that
+// was gathered before a merge may arrive after the merge; written, it would drop the merged work.
 func (t *Table) renew(l *Lease, c *Command) Reply {
 	if !heldUnder(l, c.Holder, c.Token) {
-		return staleToken(l, c.ID, c.Holder, c.Token)
+		return rejectStale(l, c.ID, c.Holder, c.Token)
 	}
 	l.ExpiresAt = t.now + c.TTL
 	if c.Checkpoint != nil && c.CheckpointSeq >= l.CheckpointSeq {
@@ -129,18 +131,18 @@
 	return Reply{}
 }
 
-// merge ends a lease and writes a checkpoint with its work to the holder's own lease. Both are one entry of the log: in
-// two entries, a holder that dies between them would lose the work, or leave it in two checkpoints.
+// merge ends the lease and writes a checkpoint that includes its work to the holder's own lease. One log entry does
+// both: with two entries, a holder that dies in between would lose the work or leave it in two checkpoints.
 func (t *Table) merge(l *Lease, command *Command) Reply {
-	if t.wasMerged(command) {
+	if t.alreadyMerged(command) {
 		return Reply{}
 	}
 	if !heldUnder(l, command.Holder, command.Token) {
-		return staleToken(l, command.ID, command.Holder, command.Token)
+		return rejectStale(l, command.ID, command.Holder, command.Token)
 	}
 	into := t.leases[command.Into]
 	if !heldUnder(into, command.Holder, command.IntoToken) {
-		return staleToken(into, command.Into, command.Holder, command.IntoToken)
+		return rejectStale(into, command.Into, command.Holder, command.IntoToken)
 	}
 	into.ExpiresAt = t.now + command.TTL
 	into.writeCheckpoint(command.Checkpoint, command.CheckpointSeq, t.now)
@@ -152,28 +154,28 @@
 	return Reply{}
 }
 
-// wasMerged tells whether a Merge was applied before and its reply was lost.
-func (t *Table) wasMerged(c *Command) bool {
+// alreadyMerged reports whether the same Merge was applied before. A holder repeats the command if the reply was lost.
+func (t *Table) alreadyMerged(c *Command) bool {
 	into := t.leases[c.Into]
 	return heldUnder(into, c.Holder, c.IntoToken) && slices.Contains(into.Merged, Grant{c.ID, c.Token})
 }
 
-// release expires a lease, so that a successor need not wait.
+// release expires the lease immediately, so that a successor need not wait.
 func (t *Table) release(l *Lease, c *Command) Reply {
 	if !heldUnder(l, c.Holder, c.Token) {
-		return staleToken(l, c.ID, c.Holder, c.Token)
+		return rejectStale(l, c.ID, c.Holder, c.Token)
 	}
 	l.ExpiresAt = t.now
 	return Reply{}
 }
 
-// abandon ends a lease whose work can't be resumed, and remembers the reason.
+// abandon ends a lease whose work can't be resumed, and keeps the reason in the table.
 func (t *Table) abandon(l *Lease, c *Command) Reply {
-	if t.wasAbandoned(c) {
+	if t.alreadyAbandoned(c) {
 		return Reply{}
 	}
 	if !heldUnder(l, c.Holder, c.Token) {
-		return staleToken(l, c.ID, c.Holder, c.Token)
+		return rejectStale(l, c.ID, c.Holder, c.Token)
 	}
 	t.abandoned = append(t.abandoned, Abandoned{c.ID, c.Token, c.Holder.Name, c.Reason, t.now})
 	t.abandoned = slices.Clone(t.abandoned[max(0, len(t.abandoned)-maxAbandoned):])
@@ -181,15 +183,16 @@
 	return Reply{}
 }
 
-// wasAbandoned tells whether an Abandon was applied before and its reply was lost.
-func (t *Table) wasAbandoned(c *Command) bool {
+// alreadyAbandoned reports whether the same Abandon was applied before. A holder repeats the command if the reply was
+// lost.
+func (t *Table) alreadyAbandoned(c *Command) bool {
 	return slices.ContainsFunc(t.abandoned, func(a Abandoned) bool {
 		return a.ID == c.ID && a.Token == c.Token && a.Holder == c.Holder.Name
 	})
 }
 
-// staleToken rejects a command by a holder or under a token that is not, or no longer, the lease's.
-func staleToken(l *Lease, id ID, holder Holder, token Token) Reply {
+// rejectStale returns the rejection of a command whose holder or token is not, or no longer, that of the lease.
+func rejectStale(l *Lease, id ID, holder Holder, token Token) Reply {
 	if l == nil {
 		return Reply{Rejection: fmt.Sprintf("%s is no piece any more; token %d is of the past", id, token)}
 	}
--- a/internal/cluster/lease/table_test.go
+++ b/internal/cluster/lease/table_test.go
@@ -15,16 +15,16 @@
 	c1 = Holder{"c", 1} //nolint:varnamelen // instance and incarnation
 )
 
-// checkReply expects a rejection with a text, or an applied command where the text is empty.
+// checkReply expects a rejection that contains want, or an applied command if want is empty.
 func checkReply(t *testing.T, step string, r Reply, want string) {
 	t.Helper()
 	if (r.Rejection == "") != (want == "") || !strings.Contains(r.Rejection, want) {
-		t.Errorf("%s: rejection %q, want %q", step, r.Rejection, want)
+		t.Errorf("%s: got rejection %q, want %q", step, r.Rejection, want)
 	}
 }
 
-// The terms of a lease, one command after another, at the log's times.
-func TestTable(t *testing.T) {
+// Guards the transitions of a lease: a sequence of commands at times of the log, with the expected rejections.
+func TestTableTransitions(t *testing.T) {
 	table := NewTable()
 	const own, other = ID("trial/a"), ID("trial/b")
 	merge := func(token, into Token) Command {
@@ -37,27 +37,27 @@
 		name    string
 		at      Millis
 		command Command
-		want    string // in the rejection; empty: applied
+		want    string // part of the rejection; empty: the command is applied
 	}{
 		{"a acquires, token 1", 0, Command{Operation: Acquire, ID: own, Holder: a1, TTL: 1000}, ""},
 		{"b acquires its own, token 2", 0, Command{Operation: Acquire, ID: other, Holder: b1, TTL: 1000}, ""},
 		{"a renews", 100, Command{Operation: Renew, ID: own, Holder: a1, Token: 1, TTL: 1000, Checkpoint: []byte("x")}, ""},
 		{
-			"another renews", 200,
+			"renewal by another instance", 200,
 			Command{Operation: Renew, ID: own, Holder: b1, Token: 1, TTL: 1000},
 			"held by a under token 1, not by b",
 		},
 		{"takeover of a held lease", 200, Command{Operation: TakeOver, ID: own, Holder: b1, TTL: 1000}, "for 900 ms more"},
 		{
-			"acquiring a held lease", 200,
+			"acquisition of a held lease", 200,
 			Command{Operation: Acquire, ID: own, Holder: b1, TTL: 1000},
 			"held by a under token 1",
 		},
 		{"takeover just before expiry", 1099, Command{Operation: TakeOver, ID: own, Holder: b1, TTL: 1000}, "for 1 ms more"},
 		{"takeover at expiry, token 3", 1100, Command{Operation: TakeOver, ID: own, Holder: b1, TTL: 1000}, ""},
-		{"takeover again, its reply lost", 1100, Command{Operation: TakeOver, ID: own, Holder: b1, TTL: 1000}, ""},
+		{"takeover repeated after a lost reply", 1100, Command{Operation: TakeOver, ID: own, Holder: b1, TTL: 1000}, ""},
 		{
-			"takeover by a third", 1101,
+			"takeover by a third instance", 1101,
 			Command{Operation: TakeOver, ID: own, Holder: c1, TTL: 1000},
 			"held by b under token 3",
 		},
@@ -69,7 +69,7 @@
 		{"merge under an earlier token", 1103, merge(1, 2), "not by b under 1"},
 		{"merge into a lease under a wrong token", 1103, merge(3, 9), "not by b under 9"},
 		{"merge", 1104, merge(3, 2), ""},
-		{"merge again, its reply lost", 1105, merge(3, 2), ""},
+		{"merge repeated after a lost reply", 1105, merge(3, 2), ""},
 		{
 			"takeover of a merged lease", 1106,
 			Command{Operation: TakeOver, ID: own, Holder: c1, TTL: 1000},
@@ -80,22 +80,26 @@
 			Command{Operation: Renew, ID: own, Holder: a1, Token: 1, TTL: 1000},
 			"token 1 is of the past",
 		},
-		{"a acquires anew, token 4", 1108, Command{Operation: Acquire, ID: own, Holder: a1, TTL: 1000}, ""},
+		{"a acquires again, token 4", 1108, Command{Operation: Acquire, ID: own, Holder: a1, TTL: 1000}, ""},
 		{"a restarts, token 5", 1109, Command{Operation: Acquire, ID: own, Holder: a2, TTL: 1000}, ""},
 		{
-			"the earlier process renews", 1110,
+			"renewal by the earlier process", 1110,
 			Command{Operation: Renew, ID: own, Holder: a1, Token: 4, TTL: 1000},
 			"held by a under token 5",
 		},
-		{"a clock that is behind", 900, Command{Operation: TakeOver, ID: own, Holder: c1, TTL: 1000}, "for 999 ms more"},
+		{
+			"log time before that of earlier commands", 900,
+			Command{Operation: TakeOver, ID: own, Holder: c1, TTL: 1000},
+			"for 999 ms more",
+		},
 		{"release", 1111, Command{Operation: Release, ID: own, Holder: a2, Token: 5}, ""},
 		{"takeover after a release, token 6", 1111, Command{Operation: TakeOver, ID: own, Holder: c1, TTL: 1000}, ""},
-		{"a TTL too short", 1112, Command{Operation: Renew, ID: own, Holder: c1, Token: 6, TTL: 1}, "a lease of 1 ms"},
-		{"an ID without a kind", 1112, Command{Operation: Acquire, ID: "x", Holder: c1, TTL: 1000}, "no piece of work"},
-		{"an unknown operation", 1112, Command{Operation: 9, ID: own, Holder: c1}, "no command 9"},
+		{"TTL too short", 1112, Command{Operation: Renew, ID: own, Holder: c1, Token: 6, TTL: 1}, "a lease of 1 ms"},
+		{"ID without a kind", 1112, Command{Operation: Acquire, ID: "x", Holder: c1, TTL: 1000}, "no piece of work"},
+		{"unknown operation", 1112, Command{Operation: 9, ID: own, Holder: c1}, "no command 9"},
 		{"no holder", 1112, Command{Operation: Acquire, ID: "trial/z", TTL: 1000}, "nobody asks"},
 		{
-			"a checkpoint too long", 1112,
+			"checkpoint too long", 1112,
 			Command{Operation: Renew, ID: own, Holder: c1, Token: 6, TTL: 1000, Checkpoint: make([]byte, MaxCheckpointBytes+1)},
 			"a checkpoint of",
 		},
@@ -104,12 +108,14 @@
 	}
 	l, _ := table.Get(other)
 	if string(l.Checkpoint) != "ab" || len(l.Merged) != 1 || l.Merged[0] != (Grant{own, 3}) || table.lastToken != 6 {
-		t.Errorf("%+v, token %d", l, table.lastToken)
+		t.Errorf("got lease %+v, last token %d, want checkpoint ab, merged lease trial/a under token 3, last token 6", l,
+			table.lastToken)
 	}
 	checkRestored(t, table)
 }
 
-// checkRestored encodes and restores a table whose highest token is 6.
+// checkRestored expects a table whose highest token is 6 to be equal after Encode and Restore, and a snapshot whose
+// token counter is too low to be rejected.
 func checkRestored(t *testing.T, table *Table) {
 	t.Helper()
 	raw, err := table.Encode()
@@ -119,41 +125,42 @@
 	restored := NewTable()
 	if err := restored.Restore(raw); err != nil || fmt.Sprint(restored.Leases()) != fmt.Sprint(table.Leases()) ||
 		restored.lastToken != 6 || restored.now != table.now {
-		t.Errorf("%v, %+v", err, restored)
+		t.Errorf("got %v, restored table %+v, want the encoded table", err, restored)
 	}
 	restored.lastToken = 1
 	raw, err = restored.Encode()
 	var tokenError *TokenError
 	if err != nil || !errors.As(NewTable().Restore(raw), &tokenError) {
-		t.Error("a table is restored with tokens above all that were granted")
+		t.Error("want a *TokenError for a snapshot with tokens above its counter")
 	}
 }
 
-// randomHistory applies random commands to a table and checks it after each.
+// randomHistory applies random commands to a table and checks the table's guarantees after each command.
 type randomHistory struct {
-	seed   uint64
-	chance *rand.Rand
-	table  *Table
-	at     Millis
-	last   Token                   // the highest granted
-	tokens map[ID]map[Holder]Token // the newest granted to each
-	parts  map[string]bool         // written to a checkpoint, each once
+	seed         uint64
+	rng          *rand.Rand
+	table        *Table
+	now          Millis
+	highestToken Token                   // of all grants
+	tokens       map[ID]map[Holder]Token // the newest granted to each holder
+	outcomes     map[string]bool         // written to a checkpoint; the number of a renewal's step stands for an outcome
 }
 
 func newRandomHistory(seed uint64) *randomHistory {
 	return &randomHistory{
-		seed: seed, chance: rand.New(rand.NewPCG(seed, 1)), table: NewTable(), tokens: map[ID]map[Holder]Token{},
-		parts: map[string]bool{},
+		seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), table: NewTable(), tokens: map[ID]map[Holder]Token{},
+		outcomes: map[string]bool{},
 	}
 }
 
-// next is a random command; its checkpoint adds the step's number to the one before, or unites two.
-func (h *randomHistory) next(step int) Command {
+// randomCommand returns a random command. A renewal's checkpoint adds the number of the step to the previous one, and a
+// merge's checkpoint joins both.
+func (h *randomHistory) randomCommand(step int) Command {
 	holders := []Holder{a1, b1, c1, a2}
-	holder := holders[h.chance.IntN(len(holders))]
-	id, own := TrialID([]string{"a", "b", "c"}[h.chance.IntN(3)]), TrialID(holder.Name)
-	h.at += 300 * h.chance.Float64()
-	c := Command{Operation: Operation(1 + h.chance.IntN(5)), ID: id, Holder: holder, TTL: 500, Token: h.tokens[id][holder]}
+	holder := holders[h.rng.IntN(len(holders))]
+	id, own := TrialID([]string{"a", "b", "c"}[h.rng.IntN(3)]), TrialID(holder.Name)
+	h.now += 300 * h.rng.Float64()
+	c := Command{Operation: Operation(1 + h.rng.IntN(5)), ID: id, Holder: holder, TTL: 500, Token: h.tokens[id][holder]}
 	if c.Operation == Acquire {
 		c.ID = own
 	}
@@ -169,59 +176,61 @@
 	return c
 }
 
-// applied notes what an applied command has granted or written. A token that is new must be above all before.
-func (h *randomHistory) applied(t *testing.T, step int, c *Command, r *Reply) {
+// recordApplied records what an applied command has granted or written. A new token must be higher than all earlier
+// ones.
+func (h *randomHistory) recordApplied(t *testing.T, step int, c *Command, r *Reply) {
 	t.Helper()
 	switch c.Operation {
 	case Renew:
-		h.parts[fmt.Sprint(step)] = true
+		h.outcomes[fmt.Sprint(step)] = true
 	case Acquire, TakeOver:
 		if h.tokens[c.ID] == nil {
 			h.tokens[c.ID] = map[Holder]Token{}
 		}
-		if again := h.tokens[c.ID][c.Holder] == r.Lease.Token; !again && r.Lease.Token <= h.last {
-			t.Fatalf("seed %d: token %d after %d", h.seed, r.Lease.Token, h.last)
+		if repeated := h.tokens[c.ID][c.Holder] == r.Lease.Token; !repeated && r.Lease.Token <= h.highestToken {
+			t.Fatalf("seed %d: got token %d, want one above %d", h.seed, r.Lease.Token, h.highestToken)
 		}
-		h.last = max(h.last, r.Lease.Token)
+		h.highestToken = max(h.highestToken, r.Lease.Token)
 		h.tokens[c.ID][c.Holder] = r.Lease.Token
 	}
 }
 
-// checkParts expects each part that was written in exactly one checkpoint.
-func (h *randomHistory) checkParts(t *testing.T, step int, c *Command) {
+// checkOutcomes expects each written outcome in exactly one checkpoint.
+func (h *randomHistory) checkOutcomes(t *testing.T, step int, c *Command) {
 	t.Helper()
 	seen := map[string]int{}
 	for _, l := range h.table.leases {
-		for _, part := range strings.FieldsFunc(string(l.Checkpoint), func(r rune) bool { return r == '+' }) {
-			seen[part]++
+		for _, outcome := range strings.FieldsFunc(string(l.Checkpoint), func(r rune) bool { return r == '+' }) {
+			seen[outcome]++
 		}
 	}
-	for part := range h.parts {
-		if seen[part] != 1 {
-			t.Fatalf("seed %d, step %d, %+v: part %s is in %d checkpoints", h.seed, step, c, part, seen[part])
+	for outcome := range h.outcomes {
+		if seen[outcome] != 1 {
+			t.Fatalf("seed %d, step %d, %+v: got outcome %s in %d checkpoints, want 1", h.seed, step, c, outcome, seen[outcome])
 		}
 	}
 }
 
-// Whatever commands arrive in whatever order, a lease has one holder, tokens only rise, and each outcome that was
-// checkpointed is in one checkpoint at a time.
+// Guards against two holders of a lease, tokens that do not increase, and outcomes that are lost or counted twice,
+// whatever commands arrive in whatever order.
 func TestTableAtRandom(t *testing.T) {
 	for seed := range uint64(200) {
 		history := newRandomHistory(seed)
 		for step := range 400 {
-			command := history.next(step)
-			reply := history.table.Apply(&command, history.at)
+			command := history.randomCommand(step)
+			reply := history.table.Apply(&command, history.now)
 			if reply.Rejection != "" {
 				continue
 			}
-			history.applied(t, step, &command, &reply)
-			history.checkParts(t, step, &command)
+			history.recordApplied(t, step, &command, &reply)
+			history.checkOutcomes(t, step, &command)
 		}
 	}
 }
 
-// A checkpoint that was gathered before a merge and arrives after it renews the lease and is not written.
-func TestLateCheckpoint(t *testing.T) {
+// Guards against the loss of merged work: a checkpoint that was gathered before a merge and arrives after the merge
+// must only renew the lease.
+func TestLateCheckpointDoesNotOverwriteMerge(t *testing.T) {
 	table := NewTable()
 	own, other := TrialID("b"), TrialID("a")
 	for i, c := range []Command{
@@ -236,16 +245,17 @@
 		{Operation: Renew, ID: own, Holder: b1, Token: 1, TTL: 2000, Checkpoint: []byte("mine"), CheckpointSeq: 7},
 	} {
 		if r := table.Apply(&c, float64(i)); r.Rejection != "" {
-			t.Fatalf("%d: %s", i, r.Rejection)
+			t.Fatalf("command %d: got rejection %q, want none", i, r.Rejection)
 		}
 	}
 	if l, _ := table.Get(own); string(l.Checkpoint) != "both" || l.ExpiresAt != 2005 {
-		t.Errorf("%+v", l)
+		t.Errorf("got %+v, want checkpoint both and expiry at 2005 ms", l)
 	}
 }
 
-// A lease whose work can't be resumed is abandoned once, by its holder, and listed; no other instance takes it over.
-func TestAbandon(t *testing.T) {
+// Guards against a lease whose work can't be resumed and that one instance after another takes over. The holder
+// abandons it once, and the table lists it with the reason.
+func TestAbandonEndsLeaseOnce(t *testing.T) {
 	table := NewTable()
 	own := TrialID("a")
 	table.Apply(&Command{Operation: Acquire, ID: own, Holder: a1, TTL: 1000}, 0)
@@ -253,7 +263,7 @@
 	for _, step := range []struct {
 		name    string
 		command Command
-		want    string // in the rejection; empty: applied
+		want    string // part of the rejection; empty: the command is applied
 	}{
 		{
 			"by the earlier holder",
@@ -261,14 +271,14 @@
 			"held by b under token 2",
 		},
 		{
-			"a reason too long",
+			"reason too long",
 			Command{Operation: Abandon, ID: own, Holder: b1, Token: 2, Reason: strings.Repeat("x", 201)},
 			"a reason of 201 bytes",
 		},
 		{"by the holder", Command{Operation: Abandon, ID: own, Holder: b1, Token: 2, Reason: "torn"}, ""},
-		{"again, its reply lost", Command{Operation: Abandon, ID: own, Holder: b1, Token: 2, Reason: "torn"}, ""},
+		{"repeated after a lost reply", Command{Operation: Abandon, ID: own, Holder: b1, Token: 2, Reason: "torn"}, ""},
 		{"takeover", Command{Operation: TakeOver, ID: own, Holder: c1, TTL: 1000}, "no piece any more"},
-		{"its instance acquires it anew", Command{Operation: Acquire, ID: own, Holder: a1, TTL: 1000}, ""},
+		{"acquisition by its first holder", Command{Operation: Acquire, ID: own, Holder: a1, TTL: 1000}, ""},
 	} {
 		checkReply(t, step.name, table.Apply(&step.command, 1500), step.want)
 	}
@@ -279,6 +289,6 @@
 	}
 	list, want := restored.List(), Abandoned{own, 2, "b", "torn", 1500}
 	if err != nil || len(list.Abandoned) != 1 || list.Abandoned[0] != want || len(list.Leases) != 1 {
-		t.Errorf("%v: %+v", err, list)
+		t.Errorf("restored table: got %v, %+v, want one lease, and one abandoned by b under token 2", err, list)
 	}
 }
--- a/internal/cluster/policy/admission.go
+++ b/internal/cluster/policy/admission.go
@@ -44,7 +44,7 @@
 }
 
 // Applied notes that r is applied from now on. A version that is not newer is ignored.
-func (admission *TrialAdmission) Applied(r Record) {
+func (admission *TrialAdmission) MarkApplied(r Record) {
 	if r.Version > admission.applied.Version {
 		admission.applied, admission.failure = r, ""
 	}
@@ -52,7 +52,7 @@
 
 // Fail notes that the version of the last Applied can't be applied here. The process then still uses settings that the
 // rest of the fleet has left, so it serves requests but takes part in no trial.
-func (admission *TrialAdmission) Fail(err error) { admission.failure = err.Error() }
+func (admission *TrialAdmission) MarkFailed(err error) { admission.failure = err.Error() }
 
 // ClearFailure notes that the configuration has changed and the version is to be tried again.
 func (admission *TrialAdmission) ClearFailure() { admission.failure = "" }
--- a/internal/cluster/policy/admission_test.go
+++ b/internal/cluster/policy/admission_test.go
@@ -7,11 +7,11 @@
 )
 
 // recordsOf returns versions 1 to count.
-func recordsOf(t *testing.T, count int) []Record {
+func committedRecords(t *testing.T, count int) []Record {
 	t.Helper()
 	var state State
 	for i := range count {
-		if out := state.Apply(&Proposal{ID: fmt.Sprint(i), Body: policyBody(t, fmt.Sprint(i))}); out.Rejection != "" {
+		if out := state.Apply(&Proposal{ID: fmt.Sprint(i), Body: logForm(t, fmt.Sprint(i))}); out.Rejection != "" {
 			t.Fatal(out.Rejection)
 		}
 	}
@@ -27,8 +27,8 @@
 
 // After a restart no version older than the stored one is applied, and no new one and no trial before the process has
 // caught up.
-func TestTrialAdmission(t *testing.T) {
-	records := recordsOf(t, 5)
+func TestTrialsWaitForCatchUp(t *testing.T) {
+	records := committedRecords(t, 5)
 	var admission TrialAdmission
 	raw, err := EncodeRecord(&records[1])
 	if err != nil {
@@ -51,14 +51,14 @@
 	if admission.ShouldApply(records[0]) || admission.ShouldApply(records[1]) || !admission.ShouldApply(records[3]) {
 		t.Error("want only versions newer than the applied one to be applied")
 	}
-	admission.Applied(records[3])
-	admission.Applied(records[2])
+	admission.MarkApplied(records[3])
+	admission.MarkApplied(records[2])
 	checkDecision(t, &admission, 4, true)
-	admission.Fail(errors.New("no"))
+	admission.MarkFailed(errors.New("no"))
 	if d := admission.Current(); d.TrialsAdmitted || admission.Failure() != "no" {
 		t.Errorf("after a failure: %+v, %q", d, admission.Failure())
 	}
-	admission.Applied(records[4])
+	admission.MarkApplied(records[4])
 	if !admission.Current().TrialsAdmitted || admission.Failure() != "" {
 		t.Error("a later version does not end the failure")
 	}
--- a/internal/cluster/policy/golden_test.go
+++ b/internal/cluster/policy/golden_test.go
@@ -29,18 +29,18 @@
 }
 
 // A proposal is stored as an entry of the replicated log.
-func TestStoredProposal(t *testing.T) {
+func TestStoredProposalMatchesGolden(t *testing.T) {
 	golden.RoundTrip(t, "proposal.msgpack", *goldenProposal("second", 1), msgpack.Marshal, msgpack.Unmarshal)
 }
 
 // An outcome is what the server that committed a proposal sends back to the proposer.
-func TestOutcomeOnTheWire(t *testing.T) {
+func TestOutcomeMatchesGolden(t *testing.T) {
 	outcome := Outcome{Version: 7, Duplicate: true, Rejection: "not the newest"}
 	golden.RoundTrip(t, "outcome.json", outcome, json.Marshal, json.Unmarshal)
 }
 
 // The form of a policy for the log is stored in records; parsing it again gives the same bytes.
-func TestStoredPolicy(t *testing.T) {
+func TestStoredPolicyMatchesGolden(t *testing.T) {
 	share := 0.25
 	policy := Policy{Note: "a trial", Halt: true, TrialShare: &share, Settings: json.RawMessage(`{"pace":1}`)}
 	golden.RoundTrip(t, "policy.json", policy, json.Marshal, json.Unmarshal)
@@ -53,7 +53,7 @@
 }
 
 // The record of the applied version is stored by each process.
-func TestStoredRecord(t *testing.T) {
+func TestStoredRecordMatchesGolden(t *testing.T) {
 	record, _ := goldenState(t).Latest()
 	golden.Filled(t, "record", record)
 	raw, err := EncodeRecord(&record)
@@ -69,7 +69,7 @@
 }
 
 // A snapshot of the log has the kept records.
-func TestStoredState(t *testing.T) {
+func TestStoredStateMatchesGolden(t *testing.T) {
 	state := goldenState(t)
 	golden.Filled(t, "records", state.records)
 	raw, err := state.Encode()
--- a/internal/cluster/policy/policy.go
+++ b/internal/cluster/policy/policy.go
@@ -52,7 +52,7 @@
 	if len(raw) > maxPolicyBytes {
 		return nil, nil, keyErrorf("policy", "want %d bytes at most, got %d", maxPolicyBytes, len(raw))
 	}
-	parsed, err := decodeOne(raw)
+	parsed, err := decodePolicy(raw)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -67,7 +67,7 @@
 }
 
 // decodeOne decodes a text that holds one policy and nothing else.
-func decodeOne(raw []byte) (*Policy, error) {
+func decodePolicy(raw []byte) (*Policy, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
 	parsed := &Policy{}
--- a/internal/cluster/policy/policy_test.go
+++ b/internal/cluster/policy/policy_test.go
@@ -8,7 +8,7 @@
 )
 
 // policyBody is the form for the log of a policy with a note.
-func policyBody(t *testing.T, note string) []byte {
+func logForm(t *testing.T, note string) []byte {
 	t.Helper()
 	_, body, err := Parse([]byte(fmt.Sprintf(`{ "note": %q, "trial-share": 0.5 }`, note)))
 	if err != nil {
@@ -17,7 +17,7 @@
 	return body
 }
 
-func TestParse(t *testing.T) {
+func TestParseNamesInvalidKey(t *testing.T) {
 	for _, testCase := range []struct{ name, text, want string }{
 		{"a note alone", `{"note":"x"}`, ""},
 		{"halt", `{"note":"x","halt":true}`, ""},
--- a/internal/cluster/policy/record.go
+++ b/internal/cluster/policy/record.go
@@ -43,13 +43,13 @@
 }
 
 // ErrChain is a sequence of records in which one does not follow from the one before.
-var ErrChain = errors.New("policy: versions do not follow one from another")
+var ErrBrokenChain = errors.New("policy: versions do not follow one from another")
 
 // ErrCorruptRecord is a stored record whose checksum or encoding is wrong.
 var ErrCorruptRecord = errors.New("policy: the stored record of the applied version is corrupt")
 
 // sumAfter is the record's checksum where the version before has the checksum previous.
-func (r *Record) sumAfter(previous uint64) uint64 {
+func (r *Record) chainedSum(previous uint64) uint64 {
 	var header [16]byte
 	binary.BigEndian.PutUint64(header[:8], previous)
 	binary.BigEndian.PutUint64(header[8:], uint64(r.Version))
@@ -62,18 +62,18 @@
 
 // follows tells whether the record is the version right after previous.
 func (r *Record) follows(previous *Record) bool {
-	return r.Version == previous.Version+1 && r.Sum == r.sumAfter(previous.Sum)
+	return r.Version == previous.Version+1 && r.Sum == r.chainedSum(previous.Sum)
 }
 
-func chainError(r, previous *Record) error {
-	return fmt.Errorf("%w: %d behind %d", ErrChain, r.Version, previous.Version)
+func brokenChainError(r, previous *Record) error {
+	return fmt.Errorf("%w: %d behind %d", ErrBrokenChain, r.Version, previous.Version)
 }
 
 // checkChain returns an error unless each record follows from the one before.
 func checkChain(records []Record) error {
 	for i := 1; i < len(records); i++ {
 		if !records[i].follows(&records[i-1]) {
-			return chainError(&records[i], &records[i-1])
+			return brokenChainError(&records[i], &records[i-1])
 		}
 	}
 	return nil
--- a/internal/cluster/policy/record_test.go
+++ b/internal/cluster/policy/record_test.go
@@ -6,8 +6,8 @@
 )
 
 // A stored record is read back as it was; one with a changed byte or a missing end is not read.
-func TestDecodeRecordCorrupt(t *testing.T) {
-	stored := recordsOf(t, 2)[1]
+func TestDecodeRecordRejectsCorruption(t *testing.T) {
+	stored := committedRecords(t, 2)[1]
 	raw, err := EncodeRecord(&stored)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/policy/state.go
+++ b/internal/cluster/policy/state.go
@@ -47,7 +47,7 @@
 func (s *State) Apply(proposal *Proposal) Outcome {
 	// A proposer whose leader failed before it answered proposes again with the same ID, although the first proposal may
 	// have been committed. It must not become a second version.
-	if r := s.find(proposal.ID); r != nil {
+	if r := s.findByID(proposal.ID); r != nil {
 		return Outcome{Version: r.Version, Duplicate: true}
 	}
 	latest, _ := s.Latest()
@@ -55,13 +55,13 @@
 		return Outcome{Rejection: reason}
 	}
 	r := Record{Version: latest.Version + 1, ID: proposal.ID, By: proposal.By, At: proposal.At, Body: proposal.Body}
-	r.Sum = r.sumAfter(latest.Sum)
-	s.add(r)
+	r.Sum = r.chainedSum(latest.Sum)
+	s.appendRecord(r)
 	return Outcome{Version: r.Version}
 }
 
 // find returns the kept record with an ID; nil where there is none.
-func (s *State) find(id string) *Record {
+func (s *State) findByID(id string) *Record {
 	for i := range s.records {
 		if s.records[i].ID == id {
 			return &s.records[i]
@@ -85,7 +85,7 @@
 }
 
 // add adds a record and drops the oldest ones beyond the limits.
-func (s *State) add(r Record) {
+func (s *State) appendRecord(r Record) {
 	s.records = append(s.records, r)
 	s.bytes += len(r.Body)
 	for len(s.records) > 1 && (len(s.records) > maxRecords || s.bytes > maxRecordBytes) {
@@ -112,9 +112,9 @@
 		if exists && r.Version > latest.Version+1 {
 			*s = State{}
 		} else if exists && !r.follows(&latest) {
-			return changed, chainError(r, &latest)
+			return changed, brokenChainError(r, &latest)
 		}
-		s.add(*r)
+		s.appendRecord(*r)
 		changed = true
 	}
 	return changed, nil
@@ -140,7 +140,7 @@
 	}
 	*s = State{}
 	for _, r := range records {
-		s.add(r)
+		s.appendRecord(r)
 	}
 	return nil
 }
--- a/internal/cluster/policy/wire_golden_test.go
+++ b/internal/cluster/policy/wire_golden_test.go
@@ -11,7 +11,7 @@
 
 // The bytes of policies, proposals, outcomes, records and snapshots are those of the golden file: servers of different
 // releases read each other's, and a new release reads the store of the one before.
-func TestGoldenLog(t *testing.T) {
+func TestLogEncodingsMatchGolden(t *testing.T) {
 	share := 0.5
 	settings := json.RawMessage(`{"zone":"a"}`)
 	body, err := json.Marshal(Policy{Note: "why", Halt: true, TrialShare: &share, Settings: settings})
--- a/internal/cluster/policysync/applier.go
+++ b/internal/cluster/policysync/applier.go
@@ -40,7 +40,7 @@
 	}
 	a.admission.Restore(stored)
 	if err := a.apply(a.admission.Current()); err != nil {
-		a.admission.Fail(err)
+		a.admission.MarkFailed(err)
 		a.log.WithError(err).Error("policy: the stored version can't be applied")
 	}
 }
@@ -64,7 +64,7 @@
 
 // caughtUp notes that the process holds all that was committed at some moment after its start: it applies the latest
 // version and admits trials. Only the first call has an effect.
-func (a *applier) caughtUp() {
+func (a *applier) markCaughtUp() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.admission.MarkCaughtUp() {
@@ -74,7 +74,7 @@
 	if a.admission.Current().TrialsAdmitted {
 		if err := a.apply(a.admission.Current()); err != nil {
 			a.log.WithError(err).Error("policy can't be applied")
-			a.admission.Fail(err)
+			a.admission.MarkFailed(err)
 		}
 	}
 	a.logDecision("policy caught up")
@@ -92,12 +92,12 @@
 		a.log.WithError(err).Error("policy: the applied version can't be stored")
 	}
 	previous := a.admission.Current()
-	a.admission.Applied(latest)
+	a.admission.MarkApplied(latest)
 	log := a.log.WithFields(logrus.Fields{
 		"version": uint64(latest.Version), "was": uint64(previous.Record.Version), "sum": formatSum(latest.Sum),
 	})
 	if err := a.apply(a.admission.Current()); err != nil {
-		a.admission.Fail(err)
+		a.admission.MarkFailed(err)
 		log.WithError(err).Error("policy can't be applied: no part in trials")
 		a.applyWithoutTrials(previous.Record)
 	} else {
@@ -123,7 +123,7 @@
 	}
 	a.admission.ClearFailure()
 	if err := a.apply(a.admission.Current()); err != nil {
-		a.admission.Fail(err)
+		a.admission.MarkFailed(err)
 		a.log.WithError(err).Error("policy still can't be applied")
 		return
 	}
@@ -139,7 +139,7 @@
 }
 
 // commit applies a committed proposal to the versions; nil is an entry that is no proposal.
-func (a *applier) commit(proposal *policy.Proposal) policy.Outcome {
+func (a *applier) applyProposal(proposal *policy.Proposal) policy.Outcome {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := policy.Outcome{Rejection: "not a proposal"}
@@ -151,7 +151,7 @@
 }
 
 // add adds records of a server and applies the latest. Records before a faulty one are applied.
-func (a *applier) add(records []policy.Record) error {
+func (a *applier) addRecords(records []policy.Record) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	changed, err := a.state.Append(records)
@@ -161,13 +161,13 @@
 	return err
 }
 
-func (a *applier) encode() ([]byte, error) {
+func (a *applier) encodeState() ([]byte, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.state.Encode()
 }
 
-func (a *applier) restore(raw []byte) error {
+func (a *applier) restoreState(raw []byte) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err := a.state.Restore(raw); err != nil {
--- a/internal/cluster/policysync/applier_test.go
+++ b/internal/cluster/policysync/applier_test.go
@@ -18,9 +18,9 @@
 // testApplier is an applier whose decisions are recorded.
 type testApplier struct {
 	*applier
-	store     *raftlog.Store
-	decisions []string // "version admitted", in order
-	rejects   policy.Version
+	store           *raftlog.Store
+	decisions       []string // "version admitted", in order
+	rejectedVersion policy.Version
 }
 
 var errDoesNotFit = errors.New("does not fit")
@@ -39,19 +39,19 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	a := &testApplier{store: store}
-	a.applier = newApplier(a.decide, store, log)
+	a.applier = newApplier(a.recordDecision, store, log)
 	return a
 }
 
-func (a *testApplier) decide(d policy.Decision) error {
+func (a *testApplier) recordDecision(d policy.Decision) error {
 	a.decisions = append(a.decisions, fmt.Sprintf("%d %v", d.Record.Version, d.TrialsAdmitted))
-	if a.rejects != 0 && d.Record.Version == a.rejects {
+	if a.rejectedVersion != 0 && d.Record.Version == a.rejectedVersion {
 		return errDoesNotFit
 	}
 	return nil
 }
 
-func (a *testApplier) expect(t *testing.T, want ...string) {
+func (a *testApplier) expectDecisions(t *testing.T, want ...string) {
 	t.Helper()
 	if !slices.Equal(a.decisions, want) {
 		t.Errorf("decisions %q, want %q", a.decisions, want)
@@ -59,26 +59,26 @@
 	a.decisions = nil
 }
 
-func proposal(id string) *policy.Proposal {
+func testProposal(id string) *policy.Proposal {
 	return &policy.Proposal{ID: id, Body: []byte(fmt.Sprintf(`{"note":%q}`, id))}
 }
 
 // Committed versions wait until the process has caught up; then only the latest is applied, and the store has it.
-func TestApplierCatchesUp(t *testing.T) {
+func TestApplierWaitsForCatchUp(t *testing.T) {
 	tested := newTestApplier(t)
 	tested.applyStored()
-	tested.expect(t, "0 false")
-	tested.commit(proposal("one"))
-	tested.commit(proposal("two"))
-	tested.expect(t)
-	tested.caughtUp()
-	tested.expect(t, "2 true", "2 true")
-	tested.caughtUp()
-	tested.expect(t)
-	if out := tested.commit(nil); out.Rejection != "not a proposal" {
+	tested.expectDecisions(t, "0 false")
+	tested.applyProposal(testProposal("one"))
+	tested.applyProposal(testProposal("two"))
+	tested.expectDecisions(t)
+	tested.markCaughtUp()
+	tested.expectDecisions(t, "2 true", "2 true")
+	tested.markCaughtUp()
+	tested.expectDecisions(t)
+	if out := tested.applyProposal(nil); out.Rejection != "not a proposal" {
 		t.Errorf("an entry that is no proposal: %+v", out)
 	}
-	tested.expect(t)
+	tested.expectDecisions(t)
 	stored, err := tested.readStored()
 	if err != nil || stored == nil || stored.Version != 2 {
 		t.Errorf("stored: %+v, %v", stored, err)
@@ -87,55 +87,55 @@
 
 // A version that does not fit is stored, the settings of the one before stay without trials, and a changed
 // configuration admits trials again.
-func TestApplierFailureAndRetry(t *testing.T) {
+func TestRetryAppliesFailedVersion(t *testing.T) {
 	tested := newTestApplier(t)
 	tested.applyStored()
-	tested.caughtUp()
-	tested.commit(proposal("one"))
+	tested.markCaughtUp()
+	tested.applyProposal(testProposal("one"))
 	tested.decisions = nil
-	tested.rejects = 2
-	tested.commit(proposal("two"))
-	tested.expect(t, "2 true", "1 false")
+	tested.rejectedVersion = 2
+	tested.applyProposal(testProposal("two"))
+	tested.expectDecisions(t, "2 true", "1 false")
 	if state := tested.current(); state.failure != errDoesNotFit.Error() || state.decision.TrialsAdmitted {
 		t.Errorf("after the failure: %+v", state)
 	}
 	tested.retry()
-	tested.expect(t, "2 true")
-	tested.rejects = 0
+	tested.expectDecisions(t, "2 true")
+	tested.rejectedVersion = 0
 	tested.retry()
-	tested.expect(t, "2 true")
+	tested.expectDecisions(t, "2 true")
 	if state := tested.current(); state.failure != "" || !state.decision.TrialsAdmitted {
 		t.Errorf("after the retry: %+v", state)
 	}
 	tested.retry()
-	tested.expect(t)
+	tested.expectDecisions(t)
 }
 
 // After a restart the stored version is applied at once, without trials; a record that is corrupt is not applied.
-func TestApplierRestart(t *testing.T) {
+func TestRestartAppliesStoredVersion(t *testing.T) {
 	tested := newTestApplier(t)
 	tested.applyStored()
-	tested.caughtUp()
-	tested.commit(proposal("one"))
+	tested.markCaughtUp()
+	tested.applyProposal(testProposal("one"))
 	restarted := &testApplier{}
-	restarted.applier = newApplier(restarted.decide, tested.store, tested.log)
+	restarted.applier = newApplier(restarted.recordDecision, tested.store, tested.log)
 	restarted.applyStored()
-	restarted.expect(t, "1 false")
+	restarted.expectDecisions(t, "1 false")
 	if err := tested.store.PutUser(appliedKey, []byte("corrupt record")); err != nil {
 		t.Fatal(err)
 	}
-	restarted.applier = newApplier(restarted.decide, tested.store, tested.log)
+	restarted.applier = newApplier(restarted.recordDecision, tested.store, tested.log)
 	if _, err := restarted.readStored(); !errors.Is(err, policy.ErrCorruptRecord) {
 		t.Errorf("a corrupt record: %v", err)
 	}
 	restarted.applyStored()
-	restarted.expect(t, "0 false")
+	restarted.expectDecisions(t, "0 false")
 }
 
 // A poll that waits ends with a newer version, with its time or with its context.
-func TestAwaitSince(t *testing.T) {
+func TestAwaitSinceEndsOnVersionTimeoutOrCancel(t *testing.T) {
 	tested := newTestApplier(t)
-	tested.caughtUp()
+	tested.markCaughtUp()
 	ended := make(chan policy.Version, 1)
 	go func() {
 		records, latest, err := tested.awaitSince(t.Context(), 0, time.Minute)
@@ -144,7 +144,7 @@
 		}
 		ended <- latest
 	}()
-	tested.commit(proposal("one"))
+	tested.applyProposal(testProposal("one"))
 	if latest := <-ended; latest != 1 {
 		t.Errorf("latest %d", latest)
 	}
--- a/internal/cluster/policysync/follow.go
+++ b/internal/cluster/policysync/follow.go
@@ -63,22 +63,22 @@
 	request := sinceRequest{
 		Self: n.memberStatus(current), Version: current.latest, Confirm: !current.decision.TrialsAdmitted,
 	}
-	response, err := n.callSince(ctx, address, &request)
+	response, err := n.requestSince(ctx, address, &request)
 	if err != nil {
 		return err
 	}
-	if err := n.applier.add(response.Records); err != nil {
+	if err := n.applier.addRecords(response.Records); err != nil {
 		return err
 	}
 	if response.Confirmed {
-		n.applier.caughtUp()
+		n.applier.markCaughtUp()
 	} else if request.Confirm {
 		return errNotConfirmed
 	}
 	return nil
 }
 
-func (n *Node) callSince(ctx context.Context, address string, request *sinceRequest) (*sinceResponse, error) {
+func (n *Node) requestSince(ctx context.Context, address string, request *sinceRequest) (*sinceResponse, error) {
 	raw, err := msgpack.Marshal(request)
 	if err != nil {
 		return nil, err
--- a/internal/cluster/policysync/golden_test.go
+++ b/internal/cluster/policysync/golden_test.go
@@ -27,7 +27,7 @@
 }
 
 // Watchers poll servers for versions.
-func TestSinceOnTheWire(t *testing.T) {
+func TestPollMatchesGolden(t *testing.T) {
 	request := sinceRequest{Self: goldenMember("marshal-a"), Version: 6, Confirm: true}
 	golden.RoundTrip(t, "since.msgpack", request, msgpack.Marshal, msgpack.Unmarshal)
 	response := sinceResponse{Records: []policy.Record{{
@@ -38,7 +38,7 @@
 }
 
 // An entry of the log begins with the kind of its command.
-func TestStoredEntry(t *testing.T) {
+func TestStoredEntryMatchesGolden(t *testing.T) {
 	proposal := policy.Proposal{
 		ID: "an-id", By: "marshal-a", At: 1764700000123.5, Based: true, Base: 6,
 		Body: []byte(`{"note":"a trial"}`),
@@ -50,13 +50,13 @@
 }
 
 // Servers request each other's status.
-func TestLocalOnTheWire(t *testing.T) {
+func TestLocalStatusMatchesGolden(t *testing.T) {
 	status := localStatus{Self: goldenMember("marshal-a"), Watchers: []MemberStatus{goldenMember("marshal-b")}}
 	golden.RoundTrip(t, "local.json", status, encodeResponse, json.Unmarshal)
 }
 
 // The requests and answers of the admin address.
-func TestAdminOnTheWire(t *testing.T) {
+func TestAdminMessagesMatchGolden(t *testing.T) {
 	base := policy.Version(6)
 	text := json.RawMessage(`{"note":"a trial"}`)
 	request := ProposeRequest{Policy: text, ID: "an-id", Base: &base, WaitMS: 2500}
--- a/internal/cluster/policysync/node.go
+++ b/internal/cluster/policysync/node.go
@@ -112,7 +112,7 @@
 	for ctx.Err() == nil {
 		err := n.barrier(ctx, catchUpElectionTimeouts)
 		if err == nil {
-			n.applier.caughtUp()
+			n.applier.markCaughtUp()
 			return
 		}
 		if ctx.Err() == nil {
--- a/internal/cluster/policysync/propose_test.go
+++ b/internal/cluster/policysync/propose_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestProposeRequestWait(t *testing.T) {
+func TestProposeRequestWaitIsLimited(t *testing.T) {
 	for _, request := range []struct {
 		name   string
 		waitMS int64
--- a/internal/cluster/policysync/server.go
+++ b/internal/cluster/policysync/server.go
@@ -103,4 +103,6 @@
 }
 
 // handleLocal answers with the status of this server and of its watchers.
-func (n *Node) handleLocal(w http.ResponseWriter, _ *http.Request) { raftlog.WriteJSON(w, n.local()) }
+func (n *Node) handleLocal(w http.ResponseWriter, _ *http.Request) {
+	raftlog.WriteJSON(w, n.localStatus())
+}
--- a/internal/cluster/policysync/server_test.go
+++ b/internal/cluster/policysync/server_test.go
@@ -7,7 +7,7 @@
 )
 
 // At the limit a new watcher is kept only where another has stopped polling; a known one always.
-func TestWatcherRegistryLimit(t *testing.T) {
+func TestFullWatcherRegistryReplacesExpired(t *testing.T) {
 	registry := &watcherRegistry{members: map[string]MemberStatus{}}
 	now := 1e12
 	for i := range maxWatchers {
--- a/internal/cluster/policysync/statemachine.go
+++ b/internal/cluster/policysync/statemachine.go
@@ -21,7 +21,7 @@
 	if err := msgpack.Unmarshal(command, proposal); err != nil {
 		proposal = nil
 	}
-	raw, err := json.Marshal(m.applier.commit(proposal))
+	raw, err := json.Marshal(m.applier.applyProposal(proposal))
 	if err != nil {
 		panic(err) // can't happen: an Outcome has three plain fields
 	}
@@ -29,7 +29,7 @@
 }
 
 // Snapshot returns the kept versions.
-func (m stateMachine) Snapshot() ([]byte, error) { return m.applier.encode() }
+func (m stateMachine) Snapshot() ([]byte, error) { return m.applier.encodeState() }
 
 // Restore replaces the kept versions by those of a snapshot.
-func (m stateMachine) Restore(raw []byte) error { return m.applier.restore(raw) }
+func (m stateMachine) Restore(raw []byte) error { return m.applier.restoreState(raw) }
--- a/internal/cluster/policysync/status.go
+++ b/internal/cluster/policysync/status.go
@@ -65,11 +65,13 @@
 	return m
 }
 
-func (n *Node) local() localStatus { return localStatus{Self: n.Self(), Watchers: n.watchers.list()} }
+func (n *Node) localStatus() localStatus {
+	return localStatus{Self: n.Self(), Watchers: n.watchers.list()}
+}
 
 // FleetStatus returns the status of the fleet, as far as this process can learn it now, and of its own log.
 func (n *Node) FleetStatus(ctx context.Context) FleetStatus {
-	status := FleetStatus{Members: n.members(ctx), StoredBytes: n.store.Bytes()}
+	status := FleetStatus{Members: n.memberStatuses(ctx), StoredBytes: n.store.Bytes()}
 	if n.raft != nil {
 		log := n.raft.Status()
 		status.Log = &log
@@ -78,9 +80,9 @@
 }
 
 // members returns the status of all processes that are known to a server that can be reached, by name.
-func (n *Node) members(ctx context.Context) []MemberStatus {
+func (n *Node) memberStatuses(ctx context.Context) []MemberStatus {
 	latest := map[string]MemberStatus{}
-	for _, local := range n.collectLocal(ctx) {
+	for _, local := range n.collectLocalStatus(ctx) {
 		latest[local.Self.Name] = local.Self
 		for _, m := range local.Watchers {
 			if other, exists := latest[m.Name]; !exists || other.ReportedAt < m.ReportedAt {
@@ -100,14 +102,14 @@
 }
 
 // collectLocal asks all servers at once.
-func (n *Node) collectLocal(ctx context.Context) []localStatus {
+func (n *Node) collectLocalStatus(ctx context.Context) []localStatus {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	all := make([]localStatus, len(n.cfg.Servers))
 	var requests sync.WaitGroup
 	for i, server := range n.cfg.Servers {
 		if server.Name == n.cfg.Name {
-			all[i] = n.local()
+			all[i] = n.localStatus()
 			continue
 		}
 		requests.Go(func() {
--- a/internal/cluster/policysync/wire_golden_test.go
+++ b/internal/cluster/policysync/wire_golden_test.go
@@ -12,7 +12,7 @@
 
 // The messages between watchers, servers and operators have the bytes of the golden file: processes of different
 // releases exchange them.
-func TestGoldenMessages(t *testing.T) {
+func TestMessagesMatchGolden(t *testing.T) {
 	self := MemberStatus{
 		Name: "n0", Role: "watcher", Version: 7, Sum: "ab", TrialsAdmitted: true, Failure: "why", Unreachable: "lost",
 		ReportedAt: 8.5,
