--- a/internal/cluster/failover/checkpoint.go
+++ b/internal/cluster/failover/checkpoint.go
@@ -9,15 +9,15 @@
 	"ottershed/internal/cluster/lease"
 )
 
-// checkpoint is what a lease holds for a successor: the instance's evidence, and evidence that was merged and that its
-// decision module had not received yet. Another version may resume from it, so the tags stay whatever the fields are
-// called.
+// checkpoint is the state from which a successor resumes: the instance's evidence, and merged evidence that its
+// decision module had not received yet. An instance of another version may decode it, so the tags don't change when a
+// field is renamed.
 type checkpoint struct {
 	Evidence []decision.Evidence `msgpack:"Parts"`
-	Merged   []lease.Grant       `msgpack:"Merged"` // leases whose evidence is in Parts
+	Merged   []lease.Grant       `msgpack:"Merged"` // leases whose evidence is in Evidence
 }
 
-// decodeCheckpoint returns the checkpoint of a lease; one that was never written is empty.
+// decodeCheckpoint decodes the checkpoint of a lease. A checkpoint that was never written decodes as empty.
 func decodeCheckpoint(raw []byte) (c checkpoint, err error) {
 	if len(raw) == 0 {
 		return c, nil
@@ -26,32 +26,32 @@
 	return c, err
 }
 
-// slot is held while a checkpoint is gathered and written. Two at once could be written in the wrong order, and
-// evidence that was gathered before a merge would overwrite the merged one.
+// contextMutex is a mutex whose lock method stops waiting when the context ends. Its channel has room for one element
+// and is full while the mutex is locked.
 type contextMutex chan struct{}
 
-func (s contextMutex) lock(ctx context.Context) error {
+func (m contextMutex) lock(ctx context.Context) error {
 	select {
-	case s <- struct{}{}:
+	case m <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (s contextMutex) tryLock() bool {
+func (m contextMutex) tryLock() bool {
 	select {
-	case s <- struct{}{}:
+	case m <- struct{}{}:
 		return true
 	default:
 		return false
 	}
 }
 
-func (s contextMutex) unlock() { <-s }
+func (m contextMutex) unlock() { <-m }
 
-// gather returns the module's evidence as a checkpoint, and false where no build is on trial. The caller holds the
-// slot.
+// collectCheckpoint returns a checkpoint of the decision module's evidence, or false if no build is on trial. The
+// caller holds checkpointMutex.
 func (mgr *Manager) collectCheckpoint(ctx context.Context) (checkpoint, bool) {
 	ctx, cancel := context.WithTimeout(ctx, mgr.renewInterval())
 	defer cancel()
@@ -62,14 +62,14 @@
 	return checkpoint{Evidence: []decision.Evidence{evidence}, Merged: mgr.own.mergedFor(evidence.Build)}, true
 }
 
-// encodedCheckpoint returns the module's evidence as it is written to the lease, nil where there is none or it is too
-// long. The caller holds the slot.
+// collectEncodedCheckpoint returns the encoded checkpoint for the instance's lease, or nil if there is no evidence or
+// the checkpoint is longer than lease.MaxCheckpointBytes. The caller holds checkpointMutex.
 func (mgr *Manager) collectEncodedCheckpoint(ctx context.Context) []byte {
-	gathered, onTrial := mgr.collectCheckpoint(ctx)
+	collected, onTrial := mgr.collectCheckpoint(ctx)
 	if !onTrial {
 		return nil
 	}
-	raw, err := msgpack.Marshal(&gathered)
+	raw, err := msgpack.Marshal(&collected)
 	if err != nil || len(raw) > lease.MaxCheckpointBytes {
 		mgr.logger.WithError(err).WithField("bytes", len(raw)).Warn("checkpoint not written")
 		return nil
@@ -77,7 +77,8 @@
 	return raw
 }
 
-// resume hands the evidence of a checkpoint to the module, and returns how many responses are in it.
+// deliverEvidence passes the evidence of a checkpoint to the decision module and records the merged leases of the
+// checkpoint. It returns the number of responses in the evidence.
 func (mgr *Manager) deliverEvidence(c *checkpoint) (responses int) {
 	mgr.own.addMerged(c.Merged...)
 	for i := range c.Evidence {
@@ -87,7 +88,7 @@
 	return responses
 }
 
-// countResponses is how many responses are in evidence, of either build.
+// countResponses returns the number of responses of both builds in the evidence.
 func countResponses(e *decision.Evidence) int {
 	sum := 0.0
 	for _, count := range e.Counts {
--- a/internal/cluster/failover/checkpoint_golden_test.go
+++ b/internal/cluster/failover/checkpoint_golden_test.go
@@ -12,8 +12,8 @@
 	"ottershed/internal/golden"
 )
 
-// The bytes of a checkpoint with every field set are those of the golden file, because an instance of another version
-// may resume from it. So is the JSON of an evidence summary.
+// Guards the encoding of checkpoints, from which an instance of another version may resume, and of evidence summaries.
+// Every field is set.
 func TestCheckpointMatchesGolden(t *testing.T) {
 	checkpointBytes, err := msgpack.Marshal(&checkpoint{
 		Evidence: []decision.Evidence{{
--- a/internal/cluster/failover/golden_test.go
+++ b/internal/cluster/failover/golden_test.go
@@ -12,7 +12,7 @@
 	"ottershed/internal/golden"
 )
 
-// Checkpoints are stored in the log, in leases and in snapshots.
+// Guards the encoding of checkpoints, which are stored in log entries and in snapshots of the log.
 func TestStoredCheckpointMatchesGolden(t *testing.T) {
 	evidence := decision.Evidence{
 		Build: 8, Stage: 2,
@@ -23,7 +23,7 @@
 	golden.RoundTrip(t, "checkpoint.msgpack", stored, msgpack.Marshal, msgpack.Unmarshal)
 }
 
-// Entries of the log begin with the kind of their command.
+// Guards the encoding of log entries, which begin with the kind of their command.
 func TestStoredEntryMatchesGolden(t *testing.T) {
 	command := lease.Command{
 		Operation: lease.Merge, ID: "trial/b", Holder: lease.Holder{Name: "a", Incarnation: 5}, Token: 10,
@@ -35,7 +35,7 @@
 	}, func(raw []byte, to any) error { return msgpack.Unmarshal(raw[1:], to) })
 }
 
-// Status lines and summaries are what the admin address returns.
+// Guards the encoding of lease status and evidence summaries, which the admin interface returns.
 func TestStatusMatchesGolden(t *testing.T) {
 	line := LeaseStatus{
 		Lease: "trial/a", Holder: "a", Incarnation: 0xfedcba9876543210, Token: 11, RemainingMS: 500.5, Expired: true,
--- a/internal/cluster/failover/manager.go
+++ b/internal/cluster/failover/manager.go
@@ -14,22 +14,23 @@
 	"ottershed/internal/rollout"
 )
 
-// Log is the replicated log, at one of its servers or at an instance that follows.
+// Log gives access to the replicated log, either at one of its servers or at an instance that follows the servers.
 type Log interface {
-	// Command appends a command of a kind and returns the reply once it was applied.
+	// Command appends a command of the kind to the log and returns the reply after the command was applied.
 	Command(ctx context.Context, kind byte, command []byte) ([]byte, error)
-	// Get reads from a server of the log.
+	// Get requests the path from a server of the log and decodes the JSON response into to.
 	Get(ctx context.Context, path string, to any) error
 }
 
-// Engine runs the decision module whose evidence is kept.
+// Engine runs the decision module whose evidence is checkpointed.
 type Engine interface {
-	// Evidence returns what the module has gathered on the candidate, and false where no build is on trial.
+	// Evidence returns the module's evidence on the candidate, or false if no build is on trial.
 	Evidence(ctx context.Context) (decision.Evidence, bool)
-	// AcquireEvidence adds another instance's evidence.
+	// AcquireEvidence adds the evidence of another instance.
 	AcquireEvidence(decision.Evidence)
-	// RevokeEvidence drops the module's evidence: a successor has it.
+	// RevokeEvidence drops the module's evidence because a successor has it.
 	RevokeEvidence()
+	// HandleEvent passes an event to the module.
 	HandleEvent(decision.Event)
 }
 
@@ -38,24 +39,24 @@
 	VoteFenced(v decision.Vote, fences []rollout.Fence)
 }
 
-// Members is the membership of the cluster.
+// Members provides the membership of the cluster and its changes.
 type Members interface {
 	View() *membership.View
 	Changes() <-chan membership.Change
 }
 
-// Config is the operator's settings and the identity of the process.
+// Config holds the operator's settings and the identity of the process.
 type Config struct {
 	Name        string        // of the instance
-	Incarnation uint64        // of the process, drawn at its start
-	TTL         time.Duration // of a lease; a higher one writes less to the log and delays takeover
+	Incarnation uint64        // of the process, chosen at its start
+	TTL         time.Duration // of a lease; a higher TTL writes less to the log and delays takeover
 }
 
-// renewalsPerTTL is how many renewals, each with a checkpoint, fall into a lease's TTL. More of them lose less evidence
-// with an instance and write more to the log.
+// renewalsPerTTL is the number of renewals, each with a checkpoint, within a lease's TTL. More renewals lose less
+// evidence when an instance dies, but write more to the log.
 const renewalsPerTTL = 4
 
-// Manager is an instance's part in failover.
+// Manager renews the instance's own lease and takes over the leases of dead instances. It is safe for concurrent use.
 type Manager struct {
 	cfg        Config
 	log        Log
@@ -65,20 +66,22 @@
 	logger     logrus.FieldLogger
 
 	view    func() *membership.View
-	changes <-chan membership.Change // takeover begins as soon as a death is known
+	changes <-chan membership.Change // starts takeover as soon as membership reports a death
 
-	own             ownLease
-	checkpointMutex contextMutex        // held while a checkpoint is gathered and written
+	own ownLease
+	// checkpointMutex is held while a checkpoint is collected and written. Two checkpoints at once could be written in
+	// the wrong order, and evidence that was collected before a merge would overwrite the merged evidence.
+	checkpointMutex contextMutex
 	manualTakeovers chan manualTakeover // from operators
 }
 
 // manualTakeover is an operator's request to take a lease over.
 type manualTakeover struct {
 	id    lease.ID
-	reply chan error // with room for one
+	reply chan error // buffered, so that a requester that has gone does not block the takeover loop
 }
 
-// New makes a manager; Run starts its work.
+// New returns a manager, which does nothing until Run.
 func New(
 	cfg Config, log Log, engine Engine, controller Controller, members Members, clk *clock.Clock,
 	logger logrus.FieldLogger,
@@ -98,8 +101,8 @@
 
 func (mgr *Manager) renewInterval() time.Duration { return mgr.cfg.TTL / renewalsPerTTL }
 
-// Run keeps this instance's lease and takes over others' until ctx ends. The two run beside each other: a takeover that
-// waits for its reply must not cost the instance its own lease.
+// Run renews this instance's lease and takes over expired leases of other instances until ctx ends. The two loops run
+// concurrently; otherwise the instance could lose its own lease while a takeover waits for the reply.
 func (mgr *Manager) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -116,7 +119,7 @@
 	}
 }
 
-// takeoverLoop takes over leases one at a time. The ticker catches changes that were lost, and leases that had not
+// takeoverLoop takes over leases one at a time. The ticker covers lost membership changes, and leases that had not
 // expired when their holder died.
 func (mgr *Manager) takeoverLoop(ctx context.Context) {
 	every := time.NewTicker(mgr.renewInterval())
--- a/internal/cluster/failover/manager_test.go
+++ b/internal/cluster/failover/manager_test.go
@@ -19,14 +19,14 @@
 	"ottershed/internal/rollout"
 )
 
-var errCommandLost = errors.New("the command is lost")
+var errCommandLost = errors.New("command lost")
 
-// fakeLog is a log of one server, whose time the test sets.
+// fakeLog is a log with one server, whose time the test sets.
 type fakeLog struct {
 	mu        sync.Mutex
 	machine   StateMachine
 	now       float64
-	intercept func(*lease.Command) error // before a command, without the lock; an error loses the command
+	intercept func(*lease.Command) error // called before each command, without the lock; an error drops the command
 }
 
 func (l *fakeLog) Command(_ context.Context, _ byte, raw []byte) ([]byte, error) {
@@ -75,19 +75,19 @@
 	l.intercept = intercept
 }
 
-// expire advances the log's time past the leases that were granted for a second.
+// expire advances the log's time past the expiry of leases with a TTL of one second.
 func (l *fakeLog) expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.now += 1001
 }
 
-// fakeEngine has evidence of so many responses, to which it adds what it acquires.
+// fakeEngine has evidence with a number of responses, and adds the responses of acquired evidence.
 type fakeEngine struct {
 	mu            sync.Mutex
 	responses     float64
 	handledEvents int // events handled
-	revocations   int // how often its evidence was revoked
+	revocations   int // calls of RevokeEvidence
 }
 
 func (e *fakeEngine) Evidence(context.Context) (decision.Evidence, bool) {
@@ -120,12 +120,12 @@
 	return e.responses
 }
 
-// evidenceOf is evidence of so many responses.
+// evidenceWith returns evidence with a number of responses.
 func evidenceWith(responses float64) decision.Evidence {
 	return decision.Evidence{Build: 8, Counts: []decision.EndpointCount{{Endpoint: "a", Build: 8, Succeeded: responses}}}
 }
 
-// fakeCluster is a controller that ignores votes, and a membership in which b lives and a is dead.
+// fakeCluster is a controller that ignores votes, and a membership in which b is alive and a is dead.
 type fakeCluster struct{}
 
 func (fakeCluster) VoteFenced(decision.Vote, []rollout.Fence) {}
@@ -146,15 +146,15 @@
 	return New(cfg, log, engine, fakeCluster{}, fakeCluster{}, clock.New(), logger)
 }
 
-// startManager runs a manager of instance b until it holds its own lease, beside a dead instance's lease with a
-// checkpoint.
-func startManager(t *testing.T, ttl time.Duration, theirs []byte) (*fakeLog, *fakeEngine, *Manager) {
+// startManager runs the manager of instance b for the length of the test and waits until b holds its own lease. The log
+// also has the lease of the dead instance a, with the given checkpoint.
+func startManager(t *testing.T, ttl time.Duration, deadCheckpoint []byte) (*fakeLog, *fakeEngine, *Manager) {
 	t.Helper()
 	log := &fakeLog{machine: StateMachine{table: lease.NewTable()}}
 	dead := lease.Holder{Name: "a", Incarnation: 1}
 	log.apply(t, lease.Command{Operation: lease.Acquire, ID: "trial/a", Holder: dead, TTL: 1000})
 	log.apply(t, lease.Command{
-		Operation: lease.Renew, ID: "trial/a", Holder: dead, Token: 1, TTL: 1000, Checkpoint: theirs,
+		Operation: lease.Renew, ID: "trial/a", Holder: dead, Token: 1, TTL: 1000, Checkpoint: deadCheckpoint,
 	})
 	engine := &fakeEngine{responses: 3}
 	manager := newManager(log, engine, ttl)
@@ -165,7 +165,7 @@
 		cancel()
 		running.Wait()
 	})
-	waitFor(t, "its own lease is held", func() bool { _, held := log.get("trial/b"); return held })
+	waitFor(t, "own lease held", func() bool { _, held := log.get("trial/b"); return held })
 	return log, engine, manager
 }
 
@@ -173,26 +173,26 @@
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not within ten seconds: ", what)
+			t.Fatal("want within ten seconds: ", what)
 		}
 	}
 }
 
-// While a merge waits for its reply, the instance renews its own lease, and writes no checkpoint that lacks what it is
-// about to take over.
+// Guards against two failures while a merge waits for its reply: the instance's own lease expires, or a renewal writes
+// a checkpoint that lacks the evidence that is being merged and overwrites the merged checkpoint.
 func TestRenewalsDuringMergeWriteNoCheckpoint(t *testing.T) {
-	theirs, err := msgpack.Marshal(&checkpoint{Evidence: []decision.Evidence{evidenceWith(40)}})
+	deadCheckpoint, err := msgpack.Marshal(&checkpoint{Evidence: []decision.Evidence{evidenceWith(40)}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	log, engine, _ := startManager(t, 400*time.Millisecond, theirs)
-	merging, free, once := make(chan struct{}), make(chan struct{}), sync.Once{}
-	renewals := make(chan int, 1000) // bytes of their checkpoints
+	log, engine, _ := startManager(t, 400*time.Millisecond, deadCheckpoint)
+	merging, unblock, once := make(chan struct{}), make(chan struct{}), sync.Once{}
+	renewals := make(chan int, 1000) // checkpoint lengths in bytes
 	log.setIntercept(func(c *lease.Command) error {
 		switch c.Operation {
 		case lease.Merge:
 			once.Do(func() { close(merging) })
-			<-free
+			<-unblock
 		case lease.Renew:
 			renewals <- len(c.Checkpoint)
 		}
@@ -205,28 +205,29 @@
 	}
 	for range 8 { // twice the TTL
 		if n := <-renewals; n > 0 {
-			t.Errorf("a checkpoint of %d bytes was written while another's evidence was being merged", n)
+			t.Errorf("renewal during the merge: got a checkpoint of %d bytes, want none", n)
 		}
 	}
-	close(free)
+	close(unblock)
 	waitFor(t, "merged", func() bool { _, there := log.get("trial/a"); return !there })
 	waitFor(t, "evidence acquired", func() bool { return engine.responseCount() == 43 })
-	waitFor(t, "checkpoints again", func() bool { return <-renewals > 0 })
+	waitFor(t, "a renewal with a checkpoint", func() bool { return <-renewals > 0 })
 	l, _ := log.get("trial/b")
-	united, err := decodeCheckpoint(l.Checkpoint)
-	if err != nil || len(united.Merged) != 1 {
-		t.Errorf("%v: %+v", err, united)
+	combined, err := decodeCheckpoint(l.Checkpoint)
+	if err != nil || len(combined.Merged) != 1 {
+		t.Errorf("got %v, checkpoint %+v, want one merged lease", err, combined)
 	}
 	sum := 0
-	for _, e := range united.Evidence {
+	for _, e := range combined.Evidence {
 		sum += countResponses(&e)
 	}
 	if sum != 43 {
-		t.Errorf("%d responses are in its checkpoint", sum)
+		t.Errorf("got %d responses in the checkpoint, want 43", sum)
 	}
 }
 
-// A checkpoint that can't be read abandons its lease, once, even where the first command is lost, and is listed.
+// Guards against a lease with an unreadable checkpoint that is taken over again and again. It is abandoned once, even
+// if the first command is lost, and listed with the reason.
 func TestUnreadableCheckpointIsAbandonedOnce(t *testing.T) {
 	log, engine, manager := startManager(t, 200*time.Millisecond, []byte("not a checkpoint"))
 	lost := false
@@ -239,54 +240,56 @@
 	})
 	log.expire()
 	waitFor(t, "abandoned", func() bool { _, there := log.get("trial/a"); return !there })
-	lines, err := manager.Status(t.Context())
-	if err != nil || len(lines) != 2 || lines[1].Holder != "b" ||
-		!strings.Contains(lines[1].AbandonReason, "can't be read") {
-		t.Errorf("%v: %+v", err, lines)
+	leases, err := manager.Status(t.Context())
+	if err != nil || len(leases) != 2 || leases[1].Holder != "b" ||
+		!strings.Contains(leases[1].AbandonReason, "can't be read") {
+		t.Errorf("got %v, leases %+v, want the lease of a abandoned by b in second place", err, leases)
 	}
 	if n := engine.responseCount(); n != 3 {
-		t.Errorf("%v responses", n)
+		t.Errorf("got %v responses, want 3", n)
 	}
 	if l, _ := log.get("trial/b"); l.Token != 2 {
-		t.Errorf("its own lease: %+v", l)
+		t.Errorf("own lease: got %+v, want token 2", l)
 	}
 }
 
-// Without a valid lease a rollback vote is sent, and a vote that advances or holds a build is not.
+// Guards against a vote on evidence that a successor has too: without a valid lease a vote that advances or holds a
+// build is not sent and reported as failed. A rollback vote is sent.
 func TestVoteWithoutLeaseSendsRollbackOnly(t *testing.T) {
 	engine := &fakeEngine{}
 	manager := newManager(&fakeLog{machine: StateMachine{table: lease.NewTable()}}, engine, time.Second)
 	for _, test := range []struct {
 		verdict decision.Verdict
-		want    int // votes reported as failed, with those before
+		want    int // votes reported as failed so far
 	}{{decision.VoteAdvance, 1}, {decision.VoteHold, 2}, {decision.VoteRollback, 2}, {decision.VoteNone, 2}} {
 		manager.Vote(decision.Vote{Verdict: test.verdict})
 		if engine.handledEvents != test.want {
-			t.Errorf("verdict %v: %d votes reported as failed, want %d", test.verdict, engine.handledEvents, test.want)
+			t.Errorf("verdict %v: got %d votes reported as failed, want %d", test.verdict, engine.handledEvents, test.want)
 		}
 	}
 }
 
-// Callers tell by type why a takeover failed.
+// Guards the error types by which callers tell why a takeover failed.
 func TestTakeOverErrorTypes(t *testing.T) {
 	_, _, manager := startManager(t, 200*time.Millisecond, []byte("not a checkpoint"))
 	if err := manager.TakeOver(t.Context(), "trial/b"); !errors.Is(err, ErrOwnLease) {
-		t.Errorf("its own lease: %v", err)
+		t.Errorf("own lease: got %v, want ErrOwnLease", err)
 	}
 	var rejection *RejectedError
 	if err := manager.TakeOver(t.Context(), "trial/a"); !errors.As(err, &rejection) ||
 		!strings.Contains(rejection.Reason, "for 1000 ms more") {
-		t.Errorf("a lease that has not expired: %v", err)
+		t.Errorf("lease that has not expired: got %v, want a *RejectedError with 1000 ms left", err)
 	}
 }
 
-// A takeover that can't resume the work reports that it abandoned the lease.
+// Guards the error type of a takeover that abandoned the lease because the work could not be resumed.
 func TestTakeOverReportsAbandonedLease(t *testing.T) {
-	log, _, manager := startManager(t, time.Minute, []byte("not a checkpoint")) // so long that no takeover is automatic
+	// With a TTL of a minute no automatic takeover occurs during the test.
+	log, _, manager := startManager(t, time.Minute, []byte("not a checkpoint"))
 	log.expire()
 	var abandoned *AbandonedError
 	if err := manager.TakeOver(t.Context(), "trial/a"); !errors.As(err, &abandoned) ||
 		!strings.Contains(abandoned.Reason, "can't be read") {
-		t.Errorf("%v", err)
+		t.Errorf("got %v, want an *AbandonedError for an unreadable checkpoint", err)
 	}
 }
--- a/internal/cluster/failover/ownlease.go
+++ b/internal/cluster/failover/ownlease.go
@@ -9,23 +9,25 @@
 	"ottershed/internal/rollout"
 )
 
-// ownLease is this instance's lease and what its evidence includes. It is safe for concurrent use.
+// ownLease holds this instance's lease and the leases whose evidence the instance has merged. It is safe for concurrent
+// use.
 type ownLease struct {
 	mu      sync.Mutex
 	session lease.Session
-	seq     uint64         // of the newest checkpoint
-	merged  []lease.Grant  // leases whose evidence is among this instance's, on the candidate build
+	seq     uint64         // number of the newest checkpoint
+	merged  []lease.Grant  // leases whose evidence on the candidate this instance has merged
 	build   decision.Build // the candidate
 }
 
-// current is a copy of the session.
+// current returns a copy of the session.
 func (o *ownLease) current() lease.Session {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.session
 }
 
-// nextCommand is the command that acquires or renews the lease, with a checkpoint unless raw is nil.
+// nextCommand returns the command that acquires or renews the lease. A renewal has raw as a newly numbered checkpoint
+// unless raw is nil.
 func (o *ownLease) nextCommand(raw []byte) lease.Command {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -37,7 +39,7 @@
 	return c
 }
 
-// newSeq is the number of the next checkpoint.
+// nextSeq assigns and returns the number of the next checkpoint.
 func (o *ownLease) nextSeq() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -45,7 +47,7 @@
 	return o.seq
 }
 
-// handleReply takes the reply to a command that was sent at a time, and tells whether the lease was lost by it.
+// handleReply processes the reply to a command that was sent at sent, and reports whether the reply revoked the lease.
 func (o *ownLease) handleReply(c *lease.Command, sent lease.Millis, r *lease.Reply) (revoked bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -56,7 +58,8 @@
 	return revoked
 }
 
-// mergedFor returns the merged leases for evidence on a build. Those of an earlier build fence nothing any more.
+// mergedFor returns the merged leases for evidence on a build. It drops those of an earlier build, whose evidence backs
+// no vote any more.
 func (o *ownLease) mergedFor(build decision.Build) []lease.Grant {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -67,28 +70,29 @@
 	return o.merged
 }
 
-// mergedWith returns a copy of the merged leases, followed by others.
+// mergedWith returns a new slice with the merged leases, followed by others.
 func (o *ownLease) mergedWith(others ...lease.Grant) []lease.Grant {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return append(slices.Clone(o.merged), others...)
 }
 
-// addMerged notes leases whose evidence this instance has now.
+// addMerged records leases whose evidence this instance has merged.
 func (o *ownLease) addMerged(grants ...lease.Grant) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.merged = append(o.merged, grants...)
 }
 
-// mayVote tells whether a vote may be sent, and under which fences.
+// mayVote reports whether a vote may be sent at now, a time of the instance's local clock, and returns its fences.
 func (o *ownLease) mayVote(v decision.Verdict, now lease.Millis) (bool, []rollout.Fence) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.session.MayVote(v, now), o.fences()
 }
 
-// fences names the leases that the evidence comes from, with their tokens. The caller holds mu.
+// fences returns the leases that the evidence comes from, with their tokens, or nil if the instance has had no lease
+// yet. The caller holds mu.
 func (o *ownLease) fences() []rollout.Fence {
 	if o.session.Token() == 0 {
 		return nil
--- a/internal/cluster/failover/propose.go
+++ b/internal/cluster/failover/propose.go
@@ -12,21 +12,21 @@
 	"ottershed/internal/cluster/lease"
 )
 
-// Kind marks the commands of leases in the log.
+// Kind is the first byte of the log's entries that are lease commands.
 const Kind byte = 'l'
 
-// ErrOwnLease is a takeover of the instance's own lease.
+// ErrOwnLease reports an attempt to take over the instance's own lease.
 var ErrOwnLease = errors.New("it is this marshal's own")
 
-// RejectedError is a command that the log applied to no effect.
+// RejectedError reports a command that the log has committed and the lease table has rejected. Nothing has changed.
 type RejectedError struct {
-	Reason string // as the lease table gave it
+	Reason string // given by the lease table
 }
 
 func (e *RejectedError) Error() string { return e.Reason }
 
-// propose sends a command and takes its reply, which may reject the command. If the lease is lost by it, the decision
-// module drops its evidence.
+// propose sends a command to the log and returns the reply, which may be a rejection. If the reply revokes the
+// instance's lease, the decision module drops its evidence.
 func (mgr *Manager) propose(ctx context.Context, command *lease.Command) (*lease.Reply, error) {
 	raw, err := msgpack.Marshal(command)
 	if err != nil {
@@ -51,8 +51,9 @@
 	return reply, nil
 }
 
-// proposeUntilReply sends a command again until there is a reply. A command without a reply may have been applied:
-// were a merge given up then, the next checkpoint would lack the merged evidence and overwrite the one that has it.
+// proposeUntilReply repeats a command until there is a reply or ctx ends. A command without a reply may have been
+// applied. If the instance gave up a merge at that point, its next checkpoint would overwrite the merged checkpoint and
+// lack the merged evidence.
 func (mgr *Manager) proposeUntilReply(ctx context.Context, command *lease.Command) error {
 	for {
 		reply, err := mgr.propose(ctx, command)
@@ -67,7 +68,7 @@
 	}
 }
 
-// rejected is the rejection in a reply as an error, nil if the command was applied.
+// rejectionError returns the rejection in a reply as a [*RejectedError], or nil if the command was applied.
 func rejectionError(r *lease.Reply) error {
 	if r.Rejection == "" {
 		return nil
--- a/internal/cluster/failover/release.go
+++ b/internal/cluster/failover/release.go
@@ -8,7 +8,8 @@
 	"ottershed/internal/cluster/lease"
 )
 
-// ReleaseAll writes a last checkpoint and releases this instance's lease, so that a successor takes it over at once.
+// ReleaseAll writes a last checkpoint and releases this instance's lease, so that a successor need not wait for the
+// lease to expire. It does nothing without a valid lease.
 func (mgr *Manager) ReleaseAll(ctx context.Context) {
 	if mgr.checkpointMutex.lock(ctx) != nil {
 		return
--- a/internal/cluster/failover/renew.go
+++ b/internal/cluster/failover/renew.go
@@ -8,8 +8,8 @@
 	"ottershed/internal/cluster/lease"
 )
 
-// renew acquires this instance's lease, or renews it with a checkpoint. While a takeover holds the checkpoint slot the
-// lease is renewed without one.
+// renew acquires this instance's lease, or renews it with a checkpoint. While a takeover holds checkpointMutex, the
+// lease is renewed without a checkpoint.
 func (mgr *Manager) renew(ctx context.Context) {
 	var raw []byte
 	if mgr.checkpointMutex.tryLock() {
@@ -30,14 +30,14 @@
 	}
 }
 
-// acquired resumes from the checkpoint of the lease that was granted.
+// handleAcquired resumes from the checkpoint of the granted lease.
 func (mgr *Manager) handleAcquired(l *lease.Lease) {
 	mgr.logger.WithFields(logrus.Fields{
 		"work": mgr.own.current().ID, "token": uint64(l.Token), "bytes": len(l.Checkpoint),
 	}).Info("lease acquired")
 	resumed, err := decodeCheckpoint(l.Checkpoint)
 	if err != nil {
-		mgr.logger.WithError(err).Error("checkpoint unreadable")
+		mgr.logger.WithError(err).Error("checkpoint not decoded")
 		return
 	}
 	mgr.deliverEvidence(&resumed)
--- a/internal/cluster/failover/statemachine.go
+++ b/internal/cluster/failover/statemachine.go
@@ -11,14 +11,15 @@
 	"ottershed/internal/cluster/raftlog"
 )
 
-// StateMachine is the lease table at a server of the log, which applies the commands of leases to it. It is safe for
-// concurrent use.
+// StateMachine applies the log's lease commands to the lease table at a server of the log. It is safe for concurrent
+// use.
 type StateMachine struct {
 	mu    sync.Mutex
 	table *lease.Table
 }
 
-// NewStateMachine makes an empty one, registers it with the server's log, and serves its list of leases.
+// NewStateMachine returns a state machine with an empty table, registers it with the server's log and serves its list
+// of leases over HTTP.
 func NewStateMachine(n *raftlog.Node) *StateMachine {
 	m := &StateMachine{table: lease.NewTable()}
 	n.Register(Kind, m)
@@ -34,7 +35,7 @@
 	return m.table.List()
 }
 
-// Apply carries out a command of the log, at the log's time, and returns the encoded reply.
+// Apply executes a command of the log and returns the encoded reply; at is the log's time.
 func (m *StateMachine) Apply(_ uint64, at logclock.Millis, raw []byte) []byte {
 	var command lease.Command
 	reply := lease.Reply{Rejection: "not a command"}
@@ -45,12 +46,12 @@
 	}
 	encoded, err := msgpack.Marshal(&reply)
 	if err != nil {
-		panic(err) // a reply has no field that can't be encoded
+		panic(err) // can't happen: every field of a reply can be encoded
 	}
 	return encoded
 }
 
-// LogTime is the log's time at the newest command.
+// LogTime returns the log's time at the newest command.
 func (m *StateMachine) LogTime() logclock.Millis {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -64,7 +65,7 @@
 	return m.table.Encode()
 }
 
-// Restore replaces the table by one that Snapshot returned.
+// Restore replaces the table with one that Snapshot has encoded. After an error the table must not be used.
 func (m *StateMachine) Restore(raw []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/cluster/failover/status.go
+++ b/internal/cluster/failover/status.go
@@ -7,38 +7,38 @@
 	"ottershed/internal/cluster/membership"
 )
 
-// leasePath is where a server of the log returns its list of leases.
+// leasePath is the HTTP path of the list of leases at a server of the log.
 const leasePath = "/lease/list"
 
-// LeaseStatus is one line of `ottershed work status`. Times are by the log's clock, as of its newest entry.
+// LeaseStatus is one line of `ottershed work status`. Times are those of the log, as of its newest entry.
 type LeaseStatus struct {
 	Lease         lease.ID         `json:"work"`
-	Holder        string           `json:"owner"`      // of an abandoned lease: who abandoned it
+	Holder        string           `json:"owner"`      // abandoned lease: the instance that abandoned it
 	Incarnation   uint64           `json:"run,string"` // of the holder's process
 	Token         lease.Token      `json:"token"`
-	RemainingMS   float64          `json:"left_ms"` // until the lease expires, 0 once it has
+	RemainingMS   float64          `json:"left_ms"` // ms until the lease expires; 0 after expiry
 	Expired       bool             `json:"lapsed"`
-	CheckpointAt  float64          `json:"written_ms"`     // of the newest checkpoint; 0: none. Abandoned: when it was
+	CheckpointAt  float64          `json:"written_ms"`     // of the newest checkpoint, 0: none; or of the abandonment
 	CheckpointAge float64          `json:"written_ago_ms"` // ms since CheckpointAt
 	Merged        []lease.Grant    `json:"merged,omitempty"`
-	HolderState   membership.State `json:"owner_state"`     // dead where membership does not know the holder
+	HolderState   membership.State `json:"owner_state"`     // dead if membership does not know the holder
 	AbandonReason string           `json:"ended,omitempty"` // set for an abandoned lease only
 }
 
-// EvidenceSummary is what this instance has gathered on the candidate, with what it took over.
+// EvidenceSummary summarizes this instance's evidence on the candidate, including evidence of leases taken over.
 type EvidenceSummary struct {
 	Build     int `json:"build"`
 	Stage     int `json:"stage"`
 	Responses int `json:"hits"` // of both builds, since the candidate was offered
 }
 
-// EvidenceSummary returns that as of now; all zero where no build is on trial.
+// EvidenceSummary returns the current summary; all fields are zero if no build is on trial.
 func (mgr *Manager) EvidenceSummary(ctx context.Context) EvidenceSummary {
-	evidence, _ := mgr.engine.Evidence(ctx) // zero where no build is on trial
+	evidence, _ := mgr.engine.Evidence(ctx) // the zero value if no build is on trial
 	return EvidenceSummary{Build: int(evidence.Build), Stage: evidence.Stage, Responses: countResponses(&evidence)}
 }
 
-// Leases returns all leases as a server of the log has them now, without checkpoints.
+// Leases requests the current list of leases, without checkpoints, from a server of the log.
 func (mgr *Manager) Leases(ctx context.Context) (list lease.List, err error) {
 	ctx, cancel := context.WithTimeout(ctx, mgr.cfg.TTL)
 	defer cancel()
@@ -46,13 +46,13 @@
 	return list, err
 }
 
-// Status returns a line for each lease, and for each that was abandoned of late.
+// Status returns the status of each lease, followed by the leases that were abandoned last.
 func (mgr *Manager) Status(ctx context.Context) ([]LeaseStatus, error) {
 	list, err := mgr.Leases(ctx)
 	if err != nil {
 		return nil, err
 	}
-	out := []LeaseStatus{} // not null in JSON
+	out := []LeaseStatus{} // not nil, so that an empty list is [] in JSON
 	view := mgr.view()
 	for i := range list.Leases {
 		out = append(out, statusOf(&list.Leases[i], list.Now, view))
--- a/internal/cluster/failover/takeover.go
+++ b/internal/cluster/failover/takeover.go
@@ -10,14 +10,15 @@
 	"ottershed/internal/cluster/lease"
 )
 
-// AbandonedError is a takeover that ended its lease because the work could not be resumed.
+// AbandonedError reports a takeover that ended the lease because the work could not be resumed.
 type AbandonedError struct {
 	Reason string
 }
 
 func (e *AbandonedError) Error() string { return "ended: " + e.Reason }
 
-// TakeOver takes a lease over for an operator, under the same terms as those that are due.
+// TakeOver takes a lease over on an operator's request, under the same conditions as an automatic takeover. The error
+// is [ErrOwnLease], a [*RejectedError], an [*AbandonedError], or that of the log or of ctx. Run must be active.
 func (mgr *Manager) TakeOver(ctx context.Context, id lease.ID) error {
 	manual := manualTakeover{id, make(chan error, 1)}
 	select {
@@ -28,7 +29,8 @@
 	}
 }
 
-// takeOverExpired takes over the leases that are due. An instance that can't keep its own lease is no successor.
+// takeOverExpired takes over the leases that are due. An instance without a valid lease of its own does nothing,
+// because it could not merge the evidence.
 func (mgr *Manager) takeOverExpired(ctx context.Context) {
 	session := mgr.own.current()
 	if !session.Valid(mgr.clock.Now()) {
@@ -45,7 +47,8 @@
 	}
 }
 
-// takeOver takes a lease over and merges it into this instance's own; see the package comment for the order of steps.
+// takeOver takes a lease over and merges it into this instance's own. The package comment explains the order of the
+// steps.
 func (mgr *Manager) takeOver(ctx context.Context, leaseID lease.ID) error {
 	session := mgr.own.current()
 	if leaseID == session.ID {
@@ -81,16 +84,16 @@
 	return nil
 }
 
-// merge ends a lease that was taken over and writes its checkpoint, united with this instance's evidence, to the
-// instance's own lease. A united checkpoint that is too long for a lease abandons the one that was taken over. The
-// caller holds the checkpoint slot.
+// merge ends a lease that was taken over and writes a checkpoint with the evidence of both instances to this instance's
+// own lease. If that checkpoint is too long for a lease, merge abandons the lease that was taken over. The caller holds
+// checkpointMutex.
 func (mgr *Manager) merge(ctx context.Context, session *lease.Session, grant lease.Grant, inherited *checkpoint) error {
-	gathered, _ := mgr.collectCheckpoint(ctx) // nothing where no build is on trial
-	united := checkpoint{
-		Evidence: append(gathered.Evidence, inherited.Evidence...),
+	collected, _ := mgr.collectCheckpoint(ctx) // empty if no build is on trial
+	combined := checkpoint{
+		Evidence: append(collected.Evidence, inherited.Evidence...),
 		Merged:   append(mgr.own.mergedWith(inherited.Merged...), grant),
 	}
-	raw, err := msgpack.Marshal(&united)
+	raw, err := msgpack.Marshal(&combined)
 	if err != nil {
 		return fmt.Errorf("work: %w", err)
 	}
@@ -103,8 +106,8 @@
 	})
 }
 
-// abandon ends a lease that was taken over and whose work can't be resumed. Left as it is, it would expire and be taken
-// over again, by one instance after another. The error is never nil.
+// abandon ends a lease that was taken over and whose work can't be resumed. Otherwise the lease would expire and be
+// taken over by one instance after another. The error is never nil: an [*AbandonedError], or that of the command.
 func (mgr *Manager) abandon(ctx context.Context, grant lease.Grant, reason string) error {
 	err := mgr.proposeUntilReply(ctx, &lease.Command{
 		Operation: lease.Abandon, ID: grant.ID, Holder: mgr.own.current().Holder, Token: grant.Token,
--- a/internal/cluster/failover/takeover_test.go
+++ b/internal/cluster/failover/takeover_test.go
@@ -11,17 +11,17 @@
 	"ottershed/internal/cluster/lease"
 )
 
-// A merge whose first command is lost is sent again, without a second takeover, and its checkpoint holds the evidence
-// and the merged leases of both.
+// Guards against evidence that is lost with a merge command: the merge is sent again, without a second takeover, and
+// its checkpoint has the evidence and the merged leases of both instances.
 func TestLostMergeIsResent(t *testing.T) {
 	earlier := lease.Grant{ID: "trial/c", Token: 1}
-	theirs, err := msgpack.Marshal(&checkpoint{
+	deadCheckpoint, err := msgpack.Marshal(&checkpoint{
 		Evidence: []decision.Evidence{evidenceWith(40)}, Merged: []lease.Grant{earlier},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	log, _, _ := startManager(t, 200*time.Millisecond, theirs)
+	log, _, _ := startManager(t, 200*time.Millisecond, deadCheckpoint)
 	takeovers := 0
 	merges := make(chan lease.Command, 1000)
 	log.setIntercept(func(c *lease.Command) error {
@@ -39,15 +39,16 @@
 	log.expire()
 	waitFor(t, "merged", func() bool { _, there := log.get("trial/a"); return !there })
 	if len(merges) != 2 || takeovers != 1 {
-		t.Errorf("%d merges, %d takeovers", len(merges), takeovers)
+		t.Errorf("got %d merges, %d takeovers, want 2, 1", len(merges), takeovers)
 	}
 	first := <-merges
-	united, err := decodeCheckpoint(first.Checkpoint)
-	if err != nil || len(united.Evidence) != 2 || countResponses(&united.Evidence[0])+countResponses(&united.Evidence[1]) != 43 {
-		t.Errorf("%v: %+v", err, united)
+	combined, err := decodeCheckpoint(first.Checkpoint)
+	if err != nil || len(combined.Evidence) != 2 ||
+		countResponses(&combined.Evidence[0])+countResponses(&combined.Evidence[1]) != 43 {
+		t.Errorf("got %v, checkpoint %+v, want evidence of two instances with 43 responses", err, combined)
 	}
 	want := []lease.Grant{earlier, {ID: "trial/a", Token: first.Token}}
-	if !slices.Equal(united.Merged, want) {
-		t.Errorf("merged leases %+v", united.Merged)
+	if !slices.Equal(combined.Merged, want) {
+		t.Errorf("got merged leases %+v, want trial/c and trial/a", combined.Merged)
 	}
 }
