--- a/internal/cluster/policy/admission_test.go
+++ b/internal/cluster/policy/admission_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// recordsOf returns versions 1 to count.
+// committedRecords returns the records of versions 1 to count.
 func committedRecords(t *testing.T, count int) []Record {
 	t.Helper()
 	var state State
@@ -21,12 +21,12 @@
 func checkDecision(t *testing.T, admission *TrialAdmission, version Version, admitted bool) {
 	t.Helper()
 	if d := admission.Current(); d.Record.Version != version || d.TrialsAdmitted != admitted {
-		t.Errorf("version %d, trials admitted %v; want %d, %v", d.Record.Version, d.TrialsAdmitted, version, admitted)
+		t.Errorf("got version %d, trials admitted %v, want %d, %v", d.Record.Version, d.TrialsAdmitted, version, admitted)
 	}
 }
 
-// After a restart no version older than the stored one is applied, and no new one and no trial before the process has
-// caught up.
+// Guards against trials under outdated settings after a restart: until the process has caught up, it keeps the stored
+// version and admits no trials. After that it applies only newer versions.
 func TestTrialsWaitForCatchUp(t *testing.T) {
 	records := committedRecords(t, 5)
 	var admission TrialAdmission
@@ -42,24 +42,24 @@
 	checkDecision(t, &admission, 2, false)
 	for _, r := range records[:4] {
 		if admission.ShouldApply(r) {
-			t.Errorf("version %d is to be applied before the process has caught up", r.Version)
+			t.Errorf("version %d: got ShouldApply true before the process has caught up, want false", r.Version)
 		}
 	}
 	if !admission.MarkCaughtUp() || admission.MarkCaughtUp() {
-		t.Error("want the first MarkCaughtUp, and only that, to report that it is the first")
+		t.Error("want true from the first MarkCaughtUp and false from the second")
 	}
 	if admission.ShouldApply(records[0]) || admission.ShouldApply(records[1]) || !admission.ShouldApply(records[3]) {
-		t.Error("want only versions newer than the applied one to be applied")
+		t.Error("want ShouldApply true only for versions newer than the applied one")
 	}
 	admission.MarkApplied(records[3])
 	admission.MarkApplied(records[2])
 	checkDecision(t, &admission, 4, true)
 	admission.MarkFailed(errors.New("no"))
 	if d := admission.Current(); d.TrialsAdmitted || admission.Failure() != "no" {
-		t.Errorf("after a failure: %+v, %q", d, admission.Failure())
+		t.Errorf("after a failure: got %+v, failure %q, want no trials and the failure's text", d, admission.Failure())
 	}
 	admission.MarkApplied(records[4])
 	if !admission.Current().TrialsAdmitted || admission.Failure() != "" {
-		t.Error("a later version does not end the failure")
+		t.Error("want a later version to end the failure")
 	}
 }
--- a/internal/cluster/policy/golden_test.go
+++ b/internal/cluster/policy/golden_test.go
@@ -15,7 +15,7 @@
 	return &Proposal{ID: id, By: "marshal-a", At: 1764700000123.5, Based: true, Base: base, Body: []byte(goldenPolicy)}
 }
 
-// goldenState holds two versions.
+// goldenState returns a state with two versions.
 func goldenState(t *testing.T) *State {
 	t.Helper()
 	state := &State{}
@@ -28,18 +28,19 @@
 	return state
 }
 
-// A proposal is stored as an entry of the replicated log.
+// Guards the encoding of proposals, which are entries of the replicated log.
 func TestStoredProposalMatchesGolden(t *testing.T) {
 	golden.RoundTrip(t, "proposal.msgpack", *goldenProposal("second", 1), msgpack.Marshal, msgpack.Unmarshal)
 }
 
-// An outcome is what the server that committed a proposal sends back to the proposer.
+// Guards the encoding of outcomes, which the server that committed a proposal sends to the proposer.
 func TestOutcomeMatchesGolden(t *testing.T) {
 	outcome := Outcome{Version: 7, Duplicate: true, Rejection: "not the newest"}
 	golden.RoundTrip(t, "outcome.json", outcome, json.Marshal, json.Unmarshal)
 }
 
-// The form of a policy for the log is stored in records; parsing it again gives the same bytes.
+// Guards the encoding of policies for the log, which is stored in records. Parsing the encoding must return the same
+// bytes.
 func TestStoredPolicyMatchesGolden(t *testing.T) {
 	share := 0.25
 	policy := Policy{Note: "a trial", Halt: true, TrialShare: &share, Settings: json.RawMessage(`{"pace":1}`)}
@@ -52,7 +53,7 @@
 	golden.Equal(t, "policy.json", *parsed, policy)
 }
 
-// The record of the applied version is stored by each process.
+// Guards the encoding of the applied version's record, which each process stores.
 func TestStoredRecordMatchesGolden(t *testing.T) {
 	record, _ := goldenState(t).Latest()
 	golden.Filled(t, "record", record)
@@ -68,7 +69,7 @@
 	golden.Equal(t, "record.bin", *back, record)
 }
 
-// A snapshot of the log has the kept records.
+// Guards the encoding of the kept records in snapshots of the log.
 func TestStoredStateMatchesGolden(t *testing.T) {
 	state := goldenState(t)
 	golden.Filled(t, "records", state.records)
--- a/internal/cluster/policy/policy.go
+++ b/internal/cluster/policy/policy.go
@@ -10,44 +10,45 @@
 	"strings"
 )
 
-// Limits on the text of a policy and on the proposal that carries it.
+// Limits on the text of a policy and on its proposal.
 const (
-	maxPolicyBytes = 64 << 10 // bytes of the text as given
-	maxNoteBytes   = 400      // bytes
-	maxIDBytes     = 64       // bytes of a proposal's ID
+	maxPolicyBytes = 64 << 10 // length of the text that the operator submits
+	maxNoteBytes   = 400      // length of a note
+	maxIDBytes     = 64       // length of a proposal's ID
 )
 
-// Policy is what operators ask of all processes of a fleet, in addition to each one's configuration.
+// Policy holds settings that operators change for all processes of a fleet at once, in addition to the configuration of
+// each process.
 type Policy struct {
-	// Note says what the change is for. Required, 1 to 400 bytes.
+	// Note is the purpose of the change. Required, 1 to 400 bytes.
 	Note string `json:"note"`
-	// Halt stops votes to advance; votes to roll back are still cast. Default false.
+	// Halt stops votes to advance; votes to roll back are still sent. Default false.
 	Halt bool `json:"halt,omitempty"`
-	// TrialShare limits the share of requests that goes to a candidate, 0 to 1. Default none: the exposure limit of the
-	// rollout controller applies alone. A higher value brings evidence sooner and exposes more requests.
+	// TrialShare limits the share of requests that go to a candidate, 0 to 1. Default none: only the exposure limit of
+	// the rollout controller applies. A higher value gathers evidence sooner and exposes more requests.
 	TrialShare *float64 `json:"trial-share,omitempty"`
-	// Settings override those of the configuration, by the same names. Default none. Those of services, tenants, zone,
-	// granularity and sockets can't be overridden.
+	// Settings override the settings of the configuration with the same names. Default none. The settings of services,
+	// tenants, zone, granularity and sockets can't be overridden.
 	Settings json.RawMessage `json:"settings,omitempty"`
 }
 
-// KeyError is a fault in a policy's text.
+// KeyError reports an invalid key or value in a policy's text.
 type KeyError struct {
-	Key string // where the fault is; "policy" for the text as a whole
-	Err error  // what is wrong there
+	Key string // the invalid key, or "policy" if the text as a whole is invalid
+	Err error  // the cause
 }
 
 func (e *KeyError) Error() string { return e.Key + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong at the key.
+// Unwrap returns the cause.
 func (e *KeyError) Unwrap() error { return e.Err }
 
 func keyErrorf(key, format string, args ...any) error {
 	return &KeyError{Key: key, Err: fmt.Errorf(format, args...)}
 }
 
-// Parse reads a policy's text. It returns the policy and its form for the log, which is one line, so that equal
-// policies have equal checksums at all servers. An error is a [*KeyError].
+// Parse decodes and validates a policy's text. It returns the policy and its encoding for the log, one line of JSON, so
+// that equal policies have equal checksums at all servers. An error is a [*KeyError].
 func Parse(raw []byte) (*Policy, []byte, error) {
 	if len(raw) > maxPolicyBytes {
 		return nil, nil, keyErrorf("policy", "want %d bytes at most, got %d", maxPolicyBytes, len(raw))
@@ -66,7 +67,7 @@
 	return parsed, body, nil
 }
 
-// decodeOne decodes a text that holds one policy and nothing else.
+// decodePolicy decodes a text that consists of one policy and nothing else.
 func decodePolicy(raw []byte) (*Policy, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
@@ -80,7 +81,7 @@
 	return parsed, nil
 }
 
-// decodingError names the key or the line of what the decoder rejected.
+// decodingError returns a [*KeyError] that names the key, or the line, that the decoder rejected.
 func decodingError(raw []byte, err error) error {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
@@ -91,14 +92,14 @@
 		read := raw[:min(len(raw), int(syntax.Offset))]
 		return keyErrorf("policy", "line %d: %w", 1+bytes.Count(read, []byte("\n")), err)
 	}
-	// encoding/json has no type for this error, only its text.
+	// encoding/json has no error type for unknown fields, so the text is matched.
 	if _, field, unknown := strings.Cut(err.Error(), "unknown field "); unknown {
 		return keyErrorf(strings.Trim(field, `"`), "not a key that is known")
 	}
 	return keyErrorf("policy", "%w", err)
 }
 
-// validate checks the ranges of the values.
+// validate checks that the values are within their limits.
 func (p *Policy) validate() error {
 	if p.Note == "" || len(p.Note) > maxNoteBytes {
 		return keyErrorf("note", "want 1 to %d bytes that say what the change is for, got %d", maxNoteBytes, len(p.Note))
--- a/internal/cluster/policy/record.go
+++ b/internal/cluster/policy/record.go
@@ -9,46 +9,47 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Version numbers policies. The first is 1; 0 means none.
+// Version is the number of a policy version. The first is 1; 0 means none.
 type Version uint64
 
-// The msgpack and json tags below name the parts in what is stored and sent. They stay whatever the fields are called.
+// The msgpack and json tags below are part of the stored format and of the protocol between processes. They don't
+// change when a field is renamed.
 
-// Proposal is a policy on its way through the log.
+// Proposal is a policy that is proposed to the log as the next version.
 type Proposal struct {
-	ID    string  `msgpack:"ID"`    // chosen by the proposer, 1 to 64 bytes; a second proposal with it is a duplicate
-	By    string  `msgpack:"By"`    // the process that was asked to propose it
+	ID    string  `msgpack:"ID"`    // chosen by the proposer, 1 to 64 bytes; a second proposal with this ID is a duplicate
+	By    string  `msgpack:"By"`    // the process that proposes the policy
 	At    float64 `msgpack:"At"`    // Unix time in milliseconds at that process
-	Based bool    `msgpack:"Based"` // reject it unless Base is the latest version when it is applied
+	Based bool    `msgpack:"Based"` // reject the proposal unless Base is the latest version when the proposal is applied
 	Base  Version `msgpack:"Base"`
-	Body  []byte  `msgpack:"Body"` // the policy's form for the log, see Parse
+	Body  []byte  `msgpack:"Body"` // the policy's encoding for the log, see Parse
 }
 
-// Record is a committed version.
+// Record is a committed version. The fields that it shares with Proposal have the proposal's values.
 type Record struct {
 	Version Version `msgpack:"Version"`
 	ID      string  `msgpack:"ID"`
 	By      string  `msgpack:"By"`
 	At      float64 `msgpack:"At"`
 	Body    []byte  `msgpack:"Body"`
-	// Sum is a checksum over this record and the Sum of the version before. Equal sums mean equal histories.
+	// Sum is a checksum over this record and the Sum of the previous version. Equal sums mean equal histories.
 	Sum uint64 `msgpack:"Sum"`
 }
 
 // Outcome is the result of a proposal.
 type Outcome struct {
-	Version   Version `json:"Version"` // the version that the proposal became; 0 where it was rejected
-	Duplicate bool    `json:"Again"`   // an earlier proposal with the same ID had become Version
-	Rejection string  `json:"Refused"` // why there is no version; empty where there is one
+	Version   Version `json:"Version"` // the version that the proposal became; 0 if it was rejected
+	Duplicate bool    `json:"Again"`   // whether an earlier proposal with the same ID had become Version
+	Rejection string  `json:"Refused"` // why the proposal was rejected; empty if it became a version
 }
 
-// ErrChain is a sequence of records in which one does not follow from the one before.
-var ErrBrokenChain = errors.New("policy: versions do not follow one from another")
+// ErrBrokenChain reports a sequence of records in which a version or checksum does not follow from the previous record.
+var ErrBrokenChain = errors.New("policy: version chain is broken")
 
-// ErrCorruptRecord is a stored record whose checksum or encoding is wrong.
+// ErrCorruptRecord reports a stored record whose checksum or encoding is wrong.
 var ErrCorruptRecord = errors.New("policy: the stored record of the applied version is corrupt")
 
-// sumAfter is the record's checksum where the version before has the checksum previous.
+// chainedSum returns the record's checksum, given the checksum of the previous version.
 func (r *Record) chainedSum(previous uint64) uint64 {
 	var header [16]byte
 	binary.BigEndian.PutUint64(header[:8], previous)
@@ -60,16 +61,16 @@
 	return digest.Sum64()
 }
 
-// follows tells whether the record is the version right after previous.
+// follows reports whether the record is the version immediately after previous.
 func (r *Record) follows(previous *Record) bool {
 	return r.Version == previous.Version+1 && r.Sum == r.chainedSum(previous.Sum)
 }
 
 func brokenChainError(r, previous *Record) error {
-	return fmt.Errorf("%w: %d behind %d", ErrBrokenChain, r.Version, previous.Version)
+	return fmt.Errorf("%w: version %d does not follow from version %d", ErrBrokenChain, r.Version, previous.Version)
 }
 
-// checkChain returns an error unless each record follows from the one before.
+// checkChain returns an [ErrBrokenChain] unless each record follows from the previous one.
 func checkChain(records []Record) error {
 	for i := 1; i < len(records); i++ {
 		if !records[i].follows(&records[i-1]) {
@@ -79,18 +80,19 @@
 	return nil
 }
 
-const storedSumBytes = 8 // bytes of the checksum at the end of a stored record
+const storedSumBytes = 8 // length of the checksum at the end of a stored record
 
-// EncodeRecord returns the stored form of a record: msgpack, then its xxhash as 8 bytes, big-endian.
+// EncodeRecord returns the stored form of a record: its msgpack encoding, followed by the xxhash of that encoding as 8
+// big-endian bytes.
 func EncodeRecord(r *Record) ([]byte, error) {
 	raw, err := msgpack.Marshal(r)
 	if err != nil {
-		return nil, fmt.Errorf("policy: %w", err)
+		return nil, fmt.Errorf("encode policy record: %w", err)
 	}
 	return binary.BigEndian.AppendUint64(raw, xxhash.Sum64(raw)), nil
 }
 
-// DecodeRecord reads what EncodeRecord wrote. An error is an [ErrCorruptRecord].
+// DecodeRecord decodes the stored form of a record. An error wraps [ErrCorruptRecord].
 func DecodeRecord(raw []byte) (*Record, error) {
 	size := len(raw) - storedSumBytes
 	if size < 0 || xxhash.Sum64(raw[:size]) != binary.BigEndian.Uint64(raw[size:]) {
--- a/internal/cluster/policy/record_test.go
+++ b/internal/cluster/policy/record_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A stored record is read back as it was; one with a changed byte or a missing end is not read.
+// Guards against a stored record that is applied although a byte has changed or the end is missing.
 func TestDecodeRecordRejectsCorruption(t *testing.T) {
 	stored := committedRecords(t, 2)[1]
 	raw, err := EncodeRecord(&stored)
@@ -17,16 +17,16 @@
 		t.Fatal(err)
 	}
 	if decoded.Version != 2 || decoded.Sum != stored.Sum {
-		t.Errorf("decoded %+v, stored %+v", decoded, stored)
+		t.Errorf("got %+v, want %+v", decoded, stored)
 	}
 	for i := range raw {
 		corrupt := append([]byte(nil), raw...)
 		corrupt[i] ^= 1
 		if _, err := DecodeRecord(corrupt); !errors.Is(err, ErrCorruptRecord) {
-			t.Fatalf("byte %d corrupt: %v", i, err)
+			t.Fatalf("byte %d changed: got %v, want ErrCorruptRecord", i, err)
 		}
 		if _, err := DecodeRecord(raw[:i]); !errors.Is(err, ErrCorruptRecord) {
-			t.Fatalf("cut after %d bytes: %v", i, err)
+			t.Fatalf("truncated after %d bytes: got %v, want ErrCorruptRecord", i, err)
 		}
 	}
 }
--- a/internal/cluster/policy/state.go
+++ b/internal/cluster/policy/state.go
@@ -6,20 +6,21 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Limits on the records that are kept, for the history command and for processes that fall behind. The latest is always
-// kept.
+// Limits on the records that are kept for the history command and for processes that fall behind. The latest record is
+// always kept.
 const (
 	maxRecords     = 256
-	maxRecordBytes = 1 << 20 // bytes of their bodies
+	maxRecordBytes = 1 << 20 // total length of the bodies
 )
 
-// State is the sequence of versions, without the oldest where the limits are reached. The zero State has no version.
+// State holds the sequence of versions; the oldest are dropped beyond the limits. The zero State has no version. A
+// State is not safe for concurrent use.
 type State struct {
 	records []Record // in order, without a gap
-	bytes   int      // of their bodies
+	bytes   int      // total length of the records' bodies
 }
 
-// Latest returns the newest record; false where there is none yet.
+// Latest returns the newest record, or false if there is none yet.
 func (s *State) Latest() (Record, bool) {
 	if len(s.records) == 0 {
 		return Record{}, false
@@ -27,7 +28,7 @@
 	return s.records[len(s.records)-1], true
 }
 
-// Version is that of the newest record.
+// Version returns the version of the newest record, or 0 if there is none.
 func (s *State) Version() Version {
 	r, _ := s.Latest()
 	return r.Version
@@ -43,10 +44,10 @@
 	return nil
 }
 
-// Apply applies the next proposal of the log.
+// Apply adds the next proposal of the log as a version, unless it is a duplicate or rejected.
 func (s *State) Apply(proposal *Proposal) Outcome {
-	// A proposer whose leader failed before it answered proposes again with the same ID, although the first proposal may
-	// have been committed. It must not become a second version.
+	// If the leader fails before it responds, the proposer proposes again with the same ID, although the first proposal
+	// may have been committed. The second proposal must not become another version.
 	if r := s.findByID(proposal.ID); r != nil {
 		return Outcome{Version: r.Version, Duplicate: true}
 	}
@@ -60,7 +61,7 @@
 	return Outcome{Version: r.Version}
 }
 
-// find returns the kept record with an ID; nil where there is none.
+// findByID returns the kept record with an ID, or nil if there is none.
 func (s *State) findByID(id string) *Record {
 	for i := range s.records {
 		if s.records[i].ID == id {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// rejection says why a proposal can't follow the latest version; empty where it can.
+// rejection returns why a proposal can't follow the latest version, or "" if it can.
 func rejection(proposal *Proposal, latest Version) string {
 	if proposal.ID == "" || len(proposal.ID) > maxIDBytes {
 		return "no id, or one that is too long"
@@ -84,7 +85,7 @@
 	return ""
 }
 
-// add adds a record and drops the oldest ones beyond the limits.
+// appendRecord appends a record and drops the oldest records beyond the limits.
 func (s *State) appendRecord(r Record) {
 	s.records = append(s.records, r)
 	s.bytes += len(r.Body)
@@ -95,9 +96,9 @@
 	}
 }
 
-// Append adds records that a server has sent, and tells whether there was a new one. Records that are already known are
-// skipped. Where the records begin after a gap, those before the gap are no longer kept anywhere: what was kept here is
-// dropped. An error is an [ErrChain]; records before the faulty one may have been added.
+// Append adds records that a server has sent, and reports whether any was new. It skips records that are already known.
+// If there is a gap before the records, the server no longer keeps the versions in the gap, and Append drops the
+// records kept here. An error wraps [ErrBrokenChain]; records before the invalid one may have been added.
 func (s *State) Append(records []Record) (bool, error) {
 	if err := checkChain(records); err != nil {
 		return false, err
@@ -120,20 +121,21 @@
 	return changed, nil
 }
 
-// Encode returns the kept records in the form of a snapshot.
+// Encode returns the kept records as stored in snapshots of the log.
 func (s *State) Encode() ([]byte, error) {
 	raw, err := msgpack.Marshal(s.records)
 	if err != nil {
-		return nil, fmt.Errorf("policy: %w", err)
+		return nil, fmt.Errorf("encode policy records: %w", err)
 	}
 	return raw, nil
 }
 
-// Restore replaces the kept records by those that Encode wrote. On an error the state is unchanged.
+// Restore replaces the kept records with those encoded by Encode. After an error, which may wrap [ErrBrokenChain], the
+// state is unchanged.
 func (s *State) Restore(raw []byte) error {
 	var records []Record
 	if err := msgpack.Unmarshal(raw, &records); err != nil {
-		return fmt.Errorf("policy: %w", err)
+		return fmt.Errorf("decode policy records: %w", err)
 	}
 	if err := checkChain(records); err != nil {
 		return err
--- a/internal/cluster/policy/state_test.go
+++ b/internal/cluster/policy/state_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The same proposals in the same order give the same versions and checksums. A proposal that comes twice becomes one
-// version, and one that is based on another version than the latest is rejected.
+// Guards against servers whose versions or checksums differ after the same proposals, against a duplicate that becomes
+// a second version, and against a proposal that is applied although its base is outdated.
 func TestApplyNumbersProposals(t *testing.T) {
 	var state, replica State
 	for _, testCase := range []struct {
@@ -16,34 +16,34 @@
 		proposal Proposal
 		want     Outcome
 	}{
-		{"the first", Proposal{ID: "1", Body: logForm(t, "one")}, Outcome{Version: 1}},
+		{"first proposal", Proposal{ID: "1", Body: logForm(t, "one")}, Outcome{Version: 1}},
 		{"based on the latest", Proposal{ID: "2", Body: logForm(t, "two"), Based: true, Base: 1}, Outcome{Version: 2}},
-		{"a duplicate", Proposal{ID: "1", Body: logForm(t, "one")}, Outcome{Version: 1, Duplicate: true}},
+		{"duplicate ID", Proposal{ID: "1", Body: logForm(t, "one")}, Outcome{Version: 1, Duplicate: true}},
 		{
-			"based on an old version",
+			"based on an earlier version",
 			Proposal{ID: "3", Body: logForm(t, "three"), Based: true, Base: 1},
 			Outcome{Rejection: "version 2 holds, and it was made from 1"},
 		},
 		{
-			"no policy",
+			"policy without a note",
 			Proposal{ID: "4", Body: []byte("{}")},
 			Outcome{Rejection: "note: want 1 to 400 bytes that say what the change is for, got 0"},
 		},
 		{"no id", Proposal{Body: logForm(t, "x")}, Outcome{Rejection: "no id, or one that is too long"}},
-		{"an equal body", Proposal{ID: "5", Body: logForm(t, "two")}, Outcome{Version: 3}},
+		{"equal body", Proposal{ID: "5", Body: logForm(t, "two")}, Outcome{Version: 3}},
 	} {
 		if got := state.Apply(&testCase.proposal); got != testCase.want {
-			t.Errorf("%s: %+v, want %+v", testCase.name, got, testCase.want)
+			t.Errorf("%s: got %+v, want %+v", testCase.name, got, testCase.want)
 		}
 		replica.Apply(&testCase.proposal)
 	}
 	latest, _ := state.Latest()
 	if other, _ := replica.Latest(); latest.Sum != other.Sum || latest.Version != 3 {
-		t.Errorf("%+v and %+v", latest, other)
+		t.Errorf("got latest records %+v and %+v, want version 3 with equal checksums", latest, other)
 	}
 }
 
-// fullState has three times as many versions as are kept.
+// fullState returns a state to which three times maxRecords versions were applied.
 func fullState(t *testing.T) *State {
 	t.Helper()
 	state := &State{}
@@ -53,22 +53,22 @@
 	return state
 }
 
-// The number of kept records and their bytes are limited.
+// Guards against unbounded growth: both the number of kept records and the length of their bodies are limited.
 func TestStateDropsOldestBeyondLimits(t *testing.T) {
 	state := fullState(t)
 	if len(state.records) != maxRecords || state.Version() != 3*maxRecords {
-		t.Errorf("%d records, version %d", len(state.records), state.Version())
+		t.Errorf("got %d records, version %d, want maxRecords, 3*maxRecords", len(state.records), state.Version())
 	}
 	large := fmt.Sprintf(`{"note":"x","settings":{"a":%q}}`, strings.Repeat("a", 60000))
 	for i := range 60 {
 		state.Apply(&Proposal{ID: fmt.Sprint("large", i), Body: []byte(large)})
 	}
 	if state.bytes > maxRecordBytes {
-		t.Errorf("%d bytes kept", state.bytes)
+		t.Errorf("got %d bytes kept, want at most maxRecordBytes", state.bytes)
 	}
 }
 
-// A snapshot restores what was kept; one whose versions do not follow from one another is rejected.
+// Guards against a snapshot that loses kept records, and against one whose versions do not follow from one another.
 func TestRestoreRejectsBrokenChain(t *testing.T) {
 	state := fullState(t)
 	raw, err := state.Encode()
@@ -77,15 +77,16 @@
 	}
 	var restored State
 	if err := restored.Restore(raw); err != nil || restored.Version() != state.Version() || restored.bytes != state.bytes {
-		t.Errorf("%v, version %d", err, restored.Version())
+		t.Errorf("got %v, version %d, want the encoded state", err, restored.Version())
 	}
 	restored.records[3].Version++
 	if raw, err = restored.Encode(); err != nil || !errors.Is((&State{}).Restore(raw), ErrBrokenChain) {
-		t.Error("versions that do not follow are restored")
+		t.Error("want ErrBrokenChain for a snapshot with a gap in its versions")
 	}
 }
 
-// Records of a server are added once, also after a gap; a sequence that does not follow is rejected.
+// Guards against records that do not follow from those kept here, against records that are added twice, and against a
+// process without versions that rejects records because the servers no longer keep version 1.
 func TestAppendRejectsBrokenChain(t *testing.T) {
 	state := fullState(t)
 	raw, err := state.Encode()
@@ -99,13 +100,13 @@
 	broken := state.Since(3*maxRecords - 3)
 	broken[1].Body = logForm(t, "another")
 	if _, err := equal.Append(broken); !errors.Is(err, ErrBrokenChain) {
-		t.Error(err)
+		t.Errorf("records that do not follow: got %v, want ErrBrokenChain", err)
 	}
 	var late State
 	if changed, err := late.Append(state.Since(0)); !changed || err != nil || late.Version() != state.Version() {
-		t.Errorf("%v, %v, version %d", changed, err, late.Version())
+		t.Errorf("without versions: got %v, %v, version %d, want true, no error, the latest", changed, err, late.Version())
 	}
 	if changed, err := late.Append(state.Since(700)); changed || err != nil {
-		t.Errorf("the same again: %v, %v", changed, err)
+		t.Errorf("known records: got %v, %v, want false and no error", changed, err)
 	}
 }
--- a/internal/cluster/policy/wire_golden_test.go
+++ b/internal/cluster/policy/wire_golden_test.go
@@ -9,8 +9,8 @@
 	"ottershed/internal/golden"
 )
 
-// The bytes of policies, proposals, outcomes, records and snapshots are those of the golden file: servers of different
-// releases read each other's, and a new release reads the store of the one before.
+// Guards the encoding of policies, proposals, outcomes, records and snapshots. Servers of different releases read each
+// other's data, and a release reads the store of the previous one.
 func TestLogEncodingsMatchGolden(t *testing.T) {
 	share := 0.5
 	settings := json.RawMessage(`{"zone":"a"}`)
