--- a/internal/cluster/lease/golden_test.go
+++ b/internal/cluster/lease/golden_test.go
@@ -17,8 +17,8 @@
 	}
 }
 
-func goldenAbandoned() Abandoned {
-	return Abandoned{ID: "trial/d", Token: 8, Holder: "a", Reason: "can't be read", At: 3000.75}
+func goldenAbandoned() AbandonedLease {
+	return AbandonedLease{ID: "trial/d", Token: 8, Holder: "a", Reason: "can't be read", At: 3000.75}
 }
 
 // Guards the encoding of commands, which are entries of the replicated log.
@@ -43,7 +43,7 @@
 
 // Guards the encoding of the list of leases, which servers of the log send to instances.
 func TestListMatchesGolden(t *testing.T) {
-	list := List{Now: 4500.5, Leases: []Lease{goldenLease()}, Abandoned: []Abandoned{goldenAbandoned()}}
+	list := List{Now: 4500.5, Leases: []Lease{goldenLease()}, Abandoned: []AbandonedLease{goldenAbandoned()}}
 	golden.RoundTrip(t, "list.json", list, json.Marshal, json.Unmarshal)
 }
 
@@ -52,7 +52,7 @@
 	lease, second := goldenLease(), goldenLease()
 	second.ID, second.Token = "trial/b", 10
 	stored := &Table{
-		leases: map[ID]*Lease{lease.ID: &lease, second.ID: &second}, abandoned: []Abandoned{goldenAbandoned()},
+		leases: map[ID]*Lease{lease.ID: &lease, second.ID: &second}, abandoned: []AbandonedLease{goldenAbandoned()},
 		lastToken: 12, now: 4500.5,
 	}
 	golden.Filled(t, "lease", lease)
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -64,14 +64,14 @@
 	l.CheckpointSeq = max(l.CheckpointSeq, seq)
 }
 
-// Grant identifies a lease that was merged into another one, with the token under which it was held at that time.
+// Grant identifies one grant of a lease by the lease's ID and the granted token. A merged lease is recorded as a Grant.
 type Grant struct {
 	ID    ID    `json:"Work" msgpack:"Work"`
 	Token Token `json:"Token" msgpack:"Token"`
 }
 
-// Abandoned describes a lease that its holder ended because the work could not be resumed.
-type Abandoned struct {
+// AbandonedLease describes a lease that its holder ended because the work could not be resumed.
+type AbandonedLease struct {
 	ID     ID     `json:"Work" msgpack:"Work"`
 	Token  Token  `json:"Token" msgpack:"Token"` // under which the lease was held
 	Holder string `json:"By" msgpack:"By"`       // the instance that abandoned the lease
--- a/internal/cluster/lease/log_golden_test.go
+++ b/internal/cluster/lease/log_golden_test.go
@@ -21,7 +21,7 @@
 func TestLogEncodingsMatchGolden(t *testing.T) {
 	table := NewTable()
 	table.leases["trial/n0"], table.lastToken, table.now = &wireLease, 10, 2000.5
-	table.abandoned = []Abandoned{{ID: "trial/n4", Token: 2, Holder: "n0", Reason: "unreadable", At: 900.5}}
+	table.abandoned = []AbandonedLease{{ID: "trial/n4", Token: 2, Holder: "n0", Reason: "unreadable", At: 900.5}}
 	snapshot, err := table.Encode()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/lease/snapshot.go
+++ b/internal/cluster/lease/snapshot.go
@@ -10,10 +10,10 @@
 
 // tableSnapshot is the stored form of a table in a snapshot of the log.
 type tableSnapshot struct {
-	Leases    []Lease     `msgpack:"Leases"` // by ID
-	LastToken Token       `msgpack:"Token"`
-	Now       Millis      `msgpack:"Now"`
-	Abandoned []Abandoned `msgpack:"Ended"`
+	Leases    []Lease          `msgpack:"Leases"` // by ID
+	LastToken Token            `msgpack:"Token"`
+	Now       Millis           `msgpack:"Now"`
+	Abandoned []AbandonedLease `msgpack:"Ended"`
 }
 
 // TokenError reports a snapshot with a lease whose token exceeds the snapshot's token counter. A table restored from
--- a/internal/cluster/lease/table.go
+++ b/internal/cluster/lease/table.go
@@ -10,16 +10,16 @@
 // back. A Table is not safe for concurrent use.
 type Table struct {
 	leases    map[ID]*Lease
-	abandoned []Abandoned // the newest last, up to maxAbandoned
-	lastToken Token       // the highest granted token
-	now       Millis      // the highest time of a command
+	abandoned []AbandonedLease // the newest last, up to maxAbandoned
+	lastToken Token            // the highest granted token
+	now       Millis           // the highest time of a command
 }
 
 // List is the readable content of a table, as sent to instances and operators.
 type List struct {
-	Now       Millis      `json:"Now"`    // the log's time at its newest entry; may lag, but never leads
-	Leases    []Lease     `json:"Leases"` // sorted by ID, without checkpoints
-	Abandoned []Abandoned `json:"Ended"`  // the newest last
+	Now       Millis           `json:"Now"`    // the log's time at its newest entry; may lag, but never leads
+	Leases    []Lease          `json:"Leases"` // sorted by ID, without checkpoints
+	Abandoned []AbandonedLease `json:"Ended"`  // the newest last
 }
 
 // NewTable returns an empty table.
@@ -177,7 +177,7 @@
 	if !heldUnder(l, c.Holder, c.Token) {
 		return rejectStale(l, c.ID, c.Holder, c.Token)
 	}
-	t.abandoned = append(t.abandoned, Abandoned{c.ID, c.Token, c.Holder.Name, c.Reason, t.now})
+	t.abandoned = append(t.abandoned, AbandonedLease{c.ID, c.Token, c.Holder.Name, c.Reason, t.now})
 	t.abandoned = slices.Clone(t.abandoned[max(0, len(t.abandoned)-maxAbandoned):])
 	delete(t.leases, c.ID)
 	return Reply{}
@@ -186,7 +186,7 @@
 // alreadyAbandoned reports whether the same Abandon was applied before. A holder repeats the command if the reply was
 // lost.
 func (t *Table) alreadyAbandoned(c *Command) bool {
-	return slices.ContainsFunc(t.abandoned, func(a Abandoned) bool {
+	return slices.ContainsFunc(t.abandoned, func(a AbandonedLease) bool {
 		return a.ID == c.ID && a.Token == c.Token && a.Holder == c.Holder.Name
 	})
 }
--- a/internal/cluster/lease/table_test.go
+++ b/internal/cluster/lease/table_test.go
@@ -287,7 +287,7 @@
 	if err == nil {
 		err = restored.Restore(raw)
 	}
-	list, want := restored.List(), Abandoned{own, 2, "b", "torn", 1500}
+	list, want := restored.List(), AbandonedLease{own, 2, "b", "torn", 1500}
 	if err != nil || len(list.Abandoned) != 1 || list.Abandoned[0] != want || len(list.Leases) != 1 {
 		t.Errorf("restored table: got %v, %+v, want one lease, and one abandoned by b under token 2", err, list)
 	}
--- a/internal/cluster/policy/admission_test.go
+++ b/internal/cluster/policy/admission_test.go
@@ -11,7 +11,7 @@
 	t.Helper()
 	var state State
 	for i := range count {
-		if out := state.Apply(&Proposal{ID: fmt.Sprint(i), Body: logForm(t, fmt.Sprint(i))}); out.Rejection != "" {
+		if out := state.Apply(&Proposal{ID: fmt.Sprint(i), Body: encodedPolicy(t, fmt.Sprint(i))}); out.Rejection != "" {
 			t.Fatal(out.Rejection)
 		}
 	}
--- a/internal/cluster/policy/policy_test.go
+++ b/internal/cluster/policy/policy_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// logForm returns the encoding for the log of a policy with a note.
-func logForm(t *testing.T, note string) []byte {
+// encodedPolicy returns the encoding for the log of a policy with a note.
+func encodedPolicy(t *testing.T, note string) []byte {
 	t.Helper()
 	_, body, err := Parse([]byte(fmt.Sprintf(`{ "note": %q, "trial-share": 0.5 }`, note)))
 	if err != nil {
--- a/internal/cluster/policy/state_test.go
+++ b/internal/cluster/policy/state_test.go
@@ -16,12 +16,12 @@
 		proposal Proposal
 		want     Outcome
 	}{
-		{"first proposal", Proposal{ID: "1", Body: logForm(t, "one")}, Outcome{Version: 1}},
-		{"based on the latest", Proposal{ID: "2", Body: logForm(t, "two"), Based: true, Base: 1}, Outcome{Version: 2}},
-		{"duplicate ID", Proposal{ID: "1", Body: logForm(t, "one")}, Outcome{Version: 1, Duplicate: true}},
+		{"first proposal", Proposal{ID: "1", Body: encodedPolicy(t, "one")}, Outcome{Version: 1}},
+		{"based on the latest", Proposal{ID: "2", Body: encodedPolicy(t, "two"), Based: true, Base: 1}, Outcome{Version: 2}},
+		{"duplicate ID", Proposal{ID: "1", Body: encodedPolicy(t, "one")}, Outcome{Version: 1, Duplicate: true}},
 		{
 			"based on an earlier version",
-			Proposal{ID: "3", Body: logForm(t, "three"), Based: true, Base: 1},
+			Proposal{ID: "3", Body: encodedPolicy(t, "three"), Based: true, Base: 1},
 			Outcome{Rejection: "version 2 holds, and it was made from 1"},
 		},
 		{
@@ -29,8 +29,8 @@
 			Proposal{ID: "4", Body: []byte("{}")},
 			Outcome{Rejection: "note: want 1 to 400 bytes that say what the change is for, got 0"},
 		},
-		{"no id", Proposal{Body: logForm(t, "x")}, Outcome{Rejection: "no id, or one that is too long"}},
-		{"equal body", Proposal{ID: "5", Body: logForm(t, "two")}, Outcome{Version: 3}},
+		{"no id", Proposal{Body: encodedPolicy(t, "x")}, Outcome{Rejection: "no id, or one that is too long"}},
+		{"equal body", Proposal{ID: "5", Body: encodedPolicy(t, "two")}, Outcome{Version: 3}},
 	} {
 		if got := state.Apply(&testCase.proposal); got != testCase.want {
 			t.Errorf("%s: got %+v, want %+v", testCase.name, got, testCase.want)
@@ -48,7 +48,7 @@
 	t.Helper()
 	state := &State{}
 	for i := range 3 * maxRecords {
-		state.Apply(&Proposal{ID: fmt.Sprint(i), Body: logForm(t, fmt.Sprint("version ", i))})
+		state.Apply(&Proposal{ID: fmt.Sprint(i), Body: encodedPolicy(t, fmt.Sprint("version ", i))})
 	}
 	return state
 }
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	broken := state.Since(3*maxRecords - 3)
-	broken[1].Body = logForm(t, "another")
+	broken[1].Body = encodedPolicy(t, "another")
 	if _, err := equal.Append(broken); !errors.Is(err, ErrBrokenChain) {
 		t.Errorf("records that do not follow: got %v, want ErrBrokenChain", err)
 	}
--- a/internal/cluster/policysync/applier.go
+++ b/internal/cluster/policysync/applier.go
@@ -12,15 +12,16 @@
 	"ottershed/internal/cluster/raftlog"
 )
 
-const appliedKey = "policy" // of the applied version in the store
+const appliedKey = "policy" // store key of the applied version
 
-// applier holds the versions that are known to the process and applies the latest that policy.TrialAdmission lets it.
+// applier holds the versions that are known to the process and applies the latest version that policy.TrialAdmission
+// permits. It is safe for concurrent use.
 type applier struct {
 	apply func(policy.Decision) error // see Hooks
 	store *raftlog.Store
 	log   logrus.FieldLogger
 
-	mu        sync.Mutex // guards all below, and is held over apply so that decisions arrive in order
+	mu        sync.Mutex // guards the fields below; held during calls of apply, so that decisions arrive in order
 	state     policy.State
 	admission policy.TrialAdmission
 	changed   chan struct{} // closed and replaced when a version is applied
@@ -30,22 +31,23 @@
 	return &applier{apply: apply, store: store, log: log, changed: make(chan struct{})}
 }
 
-// applyStored applies the version that the process had applied before it restarted, or none.
+// applyStored applies the version that the process had applied before a restart, or the configuration alone if there is
+// none or it can't be read. Trials are closed.
 func (a *applier) applyStored() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	stored, err := a.readStored()
 	if err != nil {
-		a.log.WithError(err).Error("policy: the stored version can't be read")
+		a.log.WithError(err).Error("policy: stored version not read")
 	}
 	a.admission.Restore(stored)
 	if err := a.apply(a.admission.Current()); err != nil {
 		a.admission.MarkFailed(err)
-		a.log.WithError(err).Error("policy: the stored version can't be applied")
+		a.log.WithError(err).Error("policy: stored version not applied")
 	}
 }
 
-// readStored returns the record of the applied version from the store; nil where there is none.
+// readStored returns the record of the applied version from the store, or nil if there is none.
 func (a *applier) readStored() (*policy.Record, error) {
 	raw, err := a.store.GetUser(appliedKey)
 	if err != nil || raw == nil {
@@ -62,8 +64,8 @@
 	return a.store.PutUser(appliedKey, raw)
 }
 
-// caughtUp notes that the process holds all that was committed at some moment after its start: it applies the latest
-// version and admits trials. Only the first call has an effect.
+// markCaughtUp records that the process knows everything that was committed at some time after its start. It applies
+// the latest version and admits trials. Only the first call has an effect.
 func (a *applier) markCaughtUp() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,32 +75,33 @@
 	a.applyLatest()
 	if a.admission.Current().TrialsAdmitted {
 		if err := a.apply(a.admission.Current()); err != nil {
-			a.log.WithError(err).Error("policy can't be applied")
+			a.log.WithError(err).Error("policy not applied")
 			a.admission.MarkFailed(err)
 		}
 	}
 	a.logDecision("policy caught up")
 }
 
-// applyLatest applies the latest version, unless the process has to wait for it or has applied it. Requires the lock.
+// applyLatest applies the latest version, unless the process has not caught up or has applied it already. The caller
+// holds mu.
 func (a *applier) applyLatest() {
 	latest, exists := a.state.Latest()
 	if !exists || !a.admission.ShouldApply(latest) {
 		return
 	}
-	// The version is stored before it is applied. In the other order, a process that ends in between would come back
-	// with the version before, after it had acted on this one.
+	// The version is stored before it is applied. In the other order, a process that ends in between would restart with
+	// the previous version after it had acted on this one.
 	if err := a.writeStored(&latest); err != nil {
-		a.log.WithError(err).Error("policy: the applied version can't be stored")
+		a.log.WithError(err).Error("policy: applied version not stored")
 	}
 	previous := a.admission.Current()
 	a.admission.MarkApplied(latest)
 	log := a.log.WithFields(logrus.Fields{
-		"version": uint64(latest.Version), "was": uint64(previous.Record.Version), "sum": formatSum(latest.Sum),
+		"version": uint64(latest.Version), "was": uint64(previous.Record.Version), "sum": formatChecksum(latest.Sum),
 	})
 	if err := a.apply(a.admission.Current()); err != nil {
 		a.admission.MarkFailed(err)
-		log.WithError(err).Error("policy can't be applied: no part in trials")
+		log.WithError(err).Error("policy not applied: trials closed")
 		a.applyWithoutTrials(previous.Record)
 	} else {
 		log.Info("policy applied")
@@ -107,14 +110,14 @@
 	a.changed = make(chan struct{})
 }
 
-// applyWithoutTrials goes back to the settings of the previous version, with trials closed. Requires the lock.
+// applyWithoutTrials returns to the settings of the previous version, with trials closed. The caller holds mu.
 func (a *applier) applyWithoutTrials(previous policy.Record) {
 	if err := a.apply(policy.Decision{Record: previous}); err != nil {
-		a.log.WithError(err).Error("policy: the previous version can't be applied either")
+		a.log.WithError(err).Error("policy: previous version not applied")
 	}
 }
 
-// retry applies the version that could not be applied, if there is one.
+// retry applies again a version that could not be applied. Without a failure it does nothing.
 func (a *applier) retry() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -124,13 +127,13 @@
 	a.admission.ClearFailure()
 	if err := a.apply(a.admission.Current()); err != nil {
 		a.admission.MarkFailed(err)
-		a.log.WithError(err).Error("policy still can't be applied")
+		a.log.WithError(err).Error("policy not applied on retry")
 		return
 	}
-	a.logDecision("policy can be applied again")
+	a.logDecision("policy applied on retry")
 }
 
-// logDecision requires the lock.
+// logDecision logs the current decision. The caller holds mu.
 func (a *applier) logDecision(message string) {
 	current := a.admission.Current()
 	a.log.WithFields(logrus.Fields{
@@ -138,7 +141,8 @@
 	}).Info(message)
 }
 
-// commit applies a committed proposal to the versions; nil is an entry that is no proposal.
+// applyProposal adds a committed proposal to the known versions and applies the latest version. A nil proposal stands
+// for an entry that could not be decoded.
 func (a *applier) applyProposal(proposal *policy.Proposal) policy.Outcome {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -150,7 +154,8 @@
 	return out
 }
 
-// add adds records of a server and applies the latest. Records before a faulty one are applied.
+// addRecords adds records that a server has sent and applies the latest version. An error wraps policy.ErrBrokenChain;
+// valid records before the invalid one are added and applied.
 func (a *applier) addRecords(records []policy.Record) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -177,15 +182,16 @@
 	return nil
 }
 
-// since returns the known records that are newer than v, the latest version, and a channel that is closed when another
-// version is applied.
+// since returns the known records that are newer than v, the latest known version, and a channel that is closed when
+// another version is applied.
 func (a *applier) since(v policy.Version) ([]policy.Record, policy.Version, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.state.Since(v), a.state.Version(), a.changed
 }
 
-// awaitSince is since, but waits for a newer record for as long as maxWait. An error is that of ctx.
+// awaitSince returns the records and the version of since as soon as there is a record newer than v, or after maxWait.
+// An error is that of ctx.
 func (a *applier) awaitSince(
 	ctx context.Context, v policy.Version, maxWait time.Duration,
 ) ([]policy.Record, policy.Version, error) {
@@ -206,9 +212,9 @@
 	}
 }
 
-// appliedState is what the process has of the policy at one moment.
+// appliedState is the state of the policy at one process at one moment.
 type appliedState struct {
-	latest   policy.Version // that the process knows, applied or not
+	latest   policy.Version // the latest known version, applied or not
 	decision policy.Decision
 	failure  string // see policy.TrialAdmission.Failure
 }
@@ -219,5 +225,5 @@
 	return appliedState{latest: a.state.Version(), decision: a.admission.Current(), failure: a.admission.Failure()}
 }
 
-// formatSum is the form of a record's checksum in status, history and log lines: hexadecimal.
-func formatSum(sum uint64) string { return strconv.FormatUint(sum, 16) }
+// formatChecksum returns a record's checksum in hexadecimal, as in status, history and log lines.
+func formatChecksum(sum uint64) string { return strconv.FormatUint(sum, 16) }
--- a/internal/cluster/policysync/applier_test.go
+++ b/internal/cluster/policysync/applier_test.go
@@ -15,15 +15,15 @@
 	"ottershed/internal/cluster/raftlog"
 )
 
-// testApplier is an applier whose decisions are recorded.
+// testApplier is an applier whose hook records the decisions.
 type testApplier struct {
 	*applier
 	store           *raftlog.Store
-	decisions       []string // "version admitted", in order
+	decisions       []string // each as "VERSION ADMITTED", in order
 	rejectedVersion policy.Version
 }
 
-var errDoesNotFit = errors.New("does not fit")
+var errDoesNotFit = errors.New("policy does not fit the configuration")
 
 func newTestApplier(t *testing.T) *testApplier {
 	t.Helper()
@@ -54,7 +54,7 @@
 func (a *testApplier) expectDecisions(t *testing.T, want ...string) {
 	t.Helper()
 	if !slices.Equal(a.decisions, want) {
-		t.Errorf("decisions %q, want %q", a.decisions, want)
+		t.Errorf("got decisions %q, want %q", a.decisions, want)
 	}
 	a.decisions = nil
 }
@@ -63,7 +63,8 @@
 	return &policy.Proposal{ID: id, Body: []byte(fmt.Sprintf(`{"note":%q}`, id))}
 }
 
-// Committed versions wait until the process has caught up; then only the latest is applied, and the store has it.
+// Guards against outdated versions that are applied during the replay of the log: committed versions wait until the
+// process has caught up. Then only the latest version is applied and stored.
 func TestApplierWaitsForCatchUp(t *testing.T) {
 	tested := newTestApplier(t)
 	tested.applyStored()
@@ -76,17 +77,17 @@
 	tested.markCaughtUp()
 	tested.expectDecisions(t)
 	if out := tested.applyProposal(nil); out.Rejection != "not a proposal" {
-		t.Errorf("an entry that is no proposal: %+v", out)
+		t.Errorf("entry that is no proposal: got %+v, want it rejected", out)
 	}
 	tested.expectDecisions(t)
 	stored, err := tested.readStored()
 	if err != nil || stored == nil || stored.Version != 2 {
-		t.Errorf("stored: %+v, %v", stored, err)
+		t.Errorf("stored version: got %+v, %v, want version 2", stored, err)
 	}
 }
 
-// A version that does not fit is stored, the settings of the one before stay without trials, and a changed
-// configuration admits trials again.
+// Guards against trials under settings that the rest of the fleet has replaced: if a version does not fit, the previous
+// settings stay applied with trials closed. After a change of the configuration the version is applied.
 func TestRetryAppliesFailedVersion(t *testing.T) {
 	tested := newTestApplier(t)
 	tested.applyStored()
@@ -97,7 +98,7 @@
 	tested.applyProposal(testProposal("two"))
 	tested.expectDecisions(t, "2 true", "1 false")
 	if state := tested.current(); state.failure != errDoesNotFit.Error() || state.decision.TrialsAdmitted {
-		t.Errorf("after the failure: %+v", state)
+		t.Errorf("after the failure: got %+v, want the failure's text and trials closed", state)
 	}
 	tested.retry()
 	tested.expectDecisions(t, "2 true")
@@ -105,13 +106,14 @@
 	tested.retry()
 	tested.expectDecisions(t, "2 true")
 	if state := tested.current(); state.failure != "" || !state.decision.TrialsAdmitted {
-		t.Errorf("after the retry: %+v", state)
+		t.Errorf("after the retry: got %+v, want no failure and trials admitted", state)
 	}
 	tested.retry()
 	tested.expectDecisions(t)
 }
 
-// After a restart the stored version is applied at once, without trials; a record that is corrupt is not applied.
+// Guards against a restart without the applied version and against trials before the process has caught up. A corrupt
+// stored record is not applied.
 func TestRestartAppliesStoredVersion(t *testing.T) {
 	tested := newTestApplier(t)
 	tested.applyStored()
@@ -126,13 +128,13 @@
 	}
 	restarted.applier = newApplier(restarted.recordDecision, tested.store, tested.log)
 	if _, err := restarted.readStored(); !errors.Is(err, policy.ErrCorruptRecord) {
-		t.Errorf("a corrupt record: %v", err)
+		t.Errorf("corrupt record: got %v, want ErrCorruptRecord", err)
 	}
 	restarted.applyStored()
 	restarted.expectDecisions(t, "0 false")
 }
 
-// A poll that waits ends with a newer version, with its time or with its context.
+// Guards against polls that never end: a poll ends with a newer version, after its maximum wait, or with its context.
 func TestAwaitSinceEndsOnVersionTimeoutOrCancel(t *testing.T) {
 	tested := newTestApplier(t)
 	tested.markCaughtUp()
@@ -140,21 +142,21 @@
 	go func() {
 		records, latest, err := tested.awaitSince(t.Context(), 0, time.Minute)
 		if err != nil || len(records) != 1 {
-			t.Errorf("%d records, %v", len(records), err)
+			t.Errorf("newer version: got %d records, %v, want 1, no error", len(records), err)
 		}
 		ended <- latest
 	}()
 	tested.applyProposal(testProposal("one"))
 	if latest := <-ended; latest != 1 {
-		t.Errorf("latest %d", latest)
+		t.Errorf("newer version: got latest version %d, want 1", latest)
 	}
 	records, latest, err := tested.awaitSince(t.Context(), 1, time.Millisecond)
 	if err != nil || len(records) != 0 || latest != 1 {
-		t.Errorf("nothing new: %d records, latest %d, %v", len(records), latest, err)
+		t.Errorf("no newer version: got %d records, latest version %d, %v, want 0, 1, no error", len(records), latest, err)
 	}
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, _, err := tested.awaitSince(canceled, 1, time.Minute); !errors.Is(err, context.Canceled) {
-		t.Errorf("canceled: %v", err)
+		t.Errorf("canceled: got %v, want context.Canceled", err)
 	}
 }
--- a/internal/cluster/policysync/follow.go
+++ b/internal/cluster/policysync/follow.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	longPoll = 10 * time.Second // a server answers a poll after so long where there is no newer version
+	longPoll = 10 * time.Second // time after which a server responds to a poll without a newer version
 
-	pollRetryDivisor = 4 // a failed poll is followed by a pause of the election timeout divided by this
+	pollRetryDivisor = 4 // the pause after a failed poll is the election timeout divided by pollRetryDivisor
 )
 
-// The tags of the messages below, and of the types that they contain, name the parts on the wire. They stay whatever
-// the fields are called: processes of different releases poll each other.
+// The tags of the messages below, and of the types that they contain, are part of the protocol between processes of
+// different releases. They don't change when a field is renamed.
 
 // sinceRequest is a watcher's poll.
 type sinceRequest struct {
 	Self    MemberStatus   `msgpack:"Self"`    // the watcher's own status
-	Version policy.Version `msgpack:"Version"` // the latest that the watcher knows
-	Confirm bool           `msgpack:"Confirm"` // the response has to contain all that is committed now
+	Version policy.Version `msgpack:"Version"` // the latest version that the watcher knows
+	Confirm bool           `msgpack:"Confirm"` // the response must include everything that is committed now
 }
 
 // sinceResponse is a server's response to a poll.
 type sinceResponse struct {
 	Records   []policy.Record `msgpack:"Records"` // newer than the watcher's version, oldest first
 	Newest    policy.Version  `msgpack:"Newest"`
-	Confirmed bool            `msgpack:"Confirmed"` // the server holds all that was committed when it got the poll
+	Confirmed bool            `msgpack:"Confirmed"` // all that was committed when the poll arrived is applied
 }
 
-// errNotConfirmed is a server that can't reach a leader, or not in time.
+// errNotConfirmed reports that the polled server could not reach a leader in time.
 var errNotConfirmed = errors.New("the server could not confirm that its log is up to date")
 
-// follow polls one server for new versions until ctx ends, and the next one after each failure.
+// follow polls one server for new versions until ctx ends. After each failure it changes to the next server.
 func (n *Node) follow(ctx context.Context) {
 	failures := 0
 	for ctx.Err() == nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// poll polls one server and applies what is new. It asks for confirmation as long as trials are closed here.
+// poll polls one server and applies the new versions. While trials are closed here, the poll asks for confirmation.
 func (n *Node) poll(ctx context.Context, address string) error {
 	current := n.applier.current()
 	request := sinceRequest{
@@ -91,7 +91,7 @@
 	}
 	response := &sinceResponse{}
 	if err := msgpack.Unmarshal(body, response); err != nil {
-		return nil, fmt.Errorf("%s: %w", address, err)
+		return nil, fmt.Errorf("decode poll response from %s: %w", address, err)
 	}
 	return response, nil
 }
--- a/internal/cluster/policysync/golden_test.go
+++ b/internal/cluster/policysync/golden_test.go
@@ -19,14 +19,14 @@
 	}
 }
 
-// encodeResponse encodes a value as a server does in its response to a call.
+// encodeResponse returns the encoding of a value in the response of a server to a call.
 func encodeResponse(value any) ([]byte, error) {
 	recorder := httptest.NewRecorder()
 	raftlog.WriteJSON(recorder, value)
 	return recorder.Body.Bytes(), nil
 }
 
-// Watchers poll servers for versions.
+// Guards the encoding of polls, by which watchers request versions from servers, and of their responses.
 func TestPollMatchesGolden(t *testing.T) {
 	request := sinceRequest{Self: goldenMember("marshal-a"), Version: 6, Confirm: true}
 	golden.RoundTrip(t, "since.msgpack", request, msgpack.Marshal, msgpack.Unmarshal)
@@ -37,7 +37,7 @@
 	golden.RoundTrip(t, "since_answer.msgpack", response, msgpack.Marshal, msgpack.Unmarshal)
 }
 
-// An entry of the log begins with the kind of its command.
+// Guards the encoding of log entries, which begin with the kind of their command.
 func TestStoredEntryMatchesGolden(t *testing.T) {
 	proposal := policy.Proposal{
 		ID: "an-id", By: "marshal-a", At: 1764700000123.5, Based: true, Base: 6,
@@ -49,13 +49,13 @@
 	}, func(raw []byte, to any) error { return msgpack.Unmarshal(raw[1:], to) })
 }
 
-// Servers request each other's status.
+// Guards the encoding of the status that servers request from each other.
 func TestLocalStatusMatchesGolden(t *testing.T) {
 	status := localStatus{Self: goldenMember("marshal-a"), Watchers: []MemberStatus{goldenMember("marshal-b")}}
 	golden.RoundTrip(t, "local.json", status, encodeResponse, json.Unmarshal)
 }
 
-// The requests and answers of the admin address.
+// Guards the encoding of requests to the admin interface and of its responses.
 func TestAdminMessagesMatchGolden(t *testing.T) {
 	base := policy.Version(6)
 	text := json.RawMessage(`{"note":"a trial"}`)
--- a/internal/cluster/policysync/node.go
+++ b/internal/cluster/policysync/node.go
@@ -22,15 +22,15 @@
 	confirmElectionTimeouts = 4  // for a server to confirm to a watcher that its log is up to date
 )
 
-const requestTimeout = 2 * time.Second // for calls to other servers that need no wait there
+const requestTimeout = 2 * time.Second // for calls that other servers answer without waiting
 
-// Hooks are what the process does with policies. Both return without waiting for anything.
+// Hooks are the callbacks by which a process checks and applies policies. Both must return without blocking.
 type Hooks struct {
-	Check func(body []byte) error     // tells whether a policy fits the configuration
-	Apply func(policy.Decision) error // carries out a decision; on an error nothing has changed
+	Check func(body []byte) error     // returns an error if a policy does not fit the configuration
+	Apply func(policy.Decision) error // applies a decision; after an error nothing has changed
 }
 
-// Node is the part of one process in the fleet's policy.
+// Node keeps the policy of one process up to date and proposes policies to the log. It is safe for concurrent use.
 type Node struct {
 	cfg      raftlog.Config
 	check    func(body []byte) error // see Hooks
@@ -42,18 +42,18 @@
 	watchers *watcherRegistry
 
 	httpClient *http.Client    // calls to one server
-	client     *raftlog.Client // calls to any server that answers, this one first where it is one
+	client     *raftlog.Client // calls to any server that responds; tries this process first if it is a server
 }
 
-// Open opens the store and, at a server, the port. It applies the version that the process had applied last, with
-// trials closed until [Node.Run] has caught up.
+// Open opens the store and, at a server, the port of the log. It applies the version that the process had applied last.
+// Trials are closed until [Node.Run] has caught up. A corrupt store is set aside and replaced by an empty one.
 func Open(cfg raftlog.Config, hooks Hooks, processClock *clock.Clock, log logrus.FieldLogger) (*Node, error) {
-	store, aside, err := raftlog.OpenStore(cfg.Dir)
+	store, corruptPath, err := raftlog.OpenStore(cfg.Dir)
 	if err != nil {
 		return nil, fmt.Errorf("policy.dir: %w", err)
 	}
-	if aside != "" {
-		log.WithField("aside", aside).Error("policy: store is corrupt: set aside, to be restored from the other servers")
+	if corruptPath != "" {
+		log.WithField("aside", corruptPath).Error("policy: store is corrupt and was set aside; restoring from other servers")
 	}
 	httpClient := raftlog.NewHTTPClient(cfg.Key)
 	node := &Node{
@@ -79,7 +79,7 @@
 	return node, nil
 }
 
-// ownServerFirst returns the servers with this process in the first place, where it is one of them.
+// ownServerFirst returns the servers, with this process first if it is one of them.
 func ownServerFirst(cfg *raftlog.Config) []raftlog.Server {
 	servers := slices.Clone(cfg.Servers)
 	own := slices.IndexFunc(servers, func(s raftlog.Server) bool { return s.Name == cfg.Name })
@@ -89,10 +89,10 @@
 	return servers
 }
 
-// Log returns the log that this process keeps; nil at a watcher.
+// Log returns the log that this process keeps, or nil at a watcher.
 func (n *Node) Log() *raftlog.Node { return n.raft }
 
-// Run brings the process to the latest version and keeps it there until ctx ends. It closes the store.
+// Run applies the latest version and every later one until ctx ends. Then it closes the store.
 func (n *Node) Run(ctx context.Context) {
 	defer func() {
 		_ = n.store.Close() // each write to the store was synchronous, so a failed close loses nothing
@@ -107,7 +107,8 @@
 	running.Wait()
 }
 
-// catchUp admits trials at a server once it holds what was committed after its start.
+// catchUp waits until this server has applied everything that was committed at some time after its start, and then
+// admits trials.
 func (n *Node) catchUp(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := n.barrier(ctx, catchUpElectionTimeouts)
@@ -121,18 +122,19 @@
 	}
 }
 
-// barrier waits until this server has applied all that was committed when it was called, for a number of election
-// timeouts.
+// barrier waits until this server has applied everything that was committed at the time of the call. It gives up after
+// a number of election timeouts.
 func (n *Node) barrier(ctx context.Context, electionTimeouts time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, electionTimeouts*n.cfg.ElectionTimeout)
 	defer cancel()
 	return n.raft.Barrier(ctx)
 }
 
-// Retry applies the version that could not be applied, after the configuration of the process has changed.
+// Retry applies again a version that could not be applied. The caller calls Retry after the configuration of the
+// process has changed.
 func (n *Node) Retry() { n.applier.retry() }
 
-// Command commits a command of any kind to the log and returns the reply of its state machine.
+// Command commits a command of any kind to the log and returns the reply of the kind's state machine.
 func (n *Node) Command(ctx context.Context, kind byte, command []byte) ([]byte, error) {
 	if n.raft != nil {
 		return n.raft.Propose(ctx, kind, command)
@@ -140,7 +142,8 @@
 	return n.client.Propose(ctx, kind, command)
 }
 
-// Get reads from the first server that answers; this process is asked first where it is a server.
+// Get requests the path from the first server that responds and decodes the JSON response into to. It tries this
+// process first if it is a server.
 func (n *Node) Get(ctx context.Context, path string, to any) error {
 	return n.client.Get(ctx, path, to)
 }
--- a/internal/cluster/policysync/propose.go
+++ b/internal/cluster/policysync/propose.go
@@ -19,14 +19,14 @@
 	"ottershed/internal/cluster/raftlog"
 )
 
-const maxProposeWait = 15 * time.Second // for a proposal, its checks included
+const maxProposeWait = 15 * time.Second // for a proposal, including its checks
 
 // ProposeRequest is an operator's proposal.
 type ProposeRequest struct {
 	Policy json.RawMessage `json:"policy"`
-	// ID is that of an earlier request whose result is not known. Default: a new one.
+	// ID is the ID of an earlier request whose result is unknown, to propose the policy again. Default: a new ID.
 	ID string `json:"id,omitempty"`
-	// Base rejects the proposal unless this is the latest version. Default: any.
+	// Base rejects the proposal unless Base is the latest version. Default: no condition.
 	Base *policy.Version `json:"base,omitempty"`
 	// WaitMS limits the wait for the result, in milliseconds; the proposal is not committed later. Default and upper
 	// limit 15 s. A higher value lets a proposal wait for a new leader.
@@ -37,37 +37,37 @@
 type ProposeResult struct {
 	ID        string         `json:"id"`
 	Version   policy.Version `json:"version"`
-	Duplicate bool           `json:"again,omitempty"` // an earlier request with the ID had become the version
+	Duplicate bool           `json:"again,omitempty"` // whether an earlier request with the ID had become the version
 }
 
-// RejectedError is a proposal that the log has committed and that became no version. Nothing has changed.
+// RejectedError reports a proposal that the log has committed and that did not become a version. Nothing has changed.
 type RejectedError struct{ Reason string }
 
 func (e *RejectedError) Error() string { return e.Reason }
 
-// UnknownResultError is a proposal that may have been committed or may not.
+// UnknownResultError reports a proposal that may or may not have been committed.
 type UnknownResultError struct {
-	ID  string // to propose it again with
-	Err error  // why the result is not known
+	ID  string // with which to propose the policy again
+	Err error  // why the result is unknown
 }
 
 func (e *UnknownResultError) Error() string {
 	return fmt.Sprintf("whether it was committed is not known; propose it again with --id %s: %v", e.ID, e.Err)
 }
 
-// Unwrap returns why the result is not known.
+// Unwrap returns why the result is unknown.
 func (e *UnknownResultError) Unwrap() error { return e.Err }
 
-// Propose takes a ProposeRequest as JSON, checks its policy here and at all servers that can be reached, commits it to
-// the log and returns a ProposeResult. An [*UnknownResultError] leaves the result open; after any other error nothing
-// has changed and nothing will.
+// Propose decodes a [ProposeRequest] from JSON, checks its policy here and at all servers that can be reached, commits
+// the policy to the log and returns a [ProposeResult]. After an [*UnknownResultError] the proposal may or may not be
+// committed; after any other error nothing has changed and nothing will.
 func (n *Node) Propose(ctx context.Context, body []byte) (any, error) {
 	var request ProposeRequest
 	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, fmt.Errorf("proposal: %w", err)
 	}
-	// The wait includes the checks, and the log rejects a proposal after its end. Otherwise a proposal that a network
-	// partition delayed could be committed after its proposer had been notified of a failure.
+	// The wait includes the checks, and the log rejects a proposal after the wait has ended. Otherwise a proposal that a
+	// network partition delayed could be committed after the proposer had been notified of a failure.
 	ctx, cancel := context.WithTimeout(ctx, request.wait())
 	defer cancel()
 	policyBody, err := n.checkPolicy(ctx, request.Policy)
@@ -93,8 +93,8 @@
 	return min(wait, maxProposeWait)
 }
 
-// checkPolicy returns a policy's form for the log, or an error where it can't be applied here or at a server that
-// can be reached.
+// checkPolicy returns a policy's encoding for the log, or an error if the policy can't be applied here or at a server
+// that can be reached.
 func (n *Node) checkPolicy(ctx context.Context, text []byte) ([]byte, error) {
 	_, body, err := policy.Parse(text)
 	if err != nil {
@@ -109,29 +109,29 @@
 	return body, nil
 }
 
-// checkAtServers asks the other servers whether a policy fits their configuration. A server that can't be reached does
-// not count: where the policy does not fit, that server takes no part in trials and reports why.
+// checkAtServers asks the other servers whether a policy fits their configuration. It ignores a server that can't be
+// reached: if the policy does not fit there, the server takes no part in trials and reports the reason in its status.
 func (n *Node) checkAtServers(ctx context.Context, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	faults := make([]string, len(n.cfg.Servers)) // by server, so that their order in the error is fixed
+	reasons := make([]string, len(n.cfg.Servers)) // by server, so that the order in the error does not vary
 	var requests sync.WaitGroup
 	for i, server := range n.cfg.Servers {
 		if server.Name == n.cfg.Name {
 			continue
 		}
 		requests.Go(func() {
-			var fault string
-			err := raftlog.Call(ctx, n.httpClient, server.Address, http.MethodPost, "/policy/check", body, &fault)
-			if err == nil && fault != "" {
-				faults[i] = server.Name + ": " + fault
+			var reason string
+			err := raftlog.Call(ctx, n.httpClient, server.Address, http.MethodPost, "/policy/check", body, &reason)
+			if err == nil && reason != "" {
+				reasons[i] = server.Name + ": " + reason
 			}
 		})
 	}
 	requests.Wait()
-	faults = slices.DeleteFunc(faults, func(fault string) bool { return fault == "" })
-	if len(faults) > 0 {
-		return errors.New(strings.Join(faults, "; "))
+	reasons = slices.DeleteFunc(reasons, func(reason string) bool { return reason == "" })
+	if len(reasons) > 0 {
+		return errors.New(strings.Join(reasons, "; "))
 	}
 	return nil
 }
@@ -148,7 +148,8 @@
 	return proposal
 }
 
-// commit puts a proposal into the log and waits for its result.
+// commit proposes to the log and waits for the result. The error is a [*RejectedError] or an [*UnknownResultError], or
+// that of the encoding.
 func (n *Node) commit(ctx context.Context, proposal *policy.Proposal) (*policy.Outcome, error) {
 	command, err := msgpack.Marshal(proposal)
 	if err != nil {
--- a/internal/cluster/policysync/server.go
+++ b/internal/cluster/policysync/server.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	maxBodyBytes = 128 << 10 // bytes of a request to a server
+	maxBodyBytes = 128 << 10 // length of the body of a request to a server
 
-	maxWatchers = 4096         // watchers whose status a server keeps
-	watcherTTL  = 6 * longPoll // a watcher that has not polled for so long is replaced by a new one at the limit
+	maxWatchers = 4096         // number of watchers whose status a server keeps
+	watcherTTL  = 6 * longPoll // time after its last poll at which a new watcher may replace a watcher at the limit
 )
 
-// watcherRegistry keeps the status that watchers reported of themselves with their polls.
+// watcherRegistry keeps the status that watchers report with their polls. It is safe for concurrent use.
 type watcherRegistry struct {
 	mu      sync.Mutex
 	members map[string]MemberStatus // by name
 }
 
-// record keeps a watcher's status as of now, Unix milliseconds. At the limit a new watcher is kept only where others
-// have stopped polling.
+// record keeps a watcher's status as of now, Unix milliseconds. At the limit a new watcher is kept only if others have
+// not polled for watcherTTL.
 func (w *watcherRegistry) record(m MemberStatus, now float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -39,7 +39,7 @@
 	w.members[m.Name] = m
 }
 
-// removeExpired requires the lock.
+// removeExpired removes the watchers that have not polled for watcherTTL. The caller holds mu.
 func (w *watcherRegistry) removeExpired(now float64) {
 	for name, m := range w.members {
 		if now-m.ReportedAt > float64(watcherTTL/time.Millisecond) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// list returns the status of all watchers in no order; nil where there are none.
+// list returns the status of all watchers in unspecified order, or nil if there are none.
 func (w *watcherRegistry) list() []MemberStatus {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -59,7 +59,7 @@
 	return all
 }
 
-// handleSince answers a watcher's poll. A poll that asks for confirmation is answered after the barrier, any other when
+// handleSince responds to a watcher's poll: to a poll that asks for confirmation after the barrier, to any other when
 // there is a newer version or longPoll has passed.
 func (n *Node) handleSince(w http.ResponseWriter, r *http.Request) {
 	var request sinceRequest
@@ -79,17 +79,18 @@
 	} else {
 		response.Records, response.Newest, err = n.applier.awaitSince(r.Context(), request.Version, longPoll)
 		if err != nil {
-			return // the watcher has closed the connection
+			return // the watcher has closed the connection, so there is nobody to respond to
 		}
 	}
 	if raw, err = msgpack.Marshal(&response); err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	_, _ = w.Write(raw) // a watcher that can't be reached any more polls again
+	_, _ = w.Write(raw) // after a failed write the watcher polls again
 }
 
-// handleCheck answers whether a policy fits this server's configuration: with the reason why not, or an empty text.
+// handleCheck responds with the reason why a policy does not fit this server's configuration, or with an empty string
+// if it fits.
 func (n *Node) handleCheck(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
@@ -102,7 +103,7 @@
 	raftlog.WriteJSON(w, "")
 }
 
-// handleLocal answers with the status of this server and of its watchers.
+// handleLocal responds with the status of this server and of its watchers.
 func (n *Node) handleLocal(w http.ResponseWriter, _ *http.Request) {
 	raftlog.WriteJSON(w, n.localStatus())
 }
--- a/internal/cluster/policysync/statemachine.go
+++ b/internal/cluster/policysync/statemachine.go
@@ -12,7 +12,7 @@
 // Kind is the first byte of the log's entries that are policy proposals.
 const Kind byte = 'p'
 
-// stateMachine applies the log's entries of [Kind]. It is a raftlog.StateMachine.
+// stateMachine applies the log's entries of [Kind]. It implements raftlog.StateMachine.
 type stateMachine struct{ applier *applier }
 
 // Apply applies a proposal and returns its policy.Outcome as JSON.
@@ -23,7 +23,7 @@
 	}
 	raw, err := json.Marshal(m.applier.applyProposal(proposal))
 	if err != nil {
-		panic(err) // can't happen: an Outcome has three plain fields
+		panic(err) // can't happen: every field of an Outcome can be encoded
 	}
 	return raw
 }
@@ -31,5 +31,5 @@
 // Snapshot returns the kept versions.
 func (m stateMachine) Snapshot() ([]byte, error) { return m.applier.encodeState() }
 
-// Restore replaces the kept versions by those of a snapshot.
+// Restore replaces the kept versions with those of a snapshot. After an error they are unchanged.
 func (m stateMachine) Restore(raw []byte) error { return m.applier.restoreState(raw) }
--- a/internal/cluster/policysync/status.go
+++ b/internal/cluster/policysync/status.go
@@ -12,51 +12,51 @@
 	"ottershed/internal/cluster/raftlog"
 )
 
-// roleWatcher is the Role of a process that keeps no log; those of servers are raftlog.Status.Role.
+// roleWatcher is the role of a process that keeps no log. Servers have the role in raftlog.Status.
 const roleWatcher = "watcher"
 
-// MemberStatus is the status of one process.
+// MemberStatus is the policy status of one process.
 type MemberStatus struct {
 	Name           string         `json:"name" msgpack:"Name"`
 	Role           string         `json:"role" msgpack:"Role"` // leader, follower, candidate, placing, watcher
 	Version        policy.Version `json:"version" msgpack:"Version"`
-	Sum            string         `json:"sum" msgpack:"Sum"`                   // of it and all before, hexadecimal
-	TrialsAdmitted bool           `json:"open" msgpack:"Open"`                 // requests may go to a candidate
+	Sum            string         `json:"sum" msgpack:"Sum"`                   // of Version and all before, hexadecimal
+	TrialsAdmitted bool           `json:"open" msgpack:"Open"`                 // whether requests may go to a candidate
 	Failure        string         `json:"failed,omitempty" msgpack:"Failed"`   // why the latest version can't be applied
-	Unreachable    string         `json:"missing,omitempty" msgpack:"Missing"` // why there is no status
-	ReportedAt     float64        `json:"at_ms,omitempty" msgpack:"At"`        // Unix milliseconds
+	Unreachable    string         `json:"missing,omitempty" msgpack:"Missing"` // why the status could not be requested
+	ReportedAt     float64        `json:"at_ms,omitempty" msgpack:"At"`        // Unix time in milliseconds
 }
 
-// FleetStatus is the answer to `ottershed policy status`.
+// FleetStatus is the result of `ottershed policy status`.
 type FleetStatus struct {
-	Members     []MemberStatus  `json:"marshals"`      // by name
+	Members     []MemberStatus  `json:"marshals"`      // sorted by name
 	Log         *raftlog.Status `json:"log,omitempty"` // nil at a watcher
-	StoredBytes int64           `json:"stored_bytes"`  // of this process's store
+	StoredBytes int64           `json:"stored_bytes"`  // size of this process's store
 }
 
-// localStatus is what a server knows without asking others.
+// localStatus is the status of a server and of the watchers that poll it.
 type localStatus struct {
 	Self     MemberStatus   `json:"self"`
 	Watchers []MemberStatus `json:"watchers"`
 }
 
-// HistoryEntry is one version in the answer to `ottershed policy history`.
+// HistoryEntry is one version in the result of `ottershed policy history`.
 type HistoryEntry struct {
 	Version  policy.Version  `json:"version"`
 	ID       string          `json:"id"`
 	Proposer string          `json:"by"`
-	At       float64         `json:"at_ms"` // Unix milliseconds
+	At       float64         `json:"at_ms"` // Unix time in milliseconds
 	Sum      string          `json:"sum"`   // hexadecimal
 	Policy   json.RawMessage `json:"policy"`
 }
 
-// Self is the status of this process.
+// Self returns the status of this process.
 func (n *Node) Self() MemberStatus { return n.memberStatus(n.applier.current()) }
 
 func (n *Node) memberStatus(current appliedState) MemberStatus {
 	applied := current.decision.Record
 	m := MemberStatus{
-		Name: n.cfg.Name, Role: roleWatcher, Version: applied.Version, Sum: formatSum(applied.Sum),
+		Name: n.cfg.Name, Role: roleWatcher, Version: applied.Version, Sum: formatChecksum(applied.Sum),
 		TrialsAdmitted: current.decision.TrialsAdmitted, Failure: current.failure, ReportedAt: n.clock.Now(),
 	}
 	if n.raft != nil {
@@ -69,7 +69,8 @@
 	return localStatus{Self: n.Self(), Watchers: n.watchers.list()}
 }
 
-// FleetStatus returns the status of the fleet, as far as this process can learn it now, and of its own log.
+// FleetStatus returns the status of the processes that are known to servers that can be reached, and of this process's
+// log. The status of a server that can't be reached has the reason only.
 func (n *Node) FleetStatus(ctx context.Context) FleetStatus {
 	status := FleetStatus{Members: n.memberStatuses(ctx), StoredBytes: n.store.Bytes()}
 	if n.raft != nil {
@@ -79,7 +80,7 @@
 	return status
 }
 
-// members returns the status of all processes that are known to a server that can be reached, by name.
+// memberStatuses returns the newest status of each process that is known to a server, sorted by name.
 func (n *Node) memberStatuses(ctx context.Context) []MemberStatus {
 	latest := map[string]MemberStatus{}
 	for _, local := range n.collectLocalStatus(ctx) {
@@ -101,7 +102,7 @@
 	return all
 }
 
-// collectLocal asks all servers at once.
+// collectLocalStatus requests the local status of all servers concurrently.
 func (n *Node) collectLocalStatus(ctx context.Context) []localStatus {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -126,10 +127,10 @@
 // History returns the versions that this process keeps, oldest first.
 func (n *Node) History() []HistoryEntry {
 	records, _, _ := n.applier.since(0)
-	entries := []HistoryEntry{} // an empty history is [] in JSON
+	entries := []HistoryEntry{} // not nil, so that an empty history is [] in JSON
 	for _, r := range records {
 		entries = append(entries, HistoryEntry{
-			Version: r.Version, ID: r.ID, Proposer: r.By, At: r.At, Sum: formatSum(r.Sum), Policy: r.Body,
+			Version: r.Version, ID: r.ID, Proposer: r.By, At: r.At, Sum: formatChecksum(r.Sum), Policy: r.Body,
 		})
 	}
 	return entries
--- a/internal/cluster/policysync/wire_golden_test.go
+++ b/internal/cluster/policysync/wire_golden_test.go
@@ -10,8 +10,8 @@
 	"ottershed/internal/golden"
 )
 
-// The messages between watchers, servers and operators have the bytes of the golden file: processes of different
-// releases exchange them.
+// Guards the encoding of the messages between watchers, servers and operators, which processes of different releases
+// exchange.
 func TestMessagesMatchGolden(t *testing.T) {
 	self := MemberStatus{
 		Name: "n0", Role: "watcher", Version: 7, Sum: "ab", TrialsAdmitted: true, Failure: "why", Unreachable: "lost",
