--- a/internal/cluster/failover/manager.go
+++ b/internal/cluster/failover/manager.go
@@ -36,6 +36,7 @@
 
 // Controller is the rollout controller, which rejects a vote under an outdated fence.
 type Controller interface {
+	// VoteFenced sends a vote with the leases, and their tokens, that the vote's evidence comes from.
 	VoteFenced(v decision.Vote, fences []rollout.Fence)
 }
 
@@ -78,7 +79,7 @@
 // manualTakeover is an operator's request to take a lease over.
 type manualTakeover struct {
 	id    lease.ID
-	reply chan error // buffered, so that a requester that has gone does not block the takeover loop
+	reply chan error // receives the result; has a buffer of one
 }
 
 // New returns a manager, which does nothing until Run.
--- a/internal/cluster/failover/ownlease.go
+++ b/internal/cluster/failover/ownlease.go
@@ -47,7 +47,8 @@
 	return o.seq
 }
 
-// handleReply processes the reply to a command that was sent at sent, and reports whether the reply revoked the lease.
+// handleReply processes the reply to a command and reports whether the reply revoked the lease; sent is when the
+// command was sent, by the instance's local clock.
 func (o *ownLease) handleReply(c *lease.Command, sent lease.Millis, r *lease.Reply) (revoked bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/cluster/failover/takeover.go
+++ b/internal/cluster/failover/takeover.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// takeOverExpired takes over the leases that are due. An instance without a valid lease of its own does nothing,
-// because it could not merge the evidence.
+// takeOverExpired takes over the leases that are due. An instance that can't keep its own lease is no successor: it
+// would merge the evidence into a lease that it may lose.
 func (mgr *Manager) takeOverExpired(ctx context.Context) {
 	session := mgr.own.current()
 	if !session.Valid(mgr.clock.Now()) {
--- a/internal/cluster/lease/session.go
+++ b/internal/cluster/lease/session.go
@@ -65,9 +65,9 @@
 	return Command{Operation: Renew, ID: s.ID, Holder: s.Holder, Token: s.token, TTL: s.TTL, Checkpoint: checkpoint}
 }
 
-// HandleReply processes the reply to a command that was sent at sent, a time of the instance's local clock. It reports
-// whether this reply revoked the lease. The instance must then drop its evidence: a successor has resumed from the last
-// checkpoint, and the same outcomes would be judged twice.
+// HandleReply processes the reply to a command; sent is when the command was sent, by the instance's local clock. It
+// reports whether this reply revoked the lease. The instance must then drop its evidence: a successor has resumed from
+// the last checkpoint, and the same outcomes would be judged twice.
 func (s *Session) HandleReply(c *Command, sent Millis, r *Reply) (revoked bool) {
 	applied := r.Rejection == ""
 	switch {
@@ -84,8 +84,8 @@
 	return revoked
 }
 
-// trustLimit returns until when the instance may trust a lease that it requested at sent. Counting from the reply
-// instead would let the instance trust the lease for longer than the log grants it.
+// trustLimit returns the end of the time during which the instance may trust a lease that it requested at sent.
+// Counting from the reply instead would let the instance trust the lease for longer than the log grants it.
 func (s *Session) trustLimit(sent Millis) Millis { return sent + trustedShare*s.TTL }
 
 // invalidatedBy reports whether a rejection of the command means that the session's lease is held by another instance
