--- a/internal/cluster/lease/command.go
+++ b/internal/cluster/lease/command.go
@@ -27,7 +27,7 @@
 	TTL           Millis    `msgpack:"Span"`       // minTTL to maxTTL, higher delays takeover; unused by Release, Abandon
 	Checkpoint    []byte    `msgpack:"Checkpoint"` // Renew and Merge; nil in Renew keeps the stored checkpoint
 	Into          ID        `msgpack:"Into"`       // Merge: the holder's own lease
-	IntoToken     Token     `msgpack:"IntoToken"`  // Merge: of the lease Into
+	IntoToken     Token     `msgpack:"IntoToken"`  // Merge: token of the holder's own lease
 	CheckpointSeq uint64    `msgpack:"Seq"`        // of Checkpoint; a holder increases the number with each checkpoint
 	Reason        string    `msgpack:"Why"`        // Abandon: up to MaxReasonBytes
 }
--- a/internal/cluster/policy/record.go
+++ b/internal/cluster/policy/record.go
@@ -17,10 +17,10 @@
 
 // Proposal is a policy that is proposed to the log as the next version.
 type Proposal struct {
-	ID    string  `msgpack:"ID"`    // chosen by the proposer, 1 to 64 bytes; a second proposal with this ID is a duplicate
+	ID    string  `msgpack:"ID"`    // chosen by the proposer, 1 to 64 bytes; a later proposal with it is a duplicate
 	By    string  `msgpack:"By"`    // the process that proposes the policy
 	At    float64 `msgpack:"At"`    // Unix time in milliseconds at that process
-	Based bool    `msgpack:"Based"` // reject the proposal unless Base is the latest version when the proposal is applied
+	Based bool    `msgpack:"Based"` // reject the proposal unless the base is still the latest version
 	Base  Version `msgpack:"Base"`
 	Body  []byte  `msgpack:"Body"` // the policy's encoding for the log, see Parse
 }
@@ -32,7 +32,7 @@
 	By      string  `msgpack:"By"`
 	At      float64 `msgpack:"At"`
 	Body    []byte  `msgpack:"Body"`
-	// Sum is a checksum over this record and the Sum of the previous version. Equal sums mean equal histories.
+	// Checksum over this record and the checksum of the previous version. Equal checksums mean equal histories.
 	Sum uint64 `msgpack:"Sum"`
 }
 
--- a/internal/cluster/policysync/propose.go
+++ b/internal/cluster/policysync/propose.go
@@ -26,7 +26,7 @@
 	Policy json.RawMessage `json:"policy"`
 	// ID is the ID of an earlier request whose result is unknown, to propose the policy again. Default: a new ID.
 	ID string `json:"id,omitempty"`
-	// Base rejects the proposal unless Base is the latest version. Default: no condition.
+	// The proposal is rejected unless this is the latest version. Default: no condition.
 	Base *policy.Version `json:"base,omitempty"`
 	// WaitMS limits the wait for the result, in milliseconds; the proposal is not committed later. Default and upper
 	// limit 15 s. A higher value lets a proposal wait for a new leader.
