--- a/internal/cluster/lease/table_test.go
+++ b/internal/cluster/lease/table_test.go
@@ -239,8 +239,8 @@
 		{Operation: Release, ID: other, Holder: a1, Token: 2},
 		{Operation: TakeOver, ID: other, Holder: b1, TTL: 1000},
 		{
-			Operation: Merge, ID: other, Holder: b1, Token: 3, TTL: 1000, Into: own, IntoToken: 1, Checkpoint: []byte("both"),
-			CheckpointSeq: 8,
+			Operation: Merge, ID: other, Holder: b1, Token: 3, TTL: 1000, Into: own, IntoToken: 1,
+			Checkpoint: []byte("both"), CheckpointSeq: 8,
 		},
 		{Operation: Renew, ID: own, Holder: b1, Token: 1, TTL: 2000, Checkpoint: []byte("mine"), CheckpointSeq: 7},
 	} {
--- a/internal/cluster/policy/golden_test.go
+++ b/internal/cluster/policy/golden_test.go
@@ -12,7 +12,9 @@
 const goldenPolicy = `{"note":"a trial","halt":true,"trial-share":0.25,"settings":{"pace":1}}`
 
 func goldenProposal(id string, base Version) *Proposal {
-	return &Proposal{ID: id, By: "marshal-a", At: 1764700000123.5, Based: true, Base: base, Body: []byte(goldenPolicy)}
+	return &Proposal{
+		ID: id, By: "marshal-a", At: 1764700000123.5, Based: true, Base: base, Body: []byte(goldenPolicy),
+	}
 }
 
 // goldenState returns a state with two versions.
--- a/internal/cluster/policy/state.go
+++ b/internal/cluster/policy/state.go
@@ -55,7 +55,9 @@
 	if reason := rejection(proposal, latest.Version); reason != "" {
 		return Outcome{Rejection: reason}
 	}
-	r := Record{Version: latest.Version + 1, ID: proposal.ID, By: proposal.By, At: proposal.At, Body: proposal.Body}
+	r := Record{
+		Version: latest.Version + 1, ID: proposal.ID, By: proposal.By, At: proposal.At, Body: proposal.Body,
+	}
 	r.Sum = r.chainedSum(latest.Sum)
 	s.appendRecord(r)
 	return Outcome{Version: r.Version}
--- a/internal/cluster/policy/state_test.go
+++ b/internal/cluster/policy/state_test.go
@@ -17,7 +17,11 @@
 		want     Outcome
 	}{
 		{"first proposal", Proposal{ID: "1", Body: encodedPolicy(t, "one")}, Outcome{Version: 1}},
-		{"based on the latest", Proposal{ID: "2", Body: encodedPolicy(t, "two"), Based: true, Base: 1}, Outcome{Version: 2}},
+		{
+			"based on the latest",
+			Proposal{ID: "2", Body: encodedPolicy(t, "two"), Based: true, Base: 1},
+			Outcome{Version: 2},
+		},
 		{"duplicate ID", Proposal{ID: "1", Body: encodedPolicy(t, "one")}, Outcome{Version: 1, Duplicate: true}},
 		{
 			"based on an earlier version",
--- a/internal/cluster/policysync/status.go
+++ b/internal/cluster/policysync/status.go
@@ -130,7 +130,8 @@
 	entries := []HistoryEntry{} // not nil, so that an empty history is [] in JSON
 	for _, r := range records {
 		entries = append(entries, HistoryEntry{
-			Version: r.Version, ID: r.ID, Proposer: r.By, At: r.At, Sum: formatChecksum(r.Sum), Policy: r.Body,
+			Version: r.Version, ID: r.ID, Proposer: r.By, At: r.At, Sum: formatChecksum(r.Sum),
+			Policy: r.Body,
 		})
 	}
 	return entries
--- a/internal/cluster/policysync/wire_golden_test.go
+++ b/internal/cluster/policysync/wire_golden_test.go
@@ -29,7 +29,9 @@
 			{Version: 7, ID: "id", By: "n1", At: 1.7e12, Body: []byte("{}"), Sum: 1 << 63},
 		}}},
 		{"local", json.Marshal, localStatus{Self: self, Watchers: []MemberStatus{self, {Name: "n1"}}}},
-		{"ask", json.Marshal, ProposeRequest{Policy: json.RawMessage(`{"note":"why"}`), ID: "id", Base: &version, WaitMS: 9}},
+		{"ask", json.Marshal, ProposeRequest{
+			Policy: json.RawMessage(`{"note":"why"}`), ID: "id", Base: &version, WaitMS: 9,
+		}},
 		{"proposed", json.Marshal, ProposeResult{ID: "id", Version: 7, Duplicate: true}},
 	} {
 		raw, err := message.encode(message.value)
