--- a/internal/cluster/failover/renew.go
+++ b/internal/cluster/failover/renew.go
@@ -37,7 +37,7 @@
 	}).Info("lease acquired")
 	resumed, err := decodeCheckpoint(l.Checkpoint)
 	if err != nil {
-		mgr.logger.WithError(err).Error("checkpoint not decoded")
+		mgr.logger.WithError(err).Error("checkpoint unreadable")
 		return
 	}
 	mgr.deliverEvidence(&resumed)
--- a/internal/cluster/policysync/applier.go
+++ b/internal/cluster/policysync/applier.go
@@ -38,12 +38,12 @@
 	defer a.mu.Unlock()
 	stored, err := a.readStored()
 	if err != nil {
-		a.log.WithError(err).Error("policy: stored version not read")
+		a.log.WithError(err).Error("policy: the stored version can't be read")
 	}
 	a.admission.Restore(stored)
 	if err := a.apply(a.admission.Current()); err != nil {
 		a.admission.MarkFailed(err)
-		a.log.WithError(err).Error("policy: stored version not applied")
+		a.log.WithError(err).Error("policy: the stored version can't be applied")
 	}
 }
 
@@ -75,7 +75,7 @@
 	a.applyLatest()
 	if a.admission.Current().TrialsAdmitted {
 		if err := a.apply(a.admission.Current()); err != nil {
-			a.log.WithError(err).Error("policy not applied")
+			a.log.WithError(err).Error("policy can't be applied")
 			a.admission.MarkFailed(err)
 		}
 	}
@@ -92,7 +92,7 @@
 	// The version is stored before it is applied. In the other order, a process that ends in between would restart with
 	// the previous version after it had acted on this one.
 	if err := a.writeStored(&latest); err != nil {
-		a.log.WithError(err).Error("policy: applied version not stored")
+		a.log.WithError(err).Error("policy: the applied version can't be stored")
 	}
 	previous := a.admission.Current()
 	a.admission.MarkApplied(latest)
@@ -101,7 +101,7 @@
 	})
 	if err := a.apply(a.admission.Current()); err != nil {
 		a.admission.MarkFailed(err)
-		log.WithError(err).Error("policy not applied: trials closed")
+		log.WithError(err).Error("policy can't be applied: no part in trials")
 		a.applyWithoutTrials(previous.Record)
 	} else {
 		log.Info("policy applied")
@@ -113,7 +113,7 @@
 // applyWithoutTrials returns to the settings of the previous version, with trials closed. The caller holds mu.
 func (a *applier) applyWithoutTrials(previous policy.Record) {
 	if err := a.apply(policy.Decision{Record: previous}); err != nil {
-		a.log.WithError(err).Error("policy: previous version not applied")
+		a.log.WithError(err).Error("policy: the previous version can't be applied either")
 	}
 }
 
@@ -127,10 +127,10 @@
 	a.admission.ClearFailure()
 	if err := a.apply(a.admission.Current()); err != nil {
 		a.admission.MarkFailed(err)
-		a.log.WithError(err).Error("policy not applied on retry")
+		a.log.WithError(err).Error("policy still can't be applied")
 		return
 	}
-	a.logDecision("policy applied on retry")
+	a.logDecision("policy can be applied again")
 }
 
 // logDecision logs the current decision. The caller holds mu.
--- a/internal/cluster/policysync/node.go
+++ b/internal/cluster/policysync/node.go
@@ -53,7 +53,7 @@
 		return nil, fmt.Errorf("policy.dir: %w", err)
 	}
 	if corruptPath != "" {
-		log.WithField("aside", corruptPath).Error("policy: store is corrupt and was set aside; restoring from other servers")
+		log.WithField("aside", corruptPath).Error("policy: store is corrupt: set aside, to be restored from the other servers")
 	}
 	httpClient := raftlog.NewHTTPClient(cfg.Key)
 	node := &Node{
