--- a/internal/cluster/policysync/node.go
+++ b/internal/cluster/policysync/node.go
@@ -48,12 +48,12 @@
 // Open opens the store and, at a server, the port of the log. It applies the version that the process had applied last.
 // Trials are closed until [Node.Run] has caught up. A corrupt store is set aside and replaced by an empty one.
 func Open(cfg raftlog.Config, hooks Hooks, processClock *clock.Clock, log logrus.FieldLogger) (*Node, error) {
-	store, corruptPath, err := raftlog.OpenStore(cfg.Dir)
+	store, asideDir, err := raftlog.OpenStore(cfg.Dir)
 	if err != nil {
 		return nil, fmt.Errorf("policy.dir: %w", err)
 	}
-	if corruptPath != "" {
-		log.WithField("aside", corruptPath).Error("policy: store is corrupt: set aside, to be restored from the other servers")
+	if asideDir != "" {
+		log.WithField("aside", asideDir).Error("policy: store is corrupt: set aside, to be restored from the other servers")
 	}
 	httpClient := raftlog.NewHTTPClient(cfg.Key)
 	node := &Node{
