--- a/internal/cluster/policy/golden_test.go
+++ b/internal/cluster/policy/golden_test.go
@@ -13,7 +13,8 @@
 
 func goldenProposal(id string, base Version) *Proposal {
 	return &Proposal{
-		ID: id, By: "marshal-a", At: 1764700000123.5, Based: true, Base: base, Body: []byte(goldenPolicy),
+		ID: id, By: "marshal-a", At: 1764700000123.5, Based: true, Base: base,
+		Body: []byte(goldenPolicy),
 	}
 }
 
--- a/internal/cluster/policy/state.go
+++ b/internal/cluster/policy/state.go
@@ -56,7 +56,8 @@
 		return Outcome{Rejection: reason}
 	}
 	r := Record{
-		Version: latest.Version + 1, ID: proposal.ID, By: proposal.By, At: proposal.At, Body: proposal.Body,
+		Version: latest.Version + 1, ID: proposal.ID, By: proposal.By, At: proposal.At,
+		Body: proposal.Body,
 	}
 	r.Sum = r.chainedSum(latest.Sum)
 	s.appendRecord(r)
