--- a/internal/cluster/failover/release.go
+++ b/internal/cluster/failover/release.go
@@ -8,13 +8,14 @@
 	"ottershed/internal/cluster/lease"
 )
 
-// ReleaseAll writes a last checkpoint and releases this instance's lease, so that a successor takes it over at once.
+// ReleaseAll writes a last checkpoint and releases this instance's lease, so that a successor need not wait for the
+// lease to expire. It does nothing without a valid lease.
 func (mgr *Manager) ReleaseAll(ctx context.Context) {
-	if mgr.checkpointSlot.lock(ctx) != nil {
+	if mgr.checkpointMutex.lock(ctx) != nil {
 		return
 	}
-	defer mgr.checkpointSlot.unlock()
-	raw := mgr.encodedCheckpoint(ctx)
+	defer mgr.checkpointMutex.unlock()
+	raw := mgr.collectEncodedCheckpoint(ctx)
 	session := mgr.own.current()
 	if !session.Valid(mgr.clock.Now()) {
 		return
--- a/internal/cluster/policy/golden_test.go
+++ b/internal/cluster/policy/golden_test.go
@@ -12,10 +12,13 @@
 const goldenPolicy = `{"note":"a trial","halt":true,"trial-share":0.25,"settings":{"pace":1}}`
 
 func goldenProposal(id string, base Version) *Proposal {
-	return &Proposal{ID: id, By: "marshal-a", At: 1764700000123.5, Based: true, Base: base, Body: []byte(goldenPolicy)}
+	return &Proposal{
+		ID: id, By: "marshal-a", At: 1764700000123.5, Based: true, Base: base,
+		Body: []byte(goldenPolicy),
+	}
 }
 
-// goldenState holds two versions.
+// goldenState returns a state with two versions.
 func goldenState(t *testing.T) *State {
 	t.Helper()
 	state := &State{}
@@ -28,19 +31,20 @@
 	return state
 }
 
-// A proposal is stored as an entry of the replicated log.
-func TestStoredProposal(t *testing.T) {
+// Guards the encoding of proposals, which are entries of the replicated log.
+func TestStoredProposalMatchesGolden(t *testing.T) {
 	golden.RoundTrip(t, "proposal.msgpack", *goldenProposal("second", 1), msgpack.Marshal, msgpack.Unmarshal)
 }
 
-// An outcome is what the server that committed a proposal sends back to the proposer.
-func TestOutcomeOnTheWire(t *testing.T) {
+// Guards the encoding of outcomes, which the server that committed a proposal sends to the proposer.
+func TestOutcomeMatchesGolden(t *testing.T) {
 	outcome := Outcome{Version: 7, Duplicate: true, Rejection: "not the newest"}
 	golden.RoundTrip(t, "outcome.json", outcome, json.Marshal, json.Unmarshal)
 }
 
-// The form of a policy for the log is stored in records; parsing it again gives the same bytes.
-func TestStoredPolicy(t *testing.T) {
+// Guards the encoding of policies for the log, which is stored in records. Parsing the encoding must return the same
+// bytes.
+func TestStoredPolicyMatchesGolden(t *testing.T) {
 	share := 0.25
 	policy := Policy{Note: "a trial", Halt: true, TrialShare: &share, Settings: json.RawMessage(`{"pace":1}`)}
 	golden.RoundTrip(t, "policy.json", policy, json.Marshal, json.Unmarshal)
@@ -52,8 +56,8 @@
 	golden.Equal(t, "policy.json", *parsed, policy)
 }
 
-// The record of the applied version is stored by each process.
-func TestStoredRecord(t *testing.T) {
+// Guards the encoding of the applied version's record, which each process stores.
+func TestStoredRecordMatchesGolden(t *testing.T) {
 	record, _ := goldenState(t).Latest()
 	golden.Filled(t, "record", record)
 	raw, err := EncodeRecord(&record)
@@ -68,8 +72,8 @@
 	golden.Equal(t, "record.bin", *back, record)
 }
 
-// A snapshot of the log has the kept records.
-func TestStoredState(t *testing.T) {
+// Guards the encoding of the kept records in snapshots of the log.
+func TestStoredStateMatchesGolden(t *testing.T) {
 	state := goldenState(t)
 	golden.Filled(t, "records", state.records)
 	raw, err := state.Encode()
--- a/internal/cluster/policysync/golden_test.go
+++ b/internal/cluster/policysync/golden_test.go
@@ -19,15 +19,15 @@
 	}
 }
 
-// encodeResponse encodes a value as a server does in its response to a call.
+// encodeResponse returns the encoding of a value in the response of a server to a call.
 func encodeResponse(value any) ([]byte, error) {
 	recorder := httptest.NewRecorder()
 	raftlog.WriteJSON(recorder, value)
 	return recorder.Body.Bytes(), nil
 }
 
-// Watchers poll servers for versions.
-func TestSinceOnTheWire(t *testing.T) {
+// Guards the encoding of polls, by which watchers request versions from servers, and of their responses.
+func TestPollMatchesGolden(t *testing.T) {
 	request := sinceRequest{Self: goldenMember("marshal-a"), Version: 6, Confirm: true}
 	golden.RoundTrip(t, "since.msgpack", request, msgpack.Marshal, msgpack.Unmarshal)
 	response := sinceResponse{Records: []policy.Record{{
@@ -37,8 +37,8 @@
 	golden.RoundTrip(t, "since_answer.msgpack", response, msgpack.Marshal, msgpack.Unmarshal)
 }
 
-// An entry of the log begins with the kind of its command.
-func TestStoredEntry(t *testing.T) {
+// Guards the encoding of log entries, which begin with the kind of their command.
+func TestStoredEntryMatchesGolden(t *testing.T) {
 	proposal := policy.Proposal{
 		ID: "an-id", By: "marshal-a", At: 1764700000123.5, Based: true, Base: 6,
 		Body: []byte(`{"note":"a trial"}`),
@@ -49,14 +49,14 @@
 	}, func(raw []byte, to any) error { return msgpack.Unmarshal(raw[1:], to) })
 }
 
-// Servers request each other's status.
-func TestLocalOnTheWire(t *testing.T) {
+// Guards the encoding of the status that servers request from each other.
+func TestLocalStatusMatchesGolden(t *testing.T) {
 	status := localStatus{Self: goldenMember("marshal-a"), Watchers: []MemberStatus{goldenMember("marshal-b")}}
 	golden.RoundTrip(t, "local.json", status, encodeResponse, json.Unmarshal)
 }
 
-// The requests and answers of the admin address.
-func TestAdminOnTheWire(t *testing.T) {
+// Guards the encoding of requests to the admin interface and of its responses.
+func TestAdminMessagesMatchGolden(t *testing.T) {
 	base := policy.Version(6)
 	text := json.RawMessage(`{"note":"a trial"}`)
 	request := ProposeRequest{Policy: text, ID: "an-id", Base: &base, WaitMS: 2500}
--- a/internal/cluster/policysync/statemachine.go
+++ b/internal/cluster/policysync/statemachine.go
@@ -12,7 +12,7 @@
 // Kind is the first byte of the log's entries that are policy proposals.
 const Kind byte = 'p'
 
-// stateMachine applies the log's entries of [Kind]. It is a raftlog.StateMachine.
+// stateMachine applies the log's entries of [Kind]. It implements raftlog.StateMachine.
 type stateMachine struct{ applier *applier }
 
 // Apply applies a proposal and returns its policy.Outcome as JSON.
@@ -21,15 +21,15 @@
 	if err := msgpack.Unmarshal(command, proposal); err != nil {
 		proposal = nil
 	}
-	raw, err := json.Marshal(m.applier.commit(proposal))
+	raw, err := json.Marshal(m.applier.applyProposal(proposal))
 	if err != nil {
-		panic(err) // can't happen: an Outcome has three plain fields
+		panic(err) // can't happen: every field of an Outcome can be encoded
 	}
 	return raw
 }
 
 // Snapshot returns the kept versions.
-func (m stateMachine) Snapshot() ([]byte, error) { return m.applier.encode() }
+func (m stateMachine) Snapshot() ([]byte, error) { return m.applier.encodeState() }
 
-// Restore replaces the kept versions by those of a snapshot.
-func (m stateMachine) Restore(raw []byte) error { return m.applier.restore(raw) }
+// Restore replaces the kept versions with those of a snapshot. After an error they are unchanged.
+func (m stateMachine) Restore(raw []byte) error { return m.applier.restoreState(raw) }
--- a/internal/cluster/policysync/wire_golden_test.go
+++ b/internal/cluster/policysync/wire_golden_test.go
@@ -10,9 +10,9 @@
 	"ottershed/internal/golden"
 )
 
-// The messages between watchers, servers and operators have the bytes of the golden file: processes of different
-// releases exchange them.
-func TestGoldenMessages(t *testing.T) {
+// Guards the encoding of the messages between watchers, servers and operators, which processes of different releases
+// exchange.
+func TestMessagesMatchGolden(t *testing.T) {
 	self := MemberStatus{
 		Name: "n0", Role: "watcher", Version: 7, Sum: "ab", TrialsAdmitted: true, Failure: "why", Unreachable: "lost",
 		ReportedAt: 8.5,
@@ -29,7 +29,9 @@
 			{Version: 7, ID: "id", By: "n1", At: 1.7e12, Body: []byte("{}"), Sum: 1 << 63},
 		}}},
 		{"local", json.Marshal, localStatus{Self: self, Watchers: []MemberStatus{self, {Name: "n1"}}}},
-		{"ask", json.Marshal, ProposeRequest{Policy: json.RawMessage(`{"note":"why"}`), ID: "id", Base: &version, WaitMS: 9}},
+		{"ask", json.Marshal, ProposeRequest{
+			Policy: json.RawMessage(`{"note":"why"}`), ID: "id", Base: &version, WaitMS: 9,
+		}},
 		{"proposed", json.Marshal, ProposeResult{ID: "id", Version: 7, Duplicate: true}},
 	} {
 		raw, err := message.encode(message.value)
