--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -9,129 +9,134 @@
 	"ottershed/internal/engine"
 )
 
-// attemptRun is an attempt that is carried; it ends on the first connection on which it may have run.
+// attemptRun is an attempt in progress. It may use several connections, up to the first one on which the request may
+// have run.
 type attemptRun struct {
 	attempt  engine.Attempt
 	target   target
-	deadline time.Time // no response by then: timed out
+	deadline time.Time // the attempt times out without a response by then
 }
 
-// acquired is a connection that an attempt has taken.
-type acquired struct {
-	conn   *conn
-	reused bool
-	idle   time.Duration // it was idle for so long before
-	sendBy time.Time     // the request must be written by then
+// acquiredConn is a connection that an attempt took from the pool or opened.
+type acquiredConn struct {
+	conn    *conn
+	reused  bool          // taken from the idle connections
+	idleFor time.Duration // how long a reused connection was idle
+	sendBy  time.Time     // the request must be written by then
 }
 
-// StartAttempt starts an attempt; what it returns cancels it. A connection that the attempt gives up is closed before
-// the outcome is told: else the next attempt of the request would be a second copy of it.
+// StartAttempt starts an attempt and returns a function that cancels it. The result is passed to attempt.OnEnd on
+// another goroutine. A connection that the attempt abandons is closed before OnEnd is called. Otherwise the next
+// attempt of the request would run as a second copy beside this one.
 func (p *Pool) StartAttempt(attempt engine.Attempt) (cancelAttempt func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	// On the caller's goroutine: by the list of endpoints by which it decided.
-	to := p.targetAt(attempt.Endpoint, attempt.Address)
+	// The caller's goroutine looks up the target, in the endpoint list that the decision was based on.
+	dest := p.lookupTarget(attempt.Endpoint, attempt.Address)
 	go func() {
 		defer cancel()
-		began := time.Now()
-		result := p.runAttempt(ctx, attempt, to)
+		startedAt := time.Now()
+		result := p.runAttempt(ctx, attempt, dest)
 		result.EndedAt = p.clock.Now()
-		p.observeOutcome(to.endpoint, began, result.Outcome)
+		p.observeOutcome(dest.endpoint, startedAt, result.Outcome)
 		attempt.OnEnd(result)
 	}()
 	return cancel
 }
 
-// runAttempt carries an attempt to its end, over another connection where a kept one turns out to be dead.
-func (p *Pool) runAttempt(ctx context.Context, attempt engine.Attempt, to target) engine.AttemptResult {
-	run := attemptRun{attempt, to, p.clock.Time(attempt.Deadline)}
+// runAttempt runs an attempt to its end. It switches to another connection if an idle one turns out to be dead.
+func (p *Pool) runAttempt(ctx context.Context, attempt engine.Attempt, dest target) engine.AttemptResult {
+	run := attemptRun{attempt, dest, p.clock.Time(attempt.Deadline)}
 	for {
-		result, again := p.tryOnce(ctx, &run)
-		if !again {
+		result, reconnect := p.tryOnce(ctx, &run)
+		if !reconnect {
 			return result
 		}
 	}
 }
 
-// tryOnce carries an attempt over one connection: verify, acquire, write, read, release, classify.
-func (p *Pool) tryOnce(ctx context.Context, run *attemptRun) (result engine.AttemptResult, again bool) {
+// tryOnce runs an attempt over one connection: verify, acquire, write, read, release, classify. If it returns
+// reconnect, the request did not run and the attempt continues on another connection.
+func (p *Pool) tryOnce(ctx context.Context, run *attemptRun) (result engine.AttemptResult, reconnect bool) {
 	if !p.maySend(ctx, run) {
 		return engine.AttemptResult{Outcome: decision.NotSent}, false
 	}
-	on, outcome := p.acquire(ctx, run)
-	if on.conn == nil {
+	acquired, outcome := p.acquire(ctx, run)
+	if acquired.conn == nil {
 		return engine.AttemptResult{Outcome: outcome}, false
 	}
-	on.sendBy = p.sendBy(run)
-	_ = on.conn.SetReadDeadline(run.deadline) // fails on a connection that has ended only
-	// An endpoint that has the request complete only later may have forgotten an earlier run of it.
-	_ = on.conn.SetWriteDeadline(on.sendBy)
-	uncancel := context.AfterFunc(ctx, on.conn.interrupt)
-	done := p.exchange(ctx, run, on.conn)
-	p.release(run, on, done, uncancel)
-	outcome, again = run.classify(ctx, on, done)
-	return engine.AttemptResult{Outcome: outcome, Load: done.load, Response: done.response}, again
+	acquired.sendBy = p.sendBy(run)
+	_ = acquired.conn.SetReadDeadline(run.deadline) // fails only on a closed connection
+	// An endpoint that receives the end of the request after sendBy may have forgotten an earlier run and run it twice.
+	_ = acquired.conn.SetWriteDeadline(acquired.sendBy)
+	stopInterrupt := context.AfterFunc(ctx, acquired.conn.interrupt)
+	exchanged := p.exchange(ctx, run, acquired.conn)
+	p.release(run, acquired, exchanged, stopInterrupt)
+	outcome, reconnect = run.classify(ctx, acquired, exchanged)
+	return engine.AttemptResult{Outcome: outcome, Load: exchanged.load, Response: exchanged.response}, reconnect
 }
 
-// exchange writes the request and reads the response to it.
-func (p *Pool) exchange(ctx context.Context, run *attemptRun, c *conn) exchange {
+// exchange writes the request and reads the response.
+func (p *Pool) exchange(ctx context.Context, run *attemptRun, c *conn) exchangeResult {
 	request := encodeRequest(run.attempt.Request, run.attempt.Deadline-p.clock.Now())
 	mayHaveRun, complete := c.write(request)
 	if !mayHaveRun {
-		return exchange{outcome: decision.Unreachable}
+		return exchangeResult{outcome: decision.Unreachable}
 	}
-	done := c.read(ctx, run.deadline, p.times.responseRest)
-	done.reusable = done.reusable && complete
-	return done
+	result := c.read(ctx, run.deadline, p.timing.responseReadTimeout)
+	result.reusable = result.reusable && complete
+	return result
 }
 
-// release gives a connection back to the pool, or closes it. One that was interrupted when the attempt was canceled is
-// closed.
-func (p *Pool) release(run *attemptRun, on acquired, done exchange, uncancel func() bool) {
-	if on.reused {
-		p.observeReuse(on.idle, done.written && done.outcome != decision.ConnectionBroken)
+// release returns a connection to the pool or closes it. stopInterrupt unregisters the interruption on cancel and
+// returns false if the connection was interrupted already; such a connection is closed.
+func (p *Pool) release(run *attemptRun, acquired acquiredConn, result exchangeResult, stopInterrupt func() bool) {
+	if acquired.reused {
+		p.observeReuse(acquired.idleFor, result.mayHaveRun && result.outcome != decision.ConnectionBroken)
 	}
-	if uncancel() && done.reusable {
-		p.putIdle(run.attempt.Endpoint, run.target.endpoint, on.conn)
+	if stopInterrupt() && result.reusable {
+		p.putIdle(run.attempt.Endpoint, run.target.endpoint, acquired.conn)
 	} else {
-		p.drop(on.conn)
+		p.closeConn(acquired.conn)
 	}
 }
 
-// maySend verifies that an attempt may still be sent. Its connection may come up in the moment in which it is canceled,
-// and the deadline that this sets is not set yet; sent then, it would follow the request's final response.
+// maySend reports whether an attempt may still be sent. A connection may come up just as its attempt is canceled,
+// before the deadline that interrupts the connection is set. A request sent then would reach the endpoint after the
+// client has its final response.
 func (p *Pool) maySend(ctx context.Context, run *attemptRun) bool {
-	return ctx.Err() == nil && p.sendable(run.target) && time.Now().Before(p.sendBy(run))
+	return ctx.Err() == nil && p.targetAllowsSend(run.target) && time.Now().Before(p.sendBy(run))
 }
 
-// sendBy is when an attempt that is not sent yet is given up.
+// sendBy returns the time until which the request must be written: the attempt's SendBy if it is set, and no later than
+// the deadline.
 func (p *Pool) sendBy(run *attemptRun) time.Time {
 	if run.attempt.SendBy <= 0 {
 		return run.deadline
 	}
-	if by := p.clock.Time(run.attempt.SendBy); by.Before(run.deadline) {
-		return by
+	if sendBy := p.clock.Time(run.attempt.SendBy); sendBy.Before(run.deadline) {
+		return sendBy
 	}
 	return run.deadline
 }
 
-// acquire takes an idle connection or opens one; without one it tells how the attempt has ended.
-func (p *Pool) acquire(ctx context.Context, run *attemptRun) (acquired, decision.Outcome) {
+// acquire takes an idle connection or opens one. Without a connection it returns the outcome of the attempt.
+func (p *Pool) acquire(ctx context.Context, run *attemptRun) (acquiredConn, decision.Outcome) {
 	if c := p.takeIdle(run.target); c != nil {
-		return acquired{conn: c, reused: true, idle: time.Since(c.idleSince)}, 0
+		return acquiredConn{conn: c, reused: true, idleFor: time.Since(c.idleSince)}, 0
 	}
 	c, outcome := p.connect(ctx, run)
-	return acquired{conn: c}, outcome
+	return acquiredConn{conn: c}, outcome
 }
 
-// connect opens a connection; without one it tells how the attempt has ended.
+// connect opens a connection. Without a connection it returns the outcome of the attempt.
 func (p *Pool) connect(ctx context.Context, run *attemptRun) (*conn, decision.Outcome) {
 	if !p.reserveSlot() {
 		return nil, decision.NotSent
 	}
-	dialer := net.Dialer{Timeout: p.times.connect, Deadline: p.sendBy(run), KeepAlive: -1}
+	dialer := net.Dialer{Timeout: p.timing.connectTimeout, Deadline: p.sendBy(run), KeepAlive: -1}
 	raw, err := p.dial(ctx, &dialer, run.attempt.Address)
 	p.countDial(ctx, err)
-	maySend := p.maySend(ctx, run) // once more, for the list of endpoints may have changed while it came up
+	maySend := p.maySend(ctx, run) // checked again: the endpoint list may have changed meanwhile
 	if err == nil && maySend {
 		return newConn(raw), 0
 	}
--- a/internal/upstream/benchmark_test.go
+++ b/internal/upstream/benchmark_test.go
@@ -15,9 +15,9 @@
 	"ottershed/internal/settings"
 )
 
-// serveConstant answers every request of one connection with the same bytes, without allocations of its own. A request
-// is complete where its bytes end in end.
-func serveConstant(conn net.Conn, end, response []byte) {
+// serveConstant responds to every request on a connection with the same bytes, without allocating per request. A
+// request is complete when the received bytes end with terminator.
+func serveConstant(conn net.Conn, terminator, response []byte) {
 	buffer := make([]byte, 4<<10)
 	size := 0
 	for {
@@ -26,7 +26,7 @@
 			return
 		}
 		size += n
-		if !bytes.HasSuffix(buffer[:size], end) {
+		if !bytes.HasSuffix(buffer[:size], terminator) {
 			continue
 		}
 		size = 0
@@ -36,13 +36,13 @@
 	}
 }
 
-// BenchmarkAttempt measures one attempt over a kept loopback connection: acquire, write, read, classify, release.
+// BenchmarkAttempt measures one attempt over a reused loopback connection: acquire, write, read, release, classify.
 func BenchmarkAttempt(b *testing.B) {
 	for _, bench := range []struct {
 		name, response string
 		want           decision.Outcome
 		body           []byte
-		end            string
+		terminator     string // end of a request
 	}{
 		{
 			"GET", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Backend-Load: inflight=7,queue=2,util=0.61\r\n\r\nhi",
@@ -70,18 +70,18 @@
 					if err != nil {
 						return
 					}
-					go serveConstant(conn, []byte(bench.end), []byte(bench.response))
+					go serveConstant(conn, []byte(bench.terminator), []byte(bench.response))
 				}
 			}()
 			log := logrus.New()
 			log.SetOutput(io.Discard)
 			pool := NewPool(clock.New(), settings.Network{IdleAfter: 60_000, ConnectTimeout: 1000}, 4, log)
-			pool.times.reuseDelay = 0
+			pool.timing.reuseDelay = 0
 			address := listener.Addr().String()
 			pool.SetAddress("n", address)
-			ends := make(chan engine.AttemptResult, 1)
+			results := make(chan engine.AttemptResult, 1)
 			attempt := engine.Attempt{
-				Endpoint: "n", Address: address, OnEnd: func(r engine.AttemptResult) { ends <- r },
+				Endpoint: "n", Address: address, OnEnd: func(r engine.AttemptResult) { results <- r },
 				Request: &engine.Request{
 					Method: bench.name, URI: "/read/1?key=17", Host: "app.svc", Body: bench.body,
 					Fields: map[string][]string{
@@ -93,12 +93,12 @@
 			for b.Loop() {
 				attempt.Deadline = pool.clock.Now() + 5000
 				pool.StartAttempt(attempt)
-				if end := <-ends; end.Outcome != bench.want {
-					b.Fatalf("outcome %d, want %d", end.Outcome, bench.want)
+				if result := <-results; result.Outcome != bench.want {
+					b.Fatalf("got outcome %d, want %d", result.Outcome, bench.want)
 				}
 			}
 			if stats := pool.Stats(); stats.Opened != 1 {
-				b.Errorf("%d connections opened, want the one that is kept", stats.Opened)
+				b.Errorf("got %d connections opened, want 1 that is reused", stats.Opened)
 			}
 			ctx, cancel := context.WithCancel(b.Context())
 			cancel()
--- a/internal/upstream/classify.go
+++ b/internal/upstream/classify.go
@@ -15,52 +15,54 @@
 	"ottershed/decision"
 )
 
-// Faults of a response that net/http takes.
+// Errors of responses that net/http accepts and this package does not.
 var (
 	errProtocolChange  = errors.New("response changes the protocol")
 	errResponseTooLong = errors.New("response too long")
 )
 
-// hasResponded tells whether an outcome is a response of the endpoint, be it one that can't be parsed.
+// hasResponded reports whether an outcome means that the endpoint sent a response, including a malformed one.
 func hasResponded(o decision.Outcome) bool {
 	return o == decision.Succeeded || o == decision.EndpointFailed || o == decision.EndpointRejected ||
 		o == decision.MalformedResponse
 }
 
-// classifyStatus names what a response's status says.
+// classifyStatus returns the outcome for the status of a response. A 503 or 504 counts as rejected only with the header
+// X-Unprocessed: 1. Without it the request may have run.
 func classifyStatus(res *http.Response) decision.Outcome {
 	if res.StatusCode == http.StatusOK {
 		return decision.Succeeded
 	}
-	full := res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusGatewayTimeout
-	if full && res.Header.Get("X-Unprocessed") == "1" {
+	overloaded := res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusGatewayTimeout
+	if overloaded && res.Header.Get("X-Unprocessed") == "1" {
 		return decision.EndpointRejected
 	}
 	return decision.EndpointFailed
 }
 
-// classifyReadError names what it says that no response could be read. One that has begun and can't be parsed says that
-// the endpoint is there; taken for a broken connection it would keep requests from a healthy endpoint.
-func classifyReadError(err error, begun, tooLong bool) decision.Outcome {
-	late := errors.Is(err, os.ErrDeadlineExceeded)
+// classifyReadError returns the outcome for a response that could not be read. A response that started but can't be
+// parsed shows that the endpoint is reachable. Counted as a broken connection, it would take requests away from a
+// healthy endpoint.
+func classifyReadError(err error, started, tooLong bool) decision.Outcome {
+	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 	switch {
-	case late && !begun:
+	case timedOut && !started:
 		return decision.TimedOut
-	case late, tooLong, begun && !peerClosed(err):
+	case timedOut, tooLong, started && !peerClosed(err):
 		return decision.MalformedResponse
 	default:
 		return decision.ConnectionBroken
 	}
 }
 
-// peerClosed tells whether the other side has ended the connection.
+// peerClosed reports whether an error means that the peer closed or reset the connection.
 func peerClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) ||
 		errors.Is(err, syscall.EPIPE)
 }
 
-// classifyConnectError names what it says that no connection came up. That the attempt may no longer be sent, or that
-// descriptors are short here, says nothing of the endpoint.
+// classifyConnectError returns the outcome of an attempt without a connection. The endpoint does not count as
+// unreachable if the attempt may no longer be sent or this process is out of descriptors.
 func classifyConnectError(err error, maySend bool) decision.Outcome {
 	if !maySend || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 		return decision.NotSent
@@ -68,44 +70,48 @@
 	return decision.Unreachable
 }
 
-// classify names how an attempt has ended, by what has become of it on one connection; again means that it is carried
-// on over another one. An attempt that was canceled has ended so, unless the endpoint has responded before.
-func (r *attemptRun) classify(ctx context.Context, on acquired, e exchange) (outcome decision.Outcome, again bool) {
+// classify returns the outcome of an attempt after the exchange on one connection, or reconnect if the attempt
+// continues on another connection. A canceled attempt that was sent has the outcome Canceled unless a complete response
+// came before.
+func (r *attemptRun) classify(
+	ctx context.Context, acquired acquiredConn, result exchangeResult,
+) (outcome decision.Outcome, reconnect bool) {
 	switch {
-	case e.outcome == decision.MalformedResponse && ctx.Err() != nil:
+	case result.outcome == decision.MalformedResponse && ctx.Err() != nil:
 		return decision.Canceled, false
-	case hasResponded(e.outcome):
-		return e.outcome, false
-	case e.written && ctx.Err() != nil:
+	case hasResponded(result.outcome):
+		return result.outcome, false
+	case result.mayHaveRun && ctx.Err() != nil:
 		return decision.Canceled, false
-	case e.written:
-		return e.outcome, false
-	case on.reused && ctx.Err() == nil && time.Now().Before(r.deadline):
-		return 0, true // the kept connection was dead and nothing has run
-	case ctx.Err() != nil || on.sendBy.Before(r.deadline) && !time.Now().Before(on.sendBy):
+	case result.mayHaveRun:
+		return result.outcome, false
+	case acquired.reused && ctx.Err() == nil && time.Now().Before(r.deadline):
+		return 0, true // the idle connection was dead and the request has not run
+	case ctx.Err() != nil || acquired.sendBy.Before(r.deadline) && !time.Now().Before(acquired.sendBy):
 		return decision.NotSent, false
 	default:
 		return decision.Unreachable, false
 	}
 }
 
-// parseLoad reads an endpoint's load report; nil if there is none. What is no figure from 0 on is left out.
-func parseLoad(text string) *decision.Load {
-	if text == "" {
+// parseLoad parses an endpoint's load report, comma-separated name=value pairs. It returns nil for an empty report.
+// Values that are not finite numbers of 0 or more are omitted; an omitted value is -1.
+func parseLoad(report string) *decision.Load {
+	if report == "" {
 		return nil
 	}
 	load := &decision.Load{Util: -1, Queue: -1}
-	for _, pair := range strings.Split(text, ",") {
-		name, figure, _ := strings.Cut(pair, "=")
-		v, err := strconv.ParseFloat(figure, 64)
-		if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
+	for _, pair := range strings.Split(report, ",") {
+		name, text, _ := strings.Cut(pair, "=")
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil || math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
 			continue
 		}
 		switch name {
 		case "util", "cpu":
-			load.Util = v
+			load.Util = value
 		case "queue", "waiting":
-			load.Queue = v
+			load.Queue = value
 		}
 	}
 	return load
--- a/internal/upstream/classify_test.go
+++ b/internal/upstream/classify_test.go
@@ -12,16 +12,17 @@
 	"ottershed/decision"
 )
 
-// What one connection has made of an attempt gives its outcome, or another connection.
-func TestClassify(t *testing.T) {
-	sent := func(o decision.Outcome) exchange { return exchange{outcome: o, written: true} }
-	unsent := exchange{outcome: decision.Unreachable}
+// The result on one connection determines the outcome of an attempt, or that the attempt continues on another
+// connection.
+func TestClassifyAttempt(t *testing.T) {
+	sent := func(o decision.Outcome) exchangeResult { return exchangeResult{outcome: o, mayHaveRun: true} }
+	unsent := exchangeResult{outcome: decision.Unreachable}
 	for name, test := range map[string]struct {
-		done             exchange
+		result           exchangeResult
 		reused, canceled bool
-		deadline, sendBy time.Duration // from now on
+		deadline, sendBy time.Duration // from now
 		want             decision.Outcome
-		again            bool
+		reconnect        bool
 	}{
 		"succeeded": {
 			sent(decision.Succeeded), false, false, time.Hour, time.Hour, decision.Succeeded, false,
@@ -38,21 +39,21 @@
 		"malformed, canceled": {
 			sent(decision.MalformedResponse), false, true, time.Hour, time.Hour, decision.Canceled, false,
 		},
-		"broken on a kept connection": {
+		"broken on a reused connection": {
 			sent(decision.ConnectionBroken), true, false, time.Hour, time.Hour, decision.ConnectionBroken, false,
 		},
-		"broken by canceling": {
+		"broken by cancel": {
 			sent(decision.ConnectionBroken), false, true, time.Hour, time.Hour, decision.Canceled, false,
 		},
 		"timed out": {
 			sent(decision.TimedOut), false, false, -time.Hour, -time.Hour, decision.TimedOut, false,
 		},
-		"unsent on a new connection":          {unsent, false, false, time.Hour, time.Hour, decision.Unreachable, false},
-		"unsent on a kept connection":         {unsent, true, false, time.Hour, time.Hour, 0, true},
-		"unsent, canceled":                    {unsent, true, true, time.Hour, time.Hour, decision.NotSent, false},
-		"unsent, new, too late to send":       {unsent, false, false, time.Hour, -time.Second, decision.NotSent, false},
-		"unsent, kept, the deadline is over":  {unsent, true, false, -time.Second, -time.Second, decision.Unreachable, false},
-		"unsent, kept, too late to send once": {unsent, true, false, time.Hour, -time.Second, 0, true},
+		"unsent on a new connection":         {unsent, false, false, time.Hour, time.Hour, decision.Unreachable, false},
+		"unsent on a reused connection":      {unsent, true, false, time.Hour, time.Hour, 0, true},
+		"unsent, canceled":                   {unsent, true, true, time.Hour, time.Hour, decision.NotSent, false},
+		"unsent, new, after sendBy":          {unsent, false, false, time.Hour, -time.Second, decision.NotSent, false},
+		"unsent, reused, after the deadline": {unsent, true, false, -time.Second, -time.Second, decision.Unreachable, false},
+		"unsent, reused, after sendBy":       {unsent, true, false, time.Hour, -time.Second, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -62,33 +63,34 @@
 			}
 			now := time.Now()
 			run := attemptRun{deadline: now.Add(test.deadline)}
-			on := acquired{reused: test.reused, sendBy: now.Add(test.sendBy)}
-			if outcome, again := run.classify(ctx, on, test.done); outcome != test.want || again != test.again {
-				t.Errorf("outcome %d, again %v, want %d, %v", outcome, again, test.want, test.again)
+			acquired := acquiredConn{reused: test.reused, sendBy: now.Add(test.sendBy)}
+			outcome, reconnect := run.classify(ctx, acquired, test.result)
+			if outcome != test.want || reconnect != test.reconnect {
+				t.Errorf("got outcome %d, reconnect %v, want %d, %v", outcome, reconnect, test.want, test.reconnect)
 			}
 		})
 	}
 }
 
-// An error of reading says that the endpoint is silent, gone, or there and can't be understood.
+// A read error shows that the endpoint did not respond, closed the connection, or sent a malformed response.
 func TestClassifyReadError(t *testing.T) {
 	for name, test := range map[string]struct {
-		err            error
-		begun, tooLong bool
-		want           decision.Outcome
+		err              error
+		started, tooLong bool
+		want             decision.Outcome
 	}{
-		"late":                      {os.ErrDeadlineExceeded, false, false, decision.TimedOut},
-		"late within the response":  {os.ErrDeadlineExceeded, true, false, decision.MalformedResponse},
-		"ended":                     {io.EOF, false, false, decision.ConnectionBroken},
-		"ended within the response": {io.ErrUnexpectedEOF, true, false, decision.ConnectionBroken},
-		"reset within the response": {syscall.ECONNRESET, true, false, decision.ConnectionBroken},
-		"can't be parsed":           {errors.New("malformed"), true, false, decision.MalformedResponse},
-		"too long":                  {io.EOF, true, true, decision.MalformedResponse},
-		"another error before it":   {errors.New("network down"), false, false, decision.ConnectionBroken},
+		"timeout":                         {os.ErrDeadlineExceeded, false, false, decision.TimedOut},
+		"timeout within the response":     {os.ErrDeadlineExceeded, true, false, decision.MalformedResponse},
+		"closed":                          {io.EOF, false, false, decision.ConnectionBroken},
+		"closed within the response":      {io.ErrUnexpectedEOF, true, false, decision.ConnectionBroken},
+		"reset within the response":       {syscall.ECONNRESET, true, false, decision.ConnectionBroken},
+		"can't be parsed":                 {errors.New("malformed"), true, false, decision.MalformedResponse},
+		"too long":                        {io.EOF, true, true, decision.MalformedResponse},
+		"other error before the response": {errors.New("network down"), false, false, decision.ConnectionBroken},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := classifyReadError(test.err, test.begun, test.tooLong); got != test.want {
-				t.Errorf("outcome %d, want %d", got, test.want)
+			if got := classifyReadError(test.err, test.started, test.tooLong); got != test.want {
+				t.Errorf("got outcome %d, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -12,77 +12,79 @@
 	"ottershed/internal/engine"
 )
 
-// maxBody is the longest body of a response, and of what stands before it, in bytes.
+// maxBody is the maximum size of a response's body in bytes, and the size that is allowed in addition for what precedes
+// the body.
 const maxBody = 64 << 10
 
-// responseProbe is how long a request that can't be written to its end waits for a response that is there already.
-const responseProbe = time.Millisecond
+// responseProbeTimeout limits the wait for a response that arrived before its request was written completely.
+const responseProbeTimeout = time.Millisecond
 
-// expired is a deadline that has passed.
-var expired = time.Unix(1, 0)
+// pastDeadline is a deadline in the past. Setting it interrupts reads and writes.
+var pastDeadline = time.Unix(1, 0)
 
-// conn is a connection to an endpoint; it carries one request at a time.
+// conn is a connection to an endpoint. It carries one request at a time.
 type conn struct {
 	net.Conn
-	limit     *io.LimitedReader // what may still come of the present response
+	readLimit *io.LimitedReader // remaining bytes allowed for the current response
 	reader    *bufio.Reader
-	idleSince time.Time // while it is idle
-	readErr   error     // how reading ended
+	idleSince time.Time // valid while the connection is idle
+	readErr   error     // error of the last read, if any
 }
 
-// exchange is what has become of a request on one connection.
-type exchange struct {
-	outcome  decision.Outcome
-	load     *decision.Load   // the endpoint's report; nil: none
-	response *engine.Response // of a success
-	written  bool             // the last byte went out, or a response came: it may have run
-	reusable bool             // the connection is good for another request
+// exchangeResult is the result of one request on one connection.
+type exchangeResult struct {
+	outcome    decision.Outcome
+	load       *decision.Load   // the endpoint's load report; nil: none
+	response   *engine.Response // only for Succeeded
+	mayHaveRun bool             // the last byte was written or a response came
+	reusable   bool             // the connection may carry another request
 }
 
 func newConn(raw net.Conn) *conn {
 	c := &conn{Conn: raw}
-	c.limit = &io.LimitedReader{R: c}
-	c.reader = bufio.NewReader(c.limit)
+	c.readLimit = &io.LimitedReader{R: c}
+	c.reader = bufio.NewReader(c.readLimit)
 	return c
 }
 
-// Read keeps the error with which reading ends. Errors of net/http hide it where a response breaks off inside a line of
-// its head or in its trailer, and an endpoint that has gone would be taken for one that is there.
+// Read reads from the connection and stores the error in readErr. The errors of net/http hide the cause if a response
+// breaks off inside a header line or in the trailer, and an endpoint that is gone would be taken for a reachable one.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.readErr = err
 	return n, err
 }
 
-// write writes a request in one piece and once. It returns whether the request may have run, and whether it is out to
-// its last byte.
+// write writes a request with a single call. It returns whether the request may have run and whether it was written
+// completely.
 func (c *conn) write(request []byte) (mayHaveRun, complete bool) {
-	c.limit.N = 2 * maxBody
+	c.readLimit.N = 2 * maxBody
 	if _, err := c.Write(request); err != nil {
-		return c.responseBegun(), false
+		return c.responseStarted(), false
 	}
 	return true, true
 }
 
-// responseBegun tells, where a request can't be written to its end, whether a response to it is there already. Such a
-// request has run for all that is known; taken for one that never ran, it would be sent again and run twice.
-func (c *conn) responseBegun() bool {
-	_ = c.SetReadDeadline(time.Now().Add(responseProbe)) // fails on a connection that has ended only
+// responseStarted reports, after an incomplete write, whether a response has arrived already. Such a request may have
+// run. Treated as never run, it would be sent again and could run twice.
+func (c *conn) responseStarted() bool {
+	_ = c.SetReadDeadline(time.Now().Add(responseProbeTimeout)) // fails only on a closed connection
 	_, err := c.reader.Peek(1)
 	return err == nil
 }
 
-// read reads the response to a request and closes the exchange with what it says.
-func (c *conn) read(ctx context.Context, deadline time.Time, rest time.Duration) exchange {
-	res, body, begun, err := c.readResponse(ctx, deadline, rest)
+// read reads the response to a request and returns the result of the exchange. readTimeout limits the time from the
+// first byte of the response to the last.
+func (c *conn) read(ctx context.Context, deadline time.Time, readTimeout time.Duration) exchangeResult {
+	res, body, started, err := c.readResponse(ctx, deadline, readTimeout)
 	if err != nil {
 		if c.readErr != nil {
 			err = c.readErr
 		}
-		return exchange{outcome: classifyReadError(err, begun, c.limit.N == 0), written: true}
+		return exchangeResult{outcome: classifyReadError(err, started, c.readLimit.N == 0), mayHaveRun: true}
 	}
-	result := exchange{
-		outcome: classifyStatus(res), load: parseLoad(res.Header.Get("X-Backend-Load")), written: true,
+	result := exchangeResult{
+		outcome: classifyStatus(res), load: parseLoad(res.Header.Get("X-Backend-Load")), mayHaveRun: true,
 		reusable: !res.Close && c.reader.Buffered() == 0,
 	}
 	if result.outcome == decision.Succeeded {
@@ -91,19 +93,19 @@
 	return result
 }
 
-// readResponse reads responses up to the final one; begun tells whether a part of it has come. A response that stays a
-// part would keep its request until the client's time is over; endpoints send it in one piece, so its rest has the time
-// rest.
-func (c *conn) readResponse(ctx context.Context, deadline time.Time, rest time.Duration) (
-	res *http.Response, body []byte, begun bool, err error,
+// readResponse skips 1xx responses and reads the final one. started reports whether a part of a response has come.
+// readTimeout limits the time from the first byte of a response to the last: an endpoint sends a response in one piece,
+// and an incomplete response would block its request until the client's deadline.
+func (c *conn) readResponse(ctx context.Context, deadline time.Time, readTimeout time.Duration) (
+	res *http.Response, body []byte, started bool, err error,
 ) {
 	for {
 		c.setReadDeadline(ctx, deadline)
 		if _, err := c.reader.Peek(1); err != nil {
 			return nil, nil, false, err
 		}
-		if soon := time.Now().Add(rest); soon.Before(deadline) {
-			c.setReadDeadline(ctx, soon)
+		if readBy := time.Now().Add(readTimeout); readBy.Before(deadline) {
+			c.setReadDeadline(ctx, readBy)
 		}
 		res, err = http.ReadResponse(c.reader, nil)
 		if err != nil {
@@ -119,7 +121,8 @@
 	}
 }
 
-// readBody reads the body of a response. What is left of one that is too long goes with the connection.
+// readBody reads the body of a response. A body of more than maxBody bytes is an error, after which the connection
+// can't be reused.
 func readBody(res *http.Response) ([]byte, error) {
 	if res.ContentLength > maxBody {
 		return nil, errResponseTooLong
@@ -131,16 +134,16 @@
 	return body, err
 }
 
-// setReadDeadline has reading end at a time, or at once when ctx is over. It fails on a connection that has ended only,
-// whose next read says so.
-func (c *conn) setReadDeadline(ctx context.Context, at time.Time) {
-	_ = c.SetReadDeadline(at)
+// setReadDeadline sets the read deadline, or interrupts the connection if ctx has ended. An error can only mean that
+// the connection is closed, which the next read returns.
+func (c *conn) setReadDeadline(ctx context.Context, deadline time.Time) {
+	_ = c.SetReadDeadline(deadline)
 	if ctx.Err() != nil {
 		c.interrupt()
 	}
 }
 
-// interrupt ends reading and writing at once.
+// interrupt makes pending and later reads and writes fail at once.
 func (c *conn) interrupt() {
-	_ = c.SetDeadline(expired) // fails on a connection that has ended only
+	_ = c.SetDeadline(pastDeadline) // fails only on a closed connection
 }
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,18 +1,19 @@
-// Package upstream carries attempts of requests to endpoints: each over one connection of its own for that time, each
-// ended with one of the outcomes of package decision. It keeps idle connections by endpoint.
+// Package upstream sends attempts of requests to endpoints. Each attempt has exclusive use of a connection and ends
+// with one of the outcomes of package decision. Idle connections are pooled by endpoint.
 //
-// Make a [Pool] with [NewPool], tell it each endpoint's address with [Pool.SetAddress], start attempts with
-// [Pool.StartAttempt] and have [Pool.Run] retire idle connections until the process ends.
+// Create a [Pool] with [NewPool], set the address of each endpoint with [Pool.SetAddress] and start attempts with
+// [Pool.StartAttempt]. [Pool.Run] closes expired idle connections until the process ends.
 //
-// http.Transport is not used: it sends a request again by itself, and hides whether its last byte was written.
+// The package does not use http.Transport, which resends requests by itself and does not report whether the last byte
+// of a request was written.
 //
-// # Which file holds what
+// # Files
 //
-//	attempt.go     one attempt in steps: verify, acquire, write, read, release, classify
-//	classify.go    the outcome that a status, an error or a moment stands for
-//	connection.go  one connection: writing a request, reading the response to it
-//	encode.go      a request as it is written
-//	endpoint.go    endpoints as listed when an attempt was decided, and what may still be sent to them
-//	idle.go        idle connections: reuse, how long they are kept, retirement
-//	pool.go        construction, limit on connections, statistics
+//	attempt.go     the steps of an attempt: verify, acquire, write, read, release, classify
+//	classify.go    mapping of statuses, errors and deadlines to outcomes
+//	connection.go  writing a request to a connection and reading the response
+//	encode.go      encoding of a request
+//	endpoint.go    endpoints, and whether an attempt may still be sent to the endpoint that was selected
+//	idle.go        idle connections: reuse, idle limit, expiry
+//	pool.go        construction, connection limit, statistics
 package upstream
--- a/internal/upstream/encode.go
+++ b/internal/upstream/encode.go
@@ -12,9 +12,9 @@
 	"ottershed/internal/engine"
 )
 
-// encodeRequest is a request as it is written, with the time that is left for it.
+// encodeRequest encodes a request for HTTP/1.1 and sets X-Time-Left to the remaining time, in seconds.
 func encodeRequest(r *engine.Request, remaining decision.Millis) []byte {
-	header := maps.Clone(http.Header(r.Fields)) // the value set below takes a new slice
+	header := maps.Clone(http.Header(r.Fields)) // shallow: Set below replaces the value slice
 	if header == nil {
 		header = http.Header{}
 	}
@@ -27,6 +27,6 @@
 		req.Body = io.NopCloser(bytes.NewReader(r.Body))
 	}
 	var b bytes.Buffer
-	_ = req.Write(&b) // a buffer takes everything
+	_ = req.Write(&b) // writing to a bytes.Buffer never fails
 	return b.Bytes()
 }
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -6,78 +6,78 @@
 	"ottershed/decision"
 )
 
-// endpoint is a machine as listed. A new start, build or address makes another endpoint, also under the same id and at
-// the same address, and what was meant for the one before must not reach it.
+// endpoint is an endpoint as listed at one time. A changed start time, build or address makes a new endpoint value,
+// even under the same id and at the same address. Attempts for the previous one must not reach it.
 type endpoint struct {
 	address        string
-	sendEpoch      *sendEpoch // of attempts that begin now
-	idle           []*conn    // the one used last at the end
+	permit         *sendPermit // for attempts that start now
+	idle           []*conn     // the most recently used last
 	lastResponseAt time.Time
 }
 
-// sendEpoch is a stretch of time; the attempts that began in it may be sent until it has ended.
-type sendEpoch struct{ ended bool }
+// sendPermit allows the attempts that started under it to be sent until it is revoked.
+type sendPermit struct{ revoked bool }
 
-// target is what an attempt is meant for: the endpoint as listed when the attempt was decided. Looked up later, by id
-// and address alone, it could be another machine there, with another build or just started.
+// target is the endpoint of an attempt, as listed when the attempt was decided. A later lookup by id and address could
+// find another machine at that address, with another build or just started.
 type target struct {
-	endpoint  *endpoint
-	sendEpoch *sendEpoch
+	endpoint *endpoint
+	permit   *sendPermit
 }
 
-// SetAddress says that an endpoint takes requests at this address now, nowhere if it is empty. An attempt whose
-// connection still comes up is not sent then: it would reach an endpoint that drains by now, or one that took over an
-// address.
+// SetAddress sets the address (host:port) at which an endpoint accepts requests. An empty address removes the endpoint.
+// Attempts whose connection is still coming up are not sent: they would reach an endpoint that drains by now, or
+// another endpoint that took over the address.
 func (p *Pool) SetAddress(id decision.EndpointID, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if before := p.endpoints[id]; before != nil {
-		before.sendEpoch.ended = true
-		p.closeIdleOf(before)
+	if previous := p.endpoints[id]; previous != nil {
+		previous.permit.revoked = true
+		p.closeIdleOf(previous)
 	}
 	delete(p.endpoints, id)
 	if address != "" {
-		p.endpoints[id] = &endpoint{address: address, sendEpoch: &sendEpoch{}}
+		p.endpoints[id] = &endpoint{address: address, permit: &sendPermit{}}
 	}
 }
 
-// CancelUnsent ends what is not yet sent to an endpoint as never sent. A connection may take longer to come up than a
-// lower exposure limit takes to bind, and what was decided under the old limit would be sent under the new one.
+// CancelUnsent ends the attempts that are not yet sent to an endpoint, with the outcome NotSent. A connection may take
+// longer to come up than a lower exposure limit takes to apply, and attempts decided under the old limit would be sent
+// under the new one.
 func (p *Pool) CancelUnsent(id decision.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e := p.endpoints[id]; e != nil {
-		e.sendEpoch.ended = true
-		e.sendEpoch = &sendEpoch{}
+		e.permit.revoked = true
+		e.permit = &sendPermit{}
 	}
 }
 
-// targetAt is the endpoint that takes requests at this address now; the zero target, to which nothing may be sent, if
-// none does.
-func (p *Pool) targetAt(id decision.EndpointID, address string) target {
+// lookupTarget returns the endpoint with this id if its current address is the given one. Otherwise it returns the zero
+// target, to which nothing may be sent.
+func (p *Pool) lookupTarget(id decision.EndpointID, address string) target {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e := p.endpoints[id]; e != nil && e.address == address {
-		return target{e, e.sendEpoch}
+		return target{e, e.permit}
 	}
 	return target{}
 }
 
-// sendable tells whether an attempt may still be sent to its target.
-func (p *Pool) sendable(to target) bool {
+// targetAllowsSend reports whether an attempt may still be sent to its target.
+func (p *Pool) targetAllowsSend(dest target) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return to.isOpen()
+	return dest.allowsSend()
 }
 
-// isOpen is sendable with the pool's lock held.
-func (to target) isOpen() bool { return to.endpoint != nil && !to.sendEpoch.ended }
+// allowsSend is targetAllowsSend with the pool's lock held.
+func (dest target) allowsSend() bool { return dest.endpoint != nil && !dest.permit.revoked }
 
-// observeOutcome keeps what an outcome says of an endpoint's connections. Those to a machine that has vanished stay
-// open without a sign, and a request that is sent on one may have run for all that is known; on a new connection, which
-// doesn't come up, it never ran. So an attempt that began after the last response and got none closes the idle ones
-// too.
-func (p *Pool) observeOutcome(e *endpoint, began time.Time, outcome decision.Outcome) {
+// observeOutcome records the time of a response, and closes the idle connections of an endpoint if an attempt that
+// started after the last response got none. Connections to a machine that vanished stay open without an error, and a
+// request sent on one may have run. A new connection to it does not come up, so that the request certainly has not run.
+func (p *Pool) observeOutcome(e *endpoint, startedAt time.Time, outcome decision.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
@@ -85,7 +85,7 @@
 		return
 	case hasResponded(outcome):
 		e.lastResponseAt = time.Now()
-	case e.lastResponseAt.Before(began):
+	case e.lastResponseAt.Before(startedAt):
 		p.closeIdleOf(e)
 	}
 }
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -15,7 +15,7 @@
 	"ottershed/internal/golden"
 )
 
-// goldenRequests are requests as ingress hands them over.
+// goldenRequests are requests as ingress passes them to the pool.
 var goldenRequests = []struct {
 	title   string
 	request engine.Request
@@ -36,14 +36,14 @@
 		Method: "POST", URI: "/send-text", Host: "app.svc",
 		Fields: map[string][]string{"X-Correlation-Id": {"c3"}},
 	}},
-	{"POST that is marked, and a client's repeat", engine.Request{
+	{"POST with an idempotency key that the client repeats", engine.Request{
 		Method: "POST", URI: "/subscribe", Host: "app.svc", Body: []byte("x"),
 		Fields: map[string][]string{
 			"Idempotency-Key": {"mark-1"}, "X-Repeat": {"1"}, "X-Resume": {"1"},
 			"X-Correlation-Id": {"c4"},
 		},
 	}},
-	{"GET with headers of one connection", engine.Request{
+	{"GET with hop-by-hop headers", engine.Request{
 		Method: "GET", URI: "/level-read/7", Host: "app.svc",
 		Fields: map[string][]string{
 			"Connection": {"close"}, "Keep-Alive": {"1"}, "Te": {"trailers"}, "Upgrade": {"h2c"},
@@ -52,15 +52,15 @@
 	}},
 }
 
-// timeLeft is the header whose figure depends on when the test runs; its form does not.
-var timeLeft = regexp.MustCompile(`X-Time-Left: \d+\.\d{3}\r\n`)
+// timeLeftHeader matches X-Time-Left, whose value depends on the time of the test. Its format is fixed.
+var timeLeftHeader = regexp.MustCompile(`X-Time-Left: \d+\.\d{3}\r\n`)
 
-// The bytes of a request as a raw listener reads them are those of the golden file. The figure of X-Time-Left is
-// volatile and stands there as TIME.
+// The bytes of a request as read by a raw listener match the golden file, in which TIME stands for the value of
+// X-Time-Left.
 func TestGoldenRequests(t *testing.T) {
 	var observed strings.Builder
 	for _, c := range goldenRequests {
-		raw := timeLeft.ReplaceAll(written(t, &c.request), []byte("X-Time-Left: TIME\r\n"))
+		raw := timeLeftHeader.ReplaceAll(rawRequest(t, &c.request), []byte("X-Time-Left: TIME\r\n"))
 		observed.WriteString(golden.Section(c.title, golden.Quote(raw)))
 	}
 	if err := golden.Check("testdata/requests.golden", []byte(observed.String())); err != nil {
@@ -68,19 +68,19 @@
 	}
 }
 
-// The time that is left is written in seconds with three decimals, and never below nothing.
+// The remaining time is written in seconds with three decimals, and a negative one as 0.
 func TestGoldenTimeLeft(t *testing.T) {
 	var observed strings.Builder
 	for _, left := range []decision.Millis{1234.5678, 1, 0.4, 0, -20, 3600000} {
-		observed.Write(timeLeft.Find(encodeRequest(&engine.Request{Method: "GET", URI: "/", Host: "h"}, left)))
+		observed.Write(timeLeftHeader.Find(encodeRequest(&engine.Request{Method: "GET", URI: "/", Host: "h"}, left)))
 	}
 	if err := golden.Check("testdata/time-left.golden", []byte(golden.Quote([]byte(observed.String())))); err != nil {
 		t.Error(err)
 	}
 }
 
-// written is what a raw listener reads when the pool carries a request to it.
-func written(t *testing.T, request *engine.Request) []byte {
+// rawRequest returns the bytes that a raw listener reads when the pool sends a request to it.
+func rawRequest(t *testing.T, request *engine.Request) []byte {
 	t.Helper()
 	l, read := listen(t), make(chan []byte, 1)
 	go func() {
@@ -88,23 +88,24 @@
 		if err != nil {
 			return
 		}
-		defer end(c)
-		read <- readRequest(c)
+		defer closeQuietly(c)
+		read <- captureRequest(c)
 	}()
-	pool, ends := newPool(4), make(chan engine.AttemptResult, 1)
+	pool, results := newPool(4), make(chan engine.AttemptResult, 1)
 	pool.SetAddress("n", l.Addr().String())
 	pool.StartAttempt(engine.Attempt{
-		Endpoint: "n", Address: l.Addr().String(), Deadline: pool.clock.Now() + deadline, Request: request,
-		OnEnd: func(e engine.AttemptResult) { ends <- e },
+		Endpoint: "n", Address: l.Addr().String(), Deadline: pool.clock.Now() + longDeadline, Request: request,
+		OnEnd: func(r engine.AttemptResult) { results <- r },
 	})
-	if end := <-ends; end.Outcome != decision.Succeeded {
-		t.Fatalf("the attempt ended as %d", end.Outcome)
+	if result := <-results; result.Outcome != decision.Succeeded {
+		t.Fatalf("got outcome %d, want %d", result.Outcome, decision.Succeeded)
 	}
 	return <-read
 }
 
-// readRequest reads one request, responds to it, and returns all that came before the other side closed.
-func readRequest(c net.Conn) []byte {
+// captureRequest reads one request, responds to it, and returns all bytes received until the peer closes the
+// connection.
+func captureRequest(c net.Conn) []byte {
 	var all bytes.Buffer
 	r := bufio.NewReader(io.TeeReader(c, &all))
 	request, err := http.ReadRequest(r)
@@ -112,10 +113,10 @@
 		_, err = io.Copy(io.Discard, request.Body)
 	}
 	if err == nil {
-		_, err = io.WriteString(c, strings.Replace(ok, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
+		_, err = io.WriteString(c, strings.Replace(okResponse, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
 	}
 	if err == nil {
-		_, _ = io.Copy(io.Discard, r) // what follows the request, if anything does, until the other side closes
+		_, _ = io.Copy(io.Discard, r) // any bytes after the request, until the peer closes
 	}
 	return all.Bytes()
 }
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -11,15 +11,16 @@
 )
 
 const (
-	// idleSweeps is how often within the longest idle time idle connections are looked through for retirement.
-	idleSweeps = 4
-	// idleGrowth is the part by which the idle limit grows at a time, up to the longest idle time.
-	idleGrowth = 8
-	// minIdleFraction: the idle limit is at least this part of the longest idle time.
+	// sweepsPerMaxIdle is how often idle connections are checked for expiry within the longest idle time.
+	sweepsPerMaxIdle = 4
+	// idleGrowthFraction: each step increases the idle limit by this fraction (1/8) of itself, up to the longest idle
+	// time.
+	idleGrowthFraction = 8
+	// minIdleFraction: the idle limit is at least this fraction (1/256) of the longest idle time.
 	minIdleFraction = 256
 )
 
-// CloseIdle closes the idle connections to an endpoint.
+// CloseIdle closes the idle connections to an endpoint. An id that is not listed is ignored.
 func (p *Pool) CloseIdle(id decision.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -28,15 +29,16 @@
 	}
 }
 
-// closeIdleOf closes an endpoint's idle connections; the lock is held. Those that stayed on an endpoint which is no
-// longer listed would be closed and counted once more when its last attempt ends, and the pool would open more than its
-// limit.
+// closeIdleOf closes and removes an endpoint's idle connections; p.mu must be held. Closed connections that stayed in
+// the list of an endpoint that is no longer listed would be closed and counted again when its last attempt ends, and
+// the pool would exceed its connection limit.
 func (p *Pool) closeIdleOf(e *endpoint) {
 	p.closeAll(e.idle)
 	e.idle = nil
 }
 
-// closeLongestIdle closes the connection that was idle for longest, and tells whether there was one; the lock is held.
+// closeLongestIdle closes the connection that has been idle longest and reports whether there was one; p.mu must be
+// held.
 func (p *Pool) closeLongestIdle() bool {
 	var longest *endpoint
 	for _, e := range p.endpoints {
@@ -52,37 +54,38 @@
 	return true
 }
 
-// closeAll closes connections and frees their slots; the lock is held.
+// closeAll closes connections and frees their slots; p.mu must be held.
 func (p *Pool) closeAll(conns []*conn) {
 	for _, c := range conns {
-		_ = c.Close() // whatever it says, the connection has ended
+		_ = c.Close() // the connection is gone even on an error
 	}
 	p.slots.taken -= len(conns)
 }
 
-// drop closes a connection that an attempt is done with.
-func (p *Pool) drop(c *conn) {
+// closeConn closes the connection of an attempt and frees its slot.
+func (p *Pool) closeConn(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closeAll([]*conn{c})
 }
 
-// takeIdle gives the idle connection to an attempt's target that was used last and has rested; nil if there is none.
-func (p *Pool) takeIdle(to target) *conn {
+// takeIdle takes the most recently used idle connection to a target whose reuse delay has passed. It returns nil if
+// there is none, and closes expired and unusable connections on the way.
+func (p *Pool) takeIdle(dest target) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !to.isOpen() {
+	if !dest.allowsSend() {
 		return nil
 	}
-	e := to.endpoint
+	e := dest.endpoint
 	for i := len(e.idle) - 1; i >= 0; i-- {
 		c := e.idle[i]
-		idle := time.Since(c.idleSince)
-		if idle < p.times.reuseDelay && idle < p.idleLimit {
+		idleFor := time.Since(c.idleSince)
+		if idleFor < p.timing.reuseDelay && idleFor < p.idleLimit {
 			continue
 		}
 		e.idle = slices.Delete(e.idle, i, i+1)
-		if idle < p.idleLimit && c.quiet() {
+		if idleFor < p.idleLimit && c.isUsable() {
 			return c
 		}
 		p.closeAll([]*conn{c})
@@ -90,14 +93,15 @@
 	return nil
 }
 
-// quiet tells whether an idle connection still stands with nothing to read. A request that is written to one which the
-// endpoint has closed ends as reset, and what may have run can't always be sent again.
-func (c *conn) quiet() bool {
+// isUsable reports whether an idle connection is still open and has nothing to read. A request written to a connection
+// that the endpoint has closed ends with a reset; it may have run, and such a request can't always be sent again.
+func (c *conn) isUsable() bool {
 	sys, ok := c.Conn.(syscall.Conn)
 	return !ok || sockopt.IsIdle(sys)
 }
 
-// putIdle takes a connection back that is good for another attempt at the same endpoint.
+// putIdle adds a reusable connection to the idle connections of its endpoint. It closes the connection if the pool has
+// stopped or the endpoint is no longer the listed one.
 func (p *Pool) putIdle(id decision.EndpointID, e *endpoint, c *conn) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
@@ -109,56 +113,56 @@
 	}
 }
 
-// observeReuse learns from a connection that was used again after it had been idle. An endpoint may close idle
-// connections sooner than it is said to, and without a sign; what is written to those may have run for all that is
-// known. So where connections break that were idle for more than half of the limit, the limit is halved; where they
-// don't, it grows again.
-func (p *Pool) observeReuse(idle time.Duration, succeeded bool) {
+// observeReuse adjusts the idle limit after a connection was reused. An endpoint may close idle connections earlier
+// than configured and without notice, and a request written to one may have run. So the limit is halved if a connection
+// breaks that was idle for at least half of the limit, and grows again if it does not break.
+func (p *Pool) observeReuse(idleFor time.Duration, succeeded bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case idle < p.idleLimit/2:
-		return // if it broke, then for another reason
+	case idleFor < p.idleLimit/2:
+		return // a break after so short a time has another reason
 	case succeeded:
 		p.growIdleLimit()
 	default:
-		p.idleLimit = max(p.idleLimit/2, p.times.maxIdle/minIdleFraction)
+		p.idleLimit = max(p.idleLimit/2, p.timing.maxIdleTime/minIdleFraction)
 	}
 }
 
-// growIdleLimit has idle connections kept for longer; the lock is held.
+// growIdleLimit increases the idle limit by one step; p.mu must be held.
 func (p *Pool) growIdleLimit() {
-	p.idleLimit = min(p.times.maxIdle, p.idleLimit+p.idleLimit/idleGrowth)
+	p.idleLimit = min(p.timing.maxIdleTime, p.idleLimit+p.idleLimit/idleGrowthFraction)
 }
 
-// Run retires idle connections until ctx ends, and then closes all of them. An attempt may still be out then, its
-// request long responded to; its connection is closed too, for nobody would retire it.
+// Run closes expired idle connections until ctx ends. It then closes all idle connections and stops the pool for good:
+// no connection is opened any more. An attempt may still be running then, although its request has a response already.
+// Its connection is closed when the attempt ends, since no sweep would close it later.
 func (p *Pool) Run(ctx context.Context) {
-	tick := time.NewTicker(p.times.maxIdle / idleSweeps)
+	tick := time.NewTicker(p.timing.maxIdleTime / sweepsPerMaxIdle)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			p.retire(true)
+			p.closeExpired(true)
 			return
 		case <-tick.C:
-			p.retire(false)
+			p.closeExpired(false)
 		}
 	}
 }
 
-// retire closes the connections that were idle for the limit, or all of them for good.
-func (p *Pool) retire(all bool) {
+// closeExpired closes the connections that have been idle for the idle limit, or closes all of them and stops the pool.
+func (p *Pool) closeExpired(all bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = all
-	p.growIdleLimit() // where no connection is used again, observeReuse has nothing to learn from
+	p.growIdleLimit() // observeReuse does not see endpoints whose connections are never reused
 	for _, e := range p.endpoints {
-		i := 0
-		for i < len(e.idle) && (all || time.Since(e.idle[i].idleSince) >= p.idleLimit) {
-			i++
+		expired := 0
+		for expired < len(e.idle) && (all || time.Since(e.idle[expired].idleSince) >= p.idleLimit) {
+			expired++
 		}
-		p.closeAll(e.idle[:i])
-		e.idle = e.idle[i:]
+		p.closeAll(e.idle[:expired])
+		e.idle = e.idle[expired:]
 	}
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -16,50 +16,52 @@
 
 var _ engine.Upstream = (*Pool)(nil)
 
-// Pool keeps the connections to endpoints. A connection belongs to the attempt that runs on it, else to the pool; both
-// close it through [Pool.drop] or [Pool.closeAll], which count it.
+// Pool manages the connections to endpoints. A connection is owned by the attempt that runs on it, or by the pool while
+// it is idle. Both close it through [Pool.closeConn] or [Pool.closeAll], which free its slot. The methods may be called
+// from any goroutine.
 type Pool struct {
-	clock *clock.Clock
-	log   logrus.FieldLogger
-	times times
-	dial  func(ctx context.Context, d *net.Dialer, address string) (net.Conn, error)
+	clock  *clock.Clock
+	log    logrus.FieldLogger
+	timing timing
+	dial   func(ctx context.Context, d *net.Dialer, address string) (net.Conn, error)
 
 	mu        sync.Mutex
-	endpoints map[decision.EndpointID]*endpoint // those that take requests; SetAddress removes them
-	idleLimit time.Duration                     // up to times.maxIdle, less where endpoints close sooner; see observeReuse
+	endpoints map[decision.EndpointID]*endpoint // endpoints that accept requests; see SetAddress
+	idleLimit time.Duration                     // up to timing.maxIdleTime; see observeReuse
 	slots     slots
 	dials     dials
-	closed    bool // Run has ended
+	closed    bool // Run is over: no connection is opened or kept any more
 }
 
-// times are the time limits of attempts and connections.
-type times struct {
-	connect      time.Duration // for a connection to come up
-	responseRest time.Duration // for the rest of a response that has begun
-	reuseDelay   time.Duration // a connection rests for so long after a response, see lateResponse
-	maxIdle      time.Duration // an idle connection is retired by then, before the endpoint closes it
+// timing holds the time limits of attempts and connections.
+type timing struct {
+	connectTimeout      time.Duration // for opening a connection
+	responseReadTimeout time.Duration // from the first byte of a response to the last
+	reuseDelay          time.Duration // how long a connection is not reused after a response; see lateResponseWindow
+	maxIdleTime         time.Duration // idle connections are closed by then, before the endpoint closes them
 }
 
 const (
-	// responseRestFraction: the rest of a response has this part of the connect timeout, for it crosses the same network.
-	responseRestFraction = 4
-	// minResponseRest is slack where the connect timeout is a few ms: an endpoint's response may come in two pieces.
-	minResponseRest = 50 * time.Millisecond
-	// lateResponse is how late a second response to a request may come on its connection. On a connection that is used
-	// again at once it would be taken for the response to the next request. After a rest it is there to be seen, and the
-	// connection is closed unused. A higher value has more connections opened.
-	lateResponse = 25 * time.Millisecond
+	// responseReadFraction: the response read timeout is this fraction (1/4) of the connect timeout, since the response
+	// crosses the same network.
+	responseReadFraction = 4
+	// minResponseReadTimeout applies if the connect timeout is only a few ms: a response may arrive in two segments.
+	minResponseReadTimeout = 50 * time.Millisecond
+	// lateResponseWindow is how late an endpoint may send an erroneous second response to a request. On a connection that
+	// is reused at once, it would be taken for the response to the next request. After this delay it is detected, and the
+	// connection is closed instead of reused. A higher value makes the pool open more connections.
+	lateResponseWindow = 25 * time.Millisecond
 )
 
-// NewPool makes an empty pool of up to maxConnections connections, idle ones included.
+// NewPool creates a pool of at most maxConnections connections, including idle ones.
 func NewPool(c *clock.Clock, n settings.Network, maxConnections int, log logrus.FieldLogger) *Pool {
-	rest := max(clock.Duration(n.ConnectTimeout)/responseRestFraction, minResponseRest)
+	readTimeout := max(clock.Duration(n.ConnectTimeout)/responseReadFraction, minResponseReadTimeout)
 	maxIdle := clock.Duration(n.IdleAfter) / 2
 	return &Pool{
 		clock: c, log: log,
-		times: times{
-			connect: clock.Duration(n.ConnectTimeout), responseRest: rest, reuseDelay: min(rest, lateResponse),
-			maxIdle: maxIdle,
+		timing: timing{
+			connectTimeout: clock.Duration(n.ConnectTimeout), responseReadTimeout: readTimeout,
+			reuseDelay: min(readTimeout, lateResponseWindow), maxIdleTime: maxIdle,
 		},
 		dial: func(ctx context.Context, d *net.Dialer, address string) (net.Conn, error) {
 			return d.DialContext(ctx, "tcp", address)
@@ -68,18 +70,18 @@
 	}
 }
 
-// Stats is what a pool has done since its start, and what it holds.
+// Stats holds the counters of a pool since its start and the numbers of its present connections.
 type Stats struct {
-	Opened      int64 // connections that came up
-	Unreachable int64 // connections that did not, but for canceled attempts
-	Open        int   // connections that stand or come up
-	Idle        int   // those of them that carry no attempt
+	Opened      int64 // connections that were established
+	Unreachable int64 // connections that failed to open, except for canceled attempts
+	Open        int   // connections that are established or coming up
+	Idle        int   // of these, the connections without an attempt
 }
 
-// dials counts the connections that came up, and those that did not.
+// dials counts the connections that were established and those that failed to open.
 type dials struct{ opened, failed int64 }
 
-// Stats returns the statistics of this moment.
+// Stats returns the current statistics.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,7 +92,7 @@
 	return stats
 }
 
-// countDial counts a connection that has come up, or has not.
+// countDial counts the result of opening a connection. A failure of a canceled attempt is not counted.
 func (p *Pool) countDial(ctx context.Context, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,14 +103,15 @@
 	}
 }
 
-// slots is the limit on connections.
+// slots enforces the limit on connections.
 type slots struct {
 	limit     int
-	taken     int  // by connections that stand or come up
-	exhausted bool // as last logged
+	taken     int  // by connections that are established or coming up
+	exhausted bool // the warning was logged and the pool has not recovered yet
 }
 
-// reserveSlot takes a slot for another connection, if need be that of the connection that was idle for longest.
+// reserveSlot takes a slot for a new connection and reports whether it got one. At the limit it closes the connection
+// that has been idle longest. The warning is logged once, until at most half of the slots are taken again.
 func (p *Pool) reserveSlot() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,7 +130,7 @@
 	return true
 }
 
-// releaseSlot gives the slot of a connection back that did not come up.
+// releaseSlot frees the slot of a connection that was not established.
 func (p *Pool) releaseSlot() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -22,11 +22,11 @@
 	"ottershed/internal/settings"
 )
 
-// fakeEndpoint stands in for an endpoint: respond does what it likes with each request on each connection.
+// fakeEndpoint is an HTTP server that passes each request with its connection to a function of the test.
 type fakeEndpoint struct {
 	net.Listener
 	requests, conns atomic.Int32
-	closed          chan struct{} // one for each connection that the pool ended
+	closed          chan struct{} // receives a value for each connection that the pool closed
 }
 
 func listen(t *testing.T) net.Listener {
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() }) // a test may have closed it
+	t.Cleanup(func() { _ = l.Close() }) // the test may have closed it
 	return l
 }
 
@@ -50,7 +50,7 @@
 			}
 			server.conns.Add(1)
 			go func() {
-				defer end(conn)
+				defer closeQuietly(conn)
 				r := bufio.NewReader(conn)
 				for {
 					req, err := http.ReadRequest(r)
@@ -69,24 +69,24 @@
 	return server
 }
 
-// end closes an endpoint's side of a connection, which the pool may have closed before.
-func end(c net.Conn) { _ = c.Close() }
+// closeQuietly closes the endpoint's side of a connection. The pool may have closed its side already.
+func closeQuietly(c net.Conn) { _ = c.Close() }
 
-// write writes to a connection that the pool may have closed before; that shows in the attempt's outcome.
-func write(c net.Conn, text string) { _, _ = io.WriteString(c, text) }
+// writeText writes to a connection. An error because the pool closed its side shows in the outcome of the attempt.
+func writeText(c net.Conn, text string) { _, _ = io.WriteString(c, text) }
 
-// reset ends a connection without a FIN.
-func reset(c net.Conn) {
-	_ = c.(*net.TCPConn).SetLinger(0) // fails on a connection that has ended only
-	end(c)
+// resetConn closes a connection with a RST.
+func resetConn(c net.Conn) {
+	_ = c.(*net.TCPConn).SetLinger(0) // fails only on a closed connection
+	closeQuietly(c)
 }
 
-// say has an endpoint respond with this text.
-func say(text string) func(net.Conn, *http.Request) {
-	return func(c net.Conn, _ *http.Request) { write(c, text) }
+// respondWith returns a handler that sends a text as the response.
+func respondWith(text string) func(net.Conn, *http.Request) {
+	return func(c net.Conn, _ *http.Request) { writeText(c, text) }
 }
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Backend-Load: inflight=7,queue=2,util=0.61\r\n\r\nhi"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Backend-Load: inflight=7,queue=2,util=0.61\r\n\r\nhi"
 
 func newPool(maxConnections int) *Pool {
 	log := logrus.New()
@@ -94,11 +94,11 @@
 	return NewPool(clock.New(), settings.Network{IdleAfter: 2000, ConnectTimeout: 100}, maxConnections, log)
 }
 
-// attempt carries one attempt to address and waits for its outcome.
+// attempt runs one attempt at address and returns its result. during is called while the attempt runs.
 func (pool *Pool) attempt(
 	address, method string, remaining decision.Millis, during func(cancel func()),
 ) engine.AttemptResult {
-	ends := make(chan engine.AttemptResult, 2)
+	results := make(chan engine.AttemptResult, 2)
 	pool.SetAddress("n", address)
 	cancel := pool.StartAttempt(engine.Attempt{
 		Endpoint: "n", Address: address, Deadline: pool.clock.Now() + remaining,
@@ -106,15 +106,16 @@
 			Method: method, URI: "/read/x?q=%2f;1", Host: "app.svc", Body: []byte("body"),
 			Fields: map[string][]string{"X-Correlation-Id": {"c1"}, "Idempotency-Key": {"k"}, "X-Time-Left": {"9"}},
 		},
-		OnEnd: func(e engine.AttemptResult) { ends <- e },
+		OnEnd: func(r engine.AttemptResult) { results <- r },
 	})
 	if during != nil {
 		during(cancel)
 	}
-	return <-ends
+	return <-results
 }
 
-func refusing(t *testing.T) string {
+// refusingAddress returns an address that refuses connections.
+func refusingAddress(t *testing.T) string {
 	t.Helper()
 	l := listen(t)
 	if err := l.Close(); err != nil {
@@ -123,8 +124,8 @@
 	return l.Addr().String()
 }
 
-// never gives an address at which no connection comes up: its queue is full.
-func never(t *testing.T) string {
+// unresponsiveAddress returns an address at which connecting times out, since the accept queue is full.
+func unresponsiveAddress(t *testing.T) string {
 	t.Helper()
 	l := listen(t)
 	raw, err := l.(*net.TCPListener).SyscallConn()
@@ -140,317 +141,327 @@
 		if err != nil {
 			return l.Addr().String()
 		}
-		t.Cleanup(func() { _ = c.Close() }) // a test may have closed it
+		t.Cleanup(func() { _ = c.Close() }) // the test may have closed it
 	}
-	t.Fatal("the listener's queue never fills")
+	t.Fatal("accept queue not full after 10 connections")
 	return ""
 }
 
-func TestOutcomes(t *testing.T) {
-	held := make(chan struct{})
-	defer close(held)
-	hold := func(net.Conn, *http.Request) { <-held }
-	resets := func(c net.Conn, _ *http.Request) { reset(c) }
+func TestResponseGivesOutcome(t *testing.T) {
+	release := make(chan struct{})
+	defer close(release)
+	hold := func(net.Conn, *http.Request) { <-release }
+	resetAtOnce := func(c net.Conn, _ *http.Request) { resetConn(c) }
 	for name, test := range map[string]struct {
 		response func(net.Conn, *http.Request)
 		want     decision.Outcome
-		reused   int
+		idle     int // connections afterwards
 	}{
-		"succeeded": {say(ok), decision.Succeeded, 1},
+		"succeeded": {respondWith(okResponse), decision.Succeeded, 1},
 		"succeeded, then closes": {
-			func(c net.Conn, _ *http.Request) { say("HTTP/1.1 200 OK\r\n\r\nhi")(c, nil); end(c) }, decision.Succeeded, 0,
+			func(c net.Conn, _ *http.Request) {
+				respondWith("HTTP/1.1 200 OK\r\n\r\nhi")(c, nil)
+				closeQuietly(c)
+			}, decision.Succeeded, 0,
 		},
-		"succeeded in chunks": {
-			say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), decision.Succeeded, 1,
+		"succeeded, chunked": {
+			respondWith("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"), decision.Succeeded, 1,
 		},
-		"after a continue":       {say("HTTP/1.1 100 Continue\r\n\r\n" + ok), decision.Succeeded, 1},
-		"more than the response": {say(ok + "x"), decision.Succeeded, 0},
-		"500":                    {say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), decision.EndpointFailed, 1},
-		"400":                    {say("HTTP/1.1 400 E\r\nContent-Length: 0\r\n\r\n"), decision.EndpointFailed, 1},
+		"after 100 Continue":       {respondWith("HTTP/1.1 100 Continue\r\n\r\n" + okResponse), decision.Succeeded, 1},
+		"bytes after the response": {respondWith(okResponse + "x"), decision.Succeeded, 0},
+		"500":                      {respondWith("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), decision.EndpointFailed, 1},
+		"400":                      {respondWith("HTTP/1.1 400 E\r\nContent-Length: 0\r\n\r\n"), decision.EndpointFailed, 1},
 		"rejected by 503": {
-			say("HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"), decision.EndpointRejected, 1,
+			respondWith("HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"), decision.EndpointRejected, 1,
 		},
 		"rejected by 504": {
-			say("HTTP/1.1 504 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"), decision.EndpointRejected, 1,
+			respondWith("HTTP/1.1 504 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"), decision.EndpointRejected, 1,
 		},
-		"503 that may have run": {say("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"), decision.EndpointFailed, 1},
-		"500 that says it didn't": {
-			say("HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"),
+		"503 without X-Unprocessed": {respondWith("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"), decision.EndpointFailed, 1},
+		"500 with X-Unprocessed": {
+			respondWith("HTTP/1.1 500 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"),
 			decision.EndpointFailed, 1,
 		},
-		"reset":  {resets, decision.ConnectionBroken, 0},
-		"closed": {func(c net.Conn, _ *http.Request) { end(c) }, decision.ConnectionBroken, 0},
-		"cut short": {
-			func(c net.Conn, _ *http.Request) { say(ok[:len(ok)-1])(c, nil); end(c) }, decision.ConnectionBroken, 0,
+		"reset":  {resetAtOnce, decision.ConnectionBroken, 0},
+		"closed": {func(c net.Conn, _ *http.Request) { closeQuietly(c) }, decision.ConnectionBroken, 0},
+		"closed within the body": {
+			func(c net.Conn, _ *http.Request) {
+				respondWith(okResponse[:len(okResponse)-1])(c, nil)
+				closeQuietly(c)
+			}, decision.ConnectionBroken, 0,
 		},
-		"no HTTP":           {say("what?\r\n\r\n"), decision.MalformedResponse, 0},
-		"noise":             {say("\x16\x03\x01\x00\xff\n\n"), decision.MalformedResponse, 0},
-		"half a head":       {say("HTTP/1.1 200 OK\r\nContent-Le"), decision.MalformedResponse, 0},
-		"half a body":       {say(ok[:len(ok)-1]), decision.MalformedResponse, 0},
-		"a length too long": {say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi"), decision.MalformedResponse, 0},
-		"3 GB":              {say("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhi"), decision.MalformedResponse, 0},
-		"two lengths": {
-			say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 1\r\n\r\nhi"), decision.MalformedResponse, 0,
+		"not HTTP":               {respondWith("what?\r\n\r\n"), decision.MalformedResponse, 0},
+		"binary data":            {respondWith("\x16\x03\x01\x00\xff\n\n"), decision.MalformedResponse, 0},
+		"incomplete header":      {respondWith("HTTP/1.1 200 OK\r\nContent-Le"), decision.MalformedResponse, 0},
+		"incomplete body":        {respondWith(okResponse[:len(okResponse)-1]), decision.MalformedResponse, 0},
+		"length beyond the body": {respondWith("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nhi"), decision.MalformedResponse, 0},
+		"length of 3 GB":         {respondWith("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhi"), decision.MalformedResponse, 0},
+		"conflicting lengths": {
+			respondWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 1\r\n\r\nhi"), decision.MalformedResponse, 0,
 		},
-		"a length below 0": {say("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi"), decision.MalformedResponse, 0},
-		"no length":        {say("HTTP/1.1 200 OK\r\n\r\nhi"), decision.MalformedResponse, 0},
-		"another protocol": {say("HTTP/1.1 101 Go\r\nUpgrade: x\r\n\r\n"), decision.MalformedResponse, 0},
+		"negative length": {respondWith("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi"), decision.MalformedResponse, 0},
+		"no length":       {respondWith("HTTP/1.1 200 OK\r\n\r\nhi"), decision.MalformedResponse, 0},
+		"protocol switch": {respondWith("HTTP/1.1 101 Go\r\nUpgrade: x\r\n\r\n"), decision.MalformedResponse, 0},
 		"body too long": {
-			say("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)), decision.MalformedResponse,
+			respondWith("HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", 65537)), decision.MalformedResponse,
 			0,
 		},
-		"headers too long": {say("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 3*maxBody)), decision.MalformedResponse, 0},
-		"twice":            {say(ok + ok), decision.Succeeded, 0},
-		"no response":      {hold, decision.TimedOut, 0},
+		"header too long":     {respondWith("HTTP/1.1 200 OK\r\nA: " + strings.Repeat("x", 3*maxBody)), decision.MalformedResponse, 0},
+		"response sent twice": {respondWith(okResponse + okResponse), decision.Succeeded, 0},
+		"no response":         {hold, decision.TimedOut, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server, pool := newFakeEndpoint(t, test.response), newPool(4)
-			end := pool.attempt(server.Addr().String(), "POST", 200, nil)
-			if end.Outcome != test.want || (end.Response != nil) != (test.want == decision.Succeeded) {
-				t.Errorf("ended %d, want %d; reply %v", end.Outcome, test.want, end.Response)
+			result := pool.attempt(server.Addr().String(), "POST", 200, nil)
+			if result.Outcome != test.want || (result.Response != nil) != (test.want == decision.Succeeded) {
+				t.Errorf("got outcome %d with response %v, want outcome %d", result.Outcome, result.Response, test.want)
 			}
-			if end.Response != nil && string(end.Response.Body) != "hi" {
-				t.Errorf("body %q", end.Response.Body)
+			if result.Response != nil && string(result.Response.Body) != "hi" {
+				t.Errorf("got body %q, want %q", result.Response.Body, "hi")
 			}
 			if n := server.requests.Load(); n != 1 {
-				t.Errorf("sent %d times", n)
+				t.Errorf("got %d requests sent, want 1", n)
 			}
-			if pool.slots.taken != test.reused || len(pool.endpoints["n"].idle) != test.reused {
-				t.Errorf("held %d, idle %d, want %d", pool.slots.taken, len(pool.endpoints["n"].idle), test.reused)
+			if pool.slots.taken != test.idle || len(pool.endpoints["n"].idle) != test.idle {
+				t.Errorf("got %d connections, %d idle, want %d idle", pool.slots.taken, len(pool.endpoints["n"].idle), test.idle)
 			}
 		})
 	}
 }
 
-func TestNoConnection(t *testing.T) {
+func TestConnectFailureGivesOutcome(t *testing.T) {
 	for name, test := range map[string]struct {
 		address func(*testing.T) string
-		left    decision.Millis
+		timeout decision.Millis
 		want    decision.Outcome
 	}{
-		"refused":                      {refusing, 500, decision.Unreachable},
-		"never up":                     {never, 500, decision.Unreachable},
-		"never up before the deadline": {never, 30, decision.NotSent},
+		"connection refused":                  {refusingAddress, 500, decision.Unreachable},
+		"connect timeout":                     {unresponsiveAddress, 500, decision.Unreachable},
+		"deadline before the connect timeout": {unresponsiveAddress, 30, decision.NotSent},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := newPool(4)
-			if end := pool.attempt(test.address(t), "GET", test.left, nil); end.Outcome != test.want || pool.slots.taken != 0 {
-				t.Errorf("ended %d, want %d; held %d", end.Outcome, test.want, pool.slots.taken)
+			result := pool.attempt(test.address(t), "GET", test.timeout, nil)
+			if result.Outcome != test.want || pool.slots.taken != 0 {
+				t.Errorf("got outcome %d, %d connections, want outcome %d, none", result.Outcome, pool.slots.taken, test.want)
 			}
 		})
 	}
 }
 
-// Figures of a load report that are none are left out.
-func TestLoad(t *testing.T) {
+// Invalid values in a load report are omitted.
+func TestParseLoadOmitsInvalidFigures(t *testing.T) {
 	for text, want := range map[string]decision.Load{
 		"util=0.5,queue=NaN": {Util: 0.5, Queue: -1}, "util=Inf,queue=3": {Util: -1, Queue: 3},
 		"util=-Inf,queue=-3": {Util: -1, Queue: -1}, "util=1e999,;;,=,queue": {Util: -1, Queue: -1},
 	} {
 		if got := parseLoad(text); *got != want {
-			t.Errorf("%q: %+v, want %+v", text, *got, want)
+			t.Errorf("%q: got %+v, want %+v", text, *got, want)
 		}
 	}
 }
 
-// What is canceled ends so, with its connection closed before that is told; canceling twice does nothing more.
-func TestCancel(t *testing.T) {
-	came, held := make(chan struct{}), make(chan struct{})
-	server := newFakeEndpoint(t, func(net.Conn, *http.Request) { close(came); <-held })
+// The connection of a canceled attempt is closed before the result is passed on. A second cancel has no effect.
+func TestCancelClosesConnection(t *testing.T) {
+	received, release := make(chan struct{}), make(chan struct{})
+	server := newFakeEndpoint(t, func(net.Conn, *http.Request) { close(received); <-release })
 	pool := newPool(4)
-	end := pool.attempt(server.Addr().String(), "POST", 5000, func(cancel func()) { <-came; cancel(); cancel() })
-	if end.Outcome != decision.Canceled || pool.slots.taken != 0 {
-		t.Errorf("ended %d, held %d", end.Outcome, pool.slots.taken)
+	result := pool.attempt(server.Addr().String(), "POST", 5000, func(cancel func()) { <-received; cancel(); cancel() })
+	if result.Outcome != decision.Canceled || pool.slots.taken != 0 {
+		t.Errorf("got outcome %d, %d connections, want %d, none", result.Outcome, pool.slots.taken, decision.Canceled)
 	}
-	close(held)
+	close(release)
 	<-server.closed
-	if end := pool.attempt(never(t), "POST", 5000, func(cancel func()) { cancel() }); end.Outcome != decision.NotSent {
-		t.Errorf("canceled before it was sent: ended %d", end.Outcome)
+	result = pool.attempt(unresponsiveAddress(t), "POST", 5000, func(cancel func()) { cancel() })
+	if result.Outcome != decision.NotSent {
+		t.Errorf("canceled before it was sent: got outcome %d, want %d", result.Outcome, decision.NotSent)
 	}
 }
 
-// The request passes on as it came but for the time that is left.
-func TestRequest(t *testing.T) {
+// A request is sent unchanged except for the remaining time.
+func TestRequestSentUnchanged(t *testing.T) {
 	var got string
 	server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) {
 		got = fmt.Sprint(r.Method, r.RequestURI, r.Host, r.Header["X-Correlation-Id"], r.Header["Idempotency-Key"],
 			r.Header["Body"])
 		if remaining := r.Header.Get("X-Time-Left"); remaining < "0.4" || remaining > "0.500" {
-			t.Errorf("time left %q of half a second", remaining)
+			t.Errorf("got X-Time-Left %q, want 0.4 to 0.500", remaining)
 		}
-		say(ok)(c, r)
+		respondWith(okResponse)(c, r)
 	})
-	end := newPool(4).attempt(server.Addr().String(), "POST", 500, nil)
+	result := newPool(4).attempt(server.Addr().String(), "POST", 500, nil)
 	want, load := "POST/read/x?q=%2f;1app.svc[c1] [k] [body]", decision.Load{Util: 0.61, Queue: 2}
-	if got != want || *end.Load != load {
-		t.Errorf("got %s, want %s; load %+v", got, want, end.Load)
+	if got != want || *result.Load != load {
+		t.Errorf("got %s, load %+v, want %s, load %+v", got, result.Load, want, load)
 	}
 }
 
-// A kept connection serves the next attempt, unless the endpoint has closed it or its time is over.
-func TestReuse(t *testing.T) {
+// An idle connection is reused for the next attempt, unless it is closed, expired or within the reuse delay.
+func TestIdleConnectionReused(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(pool *Pool, address string)
 		conns  int32
 	}{
-		"again":      {func(pool *Pool, _ string) { pool.rested() }, 1},
-		"not rested": {func(pool *Pool, _ string) { pool.times.reuseDelay = time.Hour }, 2},
-		"retired":    {func(pool *Pool, _ string) { pool.idleLimit = 0 }, 2},
-		"swept": {
-			func(pool *Pool, _ string) { pool.idleLimit = 0; pool.retire(false); pool.idleLimit = time.Hour }, 2,
+		"reused":                 {func(pool *Pool, _ string) { pool.expireReuseDelay() }, 1},
+		"within the reuse delay": {func(pool *Pool, _ string) { pool.timing.reuseDelay = time.Hour }, 2},
+		"expired":                {func(pool *Pool, _ string) { pool.idleLimit = 0 }, 2},
+		"closed as expired": {
+			func(pool *Pool, _ string) { pool.idleLimit = 0; pool.closeExpired(false); pool.idleLimit = time.Hour }, 2,
 		},
-		"closed":           {func(pool *Pool, _ string) { pool.CloseIdle("n") }, 2},
-		"drained and back": {func(pool *Pool, address string) { pool.SetAddress("n", ""); pool.SetAddress("n", address) }, 2},
+		"closed":            {func(pool *Pool, _ string) { pool.CloseIdle("n") }, 2},
+		"removed and added": {func(pool *Pool, address string) { pool.SetAddress("n", ""); pool.SetAddress("n", address) }, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			server, pool := newFakeEndpoint(t, say(ok)), newPool(4)
+			server, pool := newFakeEndpoint(t, respondWith(okResponse)), newPool(4)
 			pool.SetAddress("n", server.Addr().String())
 			send := func() {
-				ends := make(chan engine.AttemptResult, 1)
+				results := make(chan engine.AttemptResult, 1)
 				pool.StartAttempt(engine.Attempt{
 					Endpoint: "n", Address: server.Addr().String(), Deadline: pool.clock.Now() + 1000,
-					Request: &engine.Request{Method: "GET", URI: "/", Host: "h"}, OnEnd: func(e engine.AttemptResult) { ends <- e },
+					Request: &engine.Request{Method: "GET", URI: "/", Host: "h"}, OnEnd: func(r engine.AttemptResult) { results <- r },
 				})
-				if end := <-ends; end.Outcome != decision.Succeeded { // so the stand-in has counted its connection
-					t.Errorf("ended %d", end.Outcome)
+				if result := <-results; result.Outcome != decision.Succeeded { // the fake endpoint has counted the connection by then
+					t.Errorf("got outcome %d, want %d", result.Outcome, decision.Succeeded)
 				}
 			}
 			send()
 			test.change(pool, server.Addr().String())
 			send()
 			if n := server.conns.Load(); n != test.conns {
-				t.Errorf("%d connections, want %d", n, test.conns)
+				t.Errorf("got %d connections, want %d", n, test.conns)
 			}
 		})
 	}
 }
 
-// rested has the idle connections to the endpoint stand as if they had rested; they can't be used before.
-func (pool *Pool) rested() {
+// expireReuseDelay makes the idle connections to the endpoint reusable, as if their reuse delay had passed.
+func (pool *Pool) expireReuseDelay() {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	for _, c := range pool.endpoints["n"].idle {
-		c.idleSince = c.idleSince.Add(-pool.times.reuseDelay)
+		c.idleSince = c.idleSince.Add(-pool.timing.reuseDelay)
 	}
 }
 
-// A second response to a request, which comes when the next one has been written, is never taken for the response to
-// that.
-func TestLateSecondResponse(t *testing.T) {
+// A second response to a request that arrives after the next request was written is not taken for the response to that
+// request.
+func TestLateSecondResponseDiscarded(t *testing.T) {
 	const late = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong"
-	firsts := make(chan net.Conn, 2)
+	firstConn := make(chan net.Conn, 2)
 	server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) {
 		if r.Header.Get("X-Correlation-Id") == "first" {
-			say(ok)(c, r)
-			firsts <- c
+			respondWith(okResponse)(c, r)
+			firstConn <- c
 			return
 		}
-		first := <-firsts
-		write(first, late) // the endpoint's own fault: it responds to the first request once more
+		first := <-firstConn
+		writeText(first, late) // simulates an endpoint that responds to the first request twice
 		if first != c {
-			say(ok)(c, r)
+			respondWith(okResponse)(c, r)
 		}
 	})
 	pool := newPool(4)
-	pool.times.reuseDelay = time.Hour
+	pool.timing.reuseDelay = time.Hour
 	pool.SetAddress("n", server.Addr().String())
 	send := func(id string) engine.AttemptResult {
-		ends := make(chan engine.AttemptResult, 1)
+		results := make(chan engine.AttemptResult, 1)
 		pool.StartAttempt(engine.Attempt{
 			Endpoint: "n", Address: server.Addr().String(), Deadline: pool.clock.Now() + 1000,
 			Request: &engine.Request{Method: "POST", URI: "/", Host: "h", Fields: map[string][]string{"X-Correlation-Id": {id}}},
-			OnEnd:   func(e engine.AttemptResult) { ends <- e },
+			OnEnd:   func(r engine.AttemptResult) { results <- r },
 		})
-		return <-ends
+		return <-results
 	}
 	send("first")
-	if end := send("next"); end.Outcome != decision.Succeeded || string(end.Response.Body) != "hi" {
-		t.Errorf("ended %d with %q", end.Outcome, end.Response.Body)
+	if result := send("next"); result.Outcome != decision.Succeeded || string(result.Response.Body) != "hi" {
+		t.Errorf("got outcome %d with body %q, want %d with %q", result.Outcome, result.Response.Body, decision.Succeeded, "hi")
 	}
 	pool.mu.Lock()
-	old := pool.endpoints["n"].idle[0] // what has come on it meanwhile is seen once it has rested
+	old := pool.endpoints["n"].idle[0] // what arrives on it is detected after the reuse delay
 	pool.mu.Unlock()
-	for end := time.Now().Add(5 * time.Second); old.quiet(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("the second response did not come")
+	for timeout := time.Now().Add(5 * time.Second); old.isUsable(); time.Sleep(time.Millisecond) {
+		if time.Now().After(timeout) {
+			t.Fatal("second response not received within 5 s")
 		}
 	}
-	pool.times.reuseDelay = lateResponse // else the connection would be closed for its age, whatever lies on it
-	pool.rested()
+	pool.timing.reuseDelay = lateResponseWindow // otherwise the connection would be closed as expired
+	pool.expireReuseDelay()
 	pool.mu.Lock()
-	pool.endpoints["n"].idle = pool.endpoints["n"].idle[:1] // only that one
+	pool.endpoints["n"].idle = pool.endpoints["n"].idle[:1] // only the first connection
 	pool.slots.taken = 1
 	pool.mu.Unlock()
-	if c := pool.takeIdle(pool.targetAt("n", server.Addr().String())); c != nil || pool.count() != 0 {
-		t.Errorf("a connection with a second response on it is used again, %d held", pool.count())
+	if c := pool.takeIdle(pool.lookupTarget("n", server.Addr().String())); c != nil || pool.heldConnections() != 0 {
+		t.Errorf("connection with a second response: got connection %v, %d held, want none", c, pool.heldConnections())
 	}
 }
 
-// What comes between the decision for an endpoint and the first byte: another machine at its address, its drain, a
-// lower exposure limit. The attempt isn't sent, and the next one is.
-func TestBetweenDecisionAndSending(t *testing.T) {
+// An attempt is not sent if its endpoint changes between the decision and the first byte: another machine at the
+// address, draining, or a lower exposure limit.
+func TestNotSentAfterEndpointChange(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(pool *Pool, address string)
-		idle   int // connections that are kept nevertheless
+		idle   int // idle connections afterwards
 	}{
-		"another machine there": {func(pool *Pool, address string) { pool.SetAddress("n", address) }, 0},
-		"drains":                {func(pool *Pool, _ string) { pool.SetAddress("n", "") }, 0},
-		"drains and is back": {
+		"another machine": {func(pool *Pool, address string) { pool.SetAddress("n", address) }, 0},
+		"draining":        {func(pool *Pool, _ string) { pool.SetAddress("n", "") }, 0},
+		"draining and back": {
 			func(pool *Pool, address string) { pool.SetAddress("n", ""); pool.SetAddress("n", address) }, 0,
 		},
-		"a lower limit": {func(pool *Pool, _ string) { pool.CancelUnsent("n") }, 1},
+		"lower exposure limit": {func(pool *Pool, _ string) { pool.CancelUnsent("n") }, 1},
 	} {
-		for _, when := range []string{"while it is dialed", "before it is taken"} {
+		for _, when := range []string{"while connecting", "before reuse"} {
 			t.Run(name+" "+when, func(t *testing.T) {
-				server, pool := newFakeEndpoint(t, say(ok)), newPool(4)
+				server, pool := newFakeEndpoint(t, respondWith(okResponse)), newPool(4)
 				address := server.Addr().String()
 				pool.attempt(address, "GET", 1000, nil)
-				began := pool.targetAt("n", address)
+				dest := pool.lookupTarget("n", address)
 				requests := server.requests.Load()
-				if when == "while it is dialed" { // all that is idle has not rested yet
-					pool.times.reuseDelay = time.Hour
+				if when == "while connecting" {
+					// no idle connection is reused
+					pool.timing.reuseDelay = time.Hour
 					dial := pool.dial
-					pool.dial = func(ctx context.Context, d *net.Dialer, meant string) (net.Conn, error) {
-						c, err := dial(ctx, d, meant)
+					pool.dial = func(ctx context.Context, d *net.Dialer, dialed string) (net.Conn, error) {
+						c, err := dial(ctx, d, dialed)
 						test.change(pool, address)
 						return c, err
 					}
 				} else {
-					pool.rested()
+					pool.expireReuseDelay()
 					test.change(pool, address)
 				}
-				end := pool.runAttempt(t.Context(), engine.Attempt{
+				result := pool.runAttempt(t.Context(), engine.Attempt{
 					Endpoint: "n", Address: address, Deadline: pool.clock.Now() + 1000,
 					Request: &engine.Request{Method: "POST", URI: "/", Host: "h"},
-				}, began)
-				if end.Outcome != decision.NotSent || server.requests.Load() != requests {
-					t.Errorf("ended %d, sent %d times", end.Outcome, server.requests.Load()-requests)
+				}, dest)
+				if result.Outcome != decision.NotSent || server.requests.Load() != requests {
+					t.Errorf("got outcome %d, sent %d times, want %d, not sent",
+						result.Outcome, server.requests.Load()-requests, decision.NotSent)
 				}
-				if pool.count() != test.idle {
-					t.Errorf("%d connections kept, want %d", pool.count(), test.idle)
+				if pool.heldConnections() != test.idle {
+					t.Errorf("got %d connections, want %d", pool.heldConnections(), test.idle)
 				}
 			})
 		}
 	}
 }
 
-// An attempt that is canceled, or whose last moment to be sent passes, before its first byte is out is never sent: the
-// request may have its final response by then, or the endpoints may have forgotten the attempt that it repeats.
-func TestNotSentAnyMore(t *testing.T) {
-	for name, over := range map[string]func(cancel func(), attempt *engine.Attempt, pool *Pool){
+// An attempt is not sent if it is canceled or its SendBy passes before the first byte. By then the request may have its
+// final response, or the endpoints may have forgotten the attempt that this one repeats.
+func TestNotSentAfterCancelOrSendBy(t *testing.T) {
+	for name, endSending := range map[string]func(cancel func(), attempt *engine.Attempt, pool *Pool){
 		"canceled": func(cancel func(), _ *engine.Attempt, _ *Pool) { cancel() },
-		"too late": func(_ func(), attempt *engine.Attempt, pool *Pool) {
+		"SendBy passed": func(_ func(), attempt *engine.Attempt, pool *Pool) {
 			for pool.clock.Now() < attempt.SendBy {
 				time.Sleep(time.Millisecond)
 			}
 		},
 	} {
-		for _, when := range []string{"while it is dialed", "before it begins"} {
+		for _, when := range []string{"while connecting", "before the start"} {
 			t.Run(name+" "+when, func(t *testing.T) {
-				server, pool := newFakeEndpoint(t, say(ok)), newPool(4)
+				server, pool := newFakeEndpoint(t, respondWith(okResponse)), newPool(4)
 				address := server.Addr().String()
 				pool.attempt(address, "GET", 1000, nil)
-				requests, meant := server.requests.Load(), pool.targetAt("n", address)
+				requests, dest := server.requests.Load(), pool.lookupTarget("n", address)
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				now := pool.clock.Now()
@@ -458,106 +469,124 @@
 					Endpoint: "n", Address: address, SendBy: now + 20, Deadline: now + 1000,
 					Request: &engine.Request{Method: "POST", URI: "/", Host: "h"},
 				}
-				if when == "before it begins" {
-					pool.rested()
-					over(cancel, &attempt, pool)
+				if when == "before the start" {
+					pool.expireReuseDelay()
+					endSending(cancel, &attempt, pool)
 				} else {
-					pool.times.reuseDelay = time.Hour // what is idle can't be taken
+					pool.timing.reuseDelay = time.Hour // no idle connection is reused
 					dial := pool.dial
-					pool.dial = func(_ context.Context, d *net.Dialer, to string) (net.Conn, error) {
-						c, err := dial(t.Context(), d, to) // it is up as the end comes
-						over(cancel, &attempt, pool)
+					pool.dial = func(_ context.Context, d *net.Dialer, dialed string) (net.Conn, error) {
+						c, err := dial(t.Context(), d, dialed) // succeeds even if the attempt is canceled
+						endSending(cancel, &attempt, pool)
 						return c, err
 					}
 				}
-				end := pool.runAttempt(ctx, attempt, meant)
-				if end.Outcome != decision.NotSent || server.requests.Load() != requests {
-					t.Errorf("ended %d, sent %d times", end.Outcome, server.requests.Load()-requests)
+				result := pool.runAttempt(ctx, attempt, dest)
+				if result.Outcome != decision.NotSent || server.requests.Load() != requests {
+					t.Errorf("got outcome %d, sent %d times, want %d, not sent",
+						result.Outcome, server.requests.Load()-requests, decision.NotSent)
 				}
-				if pool.count() != 1 {
-					t.Errorf("%d connections held, want the idle one", pool.count())
+				if pool.heldConnections() != 1 {
+					t.Errorf("got %d connections, want 1 idle", pool.heldConnections())
 				}
 			})
 		}
 	}
 }
 
-// A connection that doesn't come up by the last moment to send says nothing of the endpoint.
-func TestNotUpInTimeToSend(t *testing.T) {
-	pool, address := newPool(4), never(t)
+// An endpoint does not count as unreachable if its connection does not come up before SendBy.
+func TestConnectPastSendByNotSent(t *testing.T) {
+	pool, address := newPool(4), unresponsiveAddress(t)
 	pool.SetAddress("n", address)
 	now := pool.clock.Now()
-	end := pool.runAttempt(t.Context(), engine.Attempt{
+	result := pool.runAttempt(t.Context(), engine.Attempt{
 		Endpoint: "n", Address: address, SendBy: now + 20, Deadline: now + 1000,
 		Request: &engine.Request{Method: "POST", URI: "/", Host: "h"},
-	}, pool.targetAt("n", address))
-	if took := pool.clock.Now() - now; end.Outcome != decision.NotSent || took > 90 || pool.count() != 0 {
-		t.Errorf("ended %d after %.0f ms, %d held", end.Outcome, took, pool.count())
+	}, pool.lookupTarget("n", address))
+	if took := pool.clock.Now() - now; result.Outcome != decision.NotSent || took > 90 || pool.heldConnections() != 0 {
+		t.Errorf("got outcome %d after %.0f ms, %d connections, want %d within 90 ms, none",
+			result.Outcome, took, pool.heldConnections(), decision.NotSent)
 	}
 }
 
-// A connection to the machine that was the endpoint before is not kept for the one that is it now, at the same address.
-func TestGivenBackToAnother(t *testing.T) {
-	came, held := make(chan struct{}), make(chan struct{})
-	server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) { came <- struct{}{}; <-held; say(ok)(c, r) })
+// A connection to the previous machine of an endpoint is not kept for the next one at the same address.
+func TestConnectionNotKeptAfterEndpointChange(t *testing.T) {
+	received, release := make(chan struct{}), make(chan struct{})
+	server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) {
+		received <- struct{}{}
+		<-release
+		respondWith(okResponse)(c, r)
+	})
 	pool := newPool(4)
 	address := server.Addr().String()
-	end := pool.attempt(address, "GET", 1000, func(func()) { <-came; pool.SetAddress("n", address); close(held) })
-	if end.Outcome != decision.Succeeded || pool.count() != 0 {
-		t.Errorf("ended %d, %d connections kept", end.Outcome, pool.count())
+	result := pool.attempt(address, "GET", 1000, func(func()) {
+		<-received
+		pool.SetAddress("n", address)
+		close(release)
+	})
+	if result.Outcome != decision.Succeeded || pool.heldConnections() != 0 {
+		t.Errorf("got outcome %d, %d connections, want %d, none",
+			result.Outcome, pool.heldConnections(), decision.Succeeded)
 	}
 }
 
-// An attempt that ends without a response when its endpoint is another by now gives back its own slot and nothing else:
-// the idle connections to the endpoint before were closed and counted when the list changed.
-func TestEndedAfterSetAddress(t *testing.T) {
-	came, held := make(chan struct{}), make(chan struct{})
-	defer close(held)
+// An attempt that ends without a response after its endpoint was replaced frees only its own slot. The slots of the
+// idle connections were freed when the endpoint list changed.
+func TestSlotFreedOnceAfterEndpointChange(t *testing.T) {
+	received, release := make(chan struct{}), make(chan struct{})
+	defer close(release)
 	server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) {
 		if r.Method == "GET" {
-			say(ok)(c, r)
+			respondWith(okResponse)(c, r)
 			return
 		}
-		close(came)
-		<-held
+		close(received)
+		<-release
 	})
 	pool := newPool(4)
 	address := server.Addr().String()
-	pool.attempt(address, "GET", 1000, nil) // stays idle; it has not rested, so the next one opens another
-	pool.times.reuseDelay = time.Hour
-	ends := make(chan engine.AttemptResult, 1)
+	pool.attempt(address, "GET", 1000, nil) // stays idle within the reuse delay, so that the next attempt opens another
+	pool.timing.reuseDelay = time.Hour
+	results := make(chan engine.AttemptResult, 1)
 	cancel := pool.StartAttempt(engine.Attempt{
 		Endpoint: "n", Address: address, Deadline: pool.clock.Now() + 1000,
-		Request: &engine.Request{Method: "POST", URI: "/", Host: "h"}, OnEnd: func(e engine.AttemptResult) { ends <- e },
+		Request: &engine.Request{Method: "POST", URI: "/", Host: "h"}, OnEnd: func(r engine.AttemptResult) { results <- r },
 	})
-	<-came
+	<-received
 	pool.SetAddress("n", address)
 	cancel()
-	if end := <-ends; end.Outcome != decision.Canceled || pool.count() != 0 {
-		t.Errorf("ended %d, held %d", end.Outcome, pool.count())
+	if result := <-results; result.Outcome != decision.Canceled || pool.heldConnections() != 0 {
+		t.Errorf("got outcome %d, %d connections, want %d, none",
+			result.Outcome, pool.heldConnections(), decision.Canceled)
 	}
 }
 
-// A pool that has ended keeps no connection of an attempt that is responded to later, and opens none.
-func TestEnd(t *testing.T) {
-	came, held := make(chan struct{}, 9), make(chan struct{})
-	server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) { came <- struct{}{}; <-held; say(ok)(c, r) })
+// After Run ends, the pool keeps no connection of an attempt that is still running and opens no new ones.
+func TestStoppedPoolKeepsNoConnection(t *testing.T) {
+	received, release := make(chan struct{}, 9), make(chan struct{})
+	server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) {
+		received <- struct{}{}
+		<-release
+		respondWith(okResponse)(c, r)
+	})
 	pool := newPool(4)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	end := pool.attempt(server.Addr().String(), "GET", 1000, func(func()) { <-came; pool.Run(ctx); close(held) })
-	if end.Outcome != decision.Succeeded || pool.slots.taken != 0 {
-		t.Errorf("out at the end: ended %d, held %d", end.Outcome, pool.slots.taken)
+	result := pool.attempt(server.Addr().String(), "GET", 1000, func(func()) { <-received; pool.Run(ctx); close(release) })
+	if result.Outcome != decision.Succeeded || pool.slots.taken != 0 {
+		t.Errorf("running at the end: got outcome %d, %d connections, want %d, none",
+			result.Outcome, pool.slots.taken, decision.Succeeded)
 	}
-	end = pool.attempt(server.Addr().String(), "GET", 1000, nil)
-	if end.Outcome != decision.NotSent || pool.slots.taken != 0 {
-		t.Errorf("after the end: ended %d, held %d", end.Outcome, pool.slots.taken)
+	result = pool.attempt(server.Addr().String(), "GET", 1000, nil)
+	if result.Outcome != decision.NotSent || pool.slots.taken != 0 {
+		t.Errorf("after the end: got outcome %d, %d connections, want %d, none",
+			result.Outcome, pool.slots.taken, decision.NotSent)
 	}
 }
 
-// An attempt without a response ends the idle connections to its endpoint, unless that has responded to another
-// meanwhile.
-func TestSilentEndpoint(t *testing.T) {
+// An attempt without a response closes the idle connections to its endpoint, unless the endpoint responded to another
+// attempt meanwhile.
+func TestNoResponseClosesIdleConnections(t *testing.T) {
 	for name, test := range map[string]struct {
 		outcome   decision.Outcome
 		responded bool
@@ -565,113 +594,119 @@
 	}{
 		"timed out": {decision.TimedOut, false, 0}, "canceled": {decision.Canceled, false, 0},
 		"broken":      {decision.ConnectionBroken, false, 0},
-		"unreachable": {decision.Unreachable, false, 0}, "timed out, responded": {decision.TimedOut, true, 1},
-		"never sent": {decision.NotSent, false, 1}, "full": {decision.EndpointRejected, false, 1},
+		"unreachable": {decision.Unreachable, false, 0}, "timed out, other response": {decision.TimedOut, true, 1},
+		"not sent": {decision.NotSent, false, 1}, "rejected": {decision.EndpointRejected, false, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			server, pool := newFakeEndpoint(t, say(ok)), newPool(4)
+			server, pool := newFakeEndpoint(t, respondWith(okResponse)), newPool(4)
 			address := server.Addr().String()
 			pool.attempt(address, "GET", 1000, nil)
-			n, began := pool.targetAt("n", address).endpoint, time.Now()
+			current, startedAt := pool.lookupTarget("n", address).endpoint, time.Now()
 			if test.responded {
-				pool.observeOutcome(n, began, decision.Succeeded)
+				pool.observeOutcome(current, startedAt, decision.Succeeded)
 			}
-			pool.observeOutcome(n, began, test.outcome)
+			pool.observeOutcome(current, startedAt, test.outcome)
 			if len(pool.endpoints["n"].idle) != test.idle || pool.slots.taken != test.idle {
-				t.Errorf("idle %d, held %d, want %d", len(pool.endpoints["n"].idle), pool.slots.taken, test.idle)
+				t.Errorf("got %d idle, %d connections, want %d", len(pool.endpoints["n"].idle), pool.slots.taken, test.idle)
 			}
 		})
 	}
 }
 
-// An endpoint that has closed a kept connection costs no request: nothing was sent on it.
-func TestStale(t *testing.T) {
-	server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) { say(ok)(c, r); end(c) })
+// No request fails if the endpoint has closed an idle connection, since nothing was sent on it.
+func TestClosedIdleConnectionReplaced(t *testing.T) {
+	server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) { respondWith(okResponse)(c, r); closeQuietly(c) })
 	pool := newPool(4)
 	for range 3 {
-		if end := pool.attempt(server.Addr().String(), "POST", 1000, nil); end.Outcome != decision.Succeeded {
-			t.Errorf("ended %d", end.Outcome)
+		if result := pool.attempt(server.Addr().String(), "POST", 1000, nil); result.Outcome != decision.Succeeded {
+			t.Errorf("got outcome %d, want %d", result.Outcome, decision.Succeeded)
 		}
 		<-server.closed
 	}
 	if n := server.requests.Load(); n != 3 {
-		t.Errorf("sent %d times, want 3", n)
+		t.Errorf("got %d requests sent, want 3", n)
 	}
 }
 
-// An attempt whose connection comes up after its endpoint has begun to drain is not sent.
-func TestDrainMeanwhile(t *testing.T) {
-	server, pool := newFakeEndpoint(t, say(ok)), newPool(4)
+// An attempt is not sent if its endpoint starts draining while the connection comes up.
+func TestNotSentAfterDrainWhileConnecting(t *testing.T) {
+	server, pool := newFakeEndpoint(t, respondWith(okResponse)), newPool(4)
 	pool.SetAddress("n", server.Addr().String())
-	meant := pool.targetAt("n", server.Addr().String())
+	dest := pool.lookupTarget("n", server.Addr().String())
 	dial := pool.dial
 	pool.dial = func(ctx context.Context, d *net.Dialer, address string) (net.Conn, error) {
 		pool.SetAddress("n", "")
 		return dial(ctx, d, address)
 	}
 	c, outcome := pool.connect(t.Context(), &attemptRun{
-		attempt: engine.Attempt{Endpoint: "n", Address: server.Addr().String()}, target: meant,
+		attempt: engine.Attempt{Endpoint: "n", Address: server.Addr().String()}, target: dest,
 		deadline: time.Now().Add(time.Second),
 	})
 	if c != nil || outcome != decision.NotSent || pool.slots.taken != 0 {
-		t.Errorf("connection %v, ending %d, held %d", c, outcome, pool.slots.taken)
+		t.Errorf("got connection %v, outcome %d, %d connections, want no connection, outcome %d",
+			c, outcome, pool.slots.taken, decision.NotSent)
 	}
 }
 
-// Short of descriptors, idle connections to other endpoints are closed first, the longest idle one before the others.
-func TestShort(t *testing.T) {
-	held := make(chan struct{})
-	defer close(held)
+// At the connection limit, the pool closes the connection that has been idle longest, also one to another endpoint.
+// Without an idle connection the attempt is not sent.
+func TestConnectionLimitClosesLongestIdle(t *testing.T) {
+	release := make(chan struct{})
+	defer close(release)
 	server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) {
 		if r.Method == "POST" {
-			<-held
+			<-release
 		}
-		say(ok)(c, r)
+		respondWith(okResponse)(c, r)
 	})
 	pool := newPool(2)
 	address := server.Addr().String()
 	send := func(id decision.EndpointID, method string) chan engine.AttemptResult {
-		ends := make(chan engine.AttemptResult, 1)
+		results := make(chan engine.AttemptResult, 1)
 		pool.StartAttempt(engine.Attempt{
 			Endpoint: id, Address: address, Deadline: pool.clock.Now() + 300,
-			Request: &engine.Request{Method: method, URI: "/", Host: "h"}, OnEnd: func(e engine.AttemptResult) { ends <- e },
+			Request: &engine.Request{Method: method, URI: "/", Host: "h"}, OnEnd: func(r engine.AttemptResult) { results <- r },
 		})
-		return ends
+		return results
 	}
 	for _, id := range []decision.EndpointID{"a", "b", "c"} {
 		pool.SetAddress(id, address)
-		if end := <-send(id, "GET"); end.Outcome != decision.Succeeded {
-			t.Errorf("%s ended %d", id, end.Outcome)
+		if result := <-send(id, "GET"); result.Outcome != decision.Succeeded {
+			t.Errorf("endpoint %s: got outcome %d, want %d", id, result.Outcome, decision.Succeeded)
 		}
 	}
 	a, b, c := len(pool.endpoints["a"].idle), len(pool.endpoints["b"].idle), len(pool.endpoints["c"].idle)
 	if a != 0 || b != 1 || c != 1 {
-		t.Errorf("idle %d, %d, %d", a, b, c)
+		t.Errorf("got %d, %d, %d idle connections, want 0, 1, 1", a, b, c)
 	}
 	first, second := send("a", "POST"), send("b", "POST")
-	for pool.count() < 2 || server.requests.Load() < 5 {
+	for pool.heldConnections() < 2 || server.requests.Load() < 5 {
 		time.Sleep(time.Millisecond)
 	}
-	if end := <-send("c", "GET"); end.Outcome != decision.NotSent {
-		t.Errorf("without a slot ended %d", end.Outcome)
+	if result := <-send("c", "GET"); result.Outcome != decision.NotSent {
+		t.Errorf("without a free slot: got outcome %d, want %d", result.Outcome, decision.NotSent)
 	}
-	if a, b := <-first, <-second; a.Outcome != decision.TimedOut || b.Outcome != decision.TimedOut || pool.count() != 0 {
-		t.Errorf("ended %d, %d; held %d", a.Outcome, b.Outcome, pool.count())
+	firstResult, secondResult := <-first, <-second
+	if firstResult.Outcome != decision.TimedOut || secondResult.Outcome != decision.TimedOut ||
+		pool.heldConnections() != 0 {
+		t.Errorf("got outcomes %d, %d, %d connections, want %d twice, none",
+			firstResult.Outcome, secondResult.Outcome, pool.heldConnections(), decision.TimedOut)
 	}
 }
 
-func (pool *Pool) count() int {
+// heldConnections returns the number of connections, including those coming up.
+func (pool *Pool) heldConnections() int {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	return pool.slots.taken
 }
 
-// Where idle connections break at their next request they are used sooner or not at all; while they hold, longer again.
-// A break of one that was hardly idle says nothing of that.
-func TestReused(t *testing.T) {
-	pool := newPool(4) // they are retired after a second
+// The idle limit is halved if a connection breaks when it is reused, and grows again if it does not break. A connection
+// that was idle only briefly does not count.
+func TestIdleLimitAdaptsToBrokenReuse(t *testing.T) {
+	pool := newPool(4) // the longest idle time is 1 s
 	for _, test := range []struct {
-		idle      time.Duration
+		idleFor   time.Duration
 		succeeded bool
 		want      time.Duration
 	}{
@@ -681,20 +716,22 @@
 		{200 * time.Millisecond, true, 9 * time.Second / 32},
 		{100 * time.Millisecond, true, 9 * time.Second / 32},
 	} {
-		if pool.observeReuse(test.idle, test.succeeded); pool.idleLimit != test.want {
-			t.Errorf("idle %v, held %v: now %v, want %v", test.idle, test.succeeded, pool.idleLimit, test.want)
+		if pool.observeReuse(test.idleFor, test.succeeded); pool.idleLimit != test.want {
+			t.Errorf("idle for %v, succeeded %v: got limit %v, want %v",
+				test.idleFor, test.succeeded, pool.idleLimit, test.want)
 		}
 	}
 	for range 100 {
-		pool.retire(false)
+		pool.closeExpired(false)
 	}
 	if pool.idleLimit != time.Second {
-		t.Errorf("with none used: %v", pool.idleLimit)
+		t.Errorf("without reuse: got limit %v, want %v", pool.idleLimit, time.Second)
 	}
 }
 
-// narrow is an endpoint that takes a part of a request only: its buffer and the pool's are small.
-func narrow(t *testing.T, pool *Pool) *net.TCPListener {
+// listenSmallBuffers listens with small receive buffers and gives the pool small send buffers, so that only a part of a
+// large request is written before the endpoint reads.
+func listenSmallBuffers(t *testing.T, pool *Pool) *net.TCPListener {
 	t.Helper()
 	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		var failed error
@@ -707,7 +744,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() }) // a test may have closed it
+	t.Cleanup(func() { _ = l.Close() }) // the test may have closed it
 	dial := pool.dial
 	pool.dial = func(ctx context.Context, d *net.Dialer, address string) (net.Conn, error) {
 		c, err := dial(ctx, d, address)
@@ -719,42 +756,43 @@
 	return l.(*net.TCPListener)
 }
 
-// A request of which a part is written when the endpoint resets, the attempt is canceled or its time is over has never
-// run, and the connection with that part on it is closed.
-func TestPartWritten(t *testing.T) {
+// A partly written request counts as not run if the endpoint resets the connection, the attempt is canceled or the
+// deadline passes. Its connection is closed.
+func TestPartlyWrittenRequestNotRun(t *testing.T) {
 	for name, test := range map[string]struct {
-		end  func(endpoint *net.TCPConn, cancel func())
-		want decision.Outcome
+		interrupt func(endpoint *net.TCPConn, cancel func())
+		want      decision.Outcome
 	}{
-		"the endpoint resets": {func(endpoint *net.TCPConn, _ func()) { reset(endpoint) }, decision.Unreachable},
-		"canceled":            {func(_ *net.TCPConn, cancel func()) { cancel() }, decision.NotSent},
-		"time is over":        {func(*net.TCPConn, func()) {}, decision.Unreachable},
+		"reset by the endpoint": {func(endpoint *net.TCPConn, _ func()) { resetConn(endpoint) }, decision.Unreachable},
+		"canceled":              {func(_ *net.TCPConn, cancel func()) { cancel() }, decision.NotSent},
+		"deadline passed":       {func(*net.TCPConn, func()) {}, decision.Unreachable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := newPool(4)
-			l := narrow(t, pool)
-			address, ends := l.Addr().String(), make(chan engine.AttemptResult, 1)
+			l := listenSmallBuffers(t, pool)
+			address, results := l.Addr().String(), make(chan engine.AttemptResult, 1)
 			pool.SetAddress("n", address)
 			cancel := pool.StartAttempt(engine.Attempt{
 				Endpoint: "n", Address: address, Deadline: pool.clock.Now() + 500,
 				Request: &engine.Request{Method: "POST", URI: "/pay/x", Host: "h", Body: make([]byte, 1<<20)},
-				OnEnd:   func(e engine.AttemptResult) { ends <- e },
+				OnEnd:   func(r engine.AttemptResult) { results <- r },
 			})
 			endpoint, err := l.AcceptTCP()
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer end(endpoint)
+			defer closeQuietly(endpoint)
 			head := make([]byte, 16)
-			if _, err := io.ReadFull(endpoint, head); err != nil { // a part has come
+			if _, err := io.ReadFull(endpoint, head); err != nil { // a part has arrived
 				t.Fatal(err)
 			}
-			test.end(endpoint, cancel)
-			if end := <-ends; end.Outcome != test.want || pool.count() != 0 {
-				t.Errorf("ended %d, want %d; %d connections held", end.Outcome, test.want, pool.count())
+			test.interrupt(endpoint, cancel)
+			if result := <-results; result.Outcome != test.want || pool.heldConnections() != 0 {
+				t.Errorf("got outcome %d, %d connections, want outcome %d, none",
+					result.Outcome, pool.heldConnections(), test.want)
 			}
 			if rest, _ := io.ReadAll(endpoint); len(rest) >= 1<<20 {
-				t.Error("the whole request came")
+				t.Errorf("got %d bytes of the request, want fewer than %d", len(rest), 1<<20)
 			}
 		})
 	}
--- a/internal/upstream/requests_test.go
+++ b/internal/upstream/requests_test.go
@@ -16,153 +16,157 @@
 	"ottershed/internal/engine"
 )
 
-// unread is the size of a body that a narrow endpoint's connection does not hold: a part of it stays unwritten.
-const unread = 256 << 10
+// oversizedBody is the size in bytes of a body that exceeds the buffers of listenSmallBuffers: a part of it stays
+// unwritten.
+const oversizedBody = 256 << 10
 
-// accept gives the endpoint's side of a connection on which a part of a request has come.
-func accept(t *testing.T, l *net.TCPListener) net.Conn {
+// acceptStarted accepts a connection and reads the first 4 bytes of its request.
+func acceptStarted(t *testing.T, l *net.TCPListener) net.Conn {
 	t.Helper()
 	c, err := l.AcceptTCP()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close() }) // a test may have closed it
+	t.Cleanup(func() { _ = c.Close() }) // the test may have closed it
 	if _, err := io.ReadFull(c, make([]byte, 4)); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// sips is a connection that is read a byte at a time, with a pause before each.
-type sips struct {
+// byteReader is a connection that is read one byte at a time, with a pause before each.
+type byteReader struct {
 	net.Conn
 	pause time.Duration
 }
 
-func (server sips) Read(b []byte) (int, error) {
-	time.Sleep(server.pause)
-	return server.Conn.Read(b[:min(1, len(b))])
+func (r byteReader) Read(b []byte) (int, error) {
+	time.Sleep(r.pause)
+	return r.Conn.Read(b[:min(1, len(b))])
 }
 
-// An endpoint that reads its request a byte at a time holds the attempt no longer than its deadline; a request that was
-// not written whole by then never ran, and one that was is responded to.
-func TestSlowReader(t *testing.T) {
+// An endpoint that reads a request one byte at a time blocks the attempt until the deadline at most. A request that is
+// not written completely by then counts as not run; one that is written in time succeeds.
+func TestSlowReaderEndsAtDeadline(t *testing.T) {
 	for name, test := range map[string]struct {
-		size  int
-		pause time.Duration
-		left  decision.Millis
-		want  decision.Outcome
-		held  int
+		size    int // of the body
+		pause   time.Duration
+		timeout decision.Millis
+		want    decision.Outcome
+		idle    int // connections afterwards
 	}{
-		"whole in time":     {16 << 10, 0, deadline, decision.Succeeded, 1},
-		"not whole in time": {unread, time.Millisecond, 300, decision.Unreachable, 0},
+		"complete in time":           {16 << 10, 0, longDeadline, decision.Succeeded, 1},
+		"incomplete at the deadline": {oversizedBody, time.Millisecond, 300, decision.Unreachable, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := newPool(4)
-			l, ends, began := narrow(t, pool), make(chan engine.AttemptResult, 1), time.Now()
+			l, results, startedAt := listenSmallBuffers(t, pool), make(chan engine.AttemptResult, 1), time.Now()
 			pool.SetAddress("n", l.Addr().String())
 			pool.StartAttempt(engine.Attempt{
-				Endpoint: "n", Address: l.Addr().String(), Deadline: pool.clock.Now() + test.left,
+				Endpoint: "n", Address: l.Addr().String(), Deadline: pool.clock.Now() + test.timeout,
 				Request: &engine.Request{Method: "POST", URI: "/pay/x", Host: "h", Body: make([]byte, test.size)},
-				OnEnd:   func(e engine.AttemptResult) { ends <- e },
+				OnEnd:   func(r engine.AttemptResult) { results <- r },
 			})
-			endpoint := accept(t, l)
+			endpoint := acceptStarted(t, l)
 			go func() {
-				all := io.MultiReader(strings.NewReader("POST"), sips{endpoint, test.pause}) // accept has read the method
-				request, err := http.ReadRequest(bufio.NewReader(all))
+				input := io.MultiReader(strings.NewReader("POST"), byteReader{endpoint, test.pause}) // acceptStarted has read the method
+				request, err := http.ReadRequest(bufio.NewReader(input))
 				if err != nil {
 					return
 				}
 				if n, _ := io.Copy(io.Discard, request.Body); n == int64(test.size) {
-					say(ok)(endpoint, request)
+					respondWith(okResponse)(endpoint, request)
 				}
 			}()
-			checkEnd(t, pool, <-ends, test.want, test.held)
-			if took := time.Since(began); test.held == 0 && (took < 290*time.Millisecond || took > soon) {
-				t.Errorf("ended after %v", took)
+			checkResult(t, pool, <-results, test.want, test.idle)
+			if took := time.Since(startedAt); test.idle == 0 && (took < 290*time.Millisecond || took > maxWait) {
+				t.Errorf("ended after %v, want 290 ms to %v", took, maxWait)
 			}
 		})
 	}
 }
 
-// bound carries an attempt that may be sent for so many ms only, on a kept connection if there is a rested one.
-func (pool *Pool) bound(address string, sendBy decision.Millis, body int) engine.AttemptResult {
+// attemptSendBy runs an attempt that may be sent until sendBy, a time of the pool's clock in ms, with a body of this
+// size.
+func (pool *Pool) attemptSendBy(address string, sendBy decision.Millis, body int) engine.AttemptResult {
 	return pool.runAttempt(context.Background(), engine.Attempt{
 		Endpoint: "n", Address: address, SendBy: sendBy, Deadline: sendBy + 1000,
 		Request: &engine.Request{Method: "POST", URI: "/mark/x", Host: "h", Body: make([]byte, body)},
-	}, pool.targetAt("n", address))
+	}, pool.lookupTarget("n", address))
 }
 
-// until waits for a moment of the pool's clock.
-func (pool *Pool) until(at decision.Millis) {
+// waitUntil waits for a time of the pool's clock, in ms.
+func (pool *Pool) waitUntil(at decision.Millis) {
 	for pool.clock.Now() < at {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// The last moment to send binds the sending alone: an attempt that is sent before it, on a kept connection or a new
-// one, may be responded to after it. At that moment itself nothing is sent any more, though a kept connection stands
-// ready.
-func TestSendByBinds(t *testing.T) {
+// SendBy limits sending only: an attempt that is sent before SendBy, on a reused or a new connection, may get its
+// response later. From SendBy on nothing is sent, even if an idle connection is available.
+func TestSendByLimitsOnlySending(t *testing.T) {
 	for name, test := range map[string]struct {
-		left decision.Millis
-		cool time.Duration // for so long a kept connection is not used
-		want decision.Outcome
-		sent int32
+		left       decision.Millis // until SendBy
+		reuseDelay time.Duration
+		want       decision.Outcome
+		sent       int32
 	}{
-		"before, kept connection":         {400, 0, decision.Succeeded, 1},
-		"before, new connection":          {400, time.Hour, decision.Succeeded, 1},
-		"at that moment, kept connection": {0, 0, decision.NotSent, 0},
-		"at that moment, new connection":  {0, time.Hour, decision.NotSent, 0},
+		"before SendBy, reused connection": {400, 0, decision.Succeeded, 1},
+		"before SendBy, new connection":    {400, time.Hour, decision.Succeeded, 1},
+		"at SendBy, reused connection":     {0, 0, decision.NotSent, 0},
+		"at SendBy, new connection":        {0, time.Hour, decision.NotSent, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := newPool(4)
 			var sendBy atomic.Int64
-			server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) { pool.until(float64(sendBy.Load())); say(ok)(c, r) })
+			server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) {
+				pool.waitUntil(float64(sendBy.Load()))
+				respondWith(okResponse)(c, r)
+			})
 			address := server.Addr().String()
 			pool.attempt(address, "GET", 1000, nil)
-			pool.times.reuseDelay = test.cool
+			pool.timing.reuseDelay = test.reuseDelay
 			sendBy.Store(int64(pool.clock.Now() + test.left))
-			end := pool.bound(address, float64(sendBy.Load()), 0)
-			if sent := server.requests.Load() - 1; end.Outcome != test.want || sent != test.sent {
-				t.Errorf("ended %d, want %d; sent %d times", end.Outcome, test.want, sent)
+			result := pool.attemptSendBy(address, float64(sendBy.Load()), 0)
+			if sent := server.requests.Load() - 1; result.Outcome != test.want || sent != test.sent {
+				t.Errorf("got outcome %d, sent %d times, want %d, %d times", result.Outcome, sent, test.want, test.sent)
 			}
 		})
 	}
 }
 
-// An attempt whose kept connection turns out to be dead when the last moment to send has passed gets no new one: the
-// endpoint that it went to first has forgotten it by then, and it would run twice.
-func TestSendByBeforeNewConnection(t *testing.T) {
-	server, pool := newFakeEndpoint(t, say(ok)), newPool(4)
+// An attempt whose idle connection turns out to be dead after SendBy gets no new connection. By then the endpoint of an
+// earlier attempt may have forgotten the request, which would run twice.
+func TestNoNewConnectionAfterSendBy(t *testing.T) {
+	server, pool := newFakeEndpoint(t, respondWith(okResponse)), newPool(4)
 	address, sendBy := server.Addr().String(), 0.0
-	hook(pool, func() {}, func() error {
+	hookConns(pool, func() {}, func() error {
 		if sendBy == 0 {
 			return nil
 		}
-		pool.until(sendBy)
+		pool.waitUntil(sendBy)
 		return syscall.EPIPE
 	})
 	pool.attempt(address, "GET", 1000, nil)
-	pool.rested()
+	pool.expireReuseDelay()
 	sendBy = pool.clock.Now() + 200
-	checkEnd(t, pool, pool.bound(address, sendBy, 0), decision.NotSent, 0)
+	checkResult(t, pool, pool.attemptSendBy(address, sendBy, 0), decision.NotSent, 0)
 	if n := pool.Stats(); n.Opened != 1 || server.requests.Load() != 1 {
-		t.Errorf("opened %d connections, sent %d times", n.Opened, server.requests.Load())
+		t.Errorf("got %d connections opened, sent %d times, want 1, once", n.Opened, server.requests.Load())
 	}
 }
 
-// A request of which a part is written when the last moment to send comes is not written on: the endpoint, which runs
-// it when it is whole, would not remember that it ran before. That says nothing of the endpoint.
-func TestSendByWhileWritten(t *testing.T) {
+// A request that is partly written at SendBy is not written further: the endpoint, which runs it once it is complete,
+// may have forgotten an earlier run by then. The endpoint does not count as unreachable.
+func TestSendByInterruptsWrite(t *testing.T) {
 	pool := newPool(4)
-	l, ends, sendBy := narrow(t, pool), make(chan engine.AttemptResult, 1), pool.clock.Now()+200
+	l, results, sendBy := listenSmallBuffers(t, pool), make(chan engine.AttemptResult, 1), pool.clock.Now()+200
 	pool.SetAddress("n", l.Addr().String())
-	go func() { ends <- pool.bound(l.Addr().String(), sendBy, unread) }()
-	endpoint := accept(t, l)
-	pool.until(sendBy + 20)
-	if rest, _ := io.ReadAll(endpoint); len(rest) >= unread {
-		t.Errorf("the whole request came after the last moment to send it")
+	go func() { results <- pool.attemptSendBy(l.Addr().String(), sendBy, oversizedBody) }()
+	endpoint := acceptStarted(t, l)
+	pool.waitUntil(sendBy + 20)
+	if rest, _ := io.ReadAll(endpoint); len(rest) >= oversizedBody {
+		t.Errorf("got %d bytes of the request, want fewer than %d", len(rest), oversizedBody)
 	}
-	checkEnd(t, pool, <-ends, decision.NotSent, 0)
+	checkResult(t, pool, <-results, decision.NotSent, 0)
 }
--- a/internal/upstream/responses_test.go
+++ b/internal/upstream/responses_test.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	goOn    = "HTTP/1.1 100 Continue\r\n\r\n"
-	full    = "HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
+	chunkedHead      = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+	continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
+	rejection        = "HTTP/1.1 503 E\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 )
 
-// soon is far more than any time that these tests wait for, and far less than the deadline of an attempt that must not
-// be held until then.
 const (
-	soon     = 3 * time.Second
-	deadline = 10_000 // ms
+	// maxWait is much longer than any expected wait of these tests, and much shorter than longDeadline.
+	maxWait = 3 * time.Second
+	// longDeadline is the time in ms until the deadline of an attempt that must end earlier.
+	longDeadline = 10_000
 )
 
-// hooked is a connection of the pool that calls read after it has read something, and write before it writes.
-type hooked struct {
+// hookedConn is a connection that calls read after each non-empty read and write before each write.
+type hookedConn struct {
 	*net.TCPConn
 	read  func()
 	write func() error
 }
 
-func (c hooked) Read(b []byte) (int, error) {
+func (c hookedConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	if n > 0 {
 		c.read()
@@ -44,101 +44,106 @@
 	return n, err
 }
 
-func (c hooked) Write(b []byte) (int, error) {
+func (c hookedConn) Write(b []byte) (int, error) {
 	if err := c.write(); err != nil {
 		return 0, err
 	}
 	return c.TCPConn.Write(b)
 }
 
-// hook puts hooks into the connections that the pool opens from now on.
-func hook(pool *Pool, read func(), write func() error) {
+// hookConns adds hooks to the connections that the pool opens from now on.
+func hookConns(pool *Pool, read func(), write func() error) {
 	dial := pool.dial
 	pool.dial = func(ctx context.Context, d *net.Dialer, address string) (net.Conn, error) {
 		c, err := dial(ctx, d, address)
 		if err != nil {
 			return nil, err
 		}
-		return hooked{c.(*net.TCPConn), read, write}, nil
+		return hookedConn{c.(*net.TCPConn), read, write}, nil
 	}
 }
 
-func unhooked() error { return nil }
+// noWriteHook is a write hook that does nothing.
+func noWriteHook() error { return nil }
 
-// seen has the pool tell each time that it has read something from an endpoint.
-func seen(pool *Pool) <-chan struct{} {
+// notifyReads returns a channel that receives a value after each non-empty read from an endpoint.
+func notifyReads(pool *Pool) <-chan struct{} {
 	read := make(chan struct{}, 100)
-	hook(pool, func() { read <- struct{}{} }, unhooked)
+	hookConns(pool, func() { read <- struct{}{} }, noWriteHook)
 	return read
 }
 
-// checkEnd fails unless the attempt ended as wanted, with a response only if it succeeded, and the pool holds so many
-// connections, all of them idle.
-func checkEnd(t *testing.T, pool *Pool, end engine.AttemptResult, want decision.Outcome, held int) {
+// checkResult checks that an attempt has this outcome, and a response only if it succeeded. It checks that the pool has
+// this number of connections, all of them idle.
+func checkResult(t *testing.T, pool *Pool, result engine.AttemptResult, want decision.Outcome, idle int) {
 	t.Helper()
-	if end.Outcome != want || (end.Response != nil) != (want == decision.Succeeded) {
-		t.Errorf("ended %d, want %d; reply %v", end.Outcome, want, end.Response)
+	if result.Outcome != want || (result.Response != nil) != (want == decision.Succeeded) {
+		t.Errorf("got outcome %d with response %v, want outcome %d", result.Outcome, result.Response, want)
 	}
-	if end.Response != nil && string(end.Response.Body) != "hi" {
-		t.Errorf("body %q", end.Response.Body)
+	if result.Response != nil && string(result.Response.Body) != "hi" {
+		t.Errorf("got body %q, want %q", result.Response.Body, "hi")
 	}
-	if n := pool.Stats(); n.Open != held || n.Idle != held {
-		t.Errorf("held %d, idle %d, want %d", n.Open, n.Idle, held)
+	if n := pool.Stats(); n.Open != idle || n.Idle != idle {
+		t.Errorf("got %d connections, %d idle, want %d idle", n.Open, n.Idle, idle)
 	}
 }
 
-// A response that breaks off is never passed on in part, the attempt is never taken for one that did not run, its
-// connection is closed and the request is not sent again. Wherever the break is, an endpoint that has ended the
-// connection gives ConnectionBroken, at once, and one that sends no more MalformedResponse, after the time for the
-// rest.
-func TestResponseBreaksOff(t *testing.T) {
+// An incomplete response is not passed on, and its attempt never counts as not run. The connection is closed and the
+// request is not sent again. Wherever the response breaks off, a closed connection gives ConnectionBroken at once, and
+// an endpoint that stops sending gives MalformedResponse after the response read timeout.
+func TestIncompleteResponseNotPassedOn(t *testing.T) {
 	for place, part := range map[string]string{
-		"in the status line":          "HTTP/1.1 20",
-		"in a field name of the head": "HTTP/1.1 200 OK\r\nContent-Le",
-		"in a length":                 "HTTP/1.1 200 OK\r\nContent-Length: 1",
-		"after the head":              "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n",
-		"in the body":                 "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh",
-		"in the size of a chunk":      chunked + "1",
-		"in a chunk":                  chunked + "2\r\nh",
-		"before the last chunk":       chunked + "2\r\nhi\r\n",
-		"before the trailer":          chunked + "2\r\nhi\r\n0\r\n",
-		"in the trailer":              chunked + "2\r\nhi\r\n0\r\nX-Checks",
+		"in the status line":    "HTTP/1.1 20",
+		"in a header name":      "HTTP/1.1 200 OK\r\nContent-Le",
+		"in a content length":   "HTTP/1.1 200 OK\r\nContent-Length: 1",
+		"after the header":      "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n",
+		"in the body":           "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nh",
+		"in a chunk size":       chunkedHead + "1",
+		"in a chunk":            chunkedHead + "2\r\nh",
+		"before the last chunk": chunkedHead + "2\r\nhi\r\n",
+		"before the trailer":    chunkedHead + "2\r\nhi\r\n0\r\n",
+		"in the trailer":        chunkedHead + "2\r\nhi\r\n0\r\nX-Checks",
 	} {
 		for how, test := range map[string]struct {
-			end  func(net.Conn)
-			want decision.Outcome
+			interrupt func(net.Conn)
+			want      decision.Outcome
 		}{
 			"FIN": {func(c net.Conn) {
-				_ = c.(*net.TCPConn).CloseWrite() // fails on a connection that has ended only
+				_ = c.(*net.TCPConn).CloseWrite() // fails only on a closed connection
 			}, decision.ConnectionBroken},
-			"RST":     {reset, decision.ConnectionBroken},
+			"RST":     {resetConn, decision.ConnectionBroken},
 			"silence": {func(net.Conn) {}, decision.MalformedResponse},
 		} {
 			t.Run(place+", "+how, func(t *testing.T) {
 				pool := newPool(4)
-				read, rest := seen(pool), pool.times.responseRest
+				read, readTimeout := notifyReads(pool), pool.timing.responseReadTimeout
 				if test.want == decision.ConnectionBroken {
-					pool.times.responseRest = time.Hour // the ending must not wait for the timer
+					pool.timing.responseReadTimeout = time.Hour // a closed connection must be detected without the timeout
 				}
-				server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) { say(part)(c, r); <-read; test.end(c) })
-				began := time.Now()
-				checkEnd(t, pool, pool.attempt(server.Addr().String(), "POST", deadline, nil), test.want, 0)
-				if took := time.Since(began); took > soon || test.want == decision.MalformedResponse && took < rest {
-					t.Errorf("ended after %v, rest timer %v", took, rest)
+				server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) {
+					respondWith(part)(c, r)
+					<-read
+					test.interrupt(c)
+				})
+				startedAt := time.Now()
+				checkResult(t, pool, pool.attempt(server.Addr().String(), "POST", longDeadline, nil), test.want, 0)
+				took := time.Since(startedAt)
+				if took > maxWait || test.want == decision.MalformedResponse && took < readTimeout {
+					t.Errorf("ended after %v, want at most %v, and at least %v if malformed", took, maxWait, readTimeout)
 				}
 				if <-server.closed; server.requests.Load() != 1 {
-					t.Errorf("sent %d times", server.requests.Load())
+					t.Errorf("got %d requests sent, want 1", server.requests.Load())
 				}
 			})
 		}
 	}
 }
 
-// drain reads what an endpoint has not read yet, until the pool closes the connection.
-func drain(c net.Conn) { go func() { _, _ = io.Copy(io.Discard, c) }() }
+// discardInput reads the rest of a request in the background, until the pool closes the connection.
+func discardInput(c net.Conn) { go func() { _, _ = io.Copy(io.Discard, c) }() }
 
-// drip sends the start of a response at once and then, byte by byte, the same text again and again.
-func drip(start, text string) func(net.Conn, *http.Request) {
+// sendByteByByte returns a handler that sends start at once and then repeats text byte by byte.
+func sendByteByByte(start, text string) func(net.Conn, *http.Request) {
 	return func(c net.Conn, _ *http.Request) {
 		_, err := io.WriteString(c, start)
 		for i := 0; err == nil; i++ {
@@ -148,80 +153,87 @@
 	}
 }
 
-// An endpoint whose response comes a byte at a time is given up a quarter of the connect timeout after the first byte,
-// at least 50 ms: no further byte extends that, else it would keep its requests until their deadlines.
-func TestSlowResponse(t *testing.T) {
+// A response that arrives one byte at a time is cut off after a quarter of the connect timeout, at least 50 ms, from its
+// first byte on. Further bytes do not extend the timeout. Otherwise the endpoint would block its requests until their
+// deadlines.
+func TestSlowResponseEndsAtReadTimeout(t *testing.T) {
 	for name, test := range map[string]struct {
-		start, text string
-		connect     decision.Millis
-		rest        time.Duration
+		start, text    string
+		connectTimeout decision.Millis
+		readTimeout    time.Duration
 	}{
 		"status line": {"", "H", 100, 50 * time.Millisecond},
-		"head":        {"HTTP/1.1 200 OK\r\nX-Padding: ", "x", 100, 50 * time.Millisecond},
+		"header":      {"HTTP/1.1 200 OK\r\nX-Padding: ", "x", 100, 50 * time.Millisecond},
 		"body": {
 			"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n", "x", 100, 50 * time.Millisecond,
 		},
-		"chunks":  {chunked, "1\r\nx\r\n", 100, 50 * time.Millisecond},
-		"trailer": {chunked + "0\r\n", "A: b\r\n", 100, 50 * time.Millisecond},
-		"body, with more time to connect": {
+		"chunks":  {chunkedHead, "1\r\nx\r\n", 100, 50 * time.Millisecond},
+		"trailer": {chunkedHead + "0\r\n", "A: b\r\n", 100, 50 * time.Millisecond},
+		"body, longer connect timeout": {
 			"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n", "x", 800, 200 * time.Millisecond,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := newFakeEndpoint(t, drip(test.start, test.text))
-			pool := NewPool(clock.New(), settings.Network{IdleAfter: 2000, ConnectTimeout: test.connect}, 4, newPool(4).log)
-			began := time.Now()
-			checkEnd(t, pool, pool.attempt(server.Addr().String(), "POST", deadline, nil), decision.MalformedResponse, 0)
-			if took := time.Since(began); took < test.rest || took > soon {
-				t.Errorf("given up after %v, want %v", took, test.rest)
+			server := newFakeEndpoint(t, sendByteByByte(test.start, test.text))
+			network := settings.Network{IdleAfter: 2000, ConnectTimeout: test.connectTimeout}
+			pool := NewPool(clock.New(), network, 4, newPool(4).log)
+			startedAt := time.Now()
+			checkResult(t, pool, pool.attempt(server.Addr().String(), "POST", longDeadline, nil), decision.MalformedResponse, 0)
+			if took := time.Since(startedAt); took < test.readTimeout || took > maxWait {
+				t.Errorf("ended after %v, want %v to %v", took, test.readTimeout, maxWait)
 			}
 		})
 	}
 }
 
-// A 1xx response is not the response: what follows it has the attempt's whole time to begin and counts alone, and an
-// endpoint that falls silent after it may have run the request.
-func TestAfterContinue(t *testing.T) {
+// A 1xx response is skipped: only the response after it counts and may start until the deadline of the attempt. If
+// nothing follows, the endpoint may have run the request.
+func TestInterimResponseSkipped(t *testing.T) {
 	for name, test := range map[string]struct {
 		then func(net.Conn)
 		want decision.Outcome
-		held int
+		idle int // connections afterwards
 	}{
-		"the response":  {func(c net.Conn) { say(ok)(c, nil) }, decision.Succeeded, 1},
-		"two responses": {func(c net.Conn) { say(ok+ok)(c, nil) }, decision.Succeeded, 0},
-		"FIN":           {func(c net.Conn) { end(c) }, decision.ConnectionBroken, 0},
-		"RST":           {reset, decision.ConnectionBroken, 0},
+		"response":      {func(c net.Conn) { respondWith(okResponse)(c, nil) }, decision.Succeeded, 1},
+		"two responses": {func(c net.Conn) { respondWith(okResponse+okResponse)(c, nil) }, decision.Succeeded, 0},
+		"FIN":           {func(c net.Conn) { closeQuietly(c) }, decision.ConnectionBroken, 0},
+		"RST":           {resetConn, decision.ConnectionBroken, 0},
 		"silence":       {func(net.Conn) {}, decision.TimedOut, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := newPool(4)
-			read := seen(pool)
-			server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) { say(goOn)(c, r); <-read; test.then(c) })
-			pool.times.responseRest = time.Nanosecond // over as the next piece comes; a piece that is read at once needs none
-			checkEnd(t, pool, pool.attempt(server.Addr().String(), "POST", 500, nil), test.want, test.held)
+			read := notifyReads(pool)
+			server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) {
+				respondWith(continueResponse)(c, r)
+				<-read
+				test.then(c)
+			})
+			// Over by the time that the next bytes come. A response that is read at once needs no timeout.
+			pool.timing.responseReadTimeout = time.Nanosecond
+			checkResult(t, pool, pool.attempt(server.Addr().String(), "POST", 500, nil), test.want, test.idle)
 		})
 	}
 }
 
-// An endpoint may respond before it has the whole request. That response gives the outcome: taken for one that never
-// ran, because the request was not written to its end, it would be sent again and run twice, or count against an
-// endpoint that only rejected it.
-func TestResponseBeforeRequestEnds(t *testing.T) {
+// A response that arrives before the request is written completely gives the outcome. If the attempt counted as not run
+// because of the incomplete write, the request would be sent again and run twice, or an endpoint that only rejected it
+// would count as unreachable.
+func TestEarlyResponseGivesOutcome(t *testing.T) {
 	for name, test := range map[string]struct {
 		response string
-		then     func(net.Conn) // when the response has reached this side, which still writes
+		then     func(net.Conn) // called when the pool has the response and still writes
 		want     decision.Outcome
-		held     int
+		idle     int // connections afterwards
 	}{
-		"succeeded, then reads the rest": {ok, drain, decision.Succeeded, 1},
-		"two responses, reads the rest":  {ok + ok, drain, decision.Succeeded, 0},
-		"succeeded, then resets":         {ok, reset, decision.Succeeded, 0},
-		"rejected, then resets":          {full, reset, decision.EndpointRejected, 0},
-		"succeeded, reads no more":       {ok, func(net.Conn) {}, decision.Succeeded, 0},
+		"succeeded, then reads the rest": {okResponse, discardInput, decision.Succeeded, 1},
+		"two responses, reads the rest":  {okResponse + okResponse, discardInput, decision.Succeeded, 0},
+		"succeeded, then resets":         {okResponse, resetConn, decision.Succeeded, 0},
+		"rejected, then resets":          {rejection, resetConn, decision.EndpointRejected, 0},
+		"succeeded, reads no more":       {okResponse, func(net.Conn) {}, decision.Succeeded, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pool := newPool(4)
-			l, dialed, ends := narrow(t, pool), make(chan net.Conn, 1), make(chan engine.AttemptResult, 1)
+			l, dialed, results := listenSmallBuffers(t, pool), make(chan net.Conn, 1), make(chan engine.AttemptResult, 1)
 			dial := pool.dial
 			pool.dial = func(ctx context.Context, d *net.Dialer, address string) (net.Conn, error) {
 				c, err := dial(ctx, d, address)
@@ -231,16 +243,16 @@
 			pool.SetAddress("n", l.Addr().String())
 			pool.StartAttempt(engine.Attempt{
 				Endpoint: "n", Address: l.Addr().String(), Deadline: pool.clock.Now() + 1000,
-				Request: &engine.Request{Method: "POST", URI: "/pay/x", Host: "h", Body: make([]byte, unread)},
-				OnEnd:   func(e engine.AttemptResult) { ends <- e },
+				Request: &engine.Request{Method: "POST", URI: "/pay/x", Host: "h", Body: make([]byte, oversizedBody)},
+				OnEnd:   func(r engine.AttemptResult) { results <- r },
 			})
-			endpoint, client := accept(t, l), <-dialed
-			write(endpoint, test.response)
-			for sockopt.IsIdle(client.(syscall.Conn)) { // the response is on its way
+			endpoint, client := acceptStarted(t, l), <-dialed
+			writeText(endpoint, test.response)
+			for sockopt.IsIdle(client.(syscall.Conn)) { // the response has not arrived yet
 				time.Sleep(time.Millisecond)
 			}
 			test.then(endpoint)
-			checkEnd(t, pool, <-ends, test.want, test.held)
+			checkResult(t, pool, <-results, test.want, test.idle)
 		})
 	}
 }
