--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -12,37 +12,38 @@
 	"ottershed/internal/engine"
 )
 
-const maxSnapshotBytes = 1 << 20 // of a response's body
+const maxSnapshotBytes = 1 << 20 // of a response body
 
 var (
-	// errTimeout ends a call that has no response in time.
-	errTimeout = errors.New("no answer in time")
-	// errRejected is the response of a service that has too many calls.
+	// errTimeout is the error of a call that exceeded one of its time limits.
+	errTimeout = errors.New("no response within the time limit")
+	// errRejected is the error of a call that an overloaded service rejected.
 	errRejected = errors.New("refused")
 )
 
-// call is one request for the list, and how far its response has come.
+// call is one request for the list with the progress of its response.
 type call struct {
 	url              string
-	firstByteTimeout time.Duration // until the response begins
-	stallTimeout     time.Duration // without a byte of a response that has begun; 0: no limit, other calls go out beside it
-	timeout          time.Duration // until the last byte
-	sentAt           time.Time     // zero where nobody asks whether it is arriving
+	firstByteTimeout time.Duration // until the first byte of the response
+	stallTimeout     time.Duration // between two bytes of a response; 0: no limit, since the call is hedged
+	timeout          time.Duration // until the last byte of the response
+	sentAt           time.Time     // zero if arriving is not called
 
-	lastByteAt atomic.Int64 // when the last byte came, in ns from sentAt on; 0: none has
-	complete   atomic.Bool  // all bytes have come, and the list is being decoded
+	lastByteAt atomic.Int64 // time of the last byte in ns since sentAt; 0: no byte yet
+	complete   atomic.Bool  // the body was read completely and is being decoded
 }
 
-// arriving tells whether the response has begun and goes on: a byte came within this span, or it is being decoded.
-func (c *call) arriving(span time.Duration) bool {
-	last := time.Duration(c.lastByteAt.Load())
-	return c.complete.Load() || last > 0 && time.Since(c.sentAt)-last < span
+// arriving reports whether the response is in progress: a byte came within the last stallTimeout, or the body is being
+// decoded.
+func (c *call) arriving(stallTimeout time.Duration) bool {
+	lastByteAt := time.Duration(c.lastByteAt.Load())
+	return c.complete.Load() || lastByteAt > 0 && time.Since(c.sentAt)-lastByteAt < stallTimeout
 }
 
-// progress notes that bytes have come.
+// progress records that bytes were received.
 func (c *call) progress() { c.lastByteAt.Store(max(1, int64(time.Since(c.sentAt)))) }
 
-// progressReader calls progress each time that bytes have come.
+// progressReader calls progress after each non-empty read.
 type progressReader struct {
 	io.Reader
 	progress func()
@@ -56,23 +57,25 @@
 	return n, err
 }
 
-// get makes a call within its time limits; the error is errTimeout if it exceeded one.
+// get makes a call within its time limits and returns the decoded update. The error is errTimeout if a limit was
+// exceeded.
 func (w *watch) get(ctx context.Context, c *call) (engine.EndpointUpdate, error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, c.timeout, errTimeout)
 	defer cancel()
-	ctx, end := context.WithCancelCause(ctx)
-	defer end(nil)
-	overdue := time.AfterFunc(c.firstByteTimeout, func() { end(errTimeout) })
-	defer overdue.Stop()
-	update, err := w.fetch(ctx, c, overdue)
+	ctx, cancelCause := context.WithCancelCause(ctx)
+	defer cancelCause(nil)
+	timer := time.AfterFunc(c.firstByteTimeout, func() { cancelCause(errTimeout) })
+	defer timer.Stop()
+	update, err := w.fetch(ctx, c, timer)
 	if err != nil && errors.Is(context.Cause(ctx), errTimeout) {
 		err = errTimeout
 	}
 	return update, err
 }
 
-// fetch sends a call and reads its response. It resets overdue, which ends the call, each time that bytes come.
-func (w *watch) fetch(ctx context.Context, current *call, overdue *time.Timer) (engine.EndpointUpdate, error) {
+// fetch sends a call and reads its response. timer ends the call when it fires; fetch stops it with the first byte and,
+// if the call has a stallTimeout, restarts it with each byte.
+func (w *watch) fetch(ctx context.Context, current *call, timer *time.Timer) (engine.EndpointUpdate, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, current.url, nil)
 	if err != nil {
 		return engine.EndpointUpdate{}, err
@@ -82,33 +85,33 @@
 	if err != nil {
 		return engine.EndpointUpdate{}, err
 	}
-	defer func() { _ = res.Body.Close() }() // what counts of the body was read
+	defer func() { _ = res.Body.Close() }() // the body was read as far as needed
 	progress := func() {
 		current.progress()
-		if current.stallTimeout > 0 { // else a stalled response would delay the next call for as long as a whole watch
-			overdue.Reset(current.stallTimeout)
+		if current.stallTimeout > 0 { // without it a stalled response would delay the next call by a whole watch
+			timer.Reset(current.stallTimeout)
 		}
 	}
-	overdue.Stop()
+	timer.Stop()
 	progress()
 	if err := statusError(res.StatusCode); err != nil {
 		return engine.EndpointUpdate{}, err
 	}
 	raw, err := io.ReadAll(io.LimitReader(progressReader{res.Body, progress}, maxSnapshotBytes))
 	if err != nil {
-		return engine.EndpointUpdate{}, fmt.Errorf("list: %w", err)
+		return engine.EndpointUpdate{}, fmt.Errorf("read endpoint list: %w", err)
 	}
 	current.complete.Store(true)
 	return w.decode(raw)
 }
 
-// statusError is the failure that a response's status stands for, nil for none.
+// statusError returns the error for the status of a response, nil for 200. The error of a 503 or 429 is errRejected.
 func statusError(status int) error {
 	switch status {
 	case http.StatusOK:
 		return nil
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return fmt.Errorf("list: status %d: %w", status, errRejected)
+		return fmt.Errorf("fetch endpoint list: status %d: %w", status, errRejected)
 	}
-	return fmt.Errorf("list: status %d", status)
+	return fmt.Errorf("fetch endpoint list: status %d, want 200", status)
 }
--- a/internal/discovery/snapshot.go
+++ b/internal/discovery/snapshot.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	maxOpenCalls = 16 // calls that are open at once, half of the descriptors that are kept for such
-	maxLongCalls = 4  // of them, those that may stay open for all of snapshotTimeout
+	maxOpenCalls = 16 // calls open at the same time: half of the descriptors that internal/config reserves
+	maxLongCalls = 4  // of these, calls that may stay open for all of snapshotTimeout
 )
 
-// snapshotCall is a full snapshot call that others may go out beside.
+// snapshotCall is a full snapshot call that may be hedged by further calls.
 type snapshotCall struct {
 	call
-	longLived bool // it may stay open for all of snapshotTimeout and is not evicted for newer calls
+	longLived bool // may stay open for all of snapshotTimeout and is not evicted for newer calls
 	cancel    context.CancelFunc
 	update    engine.EndpointUpdate
 	err       error
 }
 
-// hedgedSnapshot calls for a full snapshot, and again beside the calls without a response, until one has a response or
-// fails.
+// hedgedSnapshot requests a full snapshot. While no response arrives, it sends further calls in parallel, until one
+// call succeeds or fails.
 //
-// An agent that is down for a while answers none of the calls that it took meanwhile, and what it holds from its
-// first moment back counts as notified. With one call a second, hundreds of instances would send new requests to
-// endpoints that began to drain during the outage, up to a second past the grace.
+// After an outage an agent never responds to the calls that it accepted meanwhile, and changes count as notified from
+// the moment that the agent is back. With one call a second, hundreds of instances would send new requests to endpoints
+// that started draining during the outage, up to a second past the grace.
 //
-// The agent may also be slow. So once a second a call goes out that stays open for snapshotTimeout, while the others
-// are given up earlier and the oldest of them is evicted for a new one; a call that is overdue ends alone. And while
-// a response arrives or is decoded, no further call goes out: a huge list takes a slow machine longer than
-// hedgeAfter, and with more calls beside it none would be complete in time. A response that stalls blocks further
-// calls for stallTimeout.
+// The agent may also be slow. So once a second a long-lived call is sent, which may stay open for snapshotTimeout. The
+// other calls time out earlier, and the oldest of them is evicted for a new call. The timeout of one call does not end
+// the others. While a response arrives or is decoded, no further call is sent: a huge list takes a slow machine longer
+// than hedgeAfter, and with parallel calls none would complete in time. A stalled response blocks further calls for
+// stallTimeout.
 //
-// All calls go out after the list that was delivered last, so none brings an older one; only the first response counts.
+// All calls are sent after the last delivered list, so none returns an older list. Only the first response counts.
 func (w *watch) hedgedSnapshot(ctx context.Context) (engine.EndpointUpdate, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -63,15 +63,16 @@
 	}
 }
 
-// hedgedCalls is the full snapshot calls that are open beside each other. Only hedgedSnapshot's goroutine uses it.
+// hedgedCalls holds the full snapshot calls that are open in parallel. It is used only by the goroutine of
+// hedgedSnapshot.
 type hedgedCalls struct {
 	*watch
-	open        []*snapshotCall // the oldest first
-	longLivedAt time.Time       // when the newest long-lived call went out; zero: none has
+	open        []*snapshotCall // oldest first
+	longLivedAt time.Time       // time of the newest long-lived call; zero: none
 	done        chan *snapshotCall
 }
 
-// send makes one more call, in place of the oldest if as many are open as may be.
+// send sends one more call. If maxOpenCalls are open, it evicts the oldest call first.
 func (c *hedgedCalls) send(ctx context.Context) {
 	next := c.newCall()
 	if len(c.open) >= maxOpenCalls {
@@ -90,8 +91,8 @@
 	}()
 }
 
-// newCall is the next call. It is long-lived if the newest such is old enough; from the second on, the agent has had no
-// response for so long that it counts as unavailable.
+// newCall creates the next call. The call is long-lived if the last long-lived one was sent a quarter of the long
+// timeout ago or earlier. From the second long-lived call on, the agent counts as unavailable.
 func (c *hedgedCalls) newCall() *snapshotCall {
 	longTimeout := max(c.responseTimeout, c.snapshotTimeout)
 	next := &snapshotCall{call: call{
@@ -110,27 +111,28 @@
 	return next
 }
 
-// evictOldest ends the oldest call that is not long-lived.
+// evictOldest cancels and removes the oldest call that is not long-lived.
 func (c *hedgedCalls) evictOldest() {
 	oldest := max(0, slices.IndexFunc(c.open, func(open *snapshotCall) bool { return !open.longLived }))
 	c.open[oldest].cancel()
 	c.open = slices.Delete(c.open, oldest, oldest+1)
 }
 
-// remove forgets a call that failed. Only an overdue or evicted one is no error, since the others go on.
+// remove removes a failed call and returns its error. A timed-out or evicted call gives no error, since the other calls
+// continue.
 func (c *hedgedCalls) remove(ended *snapshotCall) error {
-	at := slices.Index(c.open, ended)
-	if at < 0 {
+	index := slices.Index(c.open, ended)
+	if index < 0 {
 		return nil // evicted
 	}
 	if !errors.Is(ended.err, errTimeout) {
 		return ended.err
 	}
-	c.open = slices.Delete(c.open, at, at+1)
+	c.open = slices.Delete(c.open, index, index+1)
 	return nil
 }
 
-// arriving tells whether the response to a call has begun and goes on.
+// arriving reports whether the response to any open call is in progress.
 func (c *hedgedCalls) arriving() bool {
 	return slices.ContainsFunc(c.open, func(open *snapshotCall) bool { return open.arriving(c.stallTimeout) })
 }
--- a/internal/discovery/snapshot_test.go
+++ b/internal/discovery/snapshot_test.go
@@ -15,71 +15,71 @@
 	"ottershed/internal/settings"
 )
 
-// An agent that was down answers none of the calls it took meanwhile: calls for a full snapshot follow each other
-// well within the grace for drains, so that it is received as soon as the agent is back; so is the list of one that
-// is slower than that.
-func TestAgentBack(t *testing.T) {
+// An agent that was down never responds to the calls that it accepted meanwhile. Full snapshot calls are hedged well
+// within the drain grace, so that the list is received as soon as the agent is back. The list of an agent that takes
+// longer than the hedge interval is received too.
+func TestFullSnapshotReceivedAfterOutage(t *testing.T) {
 	for name, test := range map[string]struct {
-		lost int           // calls that are never answered
-		slow time.Duration // until the others are
+		unanswered int           // number of first calls without a response
+		delay      time.Duration // of the later responses
 	}{
-		"back after an outage":     {lost: 40},
-		"slower than calls follow": {slow: 30 * time.Millisecond},
+		"back after an outage":           {unanswered: 40},
+		"slower than the hedge interval": {delay: 30 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var calls atomic.Int64
 			back := make(chan time.Time, 1)
 			address := fakeAgent(t, func(r *http.Request) reply {
-				if int(calls.Add(1)) <= test.lost || r.URL.RawQuery != "" {
+				if int(calls.Add(1)) <= test.unanswered || r.URL.RawQuery != "" {
 					return reply{}
 				}
 				select {
 				case back <- time.Now():
 				default:
 				}
-				time.Sleep(test.slow)
-				return reply{body: list(41, true, "Ready")}
+				time.Sleep(test.delay)
+				return reply{body: encodeUpdate(41, true, "Ready")}
 			})
 			updates := make(chan engine.EndpointUpdate, 10)
 			watcher := New(address, nil, settings.Network{DrainGrace: 40},
-				func(update engine.EndpointUpdate) { updates <- update }, quiet())
+				func(update engine.EndpointUpdate) { updates <- update }, discardLog())
 			if watcher.hedgeAfter != 10*time.Millisecond || watcher.retryDelay > watcher.hedgeAfter {
-				t.Errorf("another call after %v, after a failure after %v", watcher.hedgeAfter, watcher.retryDelay)
+				t.Errorf("got hedge interval %v, retry delay %v, want 10ms, at most 10ms", watcher.hedgeAfter, watcher.retryDelay)
 			}
-			// Ten calls at most are open; forty are lost in some four such times.
+			// At most ten calls are open, so forty unanswered calls take about four response timeouts.
 			watcher.responseTimeout = 100 * time.Millisecond
-			_, stop := follow(t, watcher)
-			expect(t, updates, 41, 10*time.Second)
-			if got := int(calls.Load()); got < test.lost+1 {
-				t.Errorf("list 41 after %d calls", got)
+			_, stop := runWatcher(t, watcher)
+			expectVersion(t, updates, 41, 10*time.Second)
+			if got := int(calls.Load()); got < test.unanswered+1 {
+				t.Errorf("got list 41 after %d calls, want at least %d", got, test.unanswered+1)
 			}
 			stop()
 			if len(back) != 1 {
-				t.Error("no call reached the agent once it was back")
+				t.Error("got no call after the outage, want at least 1")
 			}
 		})
 	}
 }
 
-// However short the grace, few calls are open to an agent that does not respond, since each takes a descriptor; and the
-// response to the first of them is received when it comes at last.
-func TestFewCalls(t *testing.T) {
-	updates, first := make(chan engine.EndpointUpdate, 10), make(chan struct{})
-	var calls, open, most atomic.Int64
+// The number of open calls to an unresponsive agent is limited, however short the grace, since each call takes a
+// descriptor. The response to the first call is still received when it arrives late.
+func TestOpenCallsLimited(t *testing.T) {
+	updates, respond := make(chan engine.EndpointUpdate, 10), make(chan struct{})
+	var calls, open, maxOpen atomic.Int64
 	address := fakeAgent(t, func(r *http.Request) reply {
 		number := calls.Add(1)
 		now := open.Add(1)
 		defer open.Add(-1)
-		most.Store(max(most.Load(), now))
+		maxOpen.Store(max(maxOpen.Load(), now))
 		if number == 4*maxOpenCalls {
-			close(first)
+			close(respond)
 		}
-		// Calls may arrive in another order than they were sent. Of the first ones, only that which was sent first is open
-		// by the time that so many have come: the others had to make room.
+		// Calls may arrive in another order than they were sent. Of the first maxOpenCalls calls, only the one that was sent
+		// first, the long-lived one, is still open after 4*maxOpenCalls calls: the others were evicted.
 		if number <= maxOpenCalls {
 			select {
-			case <-first:
-				return reply{body: list(41, true, "Ready")}
+			case <-respond:
+				return reply{body: encodeUpdate(41, true, "Ready")}
 			case <-r.Context().Done():
 			}
 		}
@@ -87,115 +87,114 @@
 		return reply{}
 	})
 	watcher := New(address, nil, settings.Network{DrainGrace: 8},
-		func(update engine.EndpointUpdate) { updates <- update }, quiet())
+		func(update engine.EndpointUpdate) { updates <- update }, discardLog())
 	watcher.responseTimeout = 10 * time.Second
-	follow(t, watcher)
-	expect(t, updates, 41, 10*time.Second)
-	// The stand-in sees the end of a call a moment late.
-	if most.Load() > 2*maxOpenCalls {
-		t.Errorf("%d calls open at once, want %d or hardly more", most.Load(), maxOpenCalls)
+	runWatcher(t, watcher)
+	expectVersion(t, updates, 41, 10*time.Second)
+	// The fake agent notices the end of a call with a delay.
+	if maxOpen.Load() > 2*maxOpenCalls {
+		t.Errorf("got %d calls open at the same time, want about %d", maxOpen.Load(), maxOpenCalls)
 	}
 }
 
-// Of two calls beside each other the first response counts, and the other is never delivered: an older list does not
-// come after a newer one.
-func TestTwoResponses(t *testing.T) {
+// Of two parallel calls, only the first response is delivered: an older list does not follow a newer one.
+func TestOnlyFirstResponseDelivered(t *testing.T) {
 	updates, second := make(chan engine.EndpointUpdate, 10), make(chan struct{})
 	var calls atomic.Int64
 	canceled := make(chan struct{})
 	watcher := New(fakeAgent(t, func(r *http.Request) reply {
 		switch calls.Add(1) {
-		case 1: // slow, and older
+		case 1: // slow, with an older list
 			<-second
 			select {
 			case <-r.Context().Done():
 				close(canceled)
 			case <-time.After(10 * time.Second):
 			}
-			return reply{body: list(41, true, "Ready")}
+			return reply{body: encodeUpdate(41, true, "Ready")}
 		case 2:
 			close(second)
-			return reply{body: list(42, true, "Terminating")}
+			return reply{body: encodeUpdate(42, true, "Terminating")}
 		case 3:
 			<-canceled
-			return reply{body: list(43, false, "Gone")}
+			return reply{body: encodeUpdate(43, false, "Gone")}
 		}
 		return reply{}
-	}), nil, settings.Network{DrainGrace: 100}, func(update engine.EndpointUpdate) { updates <- update }, quiet())
+	}), nil, settings.Network{DrainGrace: 100}, func(update engine.EndpointUpdate) { updates <- update }, discardLog())
 	watcher.responseTimeout, watcher.watchTimeout = 20*time.Second, 20*time.Second
-	follow(t, watcher)
-	expect(t, updates, 42, 10*time.Second)
-	expect(t, updates, 43, 10*time.Second)
+	runWatcher(t, watcher)
+	expectVersion(t, updates, 42, 10*time.Second)
+	expectVersion(t, updates, 43, 10*time.Second)
 }
 
 // hedgeInterval is the time between the calls of slowWatch.
 const hedgeInterval = 10 * time.Millisecond
 
-// slowCase is how an agent is slow, and what is expected of the calls to it.
+// slowCase describes a slow agent and the expected result of the calls.
 type slowCase struct {
-	response func(call int) []piece // to a full snapshot call
-	version  int64                  // of the list that is delivered
-	at       time.Duration          // when it is
-	calls    int                    // until then; 0: any
-	decoding time.Duration          // how long each list takes
+	response       func(call int) []segment // to a full snapshot call, by its number
+	version        int64                    // of the delivered list
+	deliveredAfter time.Duration            // time until the list is delivered
+	calls          int                      // number of calls until then; 0: any
+	decodeTime     time.Duration            // duration of decoding a list
 }
 
-// The list of an agent that responds late, or slowly, is received within the time in which the operators count a
-// change as notified; calls beside each other neither end nor slow down the one whose response comes.
-func TestSlowAgent(t *testing.T) {
-	older, newer := list(41, true, "Ready"), list(42, true, "Terminating")
+// The list of an agent that responds late or slowly is received before the operators count a change as notified (6 s).
+// Hedged calls neither end nor slow down the call whose response arrives.
+func TestSlowAgentListDelivered(t *testing.T) {
+	older, newer := encodeUpdate(41, true, "Ready"), encodeUpdate(42, true, "Terminating")
 	for name, test := range map[string]slowCase{
-		"each response three seconds late": {
-			response: func(int) []piece { return []piece{{3 * time.Second, older}} },
-			version:  41, at: 3 * time.Second,
+		"each response 3 s late": {
+			response: func(int) []segment { return []segment{{3 * time.Second, older}} },
+			version:  41, deliveredAfter: 3 * time.Second,
 		},
-		"an outage, then half a second late": {response: func(call int) []piece {
+		"2.5 s outage, then 500 ms late": {response: func(call int) []segment {
 			if call < 250 { // 2.5 s
-				return []piece{never}
+				return []segment{neverSent}
 			}
-			return []piece{{500 * time.Millisecond, older}}
-		}, version: 41, at: 3500 * time.Millisecond},
-		"only the second long-lived call has a response": {response: func(call int) []piece {
+			return []segment{{500 * time.Millisecond, older}}
+		}, version: 41, deliveredAfter: 3500 * time.Millisecond},
+		"only the second long-lived call has a response": {response: func(call int) []segment {
 			if call == 101 {
-				return []piece{{3500 * time.Millisecond, older}} // when the first has been given up
+				return []segment{{3500 * time.Millisecond, older}} // after the first has timed out
 			}
-			return []piece{never}
-		}, version: 41, at: 4500 * time.Millisecond},
-		"in pieces for three seconds": {
-			response: func(int) []piece { return evenly(300*time.Millisecond, older, 10) },
-			version:  41, at: 3 * time.Second,
+			return []segment{neverSent}
+		}, version: 41, deliveredAfter: 4500 * time.Millisecond},
+		"steadily for 3 s": {
+			response: func(int) []segment { return splitEvenly(300*time.Millisecond, older, 10) },
+			version:  41, deliveredAfter: 3 * time.Second,
 		},
-		"steadily, longer than calls follow": {response: func(call int) []piece {
+		"steadily, longer than the hedge interval": {response: func(call int) []segment {
 			if call == 1 {
-				return append([]piece{{after: 5 * time.Millisecond}}, evenly(100*time.Millisecond, older, 10)...)
+				return append([]segment{{after: 5 * time.Millisecond}}, splitEvenly(100*time.Millisecond, older, 10)...)
 			}
-			return []piece{{0, newer}}
-		}, version: 41, at: 1005 * time.Millisecond, calls: 1},
-		"steadily, and too long": {response: func(call int) []piece {
+			return []segment{{0, newer}}
+		}, version: 41, deliveredAfter: 1005 * time.Millisecond, calls: 1},
+		"steadily, longer than snapshotTimeout": {response: func(call int) []segment {
 			if call == 1 {
-				return append([]piece{{after: 5 * time.Millisecond}}, evenly(150*time.Millisecond, older, 30)...)
+				return append([]segment{{after: 5 * time.Millisecond}}, splitEvenly(150*time.Millisecond, older, 30)...)
 			}
-			return []piece{{0, newer}}
-		}, version: 42, at: snapshotTimeout, calls: 2},
-		"only a part": {response: func(call int) []piece {
+			return []segment{{0, newer}}
+		}, version: 42, deliveredAfter: snapshotTimeout, calls: 2},
+		"stalls": {response: func(call int) []segment {
 			if call == 1 {
-				return []piece{{5 * time.Millisecond, older[:20]}, never}
+				return []segment{{5 * time.Millisecond, older[:20]}, neverSent}
 			}
-			return []piece{{0, newer}}
-		}, version: 42, at: stallTimeout + hedgeInterval, calls: 2},
-		"a part, and the rest when another response has come": {response: func(call int) []piece {
+			return []segment{{0, newer}}
+		}, version: 42, deliveredAfter: stallTimeout + hedgeInterval, calls: 2},
+		"stalls until another response has arrived": {response: func(call int) []segment {
 			if call == 1 {
-				return []piece{{5 * time.Millisecond, older[:20]}, {stallTimeout + hedgeInterval, older[20:]}}
+				return []segment{{5 * time.Millisecond, older[:20]}, {stallTimeout + hedgeInterval, older[20:]}}
 			}
-			return []piece{{0, newer}}
-		}, version: 42, at: stallTimeout + hedgeInterval, calls: 2},
-		"long to decode": {
-			response: func(call int) []piece { return []piece{{5 * time.Millisecond, older}} },
-			version:  41, at: 1005 * time.Millisecond, calls: 1, decoding: time.Second,
+			return []segment{{0, newer}}
+		}, version: 42, deliveredAfter: stallTimeout + hedgeInterval, calls: 2},
+		"slow decoding": {
+			response: func(call int) []segment { return []segment{{5 * time.Millisecond, older}} },
+			version:  41, deliveredAfter: 1005 * time.Millisecond, calls: 1, decodeTime: time.Second,
 		},
-		"slow to read and long to decode": {response: func(call int) []piece {
-			return append([]piece{{after: 5 * time.Millisecond}}, evenly(390*time.Millisecond, older, 10)...)
-		}, version: 41, at: 4905 * time.Millisecond, decoding: time.Second},
+		"slow response and slow decoding": {response: func(call int) []segment {
+			return append([]segment{{after: 5 * time.Millisecond}}, splitEvenly(390*time.Millisecond, older, 10)...)
+		}, version: 41, deliveredAfter: 4905 * time.Millisecond, decodeTime: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, test.check)
@@ -203,90 +202,92 @@
 	}
 }
 
-// check runs a watch on an agent of this case, in the time of synctest.
+// check runs a watch on an agent of this case in a synctest bubble.
 func (c slowCase) check(t *testing.T) {
 	t.Helper()
 	updates := make(chan engine.EndpointUpdate, 10)
-	agent := &slowAgent{respond: func(call int, since string) []piece {
+	agent := &slowAgent{respond: func(call int, since string) []segment {
 		if since != "" {
-			return []piece{never}
+			return []segment{neverSent}
 		}
 		return c.response(call)
 	}}
-	slow := slowWatch(agent, offerTo(updates))
+	slow := newSlowWatch(agent, sendOrDrop(updates))
 	slow.decode = func(raw []byte) (engine.EndpointUpdate, error) {
-		time.Sleep(c.decoding)
+		time.Sleep(c.decodeTime)
 		return Decode(raw)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	began := time.Now()
+	startedAt := time.Now()
 	go slow.run(ctx)
-	defer time.Sleep(c.decoding + time.Millisecond) // what is being decoded goes on to its end
+	defer time.Sleep(c.decodeTime + time.Millisecond) // decoding is not canceled
 	defer cancel()
 	select {
 	case update := <-updates:
-		c.checkUpdate(t, agent, update, time.Since(began))
+		c.checkUpdate(t, agent, update, time.Since(startedAt))
 	case <-time.After(20 * time.Second):
-		t.Fatal("no list was delivered")
+		t.Fatal("got no list within 20 s")
 	}
 	time.Sleep(5 * time.Millisecond)
 	if len(updates) > 0 {
-		t.Errorf("then list %d was delivered", (<-updates).Version)
+		t.Errorf("got list %d afterwards, want no further list", (<-updates).Version)
 	}
 }
 
-// checkUpdate checks the first update, which took so long, and the calls until then.
+// checkUpdate checks the first update, the time until it was delivered and the calls until then.
 func (c slowCase) checkUpdate(t *testing.T, agent *slowAgent, update engine.EndpointUpdate, took time.Duration) {
 	t.Helper()
 	agent.mu.Lock()
-	calls, most := len(agent.calls), agent.most
+	calls, maxOpen := len(agent.calls), agent.maxOpen
 	agent.mu.Unlock()
-	if update.Version != c.version || took < c.at || took > c.at+hedgeInterval {
-		t.Errorf("list %d delivered after %v, want %d after %v", update.Version, took, c.version, c.at)
+	if update.Version != c.version || took < c.deliveredAfter || took > c.deliveredAfter+hedgeInterval {
+		t.Errorf("got list %d after %v, want list %d after %v", update.Version, took, c.version, c.deliveredAfter)
 	}
-	if c.calls > 0 && calls > c.calls+1 { // the next watch may be out
-		t.Errorf("%d calls, want %d", calls, c.calls)
+	if c.calls > 0 && calls > c.calls+1 { // the next watch may have been sent already
+		t.Errorf("got %d calls, want %d", calls, c.calls)
 	}
-	if most > maxOpenCalls {
-		t.Errorf("%d calls open at once, want %d at most", most, maxOpenCalls)
+	if maxOpen > maxOpenCalls {
+		t.Errorf("got %d calls open at the same time, want at most %d", maxOpen, maxOpenCalls)
 	}
 }
 
-// To an agent that does not respond, however long, no more calls are open than there are descriptors for, and it is
-// said to be unavailable after a second; a connection that breaks ends the waiting.
-func TestLongSilence(t *testing.T) {
+// The number of open calls to an unresponsive agent stays limited, and the agent is reported unavailable after 1 s. A
+// broken connection ends the hedged calls.
+func TestUnresponsiveAgentReportedUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		agent := &slowAgent{respond: func(call int, _ string) []piece {
+		agent := &slowAgent{respond: func(call int, _ string) []segment {
 			if call == 2000 { // after 20 s
 				return nil
 			}
-			return []piece{never}
+			return []segment{neverSent}
 		}}
-		slow := slowWatch(agent, func(engine.EndpointUpdate) { t.Error("a list was delivered") })
-		began := time.Now()
+		slow := newSlowWatch(agent, func(engine.EndpointUpdate) { t.Error("got a list, want none") })
+		startedAt := time.Now()
 		var warned atomic.Int64
-		slow.log = warnings{slow.log, func() { warned.CompareAndSwap(0, int64(time.Since(began))) }}
-		_, err := slow.next(t.Context())
-		if took := time.Since(began); !errors.Is(err, errBroken) || took < 19*time.Second || took > 21*time.Second {
-			t.Errorf("after %v: %v, want %v", took, err, errBroken)
+		slow.log = warningHook{slow.log, func() { warned.CompareAndSwap(0, int64(time.Since(startedAt))) }}
+		_, err := slow.fetchNext(t.Context())
+		if took := time.Since(startedAt); !errors.Is(err, errBroken) || took < 19*time.Second || took > 21*time.Second {
+			t.Errorf("got error %v after %v, want %v after 19 s to 21 s", err, took, errBroken)
 		}
-		if at := time.Duration(warned.Load()); at < responseTimeout || at > responseTimeout+20*time.Millisecond {
-			t.Errorf("said to be unavailable after %v, want %v", at, responseTimeout)
+		warnedAfter := time.Duration(warned.Load())
+		if warnedAfter < responseTimeout || warnedAfter > responseTimeout+20*time.Millisecond {
+			t.Errorf("reported unavailable after %v, want %v", warnedAfter, responseTimeout)
 		}
 		synctest.Wait()
-		if open := agent.open(); agent.most > maxOpenCalls || open > 0 {
-			t.Errorf("%d calls open at once, %d in the end, want %d and none", agent.most, open, maxOpenCalls)
+		if open := agent.openCalls(); agent.maxOpen > maxOpenCalls || open > 0 {
+			t.Errorf("got %d calls open at the same time, %d at the end, want at most %d, none",
+				agent.maxOpen, open, maxOpenCalls)
 		}
 	})
 }
 
-// warnings is a log that calls warned with each warning.
-type warnings struct {
+// warningHook is a logger that calls warned for each warning with an error.
+type warningHook struct {
 	logrus.FieldLogger
 	warned func()
 }
 
-func (w warnings) WithError(err error) *logrus.Entry {
+func (w warningHook) WithError(err error) *logrus.Entry {
 	w.warned()
 	return w.FieldLogger.WithError(err)
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -14,46 +14,46 @@
 	"ottershed/internal/engine"
 )
 
-// watchState is what a watch does next. The transitions:
+// watchState is the state of a watch. The transitions:
 //
-//	from            on                                                     to
-//	(start)         polled, a version is known                             awaitingResume
+//	from            event                                                  to
+//	(start)         polled list, a version is known                        awaitingResume
 //	(start)         otherwise                                              fetching
-//	fetching,       update, a full snapshot was asked for by Resolve       fetching
+//	fetching,       update, Resolve has requested a full snapshot          fetching
 //	watching        update                                                 watching
 //	                update, a newer watch has delivered                    superseded
-//	                pushed list, no response in time                       fetching
+//	                pushed list, timeout                                   fetching
 //	                pushed list, another failure                           backingOff
-//	                polled, rejected or the second failure in a row        awaitingResume
-//	                polled, another failure                                backingOff
+//	                polled list, rejected or second failure in a row       awaitingResume
+//	                polled list, another failure                           backingOff
 //	awaitingResume  ResumeWatch                                            watching, or fetching without a version
 //	backingOff      the retry delay has passed                             watching, or fetching without a version
 //
-// A watch of a pushed list loses its version with each failure; one that polls keeps it, because full snapshots for all
-// instances are most of what calls cost a service.
+// A watch of a pushed list discards its version after each failure. A polling watch keeps its version, because full
+// snapshots for all instances are most of the load that calls put on a service.
 type watchState int
 
 const (
-	fetching       watchState = iota // a full snapshot call goes out
-	watching                         // a call for the changes since the version goes out
-	awaitingResume                   // no call goes out until the decision module says so
-	backingOff                       // no call goes out for the retry delay
+	fetching       watchState = iota // sending a full snapshot call
+	watching                         // sending a call for the changes since the version
+	awaitingResume                   // sending nothing until ResumeWatch
+	backingOff                       // sending nothing for the retry delay
 	superseded                       // the watch has ended
 )
 
-// watch follows the list at one address. Only its own goroutine uses the fields.
+// watch follows the list at one address. Its fields are used only by the goroutine of run.
 type watch struct {
 	*Watcher
-	number      int    // from 1, in the order of their start
+	number      int    // in the order of start, from 1
 	url         string // of the list
-	version     int64  // of the list that was delivered last; noVersion: the next call is for a full snapshot
+	version     int64  // of the last delivered list; noVersion: the next call requests a full snapshot
 	client      *http.Client
-	delivered   chan<- int // takes the number with the first update
-	unavailable bool       // the last calls failed or had no response in time
+	delivered   chan<- int // receives number with the first update
+	unavailable bool       // the last calls failed or timed out
 }
 
-// run follows the list until ctx ends or a newer watch has delivered. Each call goes out as soon as the one before was
-// answered.
+// run follows the list until ctx ends or a newer watch has delivered. Each call is sent as soon as the previous one has
+// its response.
 func (w *watch) run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	state := w.callState()
@@ -65,7 +65,7 @@
 	}
 }
 
-// callState is the state in which the next call goes out.
+// callState returns the state for the next call: watching if a version is known, else fetching.
 func (w *watch) callState() watchState {
 	if w.version >= 0 {
 		return watching
@@ -73,7 +73,7 @@
 	return fetching
 }
 
-// step does what the state says and returns the next one.
+// step executes a state and returns the next state.
 func (w *watch) step(ctx context.Context, state watchState) watchState {
 	switch state {
 	case awaitingResume:
@@ -84,38 +84,39 @@
 		return w.callState()
 	case fetching, watching, superseded:
 	}
-	update, err := w.next(ctx)
+	update, err := w.fetchNext(ctx)
 	switch {
 	case ctx.Err() != nil:
 		return superseded
 	case err != nil:
-		return w.failed(err)
+		return w.handleFailure(err)
 	}
-	return w.updated(ctx, update)
+	return w.handleUpdate(ctx, update)
 }
 
-// failed returns the state after a call that failed.
-func (w *watch) failed(err error) watchState {
+// handleFailure returns the state after a failed call. The handler gets a PollRejected if a polled service rejected the
+// call or failed twice in a row.
+func (w *watch) handleFailure(err error) watchState {
 	if errors.Is(err, errTimeout) && w.hedgeAfter > 0 {
-		w.version = noVersion // no delay, since the agent may be back
+		w.version = noVersion // without delay, since the agent may be back
 		return fetching
 	}
 	w.warnUnavailable(err)
-	repeated := w.unavailable
+	failedBefore := w.unavailable
 	w.unavailable = true
 	if !w.polls {
 		w.version = noVersion
 		return backingOff
 	}
-	if repeated || errors.Is(err, errRejected) {
+	if failedBefore || errors.Is(err, errRejected) {
 		w.handle(engine.EndpointUpdate{Kind: decision.PollRejected})
 		return awaitingResume
 	}
 	return backingOff
 }
 
-// updated delivers the update of a call and returns the next state.
-func (w *watch) updated(ctx context.Context, update engine.EndpointUpdate) watchState {
+// handleUpdate delivers an update and returns the next state.
+func (w *watch) handleUpdate(ctx context.Context, update engine.EndpointUpdate) watchState {
 	if w.unavailable {
 		w.unavailable = false
 		w.log.WithFields(logrus.Fields{"index": update.Version, "nodes": len(update.Endpoints)}).
@@ -140,14 +141,14 @@
 	return w.callState()
 }
 
-// next makes the next call: for the changes since the version that is known, else for a full snapshot.
-func (w *watch) next(ctx context.Context) (engine.EndpointUpdate, error) {
+// fetchNext makes the next call: for the changes since the known version, or else for a full snapshot.
+func (w *watch) fetchNext(ctx context.Context) (engine.EndpointUpdate, error) {
 	switch {
 	case w.version >= 0:
-		begins := w.watchTimeout + cmp.Or(w.hedgeAfter, w.responseTimeout)
+		firstByteTimeout := w.watchTimeout + cmp.Or(w.hedgeAfter, w.responseTimeout)
 		return w.get(ctx, &call{
 			url:              fmt.Sprintf("%s?since=%d&timeout_ms=%d", w.url, w.version, w.watchTimeout.Milliseconds()),
-			firstByteTimeout: begins, stallTimeout: w.stallTimeout, timeout: begins + w.snapshotTimeout,
+			firstByteTimeout: firstByteTimeout, stallTimeout: w.stallTimeout, timeout: firstByteTimeout + w.snapshotTimeout,
 		})
 	case w.hedgeAfter > 0:
 		return w.hedgedSnapshot(ctx)
@@ -158,13 +159,14 @@
 	})
 }
 
+// warnUnavailable logs a warning, at a limited rate.
 func (w *watch) warnUnavailable(err error) {
 	if w.causes.Allow("unavailable") {
 		w.log.WithError(err).Warn("discovery unavailable or unreadable")
 	}
 }
 
-// awaitResume waits until the decision module lets the next call go out.
+// awaitResume waits for ResumeWatch, or until ctx ends.
 func (w *watch) awaitResume(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -172,9 +174,10 @@
 	}
 }
 
-func sleep(ctx context.Context, span time.Duration) {
+// sleep waits for a duration, or until ctx ends.
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(span):
+	case <-time.After(duration):
 	}
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -10,48 +10,50 @@
 	"ottershed/internal/engine"
 )
 
-// The response to a watch is read for as long as bytes come; one that stalls is followed by a call for a full snapshot.
-func TestSlowWatch(t *testing.T) {
-	part := []piece{{0, list(42, false, "Terminating")[:20]}, never}
+// The response to a watch is read as long as bytes arrive, up to snapshotTimeout. After a stalled or too slow response
+// the watch fetches a full snapshot.
+func TestStalledWatchFetchesSnapshot(t *testing.T) {
+	part := []segment{{0, encodeUpdate(42, false, "Terminating")[:20]}, neverSent}
 	for name, test := range map[string]struct {
-		watch   []piece
-		version int64
-		at      time.Duration
+		response []segment     // to the first watch call
+		version  int64         // of the delivered list
+		after    time.Duration // until it is delivered
 	}{
-		"steadily":    {evenly(100*time.Millisecond, list(42, false, "Terminating"), 10), 42, time.Second},
-		"only a part": {part, 43, stallTimeout},
-		"too long": {
-			evenly(100*time.Millisecond, list(42, false, "Terminating"), 60), 43, snapshotTimeout + 30*time.Millisecond,
+		"steadily": {splitEvenly(100*time.Millisecond, encodeUpdate(42, false, "Terminating"), 10), 42, time.Second},
+		"stalls":   {part, 43, stallTimeout},
+		"steadily, too long": {
+			splitEvenly(100*time.Millisecond, encodeUpdate(42, false, "Terminating"), 60), 43,
+			snapshotTimeout + 30*time.Millisecond,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				updates := make(chan engine.EndpointUpdate, 10)
-				watches := 0
-				agent := &slowAgent{respond: func(call int, since string) []piece {
+				watchCalls := 0
+				agent := &slowAgent{respond: func(call int, since string) []segment {
 					if since == "" {
-						return []piece{{0, list(43, true, "Gone")}}
+						return []segment{{0, encodeUpdate(43, true, "Gone")}}
 					}
-					watches++
-					if watches > 1 {
-						return []piece{never}
+					watchCalls++
+					if watchCalls > 1 {
+						return []segment{neverSent}
 					}
-					pieces := slices.Clone(test.watch)
-					pieces[0].after = 0
-					return pieces
+					segments := slices.Clone(test.response)
+					segments[0].after = 0
+					return segments
 				}}
-				slow := slowWatch(agent, offerTo(updates))
+				slow := newSlowWatch(agent, sendOrDrop(updates))
 				slow.version = 41
 				ctx, cancel := context.WithCancel(t.Context())
-				began := time.Now()
+				startedAt := time.Now()
 				go slow.run(ctx)
 				defer synctest.Wait()
 				defer cancel()
 				update := <-updates
-				took := time.Since(began)
-				early, late := took < test.at-100*time.Millisecond, took > test.at+10*time.Millisecond
+				took := time.Since(startedAt)
+				early, late := took < test.after-100*time.Millisecond, took > test.after+10*time.Millisecond
 				if update.Version != test.version || early || late {
-					t.Errorf("list %d delivered after %v, want %d after %v", update.Version, took, test.version, test.at)
+					t.Errorf("got list %d after %v, want list %d after %v", update.Version, took, test.version, test.after)
 				}
 			})
 		})
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -17,58 +17,57 @@
 )
 
 const (
-	watchTimeout    = 2 * time.Second        // of a watch; short, since a call may hang while the agent is down
-	responseTimeout = time.Second            // until a response begins that the agent has at hand
+	watchTimeout    = 2 * time.Second        // of a watch without a change; short, since calls hang while the agent is down
+	responseTimeout = time.Second            // until the first byte of a response that is due
 	snapshotTimeout = 4 * time.Second        // see timing.snapshotTimeout
-	stallTimeout    = 200 * time.Millisecond // without a byte of a response that has begun: all of it is at hand
-	retryDelay      = 50 * time.Millisecond  // after a failure; the next call must come within 200 ms
+	stallTimeout    = 200 * time.Millisecond // between two bytes of a response, which the agent has ready as a whole
+	retryDelay      = 50 * time.Millisecond  // after a failure; a watch continues only if the next call comes within 200 ms
 
-	queueFraction = 4                     // part of the time in which an instance must poll: for a queued call
-	hedgeFraction = 4                     // part of the grace for drains: between calls without a response
-	watchFraction = 2                     // part of the grace for drains: a watch on pushed lists, see newTiming
-	minGrace      = 50 * time.Millisecond // in place of a grace for drains of 0
+	queueFraction = 4                     // PollWithin divided by this is the time limit of a queued call
+	hedgeFraction = 4                     // the drain grace divided by this is the time between hedged calls
+	watchFraction = 2                     // the drain grace divided by this limits a watch of a pushed list; see newTiming
+	minGrace      = 50 * time.Millisecond // used if the drain grace is 0
 )
 
-const noVersion = -1 // no list is known, or the next one must be a full snapshot
+const noVersion = -1 // no list is known, or the next call must request a full snapshot
 
 // timing holds the time limits and delays of calls.
 type timing struct {
-	// watchTimeout is how long the service may keep a watch open without a change. Higher means fewer calls, and a
-	// longer wait until the loss of a watch is noticed. Default 2 s, and for a pushed list at most half the grace for
-	// drains.
+	// watchTimeout is how long the service may keep a watch open without a change. A higher value means fewer calls and
+	// a longer time until a lost watch is noticed. Default 2 s, for a pushed list at most half of the drain grace.
 	watchTimeout time.Duration
-	// responseTimeout limits the wait for the first byte of a response that is due. Default 1 s, and for a polled
-	// service at least a quarter of the time in which an instance must poll.
+	// responseTimeout limits the wait for the first byte of a response that is due. Default 1 s, for a polled service at
+	// least a quarter of the time within which an instance must poll.
 	responseTimeout time.Duration
-	// stallTimeout limits the wait for the next byte of a response that has begun. Default 200 ms.
+	// stallTimeout limits the wait for the next byte of a response that has started. Default 200 ms.
 	stallTimeout time.Duration
 	// snapshotTimeout limits a full snapshot call until its last byte, and the response to a watch from its first
-	// byte to its last. It serves an agent that responds late or slowly, whose list would never arrive if each call
-	// were given up before. The operators count a change as notified 6 s after discovery had it and could be reached,
-	// and a new process routes by its configuration's list after 5 s (cmd/balancer); this is below both. Default 4 s.
+	// byte to its last. The list of an agent that responds late or slowly would never arrive if each call ended
+	// earlier. The limit is below two others: the operators count a change as notified 6 s after discovery had it and
+	// was reachable, and a new process uses the list of its configuration after 5 s (cmd/balancer). Default 4 s.
 	snapshotTimeout time.Duration
-	// retryDelay is the wait after a failed call. Default 50 ms, and for a pushed list at most hedgeAfter.
+	// retryDelay is the delay after a failed call. Default 50 ms, for a pushed list at most hedgeAfter.
 	retryDelay time.Duration
-	// hedgeAfter is when a full snapshot call without a response gets another beside it; 0: none does. It is 0 for a
-	// polled service, and a quarter of the grace for drains for a pushed list, at most responseTimeout.
+	// hedgeAfter is the interval at which further full snapshot calls are sent while none has a response; 0: never. It
+	// is 0 for a polled service. For a pushed list it is a quarter of the drain grace, at most responseTimeout.
 	hedgeAfter time.Duration
 }
 
-// newTiming derives the time limits from the settings of the deployment.
+// newTiming derives the time limits from the settings.
 func newTiming(network settings.Network) timing {
 	limits := timing{
 		watchTimeout: watchTimeout, responseTimeout: responseTimeout, stallTimeout: stallTimeout,
 		snapshotTimeout: snapshotTimeout, retryDelay: retryDelay,
 	}
 	if network.PollEndpoints {
-		// The service carries out a queued call even if the caller has given it up. If all instances gave theirs up,
-		// it would work for nobody.
+		// The service processes a queued call even after the caller has canceled it. If all instances canceled early, all
+		// of its work would be wasted.
 		limits.responseTimeout = max(limits.responseTimeout, clock.Duration(network.PollWithin)/queueFraction)
 		return limits
 	}
-	// A watch that was open when the agent failed may never be answered, and what the agent holds as soon as it is
-	// back counts as notified. So a pushed list is watched in calls of half the grace, and a late response is
-	// followed by another call soon: however short the outage, its end is noticed within the grace.
+	// A watch that was open when the agent failed may never get a response, and changes count as notified as soon as the
+	// agent is back. So a watch of a pushed list lasts half of the grace at most, and further calls follow soon if a
+	// response is late. The end of an outage, however short, is then noticed within the grace.
 	grace := cmp.Or(clock.Duration(network.DrainGrace), minGrace)
 	limits.hedgeAfter = min(grace/hedgeFraction, limits.responseTimeout)
 	limits.watchTimeout = min(limits.watchTimeout, grace/watchFraction)
@@ -76,40 +75,40 @@
 	return limits
 }
 
-// Watcher follows the endpoint list and hands on each update. Its methods may be called from any goroutine.
+// Watcher follows the endpoint list and passes each update to a handler. Its methods may be called from any goroutine.
 type Watcher struct {
 	timing
 	delivery
 	commands
 
-	address      string // host:port at the start
+	address      string // host:port of the first watch
 	knownVersion int64  // version of the list that is known at the start; noVersion: none
-	polls        bool   // calls go to a service with a queue, which may reject them
+	polls        bool   // the service has a queue and may reject calls
 	decode       func([]byte) (engine.EndpointUpdate, error)
 	log          logrus.FieldLogger
 	causes       logging.Limiter
-	calls        atomic.Int64 // sent since the start
+	calls        atomic.Int64 // number of calls sent since the start
 }
 
-// commands carries what other goroutines ask of the running watches.
+// commands passes commands of other goroutines to the running watches.
 type commands struct {
-	resolve chan struct{} // the next call is for a full snapshot; one place
-	resume  chan struct{} // a rejected call may go out again; one place
-	moved   chan string   // the new address
+	resolve    chan struct{} // the next call must request a full snapshot; buffer of 1
+	resume     chan struct{} // the next call may be sent after a rejection; buffer of 1
+	newAddress chan string   // host:port
 }
 
-// New makes a Watcher of the list at address (host:port). known is the list that is held already, nil for none; only a
-// polled service is asked for changes since it. handle gets the lists one at a time; a PollRejected may come beside them
-// while two watches run.
+// New creates a Watcher of the list at address (host:port). known is a list that is known already, nil for none. Only a
+// polled service is asked for the changes since that list; from an agent, a full snapshot is fetched. handle is called
+// with one list at a time, but a PollRejected may be passed concurrently while two watches run.
 func New(
 	address string, known *engine.EndpointUpdate, network settings.Network, handle func(engine.EndpointUpdate),
 	log logrus.FieldLogger,
 ) *Watcher {
 	watcher := &Watcher{
 		timing:   newTiming(network),
-		delivery: delivery{emptyToo: network.PollEndpoints, handle: handle, received: make(chan struct{})},
+		delivery: delivery{deliverEmpty: network.PollEndpoints, handle: handle, received: make(chan struct{})},
 		commands: commands{
-			resolve: make(chan struct{}, 1), resume: make(chan struct{}, 1), moved: make(chan string),
+			resolve: make(chan struct{}, 1), resume: make(chan struct{}, 1), newAddress: make(chan string),
 		},
 		address: address, knownVersion: noVersion, polls: network.PollEndpoints, decode: Decode, log: log,
 	}
@@ -119,37 +118,38 @@
 	return watcher
 }
 
-// Received is closed as soon as a list has been handed on.
+// Received returns a channel that is closed once the first list was passed to the handler.
 func (w *Watcher) Received() <-chan struct{} { return w.received }
 
-// Calls is the number of calls for the list since the start.
+// Calls returns the number of calls sent since the start.
 func (w *Watcher) Calls() int64 { return w.calls.Load() }
 
-// Resolve makes the next call one for a full snapshot.
+// Resolve makes the next call request a full snapshot.
 func (w *Watcher) Resolve() { signal(w.resolve) }
 
-// ResumeWatch says that a call that was rejected may go out again.
+// ResumeWatch allows the next call after a rejection or a repeated failure.
 func (w *Watcher) ResumeWatch() { signal(w.resume) }
 
-// signal sets a flag that one receiver takes; a flag that is set already stays.
-func signal(flag chan<- struct{}) {
+// signal sends to a channel with a buffer of 1, without blocking. A signal that is pending already is not duplicated.
+func signal(pending chan<- struct{}) {
 	select {
-	case flag <- struct{}{}:
+	case pending <- struct{}{}:
 	default:
 	}
 }
 
-// SetAddress says that the list is at another address (host:port) from now on. It waits until Run has taken it.
+// SetAddress switches to the list at another address (host:port). It blocks until Run has received the address or ctx
+// ends.
 func (w *Watcher) SetAddress(ctx context.Context, address string) {
 	select {
-	case w.moved <- address:
+	case w.newAddress <- address:
 	case <-ctx.Done():
 	}
 }
 
-// Run follows the list until ctx ends. After a change of address the versions of the next agent need not continue
-// those of the one before, and it may be slow to respond; so the new watch begins with a full snapshot, and the old
-// one goes on until that has come.
+// Run follows the list until ctx ends. After a change of address, the new agent's versions may be unrelated to those of
+// the previous one, and the new agent may be slow to respond. So the new watch starts with a full snapshot, and the old
+// watch continues until that snapshot was delivered.
 func (w *Watcher) Run(ctx context.Context) {
 	watches := watchSet{
 		watcher: w, cancel: map[int]context.CancelFunc{}, ended: make(chan int), delivered: make(chan int),
@@ -161,8 +161,8 @@
 		case <-ctx.Done():
 			watches.cancelAll()
 			return
-		case address := <-w.moved:
-			watches.move(ctx, address)
+		case address := <-w.newAddress:
+			watches.switchAddress(ctx, address)
 		case number := <-watches.delivered:
 			watches.promote(number)
 		case number := <-watches.ended:
@@ -171,19 +171,19 @@
 	}
 }
 
-// watchSet is the watches that run: one, and after a change of address also those before it until the newest has
-// delivered. Only Run's goroutine uses it.
+// watchSet holds the running watches: one, and after a change of address also older ones until the newest has
+// delivered. It is used only by the goroutine of Run.
 type watchSet struct {
 	watcher   *Watcher
-	newest    int                        // number of the watch that was started last, from 1
-	current   int                        // number of the newest watch that has delivered; 0: none has
-	cancel    map[int]context.CancelFunc // of the watches that run, by number
+	newest    int                        // number of the watch started last, from 1
+	current   int                        // number of the newest watch that has delivered; 0: none
+	cancel    map[int]context.CancelFunc // cancel functions of the running watches, by number
 	ended     chan int                   // numbers of watches that have returned
 	delivered chan int                   // numbers of watches that have delivered their first update
 	running   sync.WaitGroup
 }
 
-// start runs a watch at this address; version is that of the list that is known there.
+// start starts a watch at this address. version is the version of the list that is known from there, or noVersion.
 func (s *watchSet) start(ctx context.Context, address string, version int64) {
 	s.newest++
 	next := &watch{
@@ -202,34 +202,35 @@
 	})
 }
 
-// move starts a watch at another address. The newest watch ends if it has not delivered, since it never needs to.
-func (s *watchSet) move(ctx context.Context, address string) {
-	// A watch may have delivered its list while its number is still on its way here. If it were taken for one that
-	// has not, it would end, and so would the one before it, which is no longer the newest: no watch would be left.
+// switchAddress starts a watch at another address. It stops the newest watch if that has not delivered, since its list
+// is not needed any more.
+func (s *watchSet) switchAddress(ctx context.Context, address string) {
+	// A watch may have delivered its list before its number was received here. Without this check the watch would be
+	// stopped here, and the previous watch would stop as superseded: no watch would be left.
 	s.promote(s.watcher.newestDelivered())
 	if s.newest != s.current {
-		s.end(s.newest)
+		s.stop(s.newest)
 	}
 	s.start(ctx, address, noVersion)
 }
 
-// promote makes the watch that has delivered the current one and ends the one before it.
+// promote makes a watch that has delivered the current one and stops the previous one.
 func (s *watchSet) promote(number int) {
 	if number <= s.current {
 		return
 	}
-	s.end(s.current)
+	s.stop(s.current)
 	s.current = number
 }
 
-// end cancels a watch if it runs.
-func (s *watchSet) end(number int) {
+// stop cancels a watch if it is running.
+func (s *watchSet) stop(number int) {
 	if cancel := s.cancel[number]; cancel != nil {
 		cancel()
 	}
 }
 
-// remove forgets a watch that has returned.
+// remove removes a watch that has returned.
 func (s *watchSet) remove(number int) {
 	s.cancel[number]()
 	delete(s.cancel, number)
--- a/internal/discovery/wire.go
+++ b/internal/discovery/wire.go
@@ -9,12 +9,12 @@
 	"ottershed/internal/engine"
 )
 
-// ErrNoVersion is returned for a list that does not say which version it is.
+// ErrNoVersion is returned by Decode for a list without a version.
 var ErrNoVersion = errors.New("list: no index")
 
-// EntryError is returned for a list with an entry that has no name or a status that is not known.
+// EntryError is returned by Decode for an entry without a name or with an unknown status.
 type EntryError struct {
-	Name   string // of the entry; empty: it has none
+	Name   string // empty if the entry has none
 	Status string
 }
 
@@ -22,20 +22,20 @@
 	return fmt.Sprintf("list: entry %q: status %q is not known", e.Name, e.Status)
 }
 
-// endpointStates are the states of an endpoint by their names on the wire.
+// endpointStates maps the statuses on the wire to the states of an endpoint.
 var endpointStates = map[string]decision.EndpointState{
 	"Ready": decision.Serving, "Terminating": decision.Draining, "Gone": decision.Removed,
 }
 
-// encodedList is the endpoint list as it is encoded, whole or what changed. It and encodedEndpoint are aliases of types
-// without a name, which the texts of JSON errors would contain.
+// encodedList is the JSON form of a full snapshot or a delta. encodedList and encodedEndpoint are aliases of unnamed
+// types, since JSON errors contain the names of named types.
 type encodedList = struct {
-	Version   *int64            `json:"index"` // grows with each change
+	Version   *int64            `json:"index"` // version, increases with each change
 	Snapshot  bool              `json:"snapshot"`
 	Endpoints []encodedEndpoint `json:"endpoints"`
 }
 
-// encodedEndpoint is an entry of the list.
+// encodedEndpoint is the JSON form of an entry of the list.
 type encodedEndpoint = struct {
 	Name        string  `json:"name"`
 	Address     string  `json:"address"` // host:port
@@ -44,11 +44,11 @@
 	Cell        int     `json:"group"`
 	Status      string  `json:"status"` // a key of endpointStates
 	Capacity    float64 `json:"weight"`
-	Started     float64 `json:"since_ms"` // milliseconds; 0: long ago
+	Started     float64 `json:"since_ms"` // start time in ms; 0: long ago
 	Build       int     `json:"image_id"`
 }
 
-// Decode reads an endpoint list, whole or what changed.
+// Decode decodes a full snapshot or a delta. The error is ErrNoVersion, an EntryError or an error of encoding/json.
 func Decode(raw []byte) (engine.EndpointUpdate, error) {
 	var encoded encodedList
 	if err := json.Unmarshal(raw, &encoded); err != nil {
@@ -71,6 +71,7 @@
 	return update, nil
 }
 
+// decodeEndpoint converts an entry of the list. The error is an EntryError.
 func decodeEndpoint(entry encodedEndpoint) (engine.Endpoint, error) {
 	state, ok := endpointStates[entry.Status]
 	if entry.Name == "" || !ok {
--- a/internal/discovery/wire_test.go
+++ b/internal/discovery/wire_test.go
@@ -9,7 +9,7 @@
 	"ottershed/internal/engine"
 )
 
-// isSyntaxError tells whether an error is that of a text which is not JSON.
+// isSyntaxError reports whether an error is a JSON syntax error.
 func isSyntaxError(err error) bool {
 	var syntax *json.SyntaxError
 	return errors.As(err, &syntax)
@@ -21,9 +21,9 @@
 		kind  decision.SnapshotKind
 		state decision.EndpointState
 	}{
-		"ready":       {list(41, true, "Ready"), decision.FullSnapshot, decision.Serving},
-		"terminating": {list(42, false, "Terminating"), decision.Delta, decision.Draining},
-		"gone":        {list(42, false, "Gone"), decision.Delta, decision.Removed},
+		"ready":       {encodeUpdate(41, true, "Ready"), decision.FullSnapshot, decision.Serving},
+		"terminating": {encodeUpdate(42, false, "Terminating"), decision.Delta, decision.Draining},
+		"gone":        {encodeUpdate(42, false, "Gone"), decision.Delta, decision.Removed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := Decode([]byte(test.text))
@@ -32,20 +32,20 @@
 				Build: 41, MachineType: "m2", State: test.state, Capacity: 1.5,
 			}}
 			if err != nil || got.Kind != test.kind || len(got.Endpoints) != 1 || got.Endpoints[0] != want {
-				t.Errorf("got %+v, %v", got, err)
+				t.Errorf("got %+v, error %v, want %+v of kind %d", got, err, want, test.kind)
 			}
 		})
 	}
 	is := func(want error) func(error) bool { return func(err error) bool { return errors.Is(err, want) } }
 	for name, test := range map[string]struct {
 		text    string
-		isWant  func(error) bool
+		matches func(error) bool
 		message string // check-config prints it
 	}{
-		"no JSON":  {`{"index":4`, isSyntaxError, "list: unexpected end of JSON input"},
+		"not JSON": {`{"index":4`, isSyntaxError, "list: unexpected end of JSON input"},
 		"no index": {`{}`, is(ErrNoVersion), "list: no index"},
-		"odd status": {
-			list(1, true, "Lost"), is(EntryError{"s-1", "Lost"}),
+		"unknown status": {
+			encodeUpdate(1, true, "Lost"), is(EntryError{"s-1", "Lost"}),
 			`list: entry "s-1": status "Lost" is not known`,
 		},
 		"no name": {
@@ -55,8 +55,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Decode([]byte(test.text))
-			if err == nil || !test.isWant(err) || err.Error() != test.message {
-				t.Errorf("error %v, want %q", err, test.message)
+			if err == nil || !test.matches(err) || err.Error() != test.message {
+				t.Errorf("got error %v, want %q", err, test.message)
 			}
 		})
 	}
