--- a/internal/sockopt/conn.go
+++ b/internal/sockopt/conn.go
@@ -11,68 +11,73 @@
 	"time"
 )
 
-// Conn is a connection that carries the requests of a client. Between a look at the socket and its closing, the reader
-// may take a request out, which would be lost then. So reading and closing exclude each other here.
+// Conn is a client's connection. Its reader could receive a request after another goroutine has checked the socket for
+// input and before that goroutine closes it, and the request would be lost. So reading and CloseIfIdle exclude each
+// other.
 type Conn struct {
 	*net.TCPConn
 	raw         syscall.RawConn
-	headTimeout time.Duration // for the head of a further request, from its first byte on
+	headTimeout time.Duration // from the first byte of a further request to the end of its header
 
 	mu         sync.Mutex
-	pending    bool // something was read and has no response
-	responded  bool // by MarkResponded; what the reader holds may be a part of the next request
-	bufferSize int  // bytes of the reader's buffer, by its first read; 0: not known yet
-	closed     bool // by CloseIfIdle
+	pending    bool // bytes of a request were read that has no response yet
+	responded  bool // set by MarkResponded; the reader may have buffered a part of the next request
+	bufferSize int  // size of the reader's buffer in bytes, from its first read; 0: unknown
+	closed     bool // set by CloseIfIdle
 }
 
-// NewConn wraps a connection that was accepted. headTimeout is the time that the head of a further request may take; a
-// higher value lets a client that stops halfway keep its connection for longer.
+// NewConn wraps an accepted connection. headTimeout limits the time from the first byte of a further request to the end
+// of its header. A higher value lets a client that stops within a header keep its connection longer. The error is that
+// of SyscallConn.
 func NewConn(c *net.TCPConn, headTimeout time.Duration) (*Conn, error) {
 	raw, err := c.SyscallConn()
 	return &Conn{TCPConn: c, raw: raw, headTimeout: headTimeout}, err
 }
 
-// Read reads as the connection itself does.
+// Read reads like the Read method of [net.TCPConn]. The first byte of a further request sets the read deadline to
+// headTimeout from now. After CloseIfIdle has closed the connection, the error wraps [net.ErrClosed]. Read may be
+// called by one goroutine at a time.
 func (c *Conn) Read(buffer []byte) (n int, err error) {
 	if len(buffer) == 0 {
 		return 0, nil
 	}
-	var failed error
-	var begins bool // the next request
+	var readErr error
+	var requestStarts bool // a further request starts with this read
 	err = c.raw.Read(func(fd uintptr) bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if c.closed {
-			failed = net.ErrClosed
+			readErr = net.ErrClosed
 			return true
 		}
-		begins = c.readerWaits(len(buffer)) || begins
-		n, failed = readFD(int(fd), buffer)
+		requestStarts = c.awaitsRequest(len(buffer)) || requestStarts
+		n, readErr = readFD(int(fd), buffer)
 		if n > 0 {
 			c.pending = true
 			c.responded = false
 		}
-		return !errors.Is(failed, syscall.EAGAIN)
+		return !errors.Is(readErr, syscall.EAGAIN)
 	})
 	switch {
 	case err != nil:
 		return 0, err
-	case failed != nil:
-		return 0, os.NewSyscallError("read", failed)
+	case readErr != nil:
+		return 0, os.NewSyscallError("read", readErr)
 	case n == 0:
 		return 0, io.EOF
-	case begins:
-		// The time of an idle connection may be over before the reader knows that a request has begun.
-		_ = c.SetReadDeadline(time.Now().Add(c.headTimeout)) // fails on a connection that has ended only
+	case requestStarts:
+		// The idle timeout may expire before the reader notices that a request has started.
+		_ = c.SetReadDeadline(time.Now().Add(c.headTimeout)) // fails only on a closed connection
 	}
 	return n, nil
 }
 
-// readerWaits tells whether the reader waits for the next request and holds nothing of it; the lock is held. The reader
-// reads ahead: only one that reads into its whole buffer holds no bytes.
-func (c *Conn) readerWaits(size int) bool {
-	c.bufferSize = cmp.Or(c.bufferSize, size)
-	if !c.responded || size < c.bufferSize {
+// awaitsRequest reports whether the reader waits for the next request and has buffered nothing of it, given the size of
+// the slice that it reads into. In this case no request is pending. c.mu must be held. The reader reads ahead: its
+// buffer is empty only if it reads into the whole buffer.
+func (c *Conn) awaitsRequest(readSize int) bool {
+	c.bufferSize = cmp.Or(c.bufferSize, readSize)
+	if !c.responded || readSize < c.bufferSize {
 		return false
 	}
 	c.pending = false
@@ -80,7 +85,7 @@
 	return true
 }
 
-// readFD is the system call, made again where a signal interrupts it.
+// readFD calls read(2) and repeats it if a signal interrupts it.
 func readFD(fd int, buffer []byte) (int, error) {
 	for {
 		n, err := syscall.Read(fd, buffer)
@@ -90,29 +95,30 @@
 	}
 }
 
-// MarkResponded says that a request has its response. The connection is idle once its reader waits and holds nothing of
-// a further request.
+// MarkResponded records that the current request has its response. The connection becomes idle when its reader waits
+// for the next request and has buffered nothing of it.
 func (c *Conn) MarkResponded() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.responded = true
 }
 
-// RequestPending tells whether something was read that has no response.
+// RequestPending reports whether bytes of a request were read that has no response yet.
 func (c *Conn) RequestPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pending
 }
 
-// CloseIfIdle closes the connection unless something has come that has no response, and tells whether it did.
+// CloseIfIdle closes the connection if no request is pending or unread, and reports whether the connection is closed by
+// CloseIfIdle. It may be called from any goroutine.
 func (c *Conn) CloseIfIdle() bool {
 	c.mu.Lock()
 	c.closed = c.closed || !c.pending && isIdle(c.raw)
 	closed := c.closed
-	c.mu.Unlock() // closing waits for the reader, who may wait for the lock
+	c.mu.Unlock() // Close waits for the reader, which may wait for the lock
 	if closed {
-		_ = c.Close() // the second one fails, and the reader has net.ErrClosed in any case
+		_ = c.Close() // a second Close fails; the reader gets net.ErrClosed in any case
 	}
 	return closed
 }
--- a/internal/sockopt/conn_test.go
+++ b/internal/sockopt/conn_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// pair makes both sides of a connection.
-func pair(t *testing.T) (client *net.TCPConn, server *Conn) {
+// connPair returns both sides of a connection.
+func connPair(t *testing.T) (client *net.TCPConn, server *Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -22,81 +22,81 @@
 			t.Error(err)
 		}
 	}()
-	c, err := net.Dial("tcp", l.Addr().String())
+	dialed, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := l.Accept()
+	accepted, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	server, err = NewConn(s.(*net.TCPConn), time.Second)
+	server, err = NewConn(accepted.(*net.TCPConn), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { end(c); end(server) })
-	return c.(*net.TCPConn), server
+	t.Cleanup(func() { closeQuietly(dialed); closeQuietly(server) })
+	return dialed.(*net.TCPConn), server
 }
 
-// end closes a side of a connection, which a test may have closed before.
-func end(c net.Conn) { _ = c.Close() }
+// closeQuietly closes a side of a connection, which the test may have closed already.
+func closeQuietly(c net.Conn) { _ = c.Close() }
 
-// send sends bytes; where the other side has closed by then, its reader gets none of them.
-func send(c net.Conn, text string) { _, _ = c.Write([]byte(text)) }
+// sendText sends a text. An error because the other side is closed shows in what its reader gets.
+func sendText(c net.Conn, text string) { _, _ = c.Write([]byte(text)) }
 
-// Read ends as the connection's own does, and with net.ErrClosed where the connection was closed as idle.
-func TestRead(t *testing.T) {
+// Read returns the same errors as net.TCPConn, and net.ErrClosed after the connection was closed as idle.
+func TestReadEndsWithCause(t *testing.T) {
 	for name, test := range map[string]struct {
 		do   func(client *net.TCPConn, server *Conn)
 		want error
 		text string
 	}{
-		"text": {func(c *net.TCPConn, _ *Conn) { send(c, "hi") }, nil, "hi"},
-		"end":  {func(c *net.TCPConn, _ *Conn) { end(c) }, io.EOF, ""},
-		"late": {func(_ *net.TCPConn, s *Conn) {
-			_ = s.SetReadDeadline(time.Now().Add(time.Millisecond)) // the read that never ends fails the test
+		"text":               {func(c *net.TCPConn, _ *Conn) { sendText(c, "hi") }, nil, "hi"},
+		"closed by the peer": {func(c *net.TCPConn, _ *Conn) { closeQuietly(c) }, io.EOF, ""},
+		"read deadline passed": {func(_ *net.TCPConn, s *Conn) {
+			_ = s.SetReadDeadline(time.Now().Add(time.Millisecond)) // without a deadline, the test would hang
 		}, os.ErrDeadlineExceeded, ""},
-		"closed": {func(_ *net.TCPConn, s *Conn) { end(s) }, net.ErrClosed, ""},
-		"idle":   {func(_ *net.TCPConn, s *Conn) { s.CloseIfIdle() }, net.ErrClosed, ""},
-		"idle, bytes come before its descriptor is closed": {func(c *net.TCPConn, s *Conn) {
+		"closed by this side": {func(_ *net.TCPConn, s *Conn) { closeQuietly(s) }, net.ErrClosed, ""},
+		"closed as idle":      {func(_ *net.TCPConn, s *Conn) { s.CloseIfIdle() }, net.ErrClosed, ""},
+		"closed as idle, input before the descriptor is closed": {func(c *net.TCPConn, s *Conn) {
 			s.mu.Lock()
 			s.closed = true
 			s.mu.Unlock()
-			send(c, "lost")
+			sendText(c, "lost")
 		}, net.ErrClosed, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, s := pair(t)
+			c, s := connPair(t)
 			go test.do(c, s)
 			b := make([]byte, 10)
 			n, err := s.Read(b)
 			if string(b[:n]) != test.text || !errors.Is(err, test.want) {
-				t.Errorf("read %q, %v", b[:n], err)
+				t.Errorf("got %q, error %v, want %q, error %v", b[:n], err, test.text, test.want)
 			}
 		})
 	}
 }
 
-// A connection is closed as idle only while its reader waits and nothing has come that has no response.
-func TestCloseIfIdle(t *testing.T) {
-	client, server := pair(t)
-	send(client, "request")
+// CloseIfIdle closes a connection only while its reader waits for a request and no request is unread or unanswered.
+func TestCloseIfIdleOnlyWithoutRequest(t *testing.T) {
+	client, server := connPair(t)
+	sendText(client, "request")
 	for IsIdle(server) {
 		runtime.Gosched()
 	}
 	if server.CloseIfIdle() {
-		t.Error("closed with a request that waits")
+		t.Error("closed with an unread request")
 	}
 	b := make([]byte, 10)
 	if n, err := server.Read(b); n == 0 || err != nil {
-		t.Fatalf("read %d bytes, %v", n, err)
+		t.Fatalf("got %d bytes, error %v, want a request", n, err)
 	}
 	if server.CloseIfIdle() {
-		t.Error("closed with a request that was read")
+		t.Error("closed with a request that has no response")
 	}
 	server.MarkResponded()
 	if server.CloseIfIdle() {
-		t.Error("closed before its reader waits again, who may hold a further request")
+		t.Error("closed before the reader waits again, which may have buffered a further request")
 	}
 	read := make(chan error)
 	go func() {
@@ -107,43 +107,44 @@
 		runtime.Gosched()
 	}
 	if err := <-read; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("the reader ends with %v", err)
+		t.Errorf("got read error %v, want %v", err, net.ErrClosed)
 	}
 }
 
-// A reader that reads into a part of its buffer holds the start of a further request in the rest of it: its connection
-// is not closed as idle, however long it waits.
-func TestCloseIfIdleWithPartHeld(t *testing.T) {
-	client, server := pair(t)
-	send(client, "request, and a part of the next one")
+// A reader that reads into a part of its buffer has the start of a further request in the rest of the buffer. Its
+// connection is not closed as idle, however long the reader waits.
+func TestPartlyReadRequestNotClosed(t *testing.T) {
+	client, server := connPair(t)
+	sendText(client, "request, and a part of the next one")
 	buffer := make([]byte, 64)
-	held, err := server.Read(buffer)
+	received, err := server.Read(buffer)
 	if err != nil {
 		t.Fatal(err)
 	}
 	server.MarkResponded()
 	read := make(chan int)
 	go func() {
-		n, _ := server.Read(buffer[held:])
+		n, _ := server.Read(buffer[received:])
 		read <- n
 	}()
-	for end := time.Now().Add(50 * time.Millisecond); time.Now().Before(end); runtime.Gosched() {
+	for stopAt := time.Now().Add(50 * time.Millisecond); time.Now().Before(stopAt); runtime.Gosched() {
 		if server.CloseIfIdle() {
-			t.Fatal("closed while its reader holds a part of a request")
+			t.Fatal("closed while the reader has a part of a request")
 		}
 	}
-	send(client, "the rest")
+	sendText(client, "the rest")
 	if n := <-read; n != len("the rest") {
-		t.Errorf("read %d bytes of the rest", n)
+		t.Errorf("got %d bytes, want %d", n, len("the rest"))
 	}
 }
 
-// Whoever is first, a request is either read to its end on a connection that stays, or not read at all.
-func TestRace(t *testing.T) {
-	both := [2]int{}
+// If CloseIfIdle and a request race, the request is either read and the connection stays open, or it is not read at
+// all.
+func TestCloseIfIdleExcludesRead(t *testing.T) {
+	var closedCount, readCount int
 	for i := range 500 {
-		client, server := pair(t)
-		go send(client, "request")
+		client, server := connPair(t)
+		go sendText(client, "request")
 		read := make(chan int)
 		go func() {
 			n, _ := server.Read(make([]byte, 10))
@@ -154,15 +155,15 @@
 		}
 		closed := server.CloseIfIdle()
 		if !closed {
-			both[1]++
+			readCount++
 		} else {
-			both[0]++
+			closedCount++
 		}
 		if n := <-read; closed != (n == 0) {
-			t.Fatalf("closed %v after %d bytes were read", closed, n)
+			t.Fatalf("got closed %v and %d bytes read, want either closed or read", closed, n)
 		}
-		end(client)
-		end(server)
+		closeQuietly(client)
+		closeQuietly(server)
 	}
-	t.Logf("closed %d, read %d", both[0], both[1])
+	t.Logf("closed %d, read %d", closedCount, readCount)
 }
--- a/internal/sockopt/idle.go
+++ b/internal/sockopt/idle.go
@@ -1,11 +1,14 @@
-// Package sockopt has what the connections of package net lack: a look at one without reading from it, and a connection
-// of a client that someone else than its reader may close as long as it carries no request.
+// Package sockopt adds two operations to the connections of package net: checking a connection for input without
+// reading from it, and closing a client's connection from another goroutine than its reader if no request is in
+// progress.
 //
-// [IsIdle] serves idle connections to endpoints. [NewConn] wraps an accepted connection; its server calls
-// [Conn.MarkResponded] after each response, and whoever wants its descriptor calls [Conn.CloseIfIdle].
+// [IsIdle] checks idle connections to endpoints. [NewConn] wraps an accepted connection. Its server calls
+// [Conn.MarkResponded] after each response, and a goroutine that needs the descriptor calls [Conn.CloseIfIdle].
 //
-//	idle.go  whether a connection stands with nothing to read
-//	conn.go  reading and closing a client's connection
+// # Files
+//
+//	idle.go  IsIdle
+//	conn.go  Conn: reading from a client's connection and closing it
 package sockopt
 
 import (
@@ -13,13 +16,13 @@
 	"syscall"
 )
 
-// IsIdle tells whether a connection stands and nothing has come on it that was not read.
+// IsIdle reports whether a connection is open and has no unread input. It does not read from the connection.
 func IsIdle(c syscall.Conn) bool {
 	raw, err := c.SyscallConn()
 	return err == nil && isIdle(raw)
 }
 
-// isIdle peeks at the socket: neither a byte nor an end may be there.
+// isIdle peeks at the socket. A socket with input, end of file or an error is not idle.
 func isIdle(raw syscall.RawConn) bool {
 	idle := false
 	err := raw.Control(func(fd uintptr) {
