--- a/internal/discovery/snapshot_test.go
+++ b/internal/discovery/snapshot_test.go
@@ -127,7 +127,7 @@
 	expectVersion(t, updates, 43, 10*time.Second)
 }
 
-// hedgeInterval is the time between the calls of slowWatch.
+// hedgeInterval is the time between the calls of newSlowWatch.
 const hedgeInterval = 10 * time.Millisecond
 
 // slowCase describes a slow agent and the expected result of the calls.
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -23,7 +23,7 @@
 	stallTimeout    = 200 * time.Millisecond // between two bytes of a response, which the agent has ready as a whole
 	retryDelay      = 50 * time.Millisecond  // after a failure; a watch continues only if the next call comes within 200 ms
 
-	queueFraction = 4                     // PollWithin divided by this is the time limit of a queued call
+	queueFraction = 4                     // PollWithin divided by this is the minimum responseTimeout of a polled service
 	hedgeFraction = 4                     // the drain grace divided by this is the time between hedged calls
 	watchFraction = 2                     // the drain grace divided by this limits a watch of a pushed list; see newTiming
 	minGrace      = 50 * time.Millisecond // used if the drain grace is 0
@@ -127,7 +127,8 @@
 // Resolve makes the next call request a full snapshot.
 func (w *Watcher) Resolve() { signal(w.resolve) }
 
-// ResumeWatch allows the next call after a rejection or a repeated failure.
+// ResumeWatch allows the next call to a polled service, which waits for it after a rejection, after a repeated failure
+// and at the start with a known list.
 func (w *Watcher) ResumeWatch() { signal(w.resume) }
 
 // signal sends to a channel with a buffer of 1, without blocking. A signal that is pending already is not duplicated.
--- a/internal/upstream/classify.go
+++ b/internal/upstream/classify.go
@@ -17,8 +17,8 @@
 
 // Errors of responses that net/http accepts and this package does not.
 var (
-	errProtocolChange  = errors.New("response changes the protocol")
-	errResponseTooLong = errors.New("response too long")
+	errProtocolChange  = errors.New("response switches the protocol")
+	errResponseTooLong = errors.New("response body exceeds 64 KiB")
 )
 
 // hasResponded reports whether an outcome means that the endpoint sent a response, including a malformed one.
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -40,6 +40,7 @@
 	reusable   bool             // the connection may carry another request
 }
 
+// newConn wraps an established connection.
 func newConn(raw net.Conn) *conn {
 	c := &conn{Conn: raw}
 	c.readLimit = &io.LimitedReader{R: c}
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -57,7 +57,7 @@
 // closeAll closes connections and frees their slots; p.mu must be held.
 func (p *Pool) closeAll(conns []*conn) {
 	for _, c := range conns {
-		_ = c.Close() // the connection is gone even on an error
+		_ = c.Close() // Close releases the connection even if it returns an error
 	}
 	p.slots.taken -= len(conns)
 }
@@ -156,7 +156,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = all
-	p.growIdleLimit() // observeReuse does not see endpoints whose connections are never reused
+	p.growIdleLimit() // without reuse, observeReuse would never raise a lowered limit
 	for _, e := range p.endpoints {
 		expired := 0
 		for expired < len(e.idle) && (all || time.Since(e.idle[expired].idleSince) >= p.idleLimit) {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -56,17 +56,17 @@
 // NewPool creates a pool of at most maxConnections connections, including idle ones.
 func NewPool(c *clock.Clock, n settings.Network, maxConnections int, log logrus.FieldLogger) *Pool {
 	readTimeout := max(clock.Duration(n.ConnectTimeout)/responseReadFraction, minResponseReadTimeout)
-	maxIdle := clock.Duration(n.IdleAfter) / 2
+	maxIdleTime := clock.Duration(n.IdleAfter) / 2
 	return &Pool{
 		clock: c, log: log,
 		timing: timing{
 			connectTimeout: clock.Duration(n.ConnectTimeout), responseReadTimeout: readTimeout,
-			reuseDelay: min(readTimeout, lateResponseWindow), maxIdleTime: maxIdle,
+			reuseDelay: min(readTimeout, lateResponseWindow), maxIdleTime: maxIdleTime,
 		},
 		dial: func(ctx context.Context, d *net.Dialer, address string) (net.Conn, error) {
 			return d.DialContext(ctx, "tcp", address)
 		},
-		endpoints: map[decision.EndpointID]*endpoint{}, idleLimit: maxIdle, slots: slots{limit: maxConnections},
+		endpoints: map[decision.EndpointID]*endpoint{}, idleLimit: maxIdleTime, slots: slots{limit: maxConnections},
 	}
 }
 
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -29,6 +29,7 @@
 	closed          chan struct{} // receives a value for each connection that the pool closed
 }
 
+// listen listens on a free port of the loopback interface until the test ends.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,6 +40,7 @@
 	return l
 }
 
+// newFakeEndpoint starts a fake endpoint, which puts the body of each request into its Body header.
 func newFakeEndpoint(t *testing.T, respond func(net.Conn, *http.Request)) *fakeEndpoint {
 	t.Helper()
 	server := &fakeEndpoint{Listener: listen(t), closed: make(chan struct{}, 100)}
@@ -86,8 +88,10 @@
 	return func(c net.Conn, _ *http.Request) { writeText(c, text) }
 }
 
+// okResponse is a successful response with a load report.
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Backend-Load: inflight=7,queue=2,util=0.61\r\n\r\nhi"
 
+// newPool creates a pool with an idle time of 2 s at the endpoints and a connect timeout of 100 ms.
 func newPool(maxConnections int) *Pool {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -147,6 +151,7 @@
 	return ""
 }
 
+// The response of an endpoint determines the outcome of the attempt and whether the connection is reused.
 func TestResponseGivesOutcome(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -229,6 +234,8 @@
 	}
 }
 
+// An attempt without a connection ends as unreachable, or as not sent if its deadline passes before the connect
+// timeout.
 func TestConnectFailureGivesOutcome(t *testing.T) {
 	for name, test := range map[string]struct {
 		address func(*testing.T) string
--- a/internal/upstream/responses_test.go
+++ b/internal/upstream/responses_test.go
@@ -153,9 +153,9 @@
 	}
 }
 
-// A response that arrives one byte at a time is cut off after a quarter of the connect timeout, at least 50 ms, from its
-// first byte on. Further bytes do not extend the timeout. Otherwise the endpoint would block its requests until their
-// deadlines.
+// A response that arrives one byte at a time is cut off after a quarter of the connect timeout, at least 50 ms, from
+// its first byte on. Further bytes do not extend the timeout. Otherwise the endpoint would block its requests until
+// their deadlines.
 func TestSlowResponseEndsAtReadTimeout(t *testing.T) {
 	for name, test := range map[string]struct {
 		start, text    string
