--- a/decision/action.go
+++ b/decision/action.go
@@ -1,44 +1,45 @@
 package decision
 
-// Action is something to be done, a message out of the balancer. Each kind is a type of this file.
+// Action is an output of the balancer, for the caller to carry out. The types in this file are the kinds of
+// actions.
 type Action interface{ action() }
 
 // StartAttempt sends a request to an endpoint.
 type StartAttempt struct {
 	Request  RequestID
 	Endpoint EndpointID
-	Timeout  Millis // from now; 0: as long as the client waits
-	SendBy   Millis // it is not sent from this time on; 0: as long as the client waits
+	Timeout  Millis // from now; 0: until the client's deadline
+	SendBy   Millis // the request must not be sent at or after this time; 0: the client's deadline
 }
 
-// Reject gives a request its final response: it was not served and may be sent again.
+// Reject sends the final response to a request: the request was not served and may be sent again.
 type Reject struct {
 	Request    RequestID
-	RetryAfter Millis // 0: no advice
+	RetryAfter Millis // 0: none
 }
 
-// Fail gives a request its final response: an error. It may have run.
+// Fail sends an error as the final response to a request. The request may have run.
 type Fail struct{ Request RequestID }
 
-// Cancel ends an attempt, whose AttemptEnded follows.
+// Cancel cancels an attempt. An AttemptEnded follows.
 type Cancel struct {
 	Request RequestID
-	Attempt int // counted from 0
+	Attempt int // index, from 0
 }
 
-// WakeAt asks for a TimerFired.
+// WakeAt requests a TimerFired event with this token at this time.
 type WakeAt struct {
 	Token Token
 	At    Millis
 }
 
-// StartHealthCheck checks an endpoint; a HealthCheckEnded follows.
+// StartHealthCheck starts a health check of an endpoint. A HealthCheckEnded follows.
 type StartHealthCheck struct{ Endpoint EndpointID }
 
 // CloseIdle closes the idle connections to an endpoint.
 type CloseIdle struct{ Endpoint EndpointID }
 
-// SendToPeer sends a message to another instance, or to all. The balancer emits none.
+// SendToPeer sends a message to one other instance, or to all. The balancer never emits this action.
 type SendToPeer struct {
 	To   InstanceID
 	All  bool
@@ -48,14 +49,14 @@
 // Log writes a line to the instance's log.
 type Log struct{ Text string }
 
-// WatchEndpoints asks for the endpoint list where it is polled: the first time, and again after a
-// PollRejected. An EndpointsChanged follows. On is always true.
+// WatchEndpoints polls for the endpoint list, with Settings.PollEndpoints only: once after the start, and again
+// after each PollRejected. An EndpointsChanged follows. On is always true.
 type WatchEndpoints struct{ On bool }
 
-// ResolveEndpoints asks for a full snapshot of the endpoint list. The balancer emits none.
+// ResolveEndpoints requests a full snapshot of the endpoint list. The balancer never emits this action.
 type ResolveEndpoints struct{}
 
-// Vote casts this instance's vote on a stage; a StageUpdate that answers it follows.
+// Vote casts this instance's vote on a stage. A StageUpdate with IsVoteResult follows.
 type Vote struct {
 	Build   Build
 	Stage   int
--- a/decision/admission.go
+++ b/decision/admission.go
@@ -1,20 +1,20 @@
 package decision
 
-// timerMargin is how many steps of the clock are kept as a margin before a time limit.
-const timerMargin = 2
+// timerMarginSteps is the margin before a time limit, in steps of the clock.
+const timerMarginSteps = 2
 
-// admits is the gate before every attempt: it tells whether this request may go to this endpoint now. All
-// rules that an attempt must keep stand here, whatever the reason for the attempt.
+// admits reports whether an attempt of a request may start at an endpoint now. Every attempt passes this check,
+// whatever its reason, so that all admission rules are enforced in one place.
 func (b *Balancer) admits(req *request, ep *endpoint) bool {
 	return b.mayAttempt(req) &&
 		ep.State == Serving &&
 		b.withinRetryScope(req, ep) &&
-		b.withinExposure(req, ep) &&
-		b.withinStickiness(req, ep)
+		b.withinExposureCap(req, ep) &&
+		b.allowedByStickyKey(req, ep)
 }
 
-// mayAttempt tells whether a request may have another attempt at any endpoint: before its deadline, within
-// the number of attempts, and beside one in flight only where hedging is allowed.
+// mayAttempt reports whether another attempt of a request may start at any endpoint. The request must be open,
+// before its deadline and below MaxAttempts. With one attempt in flight, another one requires HedgingAllowed.
 func (b *Balancer) mayAttempt(req *request) bool {
 	if req.done || b.now >= req.deadline || len(req.attempts) >= b.settings.MaxAttempts {
 		return false
@@ -22,9 +22,9 @@
 	return req.inFlight == 0 || b.settings.HedgingAllowed && req.inFlight == 1
 }
 
-// withinRetryScope keeps a request from running twice. Once an attempt may have run, a non-idempotent request
-// has no other, and one with an idempotency key keeps to the scope and the time in which endpoints remember
-// that key.
+// withinRetryScope prevents a request from running twice. Once an attempt may have run, a non-idempotent
+// request gets no other attempt, and a request with an idempotency key is retried only within the scope and
+// the time in which endpoints remember the key.
 func (b *Balancer) withinRetryScope(req *request, ep *endpoint) bool {
 	first := req.firstThatMayHaveRun()
 	if first == nil || req.Idempotency == Idempotent {
@@ -43,13 +43,14 @@
 	}
 }
 
-// lastRetryAt is when retries of a request with an idempotency key end.
+// lastRetryAt returns the time from which on a request with an idempotency key is not retried.
 func (b *Balancer) lastRetryAt(req *request, first *attempt) Millis {
-	return first.startedAt + req.DedupWindow - timerMargin*b.settings.ClockGranularity
+	return first.startedAt + req.DedupWindow - timerMarginSteps*b.settings.ClockGranularity
 }
 
-// withinExposure keeps the exposure cap of a build in trial, and guarded stages to idempotent requests.
-func (b *Balancer) withinExposure(req *request, ep *endpoint) bool {
+// withinExposureCap enforces the exposure cap of a build in trial, and restricts guarded stages to idempotent
+// requests.
+func (b *Balancer) withinExposureCap(req *request, ep *endpoint) bool {
 	trial := b.trialOf(ep.Build)
 	if !trial.active {
 		return true
@@ -58,8 +59,9 @@
 	return trial.exposureCap > 0 && *b.exposureTokens(req) >= 1 && !guarded
 }
 
-// withinStickiness keeps a key that the candidate has answered from going back to an earlier build.
-func (b *Balancer) withinStickiness(req *request, ep *endpoint) bool {
+// allowedByStickyKey prevents a request from going to an earlier build once a newer build has responded to its
+// key.
+func (b *Balancer) allowedByStickyKey(req *request, ep *endpoint) bool {
 	if !b.settings.StickyKeys || req.key == 0 || ep.Build >= b.sticky.build {
 		return true
 	}
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -6,7 +6,7 @@
 	"ottershed/internal/stats"
 )
 
-// Indices into pairs that are kept by build, by zone or by kind of queue.
+// Indices into arrays by build, by zone and by queue.
 const (
 	baselineSide  = 0
 	candidateSide = 1
@@ -18,37 +18,37 @@
 	retries       = 1
 )
 
-// initialLatencyShare of the longest latency objective is taken for the response time until responses are
-// seen.
+// initialLatencyShare times the longest latency objective is the assumed response time before the first
+// response.
 const initialLatencyShare = 0.25
 
-// Balancer is the decision module of one instance. Each field but the first ones is the state of one concern
-// and is declared in the file that works on it.
+// Balancer is the decision module of one instance. The types of the fields from classes on are declared in the
+// files that are named there.
 type Balancer struct {
 	settings     Settings
 	random       stats.Random
-	now          Millis // of the event being handled
+	now          Millis // time of the current event
 	tickInterval Millis
-	started      bool     // an event has been handled
-	actions      []Action // of the event being handled
+	started      bool     // the first event has been received
+	actions      []Action // emitted for the current event
 
-	classes   classTable    // classes.go
-	endpoints endpointTable // endpoints.go
-	polling   pollSchedule  // polling.go
-	requests  requestTable  // retry.go
-	routing   routingState  // routing.go
-	crossZone crossZone     // crosszone.go
-	outliers  outliers      // outlier.go
-	load      loadLimiter   // concurrency.go
-	checks    healthChecks  // healthcheck.go
-	exposure  tokenBucket   // exposure.go: over all classes
-	sticky    stickyKeys    // stickykeys.go
-	trial     trial         // trial.go
-	proof     proof         // proof.go
-	ballot    ballot        // vote.go
+	classes    classTable         // classes.go
+	endpoints  endpointTable      // endpoints.go
+	polling    pollSchedule       // polling.go
+	requests   requestTable       // retry.go
+	routing    routingState       // routing.go
+	crossZone  crossZone          // crosszone.go
+	outliers   outliers           // outlier.go
+	load       loadLimiter        // concurrency.go
+	checks     healthChecks       // healthcheck.go
+	exposure   tokenBucket        // exposure.go; shared by all classes
+	sticky     stickyKeys         // stickykeys.go
+	trial      trial              // trial.go
+	thresholds evidenceThresholds // proof.go
+	voting     votingState        // vote.go
 }
 
-// New returns a balancer that knows nothing but its settings. Equal seeds give equal random draws.
+// New returns a balancer that has seen no events. Equal seeds result in equal random draws.
 func New(settings Settings, seed uint64) *Balancer {
 	balancer := &Balancer{
 		settings:  settings,
@@ -67,13 +67,13 @@
 	}
 	balancer.tickInterval = max(min(balancer.tickInterval, longest), settings.ClockGranularity, 1)
 	balancer.applySettings(settings)
-	balancer.routing.turn = balancer.random.Next()
+	balancer.routing.lastPlacement = balancer.random.Next()
 	balancer.load = newLoadLimiter(balancer.classes, longest*initialLatencyShare)
 	return balancer
 }
 
-// Handle takes one event and returns the actions that follow from it, in the order in which they are to be
-// carried out. now never decreases from call to call.
+// Handle processes one event and returns the resulting actions in the order in which the caller must carry
+// them out. now must not decrease from call to call.
 func (b *Balancer) Handle(now Millis, event Event) []Action {
 	b.now, b.actions = now, nil
 	if !b.started {
@@ -85,7 +85,7 @@
 	return b.actions
 }
 
-// dispatchEvent calls the one method for a kind of event.
+// dispatchEvent calls the handler for the type of an event.
 func (b *Balancer) dispatchEvent(event Event) {
 	switch event := event.(type) {
 	case EndpointsChanged:
@@ -117,13 +117,13 @@
 	}
 }
 
-// emit appends an action to those of the event being handled.
+// emit appends an action to the actions of the current event.
 func (b *Balancer) emit(action Action) { b.actions = append(b.actions, action) }
 
-// scheduleTick asks for the next tick.
+// scheduleTick schedules the next tick.
 func (b *Balancer) scheduleTick() { b.emit(WakeAt{At: b.now + b.tickInterval}) }
 
-// handleTimer serves the waiting requests, and does the periodic work if the timer is the tick's.
+// handleTimer starts attempts of waiting requests, and runs the periodic work on a tick.
 func (b *Balancer) handleTimer(event TimerFired) {
 	b.dispatch()
 	if event.Token == 0 {
@@ -132,8 +132,8 @@
 	}
 }
 
-// tick does the periodic work: it ages what was observed, accrues credit, adjusts limits and shares, polls,
-// moves requests off silent endpoints and votes.
+// tick runs the periodic work: it decays observations, accrues slow start credit, adjusts limits and shares,
+// polls for the endpoint list, migrates requests from silent endpoints and votes.
 func (b *Balancer) tick() {
 	b.load.unresponsive = 0
 	b.decaySlowShares()
--- a/decision/classes.go
+++ b/decision/classes.go
@@ -6,27 +6,27 @@
 	"ottershed/internal/stats"
 )
 
-// classTable holds the request classes of the settings, and two sets of samples beside them.
+// classTable holds the request classes of the settings and two additional pseudo-classes.
 type classTable struct {
 	byName  map[ClassName]*classState
 	ordered []*classState // as in the settings
 
-	// overall stands for all classes together, each outcome relative to its class's pace, so that an instance
-	// with little traffic fills groups too.
+	// overall combines the outcomes of all classes, each relative to the mean response time of its class. An
+	// instance with little traffic would fill no groups by class alone.
 	overall *classState
-	// controller stands for the rollout controller's counts, which are the same for all instances.
+	// controller holds the rollout controller's counts, which are the same for all instances.
 	controller *classState
 
 	withOverall []*classState // ordered and overall
 	all         []*classState // ordered, overall and controller
 }
 
-// classState is a request class with what its outcomes say of the builds.
+// classState is a request class with its outcomes by build.
 type classState struct {
 	RequestClass
-	index     int         // in the outcomes of an endpoint
+	index     int         // of the class in endpoint.outcomes
 	exposure  tokenBucket // with ExposurePerClass
-	slowShare *float64    // share of responses that were slow for the latency objective
+	slowShare *float64    // smoothed share of responses that were slow, by slowResponseShare
 	samples
 }
 
@@ -35,13 +35,14 @@
 	table := classTable{
 		byName:  map[ClassName]*classState{},
 		overall: &classState{exposure: exposure, index: len(settings.Classes), slowShare: new(float64)},
-		// All instances see the same counts, so that nothing is gained by asking for more rejections.
+		// All instances see the same counts, so requiring more rejections would not lower the rate of false
+		// alarms.
 		controller: &classState{samples: samples{rejectionsNeeded: rejectionsToRollback}},
 	}
 	for i, class := range settings.Classes {
 		state := &classState{RequestClass: class, index: i, exposure: exposure, slowShare: new(float64)}
 		table.byName[class.Name] = state
-		// Of two classes with one name the later one counts.
+		// Of two classes with the same name, the later one takes effect.
 		table.ordered = append(table.ordered, table.byName[class.Name])
 		table.overall.LatencyObjective = max(table.overall.LatencyObjective, class.LatencyObjective)
 	}
@@ -50,8 +51,8 @@
 	return table
 }
 
-// find returns the class of a request. One that the settings lack is taken for the overall class, whose
-// idempotency is the most careful one.
+// find returns the class with a name. An unknown name maps to the overall class, which is NonIdempotent, the
+// safest assumption.
 func (t *classTable) find(name ClassName) *classState {
 	if class := t.byName[name]; class != nil {
 		return class
@@ -59,8 +60,8 @@
 	return t.overall
 }
 
-// count adds outcomes of an endpoint to those of their class and to the overall ones.
-func (t *classTable) count(ep *endpoint, class *classState, outcomes stats.Count) {
+// addOutcomes adds outcomes to the endpoint's counts for their class and for the overall class.
+func (t *classTable) addOutcomes(ep *endpoint, class *classState, outcomes stats.Count) {
 	ep.outcomes[class.index].Add(outcomes, 1)
 	ep.outcomes[t.overall.index].Add(outcomes, 1)
 }
--- a/decision/comparison.go
+++ b/decision/comparison.go
@@ -8,43 +8,43 @@
 
 const (
 	groupSize            = 20   // outcomes in a group
-	rejectStatistic      = 3.84 // of the Kruskal-Wallis test (chi-squared, 1 degree of freedom, 5%): groups differ
-	slowRatio            = 1.25 // of two medians: the higher one is clearly slower from here on
-	rejectionsToRollback = 2    // rejections in a row that roll a build back where a handful of instances judge
+	rejectStatistic      = 3.84 // Kruskal-Wallis statistic (chi-squared, 1 degree of freedom, 5%) from which groups differ
+	slowRatio            = 1.25 // ratio of medians from which a group is clearly slower
+	rejectionsToRollback = 2    // consecutive rejections for a vote to roll back in a fleet of a few instances
 )
 
-// comparison compares the candidate's outcomes with the baseline's by the rank test, one closed group after
-// another. A value is a response time divided by the baseline's mean in its class and on its machine type; a
-// failure is infinite and ranks behind every response.
+// comparison compares the candidate's outcomes with the baseline's by a rank test on each closed group. The
+// value of an outcome is its response time divided by the baseline's mean response time in its class and on its
+// machine type. The value of a failure is infinite and ranks above every response.
 type comparison struct {
 	baseline    stats.Groups
 	candidate   stats.Groups
-	agrees      bool // the candidate's last two groups agree with each other, the last also with the baseline's
-	rejections  int  // groups in a row that were clearly slower
-	medianRatio float64
+	agrees      bool    // no difference between the candidate's last two groups, nor between the last one and the baseline
+	rejections  int     // consecutive groups that were clearly slower
+	medianRatio float64 // of the outcomes last passed to slower, over the baseline
 }
 
-// add puts an outcome into the groups of its build.
+// add adds an outcome to the groups of its build, and evaluates a candidate group once it is full.
 func (c *comparison) add(candidate bool, value float64) {
 	if !candidate {
 		c.baseline.Add(value, groupSize)
 		return
 	}
 	if c.candidate.Add(value, groupSize) {
-		c.judge()
+		c.evaluateLastGroup()
 	}
 }
 
-// closeCandidate ends the candidate's group that is being filled as it is, and judges it.
+// closeCandidate closes the candidate's current group before it is full, and evaluates it.
 func (c *comparison) closeCandidate() {
 	c.candidate.Close()
-	c.judge()
+	c.evaluateLastGroup()
 }
 
-// judge compares the candidate's last group. Two groups in a row must agree with each other before one can
-// agree with the baseline. A rejection does not wait for that: under a build that is too slow for its load no
-// two groups agree.
-func (c *comparison) judge() {
+// evaluateLastGroup compares the candidate's last group with the baseline. Two consecutive groups must agree
+// with each other before the last one can agree with the baseline. A rejection does not require that: with a
+// build that is too slow for its load, response times keep rising and no two groups agree.
+func (c *comparison) evaluateLastGroup() {
 	if c.baseline.Last == nil {
 		return
 	}
@@ -61,9 +61,9 @@
 	}
 }
 
-// slower tells whether outcomes are clearly slower than both of the baseline's last groups, for one of them
-// may be fast by chance. margin widens the ratio of medians that is asked for. A group with a failure for its
-// median is not slower: failures are judged by endpoint, for some endpoints fail fast whatever they run.
+// slower reports whether outcomes are clearly slower than both of the baseline's last groups, because a single
+// group may be fast by chance. margin multiplies the required ratio of medians. A group whose median is a
+// failure is not slower: failures are evaluated by endpoint, because some endpoints fail fast with any build.
 func (c *comparison) slower(outcomes []float64, margin float64) bool {
 	for _, baseline := range [][]float64{c.baseline.Before, c.baseline.Last} {
 		if len(baseline) == 0 || len(outcomes) == 0 {
@@ -80,7 +80,7 @@
 	return true
 }
 
-// resetCandidate forgets the candidate's groups and what came of them.
+// resetCandidate discards the candidate's groups and the results of their evaluation.
 func (c *comparison) resetCandidate() {
 	c.candidate = stats.Groups{}
 	c.agrees = false
--- a/decision/concurrency.go
+++ b/decision/concurrency.go
@@ -3,43 +3,43 @@
 import "math"
 
 const (
-	latencyWeight     = 0.15        // of the newest response in an endpoint's response time
-	meanLatencyWeight = 0.15 * 0.15 // of the newest response in the mean over all endpoints
-	latencyTolerance  = 2.0         // response time over the base latency from which an endpoint's limit falls
-	limitFallWeight   = 0.15        // of the newest response, as it lowers an endpoint's limit
-	limitRiseWeight   = 0.15        // of an attempt, by which a limit that is used up rises
-	queuedObjective   = 2.0         // divisor: all instances together queue half an objective of work
-	limitHeadroom     = 1.25        // of an endpoint's limit over what it served at once
-	minEndpointLimit  = 0.15        // attempts
-	rejectionLimitCut = 1 - 0.15    // factor on an endpoint's limit when it rejects an attempt
+	latencyWeight          = 0.15        // weight of the newest response in an endpoint's response time
+	meanLatencyWeight      = 0.15 * 0.15 // weight of the newest response in the mean over all endpoints
+	latencyTolerance       = 2.0         // ratio of response time to base latency from which an endpoint's limit falls
+	limitFallWeight        = 0.15        // weight of the newest response when it lowers an endpoint's limit
+	limitRiseWeight        = 0.15        // attempts by which a limit rises when it is reached
+	queuedObjectiveDivisor = 2.0         // divisor: all instances together may queue half a latency objective of work
+	limitHeadroom          = 1.25        // ratio of an endpoint's limit to the attempts that it served concurrently
+	minEndpointLimit       = 0.15        // attempts
+	rejectionLimitFactor   = 1 - 0.15    // factor on an endpoint's limit when the endpoint rejects an attempt
 
 	slowResponseShare   = 0.25 // a response that takes longer than this share of its objective is slow
-	slowShareWeight     = 0.15 // of the newest response in a share of slow ones
-	overloadedShare     = 0.7  // share of slow responses in the best class or tenant: an overload
-	totalLimitCutWeight = 0.15 // of the newest response, as it lowers the limit over all endpoints
-	totalLimitStep      = 0.15 // attempts, by which a limit that is used up rises
-	minTotalLimit       = 1e-9 // attempts; at 0 no attempt could start, so no response could raise the limit
+	slowShareWeight     = 0.15 // weight of the newest response in a share of slow responses
+	overloadedShare     = 0.7  // share of slow responses in the best class or tenant from which there is an overload
+	totalLimitCutWeight = 0.15 // weight of the newest response when it lowers the total limit
+	totalLimitStep      = 0.15 // attempts by which the total limit rises when it is reached
+	minTotalLimit       = 1e-9 // attempts; with 0 no attempt could start, so no response could raise the limit
 
-	baseLatencyCreep = 20 // the base latency rises by 1/20 in a slow start window
+	baseLatencyRiseDivisor = 20 // the base latency rises by 1/20 per slow start window
 )
 
-// loadLimiter limits the attempts in flight, at each endpoint and over all of them, by how response times
-// compare with the lowest ones seen.
+// loadLimiter limits the attempts in flight at each endpoint and in total, by the ratio of response times to
+// the lowest mean response time seen.
 type loadLimiter struct {
-	limit        float64 // on attempts in flight at all endpoints that respond
-	recentPeak   float64 // of attempts in flight
-	inFlight     int
-	unresponsive int // of these, at silent endpoints
+	limit        float64 // total limit on attempts in flight, without those at silent endpoints
+	recentPeak   float64 // decaying maximum of these attempts
+	inFlight     int     // attempts in flight
+	unresponsive int     // of these, at silent endpoints
 
 	meanLatency Millis // smoothed response time over all endpoints
-	baseLatency Millis // the lowest it was, rising slowly
+	baseLatency Millis // lowest value of meanLatency, rising slowly
 
-	serviceRate float64 // responses a millisecond and unit of warm capacity
-	succeeded   float64 // responses of warm endpoints since the last tick
+	serviceRate float64 // responses per millisecond and unit of warm capacity
+	succeeded   float64 // responses from warm endpoints since the last tick
 
-	slowShare  float64               // share of slow responses
-	slowShares []*float64            // the same by class and tenant
-	tenants    map[TenantID]*float64 // of these, the tenants'; bounded only where the settings list tenants
+	slowShare  float64               // smoothed share of slow responses
+	slowShares []*float64            // the same by class and by tenant
+	tenants    map[TenantID]*float64 // the same by tenant; bounded only where the settings list tenants
 }
 
 func newLoadLimiter(classes classTable, latency Millis) loadLimiter {
@@ -55,7 +55,7 @@
 	return limiter
 }
 
-// tenantShare is the share of slow responses of a tenant.
+// tenantShare returns the share of slow responses of a tenant, and adds a tenant that is new.
 func (l *loadLimiter) tenantShare(id TenantID) *float64 {
 	share := l.tenants[id]
 	if share == nil {
@@ -66,12 +66,12 @@
 	return share
 }
 
-// full tells whether no further attempt may start. Attempts at silent endpoints don't count: they may never
-// end.
+// full reports whether the total limit is reached. Attempts at silent endpoints do not count, because they may
+// never end.
 func (l *loadLimiter) full() bool { return float64(l.inFlight-l.unresponsive) >= l.limit }
 
-// leastSlowShare is the least share of slow responses of all classes and tenants: slowness of some requests
-// alone is no lack of capacity.
+// leastSlowShare returns the lowest share of slow responses of any class or tenant. Only if all of them are
+// slow is there a lack of capacity.
 func (l *loadLimiter) leastSlowShare() float64 {
 	least := 1.0
 	for _, share := range l.slowShares {
@@ -80,39 +80,40 @@
 	return least
 }
 
-// observeLatency takes a response time, in ms, into the mean and the lowest mean.
+// observeLatency updates the mean response time and the base latency with a response time.
 func (b *Balancer) observeLatency(after Millis) {
 	b.load.meanLatency += meanLatencyWeight * (after - b.load.meanLatency)
 	b.load.baseLatency = min(b.load.baseLatency, b.load.meanLatency)
 }
 
-// adjustEndpointLimit moves an endpoint's limit on attempts in flight by the base latency over its response
-// time. All instances together keep half a latency objective of work there, or a quarter more than it served
-// at once. The limit never grows unused.
+// adjustEndpointLimit adjusts an endpoint's limit on attempts in flight by the ratio of the base latency to the
+// endpoint's response time. All instances together may queue half a latency objective of work at the endpoint,
+// or a quarter more than the attempts that it served concurrently. A limit that is not reached does not rise.
 func (b *Balancer) adjustEndpointLimit(ep *endpoint, after Millis) {
 	ep.latency += latencyWeight * (after - ep.latency)
 	objective := b.classes.overall.LatencyObjective
-	share := objective / b.load.baseLatency / float64(b.settings.Instances) / queuedObjective
+	share := objective / b.load.baseLatency / float64(b.settings.Instances) / queuedObjectiveDivisor
 	tolerated := min(1, latencyTolerance*b.load.baseLatency/ep.latency)
 	ep.concurrencyLimit -= limitFallWeight * ep.concurrencyLimit * (1 - tolerated)
 	if float64(ep.inFlight+1) < ep.concurrencyLimit {
 		return
 	}
-	raised := ep.concurrencyLimit + limitRiseWeight*min(1, share)/queuedObjective
+	raised := ep.concurrencyLimit + limitRiseWeight*min(1, share)/queuedObjectiveDivisor
 	served := limitHeadroom * b.load.serviceRate * ep.Capacity * b.load.baseLatency
 	ep.concurrencyLimit = min(raised, max(1, share, served))
 }
 
-// restRejecting gives an endpoint that rejected an attempt a rest, for rejecting costs it work too.
-func (b *Balancer) restRejecting(ep *endpoint) {
+// backOffEndpoint sends nothing to an endpoint that rejected an attempt for one response time, because
+// rejections cost the endpoint work too, and lowers its limit.
+func (b *Balancer) backOffEndpoint(ep *endpoint) {
 	used := min(ep.concurrencyLimit, float64(ep.inFlight+1))
-	ep.concurrencyLimit = max(minEndpointLimit, used*rejectionLimitCut)
+	ep.concurrencyLimit = max(minEndpointLimit, used*rejectionLimitFactor)
 	ep.ejectedUntil = max(ep.ejectedUntil, b.now+ep.latency)
 }
 
-// adjustTotalLimit lowers the limit over all endpoints while responses to every class and tenant are slow,
-// and raises it as it is used up. An instance with little traffic has too few responses of each endpoint to
-// go by their limits.
+// adjustTotalLimit lowers the total limit while responses of every class and tenant are slow, and raises the
+// limit when it is reached. The limits by endpoint do not suffice: an instance with little traffic has too few
+// responses from each endpoint.
 func (b *Balancer) adjustTotalLimit(req *request, after Millis) {
 	slow := min(1, math.Floor(after/req.LatencyObjective/slowResponseShare))
 	for _, share := range []*float64{&b.load.slowShare, req.slowShare, req.tenantSlow} {
@@ -121,9 +122,9 @@
 	inFlight := float64(b.load.inFlight - b.load.unresponsive + 1)
 	least := b.load.leastSlowShare()
 	if least > overloadedShare {
-		// The limit is cut from the recent peak: by what is in flight at one moment, chance would take nearly
-		// all of it from an instance with little traffic. Unresponsive attempts may have ended since they
-		// were counted.
+		// The limit is cut from the recent peak. Cut from the attempts in flight at one moment, it would drop
+		// to nearly 0 by chance at an instance with little traffic. Unresponsive attempts may have ended since
+		// they were counted, so inFlight may be too low.
 		cut := 1 - totalLimitCutWeight*(least-overloadedShare)/(1-overloadedShare)
 		b.load.limit = max(minTotalLimit, min(b.load.limit, max(inFlight, b.load.recentPeak))*cut)
 	} else if inFlight >= b.load.limit {
@@ -131,27 +132,28 @@
 	}
 }
 
-// decaySlowShares lets the classes and tenants without responses follow the rest.
+// decaySlowShares moves the share of each class and tenant towards the overall share. Otherwise a class or
+// tenant without responses would keep an old share.
 func (b *Balancer) decaySlowShares() {
 	for _, share := range b.load.slowShares {
 		*share += (b.load.slowShare - *share) * b.tickInterval / b.settings.SlowStartWindow
 	}
 }
 
-// updateServiceRate takes the responses since the last tick into the service rate, which stays as it was
-// while only warming endpoints are left, and lets the base latency rise.
+// updateServiceRate updates the service rate with the responses since the last tick, and raises the base
+// latency. The service rate is unchanged while no endpoint is warm.
 func (b *Balancer) updateServiceRate(capacity capacitySum) {
 	if capacity.warm > 0 {
 		weight := min(1, b.tickInterval/b.settings.OverloadWindow)
 		b.load.serviceRate += weight * (b.load.succeeded/capacity.warm/b.tickInterval - b.load.serviceRate)
 	}
 	b.load.succeeded = 0
-	b.load.baseLatency *= 1 + b.tickInterval/b.settings.SlowStartWindow/baseLatencyCreep
+	b.load.baseLatency *= 1 + b.tickInterval/b.settings.SlowStartWindow/baseLatencyRiseDivisor
 }
 
-// relaxTotalLimit raises the limit over all endpoints with time while requests wait and there is no overload.
-// By responses alone, an instance with little traffic would win back over many seconds what it gave up in a
-// moment.
+// relaxTotalLimit raises the total limit with time while requests wait and there is no overload. If only
+// responses raised the limit, an instance with little traffic would take many seconds to recover from one
+// cut.
 func (b *Balancer) relaxTotalLimit() {
 	decayed := b.load.recentPeak * (1 - b.tickInterval/b.settings.OverloadWindow)
 	b.load.recentPeak = max(float64(b.load.inFlight-b.load.unresponsive), decayed)
--- a/decision/controllercounts.go
+++ b/decision/controllercounts.go
@@ -6,12 +6,14 @@
 	"ottershed/internal/stats"
 )
 
-// errorSharePrior is added to the unsuccessful attempts that the share of error responses is taken of.
+// errorSharePrior is added to the number of unsuccessful attempts in the divisor of the share of error
+// responses, so that a few attempts result in a low share.
 const errorSharePrior = 5
 
-// addControllerCounts takes the rollout controller's counts of one period, class and build. They are the same
-// for all instances, so that one with little traffic sees the whole fleet by them. The responses of one count
-// are laid out as one group at most, spread as exponential response times are.
+// addControllerCounts adds the rollout controller's counts of one period, class and build to the samples. The
+// counts cover all instances, so that an instance with little traffic sees the outcomes of the whole fleet. The
+// responses of one count become at most one group of values, distributed as exponential response times with
+// the reported mean.
 func (b *Balancer) addControllerCounts(event ControllerCounts) {
 	class := b.classes.byName[event.Class]
 	if class == nil || !b.trial.known || event.Build > b.trial.update.Build || event.Count <= 0 {
@@ -37,9 +39,9 @@
 	}
 }
 
-// estimateErrors returns the good and bad responses of a count. The controller counts rejections by endpoints
-// as failed too, so the failed ones are scaled by the share of error responses in the instance's own
-// unsuccessful attempts. One of these may be chance.
+// estimateErrors returns the good and bad responses of a count. The controller also counts rejections by
+// endpoints as failed, so the failed responses are scaled by the share of error responses among the instance's
+// own unsuccessful attempts. One error response is not counted, because a single one may be chance.
 func (b *Balancer) estimateErrors(event ControllerCounts) stats.Count {
 	own := b.trial.unsuccessful
 	return stats.Count{
@@ -48,8 +50,8 @@
 	}
 }
 
-// addReport adds the counts of a period. Faults of endpoints fail requests of both builds, so each count of
-// the candidate is set against as many outcomes of the baseline from the same time.
+// addReport adds the counts of one build in one period. Faults of endpoints fail requests to both builds, so
+// each count of the candidate is paired with an equal number of baseline outcomes from the same time.
 func (s *samples) addReport(candidate bool, counts stats.Count) {
 	if !candidate {
 		s.baselineReport = counts
--- a/decision/crosszone.go
+++ b/decision/crosszone.go
@@ -3,24 +3,24 @@
 import "math"
 
 const (
-	crossGainFactor     = 4.0  // share that crosses, for each share that crossing would bring in time
-	maxCrossZoneShare   = 0.5  // of the requests cross while endpoints at home can take them, at most
-	zoneLatencyWeight   = 0.15 // of the newest response
-	crossZoneCutDivisor = 2.0  // of the share, for an attempt in another zone whose connection failed
-	zoneRetryRate       = 0.15 // share of the gap to the base latency that closes in a slow start window
+	crossGainFactor     = 4.0  // ratio of the cross-zone share to the gain
+	maxCrossZoneShare   = 0.5  // highest share of requests that cross zones although endpoints in the home zone are available
+	zoneLatencyWeight   = 0.15 // weight of the newest response in a zone's response time
+	crossZoneCutDivisor = 2.0  // of the share, for each failed connection in another zone
+	zoneRetryRate       = 0.15 // share of the gap to the base latency that closes per slow start window
 )
 
-// crossZone decides what share of the requests is sent to another zone though endpoints at home could take
-// them. An instance with little traffic knows too few endpoints to see free capacity elsewhere, so it goes by
-// what it observes of either zone as a whole.
+// crossZone determines the share of requests that is sent to other zones although endpoints in the home zone are
+// available. An instance with little traffic has outcomes from too few endpoints to detect free capacity in
+// other zones, so the share follows from the response times of whole zones.
 type crossZone struct {
-	latency [2]Millis // smoothed response time, by zone
-	gain    float64   // share of requests in time that another zone brings, beyond the price of crossing
-	share   float64   // of the requests
+	latency [2]Millis // smoothed response time by zone
+	gain    float64   // additional share of requests within the objective in another zone, less CrossZonePrice
+	share   float64   // of the requests, 0 to maxCrossZoneShare
 }
 
-// observeZone takes the outcome of an attempt into the response time of its zone. A zone that is cut off
-// loses the requests that were sent over within a few attempts.
+// observeZone updates the response time of a zone with the outcome of an attempt. When another zone is
+// unreachable, the cross-zone share falls to almost 0 within a few attempts.
 func (b *Balancer) observeZone(ep *endpoint, event AttemptEnded) {
 	zone := b.zoneIndex(ep)
 	switch event.Outcome {
@@ -28,36 +28,36 @@
 		b.crossZone.latency[zone] += zoneLatencyWeight * (event.After - b.crossZone.latency[zone])
 	case Unreachable, ConnectionBroken, Canceled:
 		if zone == otherZone {
-			lost := max(event.After, b.classes.overall.LatencyObjective)
-			b.crossZone.latency[otherZone] += zoneLatencyWeight * (lost - b.crossZone.latency[otherZone])
+			penalty := max(event.After, b.classes.overall.LatencyObjective)
+			b.crossZone.latency[otherZone] += zoneLatencyWeight * (penalty - b.crossZone.latency[otherZone])
 			b.crossZone.share /= crossZoneCutDivisor
 		}
 	}
 }
 
-// drawsCrossing draws whether a request may cross zones at no price.
-func (b *Balancer) drawsCrossing() bool {
+// drawCrossZone draws whether a request is sent to another zone by the cross-zone share.
+func (b *Balancer) drawCrossZone() bool {
 	if b.crossZone.share <= 0 || len(b.routing.eligible[otherZone]) == 0 {
 		return false
 	}
 	return b.random.Next() < b.crossZone.share
 }
 
-// updateCrossZoneShare moves the share towards what the gain asks for. It moves slowly: all instances observe
-// the same thing late and together, and in larger steps the zones would fill in turn. The other zone's
-// response time falls to the lowest seen unless attempts there raise it, so that it is tried again.
+// updateCrossZoneShare moves the cross-zone share towards its target. The target is in proportion to the gain.
+// The steps are small: all instances observe the same response times with the same delay, and with larger steps
+// their load would oscillate between the zones. Without attempts, the other zone's response time moves to the
+// base latency, so that the zone is tried again.
 func (b *Balancer) updateCrossZoneShare(capacity capacitySum) {
 	zones := &b.crossZone
 	window := b.settings.SlowStartWindow
 	objective := b.classes.overall.LatencyObjective
-	missing := b.load.baseLatency - zones.latency[otherZone]
-	zones.latency[otherZone] += missing * zoneRetryRate * b.tickInterval / window
-	lateAtHome := math.Exp(-objective / zones.latency[homeZone])
-	lateElsewhere := math.Exp(-objective / zones.latency[otherZone])
-	zones.gain = lateAtHome - lateElsewhere - b.settings.CrossZonePrice
-	// The better an instance knows each endpoint by its own responses, the less it needs the average of a
-	// zone.
+	gap := b.load.baseLatency - zones.latency[otherZone]
+	zones.latency[otherZone] += gap * zoneRetryRate * b.tickInterval / window
+	lateInHomeZone := math.Exp(-objective / zones.latency[homeZone])
+	lateInOtherZone := math.Exp(-objective / zones.latency[otherZone])
+	zones.gain = lateInHomeZone - lateInOtherZone - b.settings.CrossZonePrice
+	// The more responses an instance has from each endpoint, the less weight the average of a zone gets.
 	unobserved := 1 / (1 + b.load.serviceRate*capacity.warm*window/float64(len(b.endpoints.ordered)+1))
-	wanted := min(maxCrossZoneShare, crossGainFactor*unobserved*max(0, zones.gain))
-	zones.share += (wanted - zones.share) * b.tickInterval / window
+	target := min(maxCrossZoneShare, crossGainFactor*unobserved*max(0, zones.gain))
+	zones.share += (target - zones.share) * b.tickInterval / window
 }
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -1,36 +1,36 @@
-// Package decision decides what a load balancer instance does with every request while a new build of the
-// endpoints replaces the earlier one in stages, and how the instance votes on that roll-out.
+// Package decision routes the requests of a load balancer instance during the staged rollout of a new
+// endpoint build, and determines the votes of that instance on the rollout.
 //
-// The package is a state machine without I/O, clock or goroutines. A caller makes one [Balancer] an instance
-// with [New], hands it what happened through [Balancer.Handle], in order and with the time, and carries out
-// the actions that are returned. Two balancers with the same settings, seed and events return the same
-// actions. A Balancer is not safe for concurrent use.
+// The package is a deterministic state machine without I/O, clock or goroutines. Each instance creates one
+// [Balancer] with [New], passes events and their times to [Balancer.Handle] in order, and carries out the
+// returned actions. Two balancers with the same settings, seed and events return the same actions. A Balancer
+// is not safe for concurrent use.
 //
-// The build that is being rolled out is the candidate, the one it replaces the baseline. Votes follow from
-// Kruskal-Wallis tests on disjoint groups of 20 outcomes, each value being a response time over the
-// baseline's mean.
+// The build that is being rolled out is the candidate; the build that the candidate replaces is the baseline.
+// Votes are based on Kruskal-Wallis tests on disjoint groups of 20 outcomes. The value of an outcome is its
+// response time divided by the baseline's mean response time.
 //
-// # Where each rule stands
+// # Rules by file and function
 //
 //	rule                                                 file                 function
-//	which endpoint a request goes to                     routing.go           chooseEndpoint
-//	what share of requests crosses zones                 crosszone.go         updateCrossZoneShare
-//	whether an attempt may start at all                  admission.go         admits
-//	order of waiting requests, expiry, giving up         retry.go             dispatch, expired, giveUp
-//	moving a request off a silent endpoint               retry.go             migrateFromSilent
-//	when an endpoint is ejected and comes back           outlier.go           observeEndpoint, eject, responded
-//	what counts as an infrastructure fault               outlier.go           faultWithin
-//	limits on attempts in flight                         concurrency.go       adjustEndpointLimit, adjustTotalLimit
-//	weight and credit of a warming endpoint              slowstart.go         slowStartWeight, accrueSlowStartCredit
+//	endpoint selection for a request                     routing.go           chooseEndpoint
+//	cross-zone share of requests                         crosszone.go         updateCrossZoneShare
+//	admission of an attempt                              admission.go         admits
+//	order and expiry of waiting requests                 retry.go             dispatch, expired, giveUp
+//	migration of requests from silent endpoints          retry.go             migrateFromSilent
+//	ejection and readmission of endpoints                outlier.go           observeEndpoint, eject, recordResponse
+//	detection of infrastructure faults                   outlier.go           faultWithin
+//	concurrency limits                                   concurrency.go       adjustEndpointLimit, adjustTotalLimit
+//	slow start weight and credit                         slowstart.go         slowStartWeight, accrueSlowStartCredit
 //	health checks before an attempt                      healthcheck.go       healthCheckFirst
-//	how much of the traffic a candidate may get          exposure.go          exposureTokens, trialOf
-//	which outcomes are compared                          samples.go           recordOutcome
-//	when a group of outcomes is rejected                 comparison.go        judge, slower
-//	slowness of all endpoints since the trial began      fleetslowdown.go     compareBeforeTrial
-//	the rollout controller's counts as samples           controllercounts.go  addControllerCounts
-//	when failures prove a bad build                      failures.go          failureEvidence
-//	the reasons for a vote, in order                     verdict.go           verdictRules
-//	how much proof one instance needs                    proof.go             requiredProof
-//	when a vote is cast or renewed                       vote.go              castVote
-//	when the endpoint list is polled                     polling.go           schedulePoll, pollRejected
+//	exposure of a build in trial                         exposure.go          exposureTokens, trialOf
+//	selection of outcomes for comparison                 samples.go           recordOutcome
+//	rejection of a group of outcomes                     comparison.go        evaluateLastGroup, slower
+//	slowdown of all endpoints since the trial began      fleetslowdown.go     compareBeforeTrial
+//	rollout controller counts as samples                 controllercounts.go  addControllerCounts
+//	failures as evidence of a bad build                  failures.go          failureEvidence
+//	reasons for a vote, in order                         verdict.go           verdictRules
+//	evidence that one instance needs                     proof.go             deriveThresholds
+//	casting and renewal of votes                         vote.go              castVote
+//	polling of the endpoint list                         polling.go           schedulePoll, pollRejected
 package decision
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -9,42 +9,42 @@
 	"ottershed/internal/stats"
 )
 
-// endpointTable is the endpoint list as last received.
+// endpointTable holds the current endpoint list.
 type endpointTable struct {
 	byID           map[EndpointID]*endpoint
-	ordered        []*endpoint                 // by id
-	byBuildAndZone [2][2][]*endpoint           // by side and by zone
-	machineTypes   map[MachineType]*stats.Mean // pace of each type of machine that was ever listed
+	ordered        []*endpoint                 // by ID
+	byBuildAndZone [2][2][]*endpoint           // by side and zone
+	machineTypes   map[MachineType]*stats.Mean // response time ratio of each type of machine that was ever listed
 }
 
-// endpoint is a listed endpoint with what was observed of it.
+// endpoint is an entry of the endpoint list with the observations on it.
 type endpoint struct {
 	Endpoint
 
 	inFlight         int
 	latency          Millis        // smoothed response time
 	failureShare     float64       // smoothed share of failures
-	machineTypeRatio *stats.Mean   // of its type of machine, relative to the class
-	outcomes         []stats.Count // by class and overall, since the candidate was offered
-	lastResponseAt   Millis        // or the start of the first attempt in flight after it
+	machineTypeRatio *stats.Mean   // response time on its type of machine over the mean of the class
+	outcomes         []stats.Count // by class and overall, since the newest build was offered
+	lastResponseAt   Millis        // or the start of the first attempt after the endpoint was idle
 
-	concurrencyLimit float64 // attempts in flight at most; concurrency.go
-	warmingSince     Millis  // its start, as far as known; slowstart.go
-	slowStartCredit  float64 // attempts that it may still get while it warms up; slowstart.go
+	concurrencyLimit float64 // limit on attempts in flight; concurrency.go
+	warmingSince     Millis  // start of its slow start; slowstart.go
+	slowStartCredit  float64 // attempts that may start there during slow start; slowstart.go
 
-	connectFailures int    // attempts in a row that found no connection or lost it; outlier.go
-	ejections       int    // times in a row that it was ejected; outlier.go
-	ejectedUntil    Millis // it gets nothing before; outlier.go
+	connectFailures int    // consecutive attempts with a failed or broken connection; outlier.go
+	ejections       int    // consecutive ejections; 0: not ejected; outlier.go
+	ejectedUntil    Millis // no attempts start there before; outlier.go
 
 	healthCheckRatio float64 // duration of the last health check over that of an idle endpoint; healthcheck.go
-	healthCheckedAt  Millis  // when that check came back; 0 once a request was sent there
+	healthCheckedAt  Millis  // end of that check; 0 once an attempt has started there since
 }
 
 func newEndpointTable() endpointTable {
 	return endpointTable{byID: map[EndpointID]*endpoint{}, machineTypes: map[MachineType]*stats.Mean{}}
 }
 
-// handleEndpoints takes over the endpoint list, or notes that a poll for it was rejected.
+// handleEndpoints applies an update of the endpoint list, or backs off after a rejected poll.
 func (b *Balancer) handleEndpoints(event EndpointsChanged) {
 	if event.Kind == PollRejected {
 		b.pollRejected()
@@ -68,8 +68,8 @@
 	b.partitionEndpoints()
 }
 
-// applyEndpoint takes over one entry of the list. An endpoint that has restarted or runs another build is a
-// new one.
+// applyEndpoint applies one entry of the list. An endpoint that has restarted or runs another build replaces
+// the earlier endpoint, so that observations from before do not apply to it.
 func (b *Balancer) applyEndpoint(entry Endpoint) {
 	ep := b.endpoints.byID[entry.ID]
 	if ep != nil && (entry.State == Removed || ep.Started != entry.Started || ep.Build != entry.Build) {
@@ -98,8 +98,8 @@
 	return ep
 }
 
-// dropEndpoint removes an endpoint from the table. Open requests may still refer to it. Outcomes of a
-// baseline's endpoint are kept, for they go on being compared.
+// dropEndpoint removes an endpoint from the table. Open requests may still refer to it. The outcomes of a
+// baseline endpoint are kept, because the candidate's outcomes are compared with them later too.
 func (b *Balancer) dropEndpoint(ep *endpoint) {
 	ep.State = Removed
 	delete(b.endpoints.byID, ep.ID)
@@ -107,11 +107,11 @@
 		return
 	}
 	for _, class := range b.classes.withOverall {
-		class.departed.Add(ep.outcomes[class.index], 1)
+		class.removedEndpoints.Add(ep.outcomes[class.index], 1)
 	}
 }
 
-// partitionEndpoints sorts the list by side and zone.
+// partitionEndpoints groups the endpoints by side and zone.
 func (b *Balancer) partitionEndpoints() {
 	b.endpoints.byBuildAndZone = [2][2][]*endpoint{}
 	for _, ep := range b.endpoints.ordered {
@@ -120,12 +120,12 @@
 	}
 }
 
-// sideOf is candidateSide for endpoints of the newest build, else baselineSide.
+// sideOf returns candidateSide for an endpoint of the newest build or a later one, else baselineSide.
 func (b *Balancer) sideOf(ep *endpoint) int {
 	return min(candidateSide, max(baselineSide, int(ep.Build-b.trial.update.Build)+1))
 }
 
-// zoneIndex is homeZone for endpoints in the instance's own zone, else otherZone.
+// zoneIndex returns homeZone for an endpoint in the instance's zone, else otherZone.
 func (b *Balancer) zoneIndex(ep *endpoint) int {
 	if ep.Zone == b.settings.Zone {
 		return homeZone
@@ -133,11 +133,11 @@
 	return otherZone
 }
 
-// capacitySum adds up the capacity of the endpoints that can be sent to.
+// capacitySum is the total capacity of the endpoints that are Serving and not ejected.
 type capacitySum struct {
-	bySide [2]float64 // as it is now, warming endpoints by their weight
-	warm   float64    // of endpoints that are warm
-	full   float64    // as it will be once all are warm
+	bySide [2]float64 // current, with warming endpoints by their slow start weight
+	warm   float64    // of warm endpoints
+	full   float64    // with warming endpoints at full capacity
 }
 
 func (b *Balancer) addCapacity(sum *capacitySum, ep *endpoint) {
--- a/decision/event.go
+++ b/decision/event.go
@@ -1,126 +1,127 @@
 package decision
 
-// Event is something that happened, a message into the balancer. Each kind is a type of this file.
+// Event is an input of the balancer. The types in this file are the kinds of events.
 type Event interface{ event() }
 
-// Endpoint is an entry of the endpoint list.
+// Endpoint is an entry in the endpoint list.
 type Endpoint struct {
 	ID          EndpointID
 	Cell        Cell
-	Started     Millis // when its process started; 0: long ago
+	Started     Millis // start time of the process; 0: unknown, long ago
 	Zone        Zone
 	Build       Build
 	MachineType MachineType
 	State       EndpointState
-	Capacity    float64 // in units, relative to other endpoints
+	Capacity    float64 // relative to other endpoints
 }
 
-// SnapshotKind is what an EndpointsChanged holds.
+// SnapshotKind states which part of the endpoint list an EndpointsChanged holds.
 type SnapshotKind int
 
-// The kinds of endpoint lists.
+// The kinds of updates to the endpoint list.
 const (
-	Delta          SnapshotKind = iota // the entries that have changed
+	Delta          SnapshotKind = iota // the changed entries only
 	FullSnapshot                       // all entries
-	CachedSnapshot                     // all entries as they were known before
-	PollRejected                       // none: the poll was rejected
+	CachedSnapshot                     // all entries as last known, possibly outdated
+	PollRejected                       // no entries, because the poll was rejected
 )
 
-// EndpointsChanged brings the endpoint list or changes of it.
+// EndpointsChanged delivers the endpoint list, or changes to it.
 type EndpointsChanged struct {
 	Kind      SnapshotKind
 	Version   int64 // version of the list
 	Endpoints []Endpoint
 }
 
-// RequestReceived is a client's request. It stays open until the balancer has emitted its final response (or
-// its client has gone) and all its attempts have ended.
+// RequestReceived delivers a client's request. The request stays open until the balancer has emitted its final
+// response, or its client has disconnected, and all its attempts have ended.
 type RequestReceived struct {
 	Request RequestID
 	Class   ClassName
 	Tenant  TenantID
 	Key     Key
-	TTL     Millis // until the client gives up
-	Hint    Millis // the client's own estimate of the work; 0: none
-	Retried bool   // the client has sent it before
+	TTL     Millis // time from now after which the client stops waiting
+	Hint    Millis // the client's estimate of the service time; 0: none
+	Retried bool   // the client has sent the request before
 }
 
-// ResponseStarted says that an endpoint streams its response.
+// ResponseStarted reports that an endpoint has begun to stream its response.
 type ResponseStarted struct {
 	Request  RequestID
-	Attempt  int // counted from 0
+	Attempt  int // index, from 0
 	Endpoint EndpointID
-	After    Millis // from the attempt's start
+	After    Millis // since the attempt's start
 }
 
-// AttemptEnded is the outcome of an attempt. Each attempt that was started ends exactly once.
+// AttemptEnded reports the outcome of an attempt. Each started attempt ends exactly once.
 type AttemptEnded struct {
 	Request      RequestID
 	Outcome      Outcome
 	Endpoint     EndpointID
-	Attempt      int    // counted from 0
-	After        Millis // from the attempt's start
-	RequestEnded bool   // the request has its final response
+	Attempt      int    // index, from 0
+	After        Millis // since the attempt's start
+	RequestEnded bool   // the client has the final response to its request
 	Load         *Load  // reported by the endpoint; nil: none
 }
 
-// ClientDisconnected says that a request's client has left.
+// ClientDisconnected reports that the client of a request has disconnected.
 type ClientDisconnected struct{ Request RequestID }
 
-// TimerFired is the time that a WakeAt asked for.
+// TimerFired reports that the time of a WakeAt has come.
 type TimerFired struct{ Token Token }
 
-// HealthCheckEnded is the outcome of a health check.
+// HealthCheckEnded reports the outcome of a health check.
 type HealthCheckEnded struct {
 	Endpoint EndpointID
 	Outcome  Outcome
-	After    Millis
-	Load     *Load // reported by the endpoint; nil: none
+	After    Millis // duration of the health check
+	Load     *Load  // reported by the endpoint; nil: none
 }
 
-// PeerMessage is a message of another instance. The balancer ignores it.
+// PeerMessage is a message from another instance. The balancer ignores it.
 type PeerMessage struct {
 	From InstanceID
 	Data []byte
 }
 
-// StageUpdate is what the rollout controller says of the newest build.
+// StageUpdate reports the newest build and its stage, as known to the rollout controller.
 type StageUpdate struct {
-	Age          Millis // of the stage
+	Age          Millis // time since the start of the stage
 	Build        Build
 	Phase        Phase
-	IsVoteResult bool // it is the response to a vote
-	ExposureCap  float64
-	Stage        int        // counted from 0
-	VoteResult   VoteResult // other than VoteAccepted: the rest of the update is not set
+	IsVoteResult bool       // the update is the response to a vote
+	ExposureCap  float64    // share of the requests that may go to the build, 0 to 1
+	Stage        int        // index, from 0
+	VoteResult   VoteResult // if not VoteAccepted, the other fields are not set except IsVoteResult
 }
 
-// ControllerCounts are the rollout controller's counts of one period, class and build, over all instances.
+// ControllerCounts holds the rollout controller's counts for one period, class and build, over all instances.
 type ControllerCounts struct {
 	Build  Build
 	Class  ClassName
-	Count  int // responses
-	Failed int // of these
-	Mean   Millis
-	Age    Millis
+	Count  int    // responses
+	Failed int    // of these, the failed ones
+	Mean   Millis // mean response time
+	Age    Millis // of the counts
 }
 
-// ResponseFlagged says that a client found a response wrong.
+// ResponseFlagged reports that a client found a response wrong.
 type ResponseFlagged struct {
 	Endpoint EndpointID
 	Class    ClassName
-	Age      Millis
+	Age      Millis // of the report
 }
 
-// SettingsChanged brings new settings of the deployment to a running balancer. Its classes, tenants and clock
-// granularity stay as at its start.
+// SettingsChanged delivers new settings of the deployment to a running balancer. The classes, tenants and
+// clock granularity keep their values from the start.
 type SettingsChanged struct{ Settings Settings }
 
-// EvidenceAcquired hands over the evidence of an instance that is gone. The balancer counts it as its own.
+// EvidenceAcquired delivers the evidence of an instance that has terminated. The balancer adds that evidence
+// to its own.
 type EvidenceAcquired struct{ Evidence }
 
-// EvidenceRevoked says that another instance has taken over this one's evidence. The balancer begins the
-// stage anew.
+// EvidenceRevoked reports that another instance has taken over this instance's evidence. The balancer discards
+// its evidence on the newest build and its vote.
 type EvidenceRevoked struct{}
 
 func (EndpointsChanged) event()   {}
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -65,7 +65,7 @@
 			})
 		}
 	}
-	if departed := class.departed; departed.Total() > 0 {
+	if departed := class.removedEndpoints; departed.Total() > 0 {
 		counts = append(counts, EndpointCount{Class: class.Name, Succeeded: departed.Good, Failed: departed.Bad})
 	}
 	return counts
@@ -116,10 +116,10 @@
 	ep := b.endpoints.byID[count.Endpoint]
 	switch {
 	case ep != nil && ep.Build == count.Build:
-		b.classes.count(ep, class, outcomes)
+		b.classes.addOutcomes(ep, class, outcomes)
 	case count.Endpoint == "" || count.Build < b.trial.update.Build:
-		class.departed.Add(outcomes, 1)
-		b.classes.overall.departed.Add(outcomes, 1)
+		class.removedEndpoints.Add(outcomes, 1)
+		b.classes.overall.removedEndpoints.Add(outcomes, 1)
 	}
 }
 
@@ -127,11 +127,11 @@
 func (b *Balancer) revokeEvidence() {
 	for _, class := range b.classes.all {
 		class.resetCandidate()
-		class.departed = stats.Count{}
+		class.removedEndpoints = stats.Count{}
 	}
 	for _, ep := range b.endpoints.ordered {
 		clear(ep.outcomes)
 	}
-	b.ballot.vote = Vote{}
-	b.ballot.castAt = 0
+	b.voting.vote = Vote{}
+	b.voting.castAt = 0
 }
--- a/decision/evidence_test.go
+++ b/decision/evidence_test.go
@@ -37,7 +37,7 @@
 		}
 		dead.handle(EvidenceRevoked{})
 		evidence, _ = dead.balancer.Evidence()
-		vote := dead.balancer.ballot.vote
+		vote := dead.balancer.voting.vote
 		if len(evidence.Counts) > 0 || len(evidence.Classes[0].Candidate) > 0 || vote.Verdict != VoteNone {
 			t.Errorf("%s: revoked, it still has %+v", name, evidence)
 		}
--- a/decision/failures.go
+++ b/decision/failures.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	leastFailures       = 2  // of the candidate that can prove it bad
-	singleFailureQuorum = 20 // RollbackQuorum from which a single failure counts, at half strength
-	leastReported       = 2  // failures by the controller's counts that can prove the candidate bad
-	worstEndpointShare  = 4  // one in so many of the candidate's endpoints, the worst, is left out
-	suspectedRatio      = 2  // share of failures over the baseline's from which there is a doubt
+	minFailures           = 2  // of the candidate that can prove it bad
+	singleFailureQuorum   = 20 // RollbackQuorum from which a single failure counts, at half strength
+	minReportedFailures   = 2  // failures by the controller's counts that can prove the candidate bad
+	worstEndpointDivisor  = 4  // one in so many of the candidate's endpoints, the worst, is left out
+	suspectedFailureRatio = 2  // share of failures over the baseline's from which there is a doubt
 )
 
 // failureEvidence is what failures say of the candidate.
@@ -30,7 +30,7 @@
 	baseline           stats.Count // with endpoints that have left, or nothing is worse once all have
 	candidate          stats.Count // without the worst endpoints
 	candidateAll       stats.Count
-	candidateSeen      float64 // outcomes in candidateAll
+	candidateOutcomes  float64 // outcomes in candidateAll
 	candidateEndpoints float64
 }
 
@@ -41,8 +41,8 @@
 	var evidence failureEvidence
 	for _, class := range b.classes.withOverall {
 		counts := b.countFailures(class)
-		evidence.outcomes = counts.candidateSeen
-		evidence.suspected = b.doubtful(counts)
+		evidence.outcomes = counts.candidateOutcomes
+		evidence.suspected = b.suspectsFailures(counts)
 		evidence.strength = max(evidence.strength, b.ownStrength(counts), reportedStrength(class, counts))
 	}
 	return evidence
@@ -53,7 +53,7 @@
 // out only if one of the baseline fails at least half as often. Where each endpoint was asked once, the worst
 // quarter would be every failure that was seen.
 func (b *Balancer) countFailures(class *classState) failureCounts {
-	counts := failureCounts{baseline: class.departed}
+	counts := failureCounts{baseline: class.removedEndpoints}
 	worstBaseline := 0.0    // share of failures; one may be chance
 	var asked []stats.Count // the outcomes of the candidate's endpoints that were asked anything
 	for _, ep := range b.endpoints.ordered {
@@ -71,12 +71,12 @@
 	}
 	worstFirst := func(a, b stats.Count) int { return cmp.Compare(b.Bad*a.Total(), a.Bad*b.Total()) }
 	slices.SortFunc(asked, worstFirst)
-	worst := (len(asked) + worstEndpointShare - 1) / worstEndpointShare
+	worst := (len(asked) + worstEndpointDivisor - 1) / worstEndpointDivisor
 	for i, outcomes := range asked {
 		counts.candidateAll.Add(outcomes, 1)
-		counts.candidateSeen += outcomes.Total()
+		counts.candidateOutcomes += outcomes.Total()
 		single := counts.candidateEndpoints == 1 && 2*worstBaseline*outcomes.Total() < outcomes.Bad
-		if outcomes.Bad < leastFailures || i >= worst || single {
+		if outcomes.Bad < minFailures || i >= worst || single {
 			counts.candidate.Add(outcomes, 1)
 		}
 	}
@@ -85,30 +85,30 @@
 
 // doubtful tells whether the few failures seen speak against the candidate. It is used only where so many
 // votes are needed that each instance needs no outcomes of its own to advance.
-func (b *Balancer) doubtful(counts failureCounts) bool {
+func (b *Balancer) suspectsFailures(counts failureCounts) bool {
 	all, baseline := counts.candidateAll, counts.baseline
-	return b.proof.outcomesWithoutGroups == 0 && all.Bad >= 1 &&
-		all.Bad*baseline.Total() > suspectedRatio*(baseline.Bad+1)*all.Total()
+	return b.thresholds.outcomesWithoutGroups == 0 && all.Bad >= 1 &&
+		all.Bad*baseline.Total() > suspectedFailureRatio*(baseline.Bad+1)*all.Total()
 }
 
 // ownStrength is the strength of the instance's own outcomes. Where many votes are needed one failure counts
 // half: waiting for a second one each, hundreds of instances with little traffic would let a failing build
 // advance.
 func (b *Balancer) ownStrength(counts failureCounts) float64 {
-	needed := leastFailures - math.Floor(min(1, float64(b.settings.RollbackQuorum)/singleFailureQuorum))
+	needed := minFailures - math.Floor(min(1, float64(b.settings.RollbackQuorum)/singleFailureQuorum))
 	baseline, candidate := counts.baseline, counts.candidate
 	if candidate.Bad < needed || candidate.Bad*baseline.Total() <= baseline.Bad*candidate.Total() {
 		return 0
 	}
 	statistic := stats.KruskalWallisCounts(baseline, candidate)
-	return statistic / b.proof.statistic * min(1, candidate.Bad/leastFailures)
+	return statistic / b.thresholds.statistic * min(1, candidate.Bad/minFailures)
 }
 
 // reportedStrength is the strength of the controller's counts, each build's scaled down to one outcome an
 // endpoint: the controller cannot leave out the worst endpoints.
 func reportedStrength(class *classState, counts failureCounts) float64 {
 	baseline, candidate := class.reported[baselineSide], class.reported[candidateSide]
-	if candidate.Bad < leastReported || candidate.Bad <= baseline.Bad {
+	if candidate.Bad < minReportedFailures || candidate.Bad <= baseline.Bad {
 		return 0
 	}
 	most := counts.candidateEndpoints
--- a/decision/fleetslowdown.go
+++ b/decision/fleetslowdown.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	slowdownGroups     = 8.0  // multiplies rejectionsNeeded: this rule needs so many times as many
-	maxRatioWeight     = 4    // factors of slowRatio that one group counts for, at most
-	slowdownFillTime   = 4000 // ms; a group that took this long to fill counts slowdownGroups times
-	arrivalRateMargin  = 1.25 // arrival rate over the one before the trial from which no group is judged
-	earlyOutcomesLeast = 5    // outcomes needed to judge whether endpoints were slow already
+	slowdownGroups    = 8.0  // multiplies rejectionsNeeded: this rule needs so many times as many
+	maxRatioWeight    = 4    // factors of slowRatio that one group counts for, at most
+	slowdownFillTime  = 4000 // ms; a group that took this long to fill counts slowdownGroups times
+	arrivalRateMargin = 1.25 // arrival rate over the one before the trial from which no group is judged
+	minEarlyOutcomes  = 5    // outcomes needed to judge whether endpoints were slow already
 )
 
 // fleetSlowdown compares the outcomes of both builds with those from before the trial, for a candidate that
 // slows the baseline's endpoints too. In its comparison the baseline is the time before the trial.
 type fleetSlowdown struct {
 	comparison
-	early           []float64 // outcomes since the build was offered and before it had an endpoint
+	preCandidate    []float64 // outcomes since the build was offered and before it had an endpoint
 	slowBeforeTrial bool      // they were slower already, which is not the candidate's doing
 	fillStartedAt   Millis    // first outcome of the group that is being filled
 }
@@ -33,7 +33,7 @@
 	candidates := b.endpoints.byBuildAndZone[candidateSide]
 	noCandidate := len(candidates[homeZone])+len(candidates[otherZone]) == 0
 	if noCandidate {
-		slowdown.addEarly(relative)
+		slowdown.addPreCandidate(relative)
 	}
 	if len(slowdown.candidate.Fill) == 0 {
 		slowdown.fillStartedAt = b.now
@@ -41,7 +41,7 @@
 	if noCandidate || slowdown.slowBeforeTrial || !slowdown.candidate.Add(relative, groupSize) {
 		return
 	}
-	if b.slowdownExplained() || !slowdown.slower(slowdown.candidate.Last, slowRatio) {
+	if b.slowdownHasOtherCause() || !slowdown.slower(slowdown.candidate.Last, slowRatio) {
 		slowdown.rejections = 0
 		return
 	}
@@ -50,16 +50,16 @@
 
 // slowdownExplained tells whether something else than the candidate may slow all endpoints: a fault, or more
 // first tries than before, as from the clients of instances that are down.
-func (b *Balancer) slowdownExplained() bool {
+func (b *Balancer) slowdownHasOtherCause() bool {
 	return b.faultWithin(b.settings.SlowStartWindow) ||
 		b.trial.arrivalRate > arrivalRateMargin*b.trial.arrivalRateBefore
 }
 
 // addEarly takes an outcome from before the candidate's first endpoint.
-func (s *fleetSlowdown) addEarly(relative float64) {
-	s.early = append(s.early[:min(len(s.early), groupSize)], relative)
-	s.slowBeforeTrial = len(s.early) >= earlyOutcomesLeast &&
-		stats.Median(s.early) > slowRatio*stats.Median(s.baseline.Last)
+func (s *fleetSlowdown) addPreCandidate(relative float64) {
+	s.preCandidate = append(s.preCandidate[:min(len(s.preCandidate), groupSize)], relative)
+	s.slowBeforeTrial = len(s.preCandidate) >= minEarlyOutcomes &&
+		stats.Median(s.preCandidate) > slowRatio*stats.Median(s.baseline.Last)
 }
 
 // weight counts the last group once for each factor of slowRatio by which it is slower, four at most, times
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -14,9 +14,9 @@
 	ejectionJitter    = 0.5  // an ejection lasts 0.5 to 1.5 times its mean
 	faultEjections    = 2    // ejections in a row that are a fault of the infrastructure
 
-	immediateRefusal = 0.25 // of the base latency: a connection refused sooner was refused by its host
-	refusedShareHigh = 0.05 // share of refused connections from which idle ones are closed
-	minBrokenShare   = 1e-9 // for the logarithm
+	immediateRefusalShare = 0.25 // of the base latency: a connection refused sooner was refused by its host
+	closeIdleRefusedShare = 0.05 // share of refused connections from which idle ones are closed
+	minBrokenShare        = 1e-9 // for the logarithm
 
 	capacityLossRatio = 1.25 // full capacity over the present one from which the loss of capacity is a fault
 )
@@ -41,7 +41,7 @@
 
 // responded notes a sign of life of an endpoint and ends its ejection. It may have restarted without the
 // endpoint list showing that yet: it warms up from now on, for full traffic would overload it.
-func (b *Balancer) responded(ep *endpoint) {
+func (b *Balancer) recordResponse(ep *endpoint) {
 	ep.lastResponseAt = b.now
 	ep.connectFailures = 0
 	if ep.ejections > 0 {
@@ -91,7 +91,7 @@
 	switch event.Outcome {
 	case Succeeded, EndpointFailed, EndpointRejected, MalformedResponse:
 		// A response is a sign of life whatever it says. Ejected for errors, all endpoints would go in turn.
-		b.responded(target)
+		b.recordResponse(target)
 	}
 	b.observeRefusal(target, event)
 	b.observeZone(target, event)
@@ -99,7 +99,7 @@
 	case Succeeded:
 		b.observeSuccess(target, event)
 	case EndpointRejected:
-		b.restRejecting(target)
+		b.backOffEndpoint(target)
 	case EndpointFailed, MalformedResponse:
 		target.failureShare += failureWeight * (1 - target.failureShare)
 	case TimedOut:
@@ -116,9 +116,9 @@
 // that does so has none left, and idle ones of hundreds of instances keep others out.
 func (b *Balancer) observeRefusal(ep *endpoint, event AttemptEnded) {
 	b.outliers.refusedShare -= refusedWeight * b.outliers.refusedShare
-	if event.Outcome == Unreachable && event.After < b.load.baseLatency*immediateRefusal {
+	if event.Outcome == Unreachable && event.After < b.load.baseLatency*immediateRefusalShare {
 		b.outliers.refusedShare += refusedWeight
-	} else if ep.inFlight == 0 && b.outliers.refusedShare > refusedShareHigh {
+	} else if ep.inFlight == 0 && b.outliers.refusedShare > closeIdleRefusedShare {
 		b.emit(CloseIdle{Endpoint: ep.ID})
 	}
 }
@@ -138,7 +138,7 @@
 func (b *Balancer) observeBroken(ep *endpoint, event AttemptEnded) {
 	ep.connectFailures++
 	ep.failureShare += failureWeight * (1 - ep.failureShare)
-	notByItsHost := event.Outcome == Unreachable && event.After >= b.load.baseLatency*immediateRefusal
+	notByItsHost := event.Outcome == Unreachable && event.After >= b.load.baseLatency*immediateRefusalShare
 	unlikely := -math.Log(b.outliers.brokenShare+minBrokenShare) * float64(ep.connectFailures)
 	lost := ep.ejections > 0 || notByItsHost || unlikely >= ejectSuspicion
 	b.outliers.brokenShare += brokenWeight
--- a/decision/polling.go
+++ b/decision/polling.go
@@ -3,10 +3,10 @@
 import "math"
 
 const (
-	firstPollShare        = 0.25 // of PollWithin: the first poll is due within it
-	pollWaitShare         = 0.25 // of PollWithin: no poll is taken to have waited longer
-	minPollBackoffFactor  = 0.15 // applied twice to PollWithin: the shortest backoff
-	pollSpreadHalfAtCount = 20   // instances from which the first polls are spread over half of their time
+	firstPollShare          = 0.25 // of PollWithin: the first poll is due within it
+	pollWaitShare           = 0.25 // of PollWithin: no poll is taken to have waited longer
+	minPollBackoffFactor    = 0.15 // applied twice to PollWithin: the shortest backoff
+	pollSpreadHalfInstances = 20   // instances from which the first polls are spread over half of their time
 )
 
 // pollSchedule says when the endpoint list is polled, where it is polled at all (PollEndpoints).
@@ -19,7 +19,7 @@
 // scheduleFirstPoll draws the time of the first poll, so that the instances of a fleet that start together
 // don't poll together.
 func (b *Balancer) scheduleFirstPoll() {
-	spread := 1 - pollSpreadHalfAtCount/(pollSpreadHalfAtCount+float64(b.settings.Instances))
+	spread := 1 - pollSpreadHalfInstances/(pollSpreadHalfInstances+float64(b.settings.Instances))
 	b.polling.nextAt = b.now + b.settings.PollWithin*firstPollShare*b.random.Next()*spread
 }
 
--- a/decision/proof_test.go
+++ b/decision/proof_test.go
@@ -16,7 +16,7 @@
 		sim := start(t, trialUpdate(0, 0.1), func(s *Settings) {
 			s.Instances, s.RollbackQuorum = test.instances, test.back
 		})
-		rejections, statistic := sim.balancer.classes.overall.rejectionsNeeded, sim.balancer.proof.statistic
+		rejections, statistic := sim.balancer.classes.overall.rejectionsNeeded, sim.balancer.thresholds.statistic
 		oneDecides := statistic > 1.9*rejectStatistic
 		if rejections != test.rejections || statistic < rejectStatistic || (test.back == 1) != oneDecides {
 			t.Errorf("%+v: %d rejections, statistic %v", test, rejections, statistic)
@@ -44,7 +44,7 @@
 			})
 			sim.balancer.classes.ordered[0].rejections = rejects
 			sim.balancer.outliers.lastFaultAt = sim.balancer.now // no rollback during a fault
-			if got := sim.balancer.verdict(); rejects > 0 && got.verdict != want {
+			if got := sim.balancer.decideVerdict(); rejects > 0 && got.verdict != want {
 				t.Errorf("%+v with %d rejections: %v, %s", test, rejects, got.verdict, got.reason)
 			}
 		}
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -40,10 +40,10 @@
 // attempt is one sending of a request to an endpoint.
 type attempt struct {
 	*endpoint
-	startedAt     Millis
-	inFlight      bool
-	mayHaveRun    bool
-	noFurtherMove bool // it is not cancelled or hedged again: it was already, or it streams its response
+	startedAt   Millis
+	inFlight    bool
+	mayHaveRun  bool
+	noMigration bool // it is not cancelled or hedged again: it was already, or it streams its response
 }
 
 // firstThatMayHaveRun returns the first attempt that may have run, or nil. Retries keep to its time and
@@ -68,11 +68,11 @@
 
 // handleRequest takes a request into the queue for first attempts.
 func (b *Balancer) handleRequest(event RequestReceived) {
-	_, b.routing.turn = math.Modf(b.routing.turn + math.Phi)
+	_, b.routing.lastPlacement = math.Modf(b.routing.lastPlacement + math.Phi)
 	req := &request{
 		id:         event.Request,
 		key:        hashKey(event.Key),
-		placement:  b.routing.turn,
+		placement:  b.routing.lastPlacement,
 		tenantSlow: b.load.tenantShare(event.Tenant),
 		receivedAt: b.now,
 		deadline:   b.now + event.TTL,
@@ -142,8 +142,8 @@
 		delete(b.requests.open, req.id)
 	}
 	for i := range req.attempts {
-		if att := &req.attempts[i]; att.inFlight && !att.noFurtherMove && b.settings.CancelAllowed {
-			att.noFurtherMove = true
+		if att := &req.attempts[i]; att.inFlight && !att.noMigration && b.settings.CancelAllowed {
+			att.noMigration = true
 			b.emit(Cancel{Request: req.id, Attempt: i})
 		}
 	}
@@ -200,8 +200,8 @@
 		return
 	}
 	req.deadline = math.Inf(1)
-	att.noFurtherMove = true
-	b.responded(att.endpoint)
+	att.noMigration = true
+	b.recordResponse(att.endpoint)
 }
 
 // handleAttemptEnd takes the outcome of an attempt into all observations, and has the request wait for a
@@ -216,14 +216,14 @@
 	req.inFlight--
 	att.endpoint.inFlight--
 	b.load.inFlight--
-	b.observeMiss(req, att, event)
+	b.observeMissedObjective(req, att, event)
 	if event.Outcome == Succeeded || event.Outcome == TimedOut {
 		b.adjustTotalLimit(req, event.After)
 	}
 	b.observeEndpoint(att.endpoint, event)
 	b.recordOutcome(req, att.endpoint, event)
 	if event.Outcome == Succeeded {
-		b.stickKey(req, att.endpoint)
+		b.recordStickyKey(req, att.endpoint)
 	}
 	if req.done || event.RequestEnded {
 		b.finish(req)
@@ -251,9 +251,9 @@
 		}
 		if b.settings.HedgingAllowed {
 			moved := b.startAttempt(req) // it may move the slice of attempts
-			req.attempts[last].noFurtherMove = moved
+			req.attempts[last].noMigration = moved
 		} else if b.settings.CancelAllowed && len(req.attempts) < b.settings.MaxAttempts {
-			req.attempts[last].noFurtherMove = true
+			req.attempts[last].noMigration = true
 			b.emit(Cancel{Request: req.id, Attempt: last})
 		}
 	}
@@ -266,7 +266,7 @@
 		return false
 	}
 	att := &req.attempts[last]
-	if !att.inFlight || att.noFurtherMove {
+	if !att.inFlight || att.noMigration {
 		return false
 	}
 	ejected := att.ejections > 0 && b.now < att.ejectedUntil
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -12,7 +12,7 @@
 	// turn is the place of the newest request in the order by which requests are given to the candidate, 0 to
 	// 1. It steps by the golden ratio: drawn anew for each request, half of those meant for the candidate
 	// would come while the exposure cap has no token for them.
-	turn           float64
+	lastPlacement  float64
 	candidateShare float64 // of the requests, by capacity
 
 	eligible [2][]*endpoint // by zone; a nil entry stands for all warming ones without credit, and chooses none
@@ -21,8 +21,8 @@
 
 // endpointChoice is the result of a choice. Without an endpoint, wait says that a health check decides soon.
 type endpointChoice struct {
-	endpoint *endpoint
-	wait     bool
+	endpoint   *endpoint
+	awaitCheck bool
 }
 
 // choose returns the endpoint for the next attempt of a request: one of the side that it is meant for, else
@@ -33,7 +33,7 @@
 		side = candidateSide
 	}
 	choice := b.chooseEndpoint(req, side, false)
-	if choice.endpoint != nil || choice.wait {
+	if choice.endpoint != nil || choice.awaitCheck {
 		return choice.endpoint
 	}
 	if other := b.chooseEndpoint(req, candidateSide-side, false); other.endpoint != nil {
@@ -54,12 +54,12 @@
 	if len(b.routing.eligible[homeZone])+len(b.routing.eligible[otherZone]) == 0 {
 		return endpointChoice{}
 	}
-	if b.checksWanted() {
+	if b.shouldHealthCheck() {
 		if choice, decided := b.healthCheckFirst(req, search.best); decided {
 			return choice
 		}
 	}
-	if b.drawsCrossing() {
+	if b.drawCrossZone() {
 		search.homePenalty = b.crossZone.gain + b.settings.CrossZonePrice
 	}
 	b.considerTwo(&search, homeZone)
@@ -76,7 +76,7 @@
 	homePenalty float64 // what home is worse by, for a request that may cross zones
 }
 
-func (s *endpointSearch) consider(ep *endpoint) {
+func (s *endpointSearch) update(ep *endpoint) {
 	risk := s.balancer.risk(s.request, ep) + s.homePenalty*float64(otherZone-s.balancer.zoneIndex(ep))
 	if risk < s.lowestRisk {
 		s.best, s.lowestRisk = ep, risk
@@ -104,7 +104,7 @@
 		eligible = append(eligible, target)
 		weights = append(weights, weight)
 		if b.recentlyChecked(target) {
-			search.consider(target)
+			search.update(target)
 		}
 	}
 	// An instance with little traffic has credit for few warming endpoints at a time. These stand in for the
@@ -134,9 +134,9 @@
 	if first == nil {
 		return
 	}
-	search.consider(first)
+	search.update(first)
 	if second != nil && b.warmingUp(first) == b.warmingUp(second) {
-		search.consider(second)
+		search.update(second)
 	}
 }
 
--- a/decision/samples.go
+++ b/decision/samples.go
@@ -24,7 +24,7 @@
 	controllerLatency        stats.Mean // mean response time of the baseline by the controller's counts
 	controllerLatencyAtOffer float64    // the same when the build was offered
 
-	departed stats.Count // outcomes of baseline endpoints that have left the list since the build was offered
+	removedEndpoints stats.Count // outcomes of baseline endpoints that have left the list since the build was offered
 
 	reported       [2]stats.Count // the controller's counts since the offer, by side, scaled to equal totals
 	baselineReport stats.Count    // of the baseline in the controller's newest period
@@ -51,7 +51,7 @@
 	if outcome.Total() == 0 && !countedTimeout {
 		return
 	}
-	b.classes.count(target, class, outcome)
+	b.classes.addOutcomes(target, class, outcome)
 	if b.slowStartWeight(target) < comparableWeight || target.Build > b.trial.update.Build {
 		return
 	}
@@ -82,6 +82,6 @@
 func (b *Balancer) handleFlag(event ResponseFlagged) {
 	ep, class := b.endpoints.byID[event.Endpoint], b.classes.byName[event.Class]
 	if ep != nil && class != nil {
-		b.classes.count(ep, class, stats.Count{Bad: 1 / max(b.settings.FlagShare, minFlagShare)})
+		b.classes.addOutcomes(ep, class, stats.Count{Bad: 1 / max(b.settings.FlagShare, minFlagShare)})
 	}
 }
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -63,9 +63,9 @@
 // applySettings takes over the settings of a deployment at the start or while it runs. Observations and open
 // requests stay; classes, tenants and the clock's granularity stay as they were at the start.
 func (b *Balancer) applySettings(settings Settings) {
-	b.proof = requiredProof(settings)
+	b.thresholds = deriveThresholds(settings)
 	for _, class := range b.classes.withOverall {
-		class.rejectionsNeeded = b.proof.rejections
+		class.rejectionsNeeded = b.thresholds.rejections
 	}
 	settings.Classes = b.settings.Classes
 	settings.Tenants = b.settings.Tenants
--- a/decision/settings_test.go
+++ b/decision/settings_test.go
@@ -17,7 +17,7 @@
 	next.Instances, next.HoldQuorum, next.RollbackQuorum, next.Control = 600, 1, 30, ByClock
 	sim.handle(SettingsChanged{Settings: next})
 	balancer, open := sim.balancer, len(sim.balancer.requests.open)
-	hold, rollback := balancer.proof.holdRejections, balancer.classes.overall.rejectionsNeeded
+	hold, rollback := balancer.thresholds.holdRejections, balancer.classes.overall.rejectionsNeeded
 	if hold != 3 || rollback != 1 || balancer.settings.Control != ByClock || open != 1 {
 		t.Errorf("after the change: hold after %d, rollback after %d, control %v, %d open", hold, rollback,
 			balancer.settings.Control, open)
@@ -31,7 +31,7 @@
 		t.Error("the request was sent twice")
 	}
 	sim.handle(SettingsChanged{Settings: was})
-	hold, rollback = balancer.proof.holdRejections, balancer.classes.overall.rejectionsNeeded
+	hold, rollback = balancer.thresholds.holdRejections, balancer.classes.overall.rejectionsNeeded
 	settings := balancer.settings
 	restored := settings.Control == ByVotes && settings.SlowStartWindow == was.SlowStartWindow
 	if hold != 2 || rollback != 2 || !restored {
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -73,7 +73,7 @@
 	endpoint := sim.balancer.endpoints.byID["a1"]
 	sim.balancer.eject(endpoint)
 	sim.now += 100
-	sim.balancer.responded(endpoint)
+	sim.balancer.recordResponse(endpoint)
 	if w := sim.balancer.slowStartWeight(endpoint); w != 0.4 || endpoint.ejections != 0 {
 		t.Errorf("slow-start weight %v, ejections %d", w, endpoint.ejections)
 	}
--- a/decision/status.go
+++ b/decision/status.go
@@ -29,7 +29,7 @@
 		Build:    update.Build,
 		Stage:    update.Stage,
 		Phase:    update.Phase,
-		Verdict:  b.ballot.vote.Verdict,
+		Verdict:  b.voting.vote.Verdict,
 	}
 	for _, ep := range b.endpoints.ordered {
 		if ep.State != Serving {
--- a/decision/stickykeys.go
+++ b/decision/stickykeys.go
@@ -17,7 +17,7 @@
 func stickyHash(key uint32) uint16 { return uint16(key >> 16) }
 
 // stick notes that a build has answered a key. Keys of earlier builds are forgotten.
-func (s *stickyKeys) stick(build Build, key uint32) {
+func (s *stickyKeys) record(build Build, key uint32) {
 	if build > s.build {
 		s.build, s.hashes = build, map[uint16]bool{}
 	}
@@ -25,11 +25,11 @@
 }
 
 // release lets all keys go to any build again, as a rollback does.
-func (s *stickyKeys) release() { s.build, s.hashes = 0, map[uint16]bool{} }
+func (s *stickyKeys) clear() { s.build, s.hashes = 0, map[uint16]bool{} }
 
 // stickKey notes the key of a request that succeeded at the candidate.
-func (b *Balancer) stickKey(req *request, ep *endpoint) {
+func (b *Balancer) recordStickyKey(req *request, ep *endpoint) {
 	if req.key != 0 && b.settings.StickyKeys && b.trial.known && ep.Build >= b.trial.update.Build {
-		b.sticky.stick(ep.Build, req.key)
+		b.sticky.record(ep.Build, req.key)
 	}
 }
--- a/decision/trial.go
+++ b/decision/trial.go
@@ -9,7 +9,7 @@
 // keptBaselineOutcomes are the least outcomes of the baseline that a new stage begins with. An instance with
 // little traffic closes no group between two stages, and where the baseline is gone no outcomes come any
 // more.
-const keptBaselineOutcomes = 5
+const minKeptBaselineOutcomes = 5
 
 // trial is what is known of the newest build's rollout.
 type trial struct {
@@ -29,7 +29,7 @@
 // new counts.
 func (b *Balancer) handleStageUpdate(update StageUpdate) {
 	if update.IsVoteResult {
-		b.noteVoteResult(update.VoteResult)
+		b.handleVoteResult(update.VoteResult)
 	}
 	if update.VoteResult != VoteAccepted {
 		return
@@ -42,10 +42,10 @@
 		return
 	}
 	b.trial.known = true
-	b.ballot.vote = Vote{}
+	b.voting.vote = Vote{}
 	b.partitionEndpoints()
 	if update.Phase == RollingBack || update.Phase == RolledBack {
-		b.sticky.release()
+		b.sticky.clear()
 	}
 	b.startStage()
 	if update.Build != previous.Build {
@@ -57,7 +57,7 @@
 // only: taken for a group of the new stage they would roll good builds back.
 func (b *Balancer) startStage() {
 	for _, class := range b.classes.all {
-		if seen := slices.Concat(class.baseline.Last, class.baseline.Fill); len(seen) >= keptBaselineOutcomes {
+		if seen := slices.Concat(class.baseline.Last, class.baseline.Fill); len(seen) >= minKeptBaselineOutcomes {
 			class.baselineAtStageStart = seen
 		}
 		class.baseline.Fill = nil
@@ -71,7 +71,7 @@
 	for _, class := range b.classes.all {
 		class.baselineLatencyAtOffer = class.baselineLatency.Value
 		class.controllerLatencyAtOffer = class.controllerLatency.Value
-		class.departed = stats.Count{}
+		class.removedEndpoints = stats.Count{}
 		class.reported = [2]stats.Count{}
 		class.slowdown = &fleetSlowdown{comparison: comparison{baseline: class.baseline}}
 	}
--- a/decision/types.go
+++ b/decision/types.go
@@ -1,70 +1,71 @@
 package decision
 
-// Millis is a time or a duration in milliseconds, with fractions. Times count from a start that the caller
-// chooses.
+// Millis is a time or a duration in milliseconds; fractions are allowed. Times are relative to an epoch that
+// the caller chooses.
 type Millis = float64
 
-// RequestID is the identifier of a client's request, unique among the open ones. Identifiers are types of
-// their own, so that one kind is never passed for another.
+// RequestID identifies a client's request and is unique among the open requests. Each kind of identifier has
+// its own type, so that the compiler rejects one kind in place of another.
 type RequestID uint32
 
-// EndpointID names a server that requests are balanced to.
+// EndpointID identifies a server that requests are balanced to.
 type EndpointID string
 
-// ClassName names a request class.
+// ClassName is the name of a request class.
 type ClassName string
 
-// TenantID says whose request it is.
+// TenantID identifies the tenant that a request belongs to.
 type TenantID string
 
-// Key is what a request is about; requests with one key may have to stay together.
+// Key is the key of a request. The keys of requests become sticky keys where Settings.StickyKeys is set; a
+// request without a key has an empty one.
 type Key string
 
-// Zone names an availability zone.
+// Zone is the name of an availability zone.
 type Zone string
 
-// Cell is a subset of a zone's endpoints that share their memory of idempotency keys.
+// Cell identifies a subset of a zone's endpoints that share one store of idempotency keys.
 type Cell int
 
-// MachineType names machines of one speed.
+// MachineType is the name of a type of machine. Machines of one type are equally fast.
 type MachineType string
 
-// Build is a version of the endpoints' software; a higher one is newer.
+// Build is the version of the software that an endpoint runs; a higher number is newer.
 type Build int
 
-// InstanceID is a load balancer instance.
+// InstanceID identifies a load balancer instance.
 type InstanceID int
 
-// Token identifies a timer; 0 is the periodic tick.
+// Token identifies a timer; 0 identifies the periodic tick.
 type Token uint64
 
-// Idempotency says what a second run of a request would do.
+// Idempotency states whether a request may run more than once.
 type Idempotency int
 
-// The kinds of request by what a second run does.
+// The kinds of idempotency.
 const (
-	NonIdempotent     Idempotency = iota // it must never run twice
-	IdempotentWithKey                    // endpoints within the RetryScope drop a repeat for the DedupWindow
-	Idempotent                           // it may run again anywhere
+	NonIdempotent     Idempotency = iota // must not run twice
+	IdempotentWithKey                    // endpoints within the RetryScope drop repeats during the DedupWindow
+	Idempotent                           // may run again on any endpoint
 )
 
-// RetryScope is the set of endpoints that recognise a repeat of a request with an idempotency key.
+// RetryScope is the set of endpoints that recognise repeats of a request by its idempotency key.
 type RetryScope int
 
-// The scopes, from the smallest.
+// The retry scopes, smallest first.
 const (
 	ScopeCell RetryScope = iota
 	ScopeZone
 	ScopeAll
 )
 
-// Control is how the rollout moves from stage to stage.
+// Control is the way in which a rollout advances from stage to stage.
 type Control int
 
-// The ways of control.
+// The ways to control a rollout.
 const (
-	ByVotes Control = iota // instances vote to advance
-	ByClock                // a clock advances, votes can hold it
+	ByVotes Control = iota // the votes of instances advance a stage
+	ByClock                // a clock advances a stage, votes can hold the clock
 )
 
 // EndpointState is the state of an endpoint in the endpoint list.
@@ -73,32 +74,32 @@
 // The states of an endpoint.
 const (
 	Serving  EndpointState = iota
-	Draining               // finishes what it has and takes nothing new
+	Draining               // finishes its requests in flight and takes no new ones
 	Removed
 )
 
-// Outcome is how an attempt or a health check ended.
+// Outcome is the result of an attempt or a health check.
 type Outcome int
 
-// The outcomes. Each says whether the endpoint may have run the request.
+// The outcomes of an attempt. The comments state whether the endpoint may have run the request.
 const (
 	Succeeded         Outcome = iota
-	EndpointFailed            // an error response; it ran
-	EndpointRejected          // the endpoint is full; it never ran
-	TimedOut                  // it may have run
-	Unreachable               // no connection; it never ran
-	ConnectionBroken          // it may have run
-	Canceled                  // the balancer cancelled it; it may have run
-	NotSent                   // it never left the instance
-	MalformedResponse         // a response came that cannot be parsed; it may have run
+	EndpointFailed            // error response; the request ran
+	EndpointRejected          // the endpoint is at its limit; the request did not run
+	TimedOut                  // the request may have run
+	Unreachable               // no connection; the request did not run
+	ConnectionBroken          // the request may have run
+	Canceled                  // cancelled by the balancer; the request may have run
+	NotSent                   // never sent by the instance; the request did not run
+	MalformedResponse         // the response cannot be parsed; the request may have run
 )
 
-// mayHaveRun tells whether the endpoint may have run the request.
+// mayHaveRun reports whether the endpoint may have run the request.
 func (o Outcome) mayHaveRun() bool {
 	return o != EndpointRejected && o != Unreachable && o != NotSent
 }
 
-// Phase is where the newest build stands.
+// Phase is the state of the newest build's rollout.
 type Phase int
 
 // The phases of a rollout.
@@ -109,7 +110,7 @@
 	RolledBack
 )
 
-// Verdict is what a vote says.
+// Verdict is the content of a vote.
 type Verdict int
 
 // The verdicts.
@@ -120,20 +121,20 @@
 	VoteRollback
 )
 
-// VoteResult is how the rollout controller took a vote.
+// VoteResult is the rollout controller's response to a vote.
 type VoteResult int
 
 // The results of a vote.
 const (
 	VoteAccepted  VoteResult = iota
-	VoteObsolete             // the stage it speaks of is over
-	VoteThrottled            // too many votes at once
-	VoteFailed               // the controller answered with an error
-	VoteTimedOut             // the controller did not answer
+	VoteObsolete             // the stage that the vote is for has ended
+	VoteThrottled            // the controller received too many votes at once
+	VoteFailed               // the controller returned an error
+	VoteTimedOut             // the controller did not respond in time
 )
 
-// Load is an endpoint's own load report. A figure that is absent is negative.
+// Load is the load that an endpoint reports of itself. A value that was not reported is negative.
 type Load struct {
-	Util  float64 // share of its cores that are busy, 0 to 1
-	Queue float64 // requests that wait there
+	Util  float64 // share of busy cores, 0 to 1
+	Queue float64 // number of queued requests
 }
--- a/decision/verdict.go
+++ b/decision/verdict.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	noGroupsVoteDelay          = 4000.0 // ms after a stage's start: no full groups are needed from then on
-	slowdownCountsAfterRelease = 3      // slow start windows after the release, in which a slowdown still counts
-	blockingFailureShare       = 0.5    // of proof by failures, from which there is no vote to advance
+	noGroupsVoteDelay           = 4000.0 // ms after a stage's start: no full groups are needed from then on
+	slowdownWindowsAfterRelease = 3      // slow start windows after the release, in which a slowdown still counts
+	blockingFailureShare        = 0.5    // of proof by failures, from which there is no vote to advance
 )
 
 // decidedVote is a verdict with its reason.
@@ -20,7 +20,7 @@
 	reason  string
 }
 
-var notSettled = decidedVote{VoteNone, "not settled"}
+var undecided = decidedVote{VoteNone, "not settled"}
 
 // verdictRule is one reason for a vote. It returns false where it does not apply.
 type verdictRule func(*Balancer, *assessment) (decidedVote, bool)
@@ -39,39 +39,39 @@
 }
 
 // verdict is what the instance stands for now.
-func (b *Balancer) verdict() decidedVote {
+func (b *Balancer) decideVerdict() decidedVote {
 	found := b.assess()
 	for _, rule := range verdictRules {
 		if vote, applies := rule(b, &found); applies {
 			return vote
 		}
 	}
-	return notSettled
+	return undecided
 }
 
 // assessment is what the outcomes of all classes say together.
 type assessment struct {
-	failures   failureEvidence
-	inTrial    bool
-	fullGroups int  // classes with full groups of both builds; the overall one only if no other has
-	agree      bool // all of these agree
-	rejected   bool // any class has a rejection
-	holds      bool // any class has the rejections that hold the clock
+	failures    failureEvidence
+	inTrial     bool
+	fullGroups  int  // classes with full groups of both builds; the overall one only if no other has
+	groupsAgree bool // all of these agree
+	rejected    bool // any class has a rejection
+	holdReached bool // any class has the rejections that hold the clock
 
 	slower      *classState    // a class with the rejections that roll the build back
 	fleetSlower *fleetSlowdown // the same against the time before the trial
 }
 
 func (b *Balancer) assess() assessment {
-	found := assessment{failures: b.failureEvidence(), inTrial: b.trial.update.Phase == InTrial, agree: true}
+	found := assessment{failures: b.failureEvidence(), inTrial: b.trial.update.Phase == InTrial, groupsAgree: true}
 	fault := b.faultWithin(b.settings.SlowStartWindow)
 	for _, class := range b.classes.all {
 		full := class.baseline.Last != nil && len(class.candidate.Last) == groupSize
 		if full && (class != b.classes.overall || found.fullGroups == 0) {
 			found.fullGroups++
-			found.agree = found.agree && class.agrees
+			found.groupsAgree = found.groupsAgree && class.agrees
 		}
-		found.addRejections(class.rejections, b.proof.holdRejections)
+		found.addRejections(class.rejections, b.thresholds.holdRejections)
 		if class.rejections >= class.rejectionsNeeded && !fault {
 			found.slower = class
 		}
@@ -79,7 +79,7 @@
 		if slowdown == nil {
 			continue
 		}
-		found.addRejections(slowdown.rejections, b.proof.holdRejections)
+		found.addRejections(slowdown.rejections, b.thresholds.holdRejections)
 		if float64(slowdown.rejections) >= slowdownGroups*float64(class.rejectionsNeeded) {
 			found.fleetSlower = slowdown
 		}
@@ -89,7 +89,7 @@
 
 func (a *assessment) addRejections(rejections, toHold int) {
 	a.rejected = a.rejected || rejections > 0
-	a.holds = a.holds || rejections >= toHold
+	a.holdReached = a.holdReached || rejections >= toHold
 }
 
 // rollbackForFailures applies in trial and after the release. During and after a rollback there is no vote.
@@ -114,7 +114,7 @@
 // rollbackForFleetSlowdown applies once all endpoints are slower than before the trial, for a while after the
 // release too.
 func rollbackForFleetSlowdown(b *Balancer, found *assessment) (decidedVote, bool) {
-	recent := b.now-b.trial.stageStartedAt < slowdownCountsAfterRelease*b.settings.SlowStartWindow
+	recent := b.now-b.trial.stageStartedAt < slowdownWindowsAfterRelease*b.settings.SlowStartWindow
 	if found.fleetSlower == nil || !found.inTrial && !recent {
 		return decidedVote{}, false
 	}
@@ -131,10 +131,10 @@
 
 // holdForSlowness holds the clock after fewer rejections than a rollback takes.
 func holdForSlowness(b *Balancer, found *assessment) (decidedVote, bool) {
-	if !found.inTrial || b.settings.Control != ByClock || !found.holds {
+	if !found.inTrial || b.settings.Control != ByClock || !found.holdReached {
 		return decidedVote{}, false
 	}
-	return decidedVote{VoteHold, fmt.Sprintf("clearly slower, %d times in a row", b.proof.holdRejections)}, true
+	return decidedVote{VoteHold, fmt.Sprintf("clearly slower, %d times in a row", b.thresholds.holdRejections)}, true
 }
 
 // blockAdvance leaves the vote open where none to advance can be cast, or where something speaks against the
@@ -142,14 +142,14 @@
 func blockAdvance(b *Balancer, found *assessment) (decidedVote, bool) {
 	blocked := !found.inTrial || b.settings.Control == ByClock || b.settings.Halt ||
 		found.failures.strength >= blockingFailureShare || found.rejected
-	return notSettled, blocked
+	return undecided, blocked
 }
 
 // advanceOnAgreement applies when every class with full groups agrees. A vote to advance stands until
 // something blocks it.
 func advanceOnAgreement(b *Balancer, found *assessment) (decidedVote, bool) {
-	agreed := found.fullGroups > 0 && found.agree
-	stands := b.ballot.vote.Verdict == VoteAdvance && (found.fullGroups > 0 || b.proof.outcomesWithoutGroups > 0)
+	agreed := found.fullGroups > 0 && found.groupsAgree
+	stands := b.voting.vote.Verdict == VoteAdvance && (found.fullGroups > 0 || b.thresholds.outcomesWithoutGroups > 0)
 	return decidedVote{VoteAdvance, "groups agree"}, agreed || stands
 }
 
@@ -161,7 +161,7 @@
 		return decidedVote{}, false
 	}
 	next := b.nextStageShare()
-	tooFew := found.failures.outcomes < b.proof.outcomesWithoutGroups*next
+	tooFew := found.failures.outcomes < b.thresholds.outcomesWithoutGroups*next
 	if tooFew || found.failures.suspected || b.suspectsSlowness() {
 		return decidedVote{}, false
 	}
@@ -170,7 +170,7 @@
 		return decidedVote{}, false
 	}
 	warm := float64(len(overall.candidate.Fill) + len(overall.candidate.Last))
-	if next >= 1 && warm < max(1, 2*b.proof.outcomesWithoutGroups) {
+	if next >= 1 && warm < max(1, 2*b.thresholds.outcomesWithoutGroups) {
 		return decidedVote{}, false
 	}
 	return decidedVote{VoteAdvance, fmt.Sprintf("%.0f s without full groups", noGroupsVoteDelay/1000)}, true
@@ -191,7 +191,7 @@
 // the last stage such times say nothing during a fault, which overloads the other endpoints.
 func (b *Balancer) suspectsSlowness() bool {
 	lastStage := b.trial.update.Stage+1 >= len(b.settings.Stages)
-	if b.proof.outcomesWithoutGroups != 0 || lastStage && b.faultWithin(b.settings.SlowStartWindow) {
+	if b.thresholds.outcomesWithoutGroups != 0 || lastStage && b.faultWithin(b.settings.SlowStartWindow) {
 		return false
 	}
 	overall := b.classes.overall
--- a/decision/verdict_test.go
+++ b/decision/verdict_test.go
@@ -25,7 +25,7 @@
 		sim.balancer.endpoints.byID["a2"].outcomes[overall.index].Good = float64(test.outcomes)
 		overall.candidate.Fill = make([]float64, test.warm)
 		sim.balancer.now += noGroupsVoteDelay
-		if got := sim.balancer.verdict(); got.verdict != test.want {
+		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
 			t.Errorf("%+v: %v, %s", test, got.verdict, got.reason)
 		}
 	}
@@ -41,7 +41,7 @@
 	}{{InTrial, 60000, VoteRollback}, {Released, 5000, VoteRollback}, {Released, 60000, VoteNone}} {
 		sim := start(t, StageUpdate{Build: 8, Phase: test.phase, Stage: 2, ExposureCap: 1, Age: test.age}, nil)
 		sim.balancer.classes.overall.slowdown.rejections = 8 * rejectionsToRollback
-		if got := sim.balancer.verdict(); got.verdict != test.want {
+		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
 			t.Errorf("%+v: %v, %s", test, got.verdict, got.reason)
 		}
 	}
@@ -72,7 +72,7 @@
 		if sim.balancer.now += test.ago; test.ticked {
 			sim.balancer.tick()
 		}
-		if got := sim.balancer.verdict(); got.verdict != test.want {
+		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
 			t.Errorf("%+v: %v, %s", test, got.verdict, got.reason)
 		}
 	}
@@ -86,7 +86,7 @@
 	endpoint := sim.balancer.endpoints.byID["b1"]
 	endpoint.inFlight, endpoint.lastResponseAt = 1, sim.now-10000
 	sim.balancer.tick()
-	if got := sim.balancer.verdict(); endpoint.ejections != 1 || got.verdict != VoteRollback {
+	if got := sim.balancer.decideVerdict(); endpoint.ejections != 1 || got.verdict != VoteRollback {
 		t.Errorf("ejected %d times: %v, %s", endpoint.ejections, got.verdict, got.reason)
 	}
 }
@@ -113,7 +113,7 @@
 			}
 		}
 		sim.balancer.tick()
-		if got := sim.balancer.verdict(); got.verdict != test.want {
+		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
 			t.Errorf("%+v: %v, %s", test, got.verdict, got.reason)
 		}
 	}
@@ -150,9 +150,9 @@
 		sim.balancer.endpoints.byID["a2"].outcomes[overall.index] = stats.Count{Good: test.good, Bad: test.bad}
 		overall.baselineAtStageStart = test.baseline
 		overall.candidate.Fill = test.candidate
-		sim.balancer.ballot.vote.Verdict = VoteAdvance // cast already
+		sim.balancer.voting.vote.Verdict = VoteAdvance // cast already
 		sim.balancer.now += noGroupsVoteDelay
-		if got := sim.balancer.verdict(); got.verdict != test.want {
+		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
 			t.Errorf("%s: %v, %s", test.name, got.verdict, got.reason)
 		}
 	}
@@ -174,7 +174,7 @@
 		if test.fault {
 			sim.balancer.outliers.lastFaultAt = sim.balancer.now - 1
 		}
-		if got := sim.balancer.verdict(); got.verdict != test.want {
+		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
 			t.Errorf("%+v: %v, %s", test, got.verdict, got.reason)
 		}
 	}
