--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -7,7 +7,7 @@
 
 // After an attempt that did not succeed, the request class decides whether the request may be retried and
 // in which zone. A request that may not be retried fails.
-func TestRetryScopes(t *testing.T) {
+func TestRetryKeepsToScopeOfClass(t *testing.T) {
 	released := StageUpdate{Build: 8, Phase: Released, Stage: 2, ExposureCap: 1}
 	for _, test := range []struct {
 		class    ClassName
@@ -51,7 +51,7 @@
 
 // A retry of a request that is idempotent with a key, and whose earlier attempt may have run, must be sent
 // while the endpoints remember the key. Other attempts may be sent until the client gives up.
-func TestSendBy(t *testing.T) {
+func TestKeyedRetryHasSendBy(t *testing.T) {
 	for _, test := range []struct {
 		class ClassName
 		ends  []Outcome // of the attempts before
@@ -85,7 +85,7 @@
 }
 
 // In guarded stages only idempotent requests go to the candidate.
-func TestGuardedStage(t *testing.T) {
+func TestGuardedStageTakesOnlyIdempotentRequests(t *testing.T) {
 	for _, test := range []struct {
 		stage int
 		class ClassName
--- a/decision/balancer_test.go
+++ b/decision/balancer_test.go
@@ -6,7 +6,7 @@
 )
 
 // The same settings, seed and events lead to the same actions.
-func TestAlike(t *testing.T) {
+func TestSameInputsGiveSameActions(t *testing.T) {
 	run := func() string {
 		sim := start(t, trialUpdate(1, 0.5), nil)
 		for i := range 200 {
--- a/decision/comparison_test.go
+++ b/decision/comparison_test.go
@@ -8,7 +8,7 @@
 )
 
 // A single group that was fast by chance does not make a build look slow.
-func TestSlower(t *testing.T) {
+func TestSlowerNeedsBothBaselineGroups(t *testing.T) {
 	twenty := func(v float64) (out []float64) {
 		for i := range groupSize {
 			out = append(out, v+float64(i)/100)
--- a/decision/concurrency_test.go
+++ b/decision/concurrency_test.go
@@ -6,7 +6,7 @@
 
 // While most responses of every class and tenant are slow, the total concurrency limit falls. Slow
 // responses of one tenant are no overload.
-func TestOverloaded(t *testing.T) {
+func TestOverloadLowersTotalLimit(t *testing.T) {
 	for _, test := range []struct {
 		slow    map[TenantID]bool
 		limited bool
@@ -33,7 +33,7 @@
 
 // The total concurrency limit does not fall below one attempt. Unresponsive attempts that ended after they
 // were counted must not keep it there, for the instance would reject every request from then on.
-func TestLimitComesBack(t *testing.T) {
+func TestTotalLimitRecoversAfterUnresponsiveAttempts(t *testing.T) {
 	sim := start(t, releasedUpdate(8), nil)
 	req, _ := sim.request("read", "")
 	sim.balancer.load.slowShare, sim.balancer.load.unresponsive = 1, 3
--- a/decision/controllercounts_test.go
+++ b/decision/controllercounts_test.go
@@ -8,7 +8,7 @@
 
 // The rollout controller's counts stand in for outcomes: equal builds advance, a failing or slow one is
 // rolled back. Requests that endpoints do not respond to under both builds are no reason.
-func TestControllerCounts(t *testing.T) {
+func TestControllerCountsDecideVote(t *testing.T) {
 	for _, test := range []struct {
 		name                            string
 		baselineFailed, candidateFailed int // of 40
--- a/decision/crosszone.go
+++ b/decision/crosszone.go
@@ -4,7 +4,7 @@
 
 const (
 	crossGainFactor     = 4.0  // ratio of the cross-zone share to the gain
-	maxCrossZoneShare   = 0.5  // highest share of requests that cross zones although endpoints in the home zone are available
+	maxCrossZoneShare   = 0.5  // maximum of the cross-zone share
 	zoneLatencyWeight   = 0.15 // weight of the newest response in a zone's response time
 	crossZoneCutDivisor = 2.0  // of the share, for each failed connection in another zone
 	zoneRetryRate       = 0.15 // share of the gap to the base latency that closes per slow start window
--- a/decision/crosszone_test.go
+++ b/decision/crosszone_test.go
@@ -9,7 +9,7 @@
 // Where the endpoints of one zone are overloaded, an instance with little traffic sees too few outcomes of
 // each to notice that the other zone is not. Outcomes by zone move requests over: half of them at most, and
 // none to a zone that is slow itself, fails, or is quicker by less than the price of crossing.
-func TestCrossZone(t *testing.T) {
+func TestOverloadedZoneSendsRequestsAcross(t *testing.T) {
 	const zoneSize, requests = 30, 400
 	succeeds := func(after Millis) func() (Outcome, Millis) {
 		return func() (Outcome, Millis) { return Succeeded, after }
@@ -69,7 +69,7 @@
 
 // An instance that knows the response times of each endpoint chooses by these. Moving requests by zone as
 // well would give the builds different shares of the zones, and make a good candidate look slow.
-func TestCrossZoneWithKnownEndpoints(t *testing.T) {
+func TestKnownEndpointsKeepCrossZoneShareLow(t *testing.T) {
 	for name, test := range map[string]struct {
 		rate        float64 // responses a ms of each endpoint
 		least, most float64
--- a/decision/endpoints_test.go
+++ b/decision/endpoints_test.go
@@ -5,7 +5,7 @@
 )
 
 // No request goes to an endpoint that is draining, removed or missing from a snapshot, from that event on.
-func TestDrains(t *testing.T) {
+func TestUnavailableEndpointGetsNoRequests(t *testing.T) {
 	draining := newEndpoint("a1", 7)
 	draining.State = Draining
 	removed := newEndpoint("a1", 7)
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -6,25 +6,26 @@
 	"ottershed/internal/stats"
 )
 
-// Evidence is what an instance has seen of the newest build, in a form that another instance can take over.
-// It is stored in checkpoints; the tags are the stored names.
+// Evidence holds the outcomes that an instance has observed on the newest build, for another instance to take
+// over. Checkpoints store it; the tags are the stored names.
 type Evidence struct {
 	Build   Build           `msgpack:"Build"`
 	Stage   int             `msgpack:"Stage"`
-	Classes []ClassEvidence `msgpack:"Groups"` // of this stage
-	Counts  []EndpointCount `msgpack:"Counts"` // since the build was offered
+	Classes []ClassEvidence `msgpack:"Groups"` // outcomes since the start of the stage
+	Counts  []EndpointCount `msgpack:"Counts"` // outcomes since the build was offered
 }
 
-// ClassEvidence holds the outcomes of one request class by build, oldest first. Each is a response time over
-// the baseline's pace; a failure is infinite. Without a class name it holds those of all classes together.
+// ClassEvidence holds the outcomes of one request class by build, oldest first. The value of an outcome is its
+// response time divided by the baseline's mean response time; the value of a failure is infinite. An empty class
+// name stands for the overall class.
 type ClassEvidence struct {
 	Class     ClassName `msgpack:"Group"`
 	Baseline  []float64 `msgpack:"Blue"`
 	Candidate []float64 `msgpack:"Grn"`
 }
 
-// EndpointCount holds how many requests of a class an endpoint has answered. Without an endpoint it stands
-// for those that have left the list.
+// EndpointCount holds the number of succeeded and failed requests of one class at one endpoint. An empty
+// endpoint stands for all baseline endpoints that were removed from the list.
 type EndpointCount struct {
 	Endpoint  EndpointID `msgpack:"Node"`
 	Build     Build      `msgpack:"Build"`
@@ -33,7 +34,7 @@
 	Failed    float64    `msgpack:"Bad"`
 }
 
-// Evidence returns what this instance has seen of the newest build; false where none is in trial.
+// Evidence returns the evidence of this instance on the newest build. It returns false if no build is in trial.
 func (b *Balancer) Evidence() (Evidence, bool) {
 	evidence := Evidence{Build: b.trial.update.Build, Stage: b.trial.update.Stage}
 	if !b.trial.known || b.trial.update.Phase != InTrial {
@@ -52,7 +53,7 @@
 	return evidence, true
 }
 
-// appendCounts appends the counts of one class.
+// appendCounts appends the counts of one class by endpoint.
 func (b *Balancer) appendCounts(counts []EndpointCount, class *classState) []EndpointCount {
 	for _, ep := range b.endpoints.ordered {
 		if outcomes := ep.outcomes[class.index]; outcomes.Total() > 0 {
@@ -65,19 +66,20 @@
 			})
 		}
 	}
-	if departed := class.removedEndpoints; departed.Total() > 0 {
-		counts = append(counts, EndpointCount{Class: class.Name, Succeeded: departed.Good, Failed: departed.Bad})
+	if removed := class.removedEndpoints; removed.Total() > 0 {
+		counts = append(counts, EndpointCount{Class: class.Name, Succeeded: removed.Good, Failed: removed.Bad})
 	}
 	return counts
 }
 
-// outcomesOf returns the outcomes of a build that are kept, oldest first.
+// outcomesOf returns all stored outcomes of a build, oldest first.
 func outcomesOf(groups stats.Groups) []float64 {
 	return slices.Concat(groups.Before, groups.Last, groups.Fill)
 }
 
-// acquireEvidence adds the evidence of another instance to this one's own: counts of the same build, and
-// outcomes of the same stage, which enter the groups as this instance's own do.
+// acquireEvidence adds the evidence of another instance to this instance's own: the counts if they are of the
+// same build, and the outcomes if they are of the same build and stage. The outcomes enter groups in the same
+// way as this instance's own outcomes.
 func (b *Balancer) acquireEvidence(evidence Evidence) {
 	if !b.trial.known || evidence.Build != b.trial.update.Build {
 		return
@@ -105,8 +107,8 @@
 	}
 }
 
-// acquireCount adds the count of one endpoint. Where a baseline endpoint has left since, its outcomes are
-// kept as those of the others that have left.
+// acquireCount adds the count of one endpoint. The count of a baseline endpoint that was removed since is added
+// to that of all removed endpoints.
 func (b *Balancer) acquireCount(count EndpointCount) {
 	class := b.classes.byName[count.Class]
 	if class == nil {
@@ -123,7 +125,7 @@
 	}
 }
 
-// revokeEvidence forgets what was seen of the newest build, and the vote that came of it.
+// revokeEvidence discards the evidence on the newest build and this instance's vote.
 func (b *Balancer) revokeEvidence() {
 	for _, class := range b.classes.all {
 		class.resetCandidate()
--- a/decision/evidence_test.go
+++ b/decision/evidence_test.go
@@ -7,7 +7,7 @@
 
 // Evidence that another instance acquires counts there as if observed there, once. An instance whose
 // evidence was acquired starts without any.
-func TestEvidenceAcquired(t *testing.T) {
+func TestAcquiredEvidenceCountsAsOwn(t *testing.T) {
 	slow := func(i int) (Outcome, Millis) { return Succeeded, Millis(50 + i*7%13) }
 	fails := func(i int) (Outcome, Millis) {
 		if i%3 == 0 {
@@ -16,12 +16,12 @@
 		return Succeeded, Millis(20 + i*7%13)
 	}
 	for name, candidate := range map[string]func(int) (Outcome, Millis){"slow": slow, "failing": fails} {
-		dead := judgedHarness(t, nil, candidate)
+		dead := startWithOutcomes(t, nil, candidate)
 		evidence, found := dead.balancer.Evidence()
 		if !found || evidence.Build != 8 || evidence.Stage != 1 {
 			t.Fatalf("%s: %+v", name, evidence)
 		}
-		successor := judgedHarness(t, nil, nil)
+		successor := startWithOutcomes(t, nil, nil)
 		for _, test := range []struct {
 			why    string
 			change func(*Evidence)
--- a/decision/exposure.go
+++ b/decision/exposure.go
@@ -1,15 +1,15 @@
 package decision
 
-// tokenBucket holds the attempts that builds in trial may still get. Each request received adds the exposure
-// cap to it, and from one instant to the next it holds FreeAttempts at most. So in every window of time,
-// wherever it ends, attempts number at most FreeAttempts + cap x requests received. Counting by fixed windows
-// would hold only for windows that end at an attempt.
+// tokenBucket limits the attempts at builds in trial. Each received request adds the exposure cap to the tokens,
+// each attempt takes one token, and the bucket carries at most FreeAttempts from one instant to the next. So in
+// every interval the attempts number at most FreeAttempts + cap x received requests. Counting by fixed
+// windows would guarantee that only for windows that end at an attempt.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt Millis
 }
 
-// exposureTokens is the balance that attempts of a request at builds in trial are taken from.
+// exposureTokens returns the tokens for attempts of a request at builds in trial.
 func (b *Balancer) exposureTokens(req *request) *float64 {
 	bucket := &b.exposure
 	if b.settings.ExposurePerClass {
@@ -22,15 +22,15 @@
 	return &bucket.tokens
 }
 
-// buildTrial is the trial that a build is in, if any.
+// buildTrial is the state of a build's trial.
 type buildTrial struct {
 	active      bool
 	stage       int
 	exposureCap float64 // share of the requests that may go to the build
 }
 
-// trialOf returns the trial of a build. A build that the controller has not spoken of yet is taken to be in
-// its first stage.
+// trialOf returns the state of a build's trial. A build that the rollout controller has not announced yet is
+// treated as in its first stage.
 func (b *Balancer) trialOf(build Build) buildTrial {
 	highest := 1 - b.settings.WithheldShare
 	update := &b.trial.update
@@ -40,7 +40,7 @@
 	return buildTrial{!b.trial.known || build > update.Build, 0, min(b.settings.ExposureCaps[0], highest)}
 }
 
-// exposureRefill is what one request adds to the balance: the lowest cap of the listed builds that are in
+// exposureRefill returns the tokens that one request adds: the lowest exposure cap of the listed builds in
 // trial.
 func (b *Balancer) exposureRefill() float64 {
 	lowest := 1.0
--- a/decision/exposure_test.go
+++ b/decision/exposure_test.go
@@ -6,7 +6,7 @@
 
 // In every window of time, attempts at the candidate are at most the free attempts and the exposure limit
 // times the requests. This holds for windows that begin between two requests too.
-func TestExposure(t *testing.T) {
+func TestExposureCapHoldsInEveryWindow(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		update StageUpdate
@@ -76,7 +76,7 @@
 }
 
 // Where the exposure limit holds for each class, an attempt of one class leaves the tokens of the others.
-func TestExposurePerClass(t *testing.T) {
+func TestExposureCapAppliesPerClass(t *testing.T) {
 	for _, perClass := range []bool{false, true} {
 		sim := start(t, trialUpdate(0, 0.1), func(s *Settings) { s.ExposurePerClass = perClass })
 		sim.replaceEndpoints(newEndpoint("a2", 8))
@@ -89,7 +89,7 @@
 }
 
 // The share that operators withhold from candidates lowers the exposure limit.
-func TestWithheld(t *testing.T) {
+func TestWithheldShareLowersExposure(t *testing.T) {
 	for _, test := range []struct {
 		share       float64
 		least, most int
--- a/decision/failures.go
+++ b/decision/failures.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	minFailures           = 2  // of the candidate that can prove it bad
-	singleFailureQuorum   = 20 // RollbackQuorum from which a single failure counts, at half strength
-	minReportedFailures   = 2  // failures by the controller's counts that can prove the candidate bad
-	worstEndpointDivisor  = 4  // one in so many of the candidate's endpoints, the worst, is left out
-	suspectedFailureRatio = 2  // share of failures over the baseline's from which there is a doubt
+	minFailures           = 2  // failures of the candidate from which they are evidence
+	singleFailureQuorum   = 20 // RollbackQuorum from which a single failure is evidence, at half strength
+	minReportedFailures   = 2  // failures of the candidate in the controller's counts from which they are evidence
+	worstEndpointDivisor  = 4  // divisor: the worst quarter of the candidate's endpoints is excluded
+	suspectedFailureRatio = 2  // ratio of shares of failures from which the candidate is suspected
 )
 
-// failureEvidence is what failures say of the candidate.
+// failureEvidence summarises the failures of the candidate.
 type failureEvidence struct {
-	strength float64 // the strongest sign in any class, as a multiple of what proves a bad build
-	outcomes float64 // of the candidate that were seen, over all classes
-	// suspected: a failure or more at twice the baseline's share. No proof, but most of many instances see
-	// none in a good build.
+	strength float64 // highest test statistic of any class, as a multiple of the threshold for a rollback
+	outcomes float64 // number of outcomes of the candidate, over all classes
+	// suspected is set by at least one failure at more than twice the baseline's share. That is no proof, but
+	// with a good build most instances of a large fleet see no such failure.
 	suspected bool
 }
 
-// failureCounts are the outcomes of one class.
+// failureCounts holds the numbers of good and bad outcomes of one class.
 type failureCounts struct {
-	baseline           stats.Count // with endpoints that have left, or nothing is worse once all have
-	candidate          stats.Count // without the worst endpoints
+	// baseline includes the endpoints that were removed from the list. Without them there would be nothing to
+	// compare with once all baseline endpoints are replaced.
+	baseline           stats.Count
+	candidate          stats.Count // without the excluded endpoints
 	candidateAll       stats.Count
-	candidateOutcomes  float64 // outcomes in candidateAll
+	candidateOutcomes  float64 // total of candidateAll
 	candidateEndpoints float64
 }
 
-// failureEvidence compares the failures of both builds by the rank test on good and bad outcomes, in each
-// class and in all of them together. The overall counts, which come last, give the number of outcomes and the
-// doubt.
+// failureEvidence compares the failures of both builds by a rank test on good and bad outcomes, in each class and
+// in the overall class. The overall class comes last and determines outcomes and suspected.
 func (b *Balancer) failureEvidence() failureEvidence {
 	var evidence failureEvidence
 	for _, class := range b.classes.withOverall {
@@ -48,14 +49,15 @@
 	return evidence
 }
 
-// countFailures adds up a class's outcomes by build. The worst quarter of the candidate's endpoints is left
-// out where they failed more than once: they are in trouble of their own. A single candidate endpoint is left
-// out only if one of the baseline fails at least half as often. Where each endpoint was asked once, the worst
-// quarter would be every failure that was seen.
+// countFailures adds up the outcomes of a class by build. Those of the worst quarter of the candidate's endpoints
+// that failed more than once are excluded from candidate, because their failures may come from faults of the
+// endpoints and not from the build. A single candidate endpoint is excluded only if a baseline endpoint fails at
+// least half as often. Endpoints with one failure are not excluded: at an instance with one outcome per endpoint,
+// the worst quarter would contain every failure.
 func (b *Balancer) countFailures(class *classState) failureCounts {
 	counts := failureCounts{baseline: class.removedEndpoints}
-	worstBaseline := 0.0    // share of failures; one may be chance
-	var asked []stats.Count // the outcomes of the candidate's endpoints that were asked anything
+	worstBaseline := 0.0          // highest share of failures; one failure is not counted, as it may be chance
+	var perEndpoint []stats.Count // of the candidate's endpoints with outcomes
 	for _, ep := range b.endpoints.ordered {
 		outcomes := ep.outcomes[class.index]
 		switch {
@@ -65,14 +67,14 @@
 		case ep.Build == b.trial.update.Build:
 			counts.candidateEndpoints++
 			if outcomes.Total() > 0 {
-				asked = append(asked, outcomes)
+				perEndpoint = append(perEndpoint, outcomes)
 			}
 		}
 	}
 	worstFirst := func(a, b stats.Count) int { return cmp.Compare(b.Bad*a.Total(), a.Bad*b.Total()) }
-	slices.SortFunc(asked, worstFirst)
-	worst := (len(asked) + worstEndpointDivisor - 1) / worstEndpointDivisor
-	for i, outcomes := range asked {
+	slices.SortFunc(perEndpoint, worstFirst)
+	worst := (len(perEndpoint) + worstEndpointDivisor - 1) / worstEndpointDivisor
+	for i, outcomes := range perEndpoint {
 		counts.candidateAll.Add(outcomes, 1)
 		counts.candidateOutcomes += outcomes.Total()
 		single := counts.candidateEndpoints == 1 && 2*worstBaseline*outcomes.Total() < outcomes.Bad
@@ -83,34 +85,35 @@
 	return counts
 }
 
-// doubtful tells whether the few failures seen speak against the candidate. It is used only where so many
-// votes are needed that each instance needs no outcomes of its own to advance.
+// suspectsFailures reports whether few failures are reason enough not to vote to advance. It applies only where
+// AdvanceQuorum is so high that an instance may vote to advance without any outcomes of its own.
 func (b *Balancer) suspectsFailures(counts failureCounts) bool {
 	all, baseline := counts.candidateAll, counts.baseline
 	return b.thresholds.outcomesWithoutGroups == 0 && all.Bad >= 1 &&
 		all.Bad*baseline.Total() > suspectedFailureRatio*(baseline.Bad+1)*all.Total()
 }
 
-// ownStrength is the strength of the instance's own outcomes. Where many votes are needed one failure counts
-// half: waiting for a second one each, hundreds of instances with little traffic would let a failing build
-// advance.
+// ownStrength returns the strength of the evidence from the instance's own outcomes. From singleFailureQuorum on
+// a single failure counts half. If each of hundreds of instances with little traffic waited for a second failure,
+// a failing build would advance.
 func (b *Balancer) ownStrength(counts failureCounts) float64 {
-	needed := minFailures - math.Floor(min(1, float64(b.settings.RollbackQuorum)/singleFailureQuorum))
+	required := minFailures - math.Floor(min(1, float64(b.settings.RollbackQuorum)/singleFailureQuorum))
 	baseline, candidate := counts.baseline, counts.candidate
-	if candidate.Bad < needed || candidate.Bad*baseline.Total() <= baseline.Bad*candidate.Total() {
+	if candidate.Bad < required || candidate.Bad*baseline.Total() <= baseline.Bad*candidate.Total() {
 		return 0
 	}
 	statistic := stats.KruskalWallisCounts(baseline, candidate)
 	return statistic / b.thresholds.statistic * min(1, candidate.Bad/minFailures)
 }
 
-// reportedStrength is the strength of the controller's counts, each build's scaled down to one outcome an
-// endpoint: the controller cannot leave out the worst endpoints.
+// reportedStrength returns the strength of the evidence from the controller's counts. The counts of each build
+// are scaled down to one outcome per candidate endpoint, because the worst endpoints cannot be excluded from
+// them.
 func reportedStrength(class *classState, counts failureCounts) float64 {
 	baseline, candidate := class.reported[baselineSide], class.reported[candidateSide]
 	if candidate.Bad < minReportedFailures || candidate.Bad <= baseline.Bad {
 		return 0
 	}
-	most := counts.candidateEndpoints
-	return stats.KruskalWallisCounts(baseline.ScaledTo(most), candidate.ScaledTo(most)) / (2 * rejectStatistic)
+	endpoints := counts.candidateEndpoints
+	return stats.KruskalWallisCounts(baseline.ScaledTo(endpoints), candidate.ScaledTo(endpoints)) / (2 * rejectStatistic)
 }
--- a/decision/failures_test.go
+++ b/decision/failures_test.go
@@ -8,7 +8,7 @@
 )
 
 // Failures at one of several candidate endpoints are a fault of that endpoint, not of the build.
-func TestOneFailingEndpoint(t *testing.T) {
+func TestOneFailingEndpointIsNoEvidence(t *testing.T) {
 	for _, test := range []struct {
 		bad  []float64 // failures among 30 outcomes, by candidate endpoint
 		back bool
@@ -42,7 +42,7 @@
 
 // A single candidate endpoint that fails proves nothing while an endpoint of the baseline fails alike, nor
 // while it is the only one of several that has outcomes.
-func TestSingleCandidateEndpoint(t *testing.T) {
+func TestSingleCandidateEndpointFails(t *testing.T) {
 	for _, test := range []struct {
 		baseline float64 // failures among 30 outcomes of one of two endpoints
 		others   int     // candidate endpoints without outcomes
@@ -65,7 +65,7 @@
 
 // An instance with little traffic has one outcome of most endpoints. Leaving out the endpoints with most
 // failures must not remove all failures that it has seen.
-func TestFailuresAcrossInstances(t *testing.T) {
+func TestFailuresAcrossEndpointsAreEvidence(t *testing.T) {
 	for _, test := range []struct {
 		bad  [8]float64 // failures, by candidate endpoint
 		each float64    // outcomes of each endpoint
--- a/decision/fleet_test.go
+++ b/decision/fleet_test.go
@@ -39,13 +39,13 @@
 }
 
 // scheduled is something that happens at a time. Where times are equal the order is that of scheduling.
-type scheduled struct {
+type scheduledEvent struct {
 	at    Millis
 	order int
 	run   func()
 }
 
-type schedule []scheduled
+type schedule []scheduledEvent
 
 // Len, Less, Swap, Push and Pop are those of heap.Interface.
 
@@ -57,7 +57,7 @@
 
 func (s schedule) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
 
-func (s *schedule) Push(x any) { *s = append(*s, x.(scheduled)) }
+func (s *schedule) Push(x any) { *s = append(*s, x.(scheduledEvent)) }
 
 func (s *schedule) Pop() any {
 	last := (*s)[len(*s)-1]
@@ -68,16 +68,16 @@
 var scheduledCount int
 
 // at schedules something.
-func (f *fleet) at(when Millis, run func()) {
+func (f *fleet) scheduleAt(when Millis, run func()) {
 	scheduledCount++
-	heap.Push(&f.events, scheduled{when, scheduledCount, run})
+	heap.Push(&f.events, scheduledEvent{when, scheduledCount, run})
 }
 
 // deliver hands a balancer an event and carries out its actions.
 func (f *fleet) deliver(instance int, event Event) {
 	for _, action := range f.balancers[instance].Handle(f.now, event) {
 		if wake, ok := action.(WakeAt); ok {
-			f.at(wake.At, func() { f.deliver(instance, TimerFired{Token: wake.Token}) })
+			f.scheduleAt(wake.At, func() { f.deliver(instance, TimerFired{Token: wake.Token}) })
 		} else {
 			f.perform(instance, action)
 		}
@@ -87,7 +87,7 @@
 // run runs what is scheduled until a time.
 func (f *fleet) run(until Millis) {
 	for len(f.events) > 0 && f.events[0].at <= until {
-		next := heap.Pop(&f.events).(scheduled)
+		next := heap.Pop(&f.events).(scheduledEvent)
 		f.now = next.at
 		next.run()
 	}
@@ -110,7 +110,7 @@
 		f.balancers = append(f.balancers, New(settings, uint64(i)*0x9e3779b97f4a7c15+7))
 	}
 	for i := range size {
-		f.at(f.now, func() { f.deliver(i, EndpointsChanged{Kind: CachedSnapshot, Endpoints: endpoints}) })
+		f.scheduleAt(f.now, func() { f.deliver(i, EndpointsChanged{Kind: CachedSnapshot, Endpoints: endpoints}) })
 	}
 	return f
 }
@@ -196,17 +196,17 @@
 			After: f.now - startedAt, RequestEnded: request.done,
 		})
 	}
-	f.at(request.deadline, func() { end(TimedOut) })
+	f.scheduleAt(request.deadline, func() { end(TimedOut) })
 	if endpoint.unreachable {
-		f.at(f.now+250, func() { end(Unreachable) })
+		f.scheduleAt(f.now+250, func() { end(Unreachable) })
 		return
 	}
-	f.at(f.work(endpoint), func() { end(Succeeded) })
+	f.scheduleAt(f.processRequest(endpoint), func() { end(Succeeded) })
 }
 
 // work puts a request on the core that is free first, and returns when it is done. Warming endpoints are
 // slower.
-func (f *fleet) work(endpoint *fakeEndpoint) Millis {
+func (f *fleet) processRequest(endpoint *fakeEndpoint) Millis {
 	free := 0
 	for i, until := range endpoint.cores {
 		if until < endpoint.cores[free] {
@@ -228,7 +228,7 @@
 		return
 	}
 	request.inFlight[action.Attempt] = false
-	f.at(f.now, func() {
+	f.scheduleAt(f.now, func() {
 		f.deliver(instance, AttemptEnded{
 			Request: action.Request, Attempt: action.Attempt, Outcome: Canceled, RequestEnded: request.done,
 		})
@@ -236,7 +236,7 @@
 }
 
 // clients sends requests at a rate to the whole fleet for a while, each to any instance.
-func (f *fleet) clients(perSecond float64, until Millis) {
+func (f *fleet) startClients(perSecond float64, until Millis) {
 	var arrive func()
 	arrive = func() {
 		if f.now >= until {
@@ -247,21 +247,21 @@
 		f.results["received"]++
 		instance := int(f.random.Next() * float64(len(f.balancers)))
 		f.deliver(instance, RequestReceived{Request: f.lastID, Class: "read", TTL: clientTimeout})
-		f.at(f.now-math.Log(1-f.random.Next())*1000/perSecond, arrive)
+		f.scheduleAt(f.now-math.Log(1-f.random.Next())*1000/perSecond, arrive)
 	}
-	f.at(f.now, arrive)
+	f.scheduleAt(f.now, arrive)
 }
 
 // Half of the endpoints are lost and come back warming. An instance of a large fleet has an outcome of an
 // endpoint only every few seconds: what it knew before the fault must not exclude endpoints long after it.
-func TestFleetReadmitsEndpoints(t *testing.T) {
+func TestFleetReadmitsRestartedEndpoints(t *testing.T) {
 	fleet := newFleet(t, 80, nil, nil)
 	list := fleet.addEndpoints(60, 7)
 	fleet.run(fleet.now)
 	fleet.deliverAll(EndpointsChanged{Kind: FullSnapshot, Endpoints: list})
 	fleet.deliverAll(StageUpdate{Build: 7, Phase: Released, Stage: 2, ExposureCap: 1})
 	fleet.perform = fleet.serve
-	fleet.clients(900, fleet.now+24000)
+	fleet.startClients(900, fleet.now+24000)
 	fleet.run(fleet.now + 4000)
 	var lost, back []Endpoint
 	for _, endpoint := range list[:30] {
@@ -295,14 +295,14 @@
 
 // A new stage replaces half of the fleet by warming endpoints of the candidate. Those must not stay empty,
 // nor may their share go to the few warm endpoints of the candidate, which would look slow.
-func TestFleetSpreadsOverSlowStart(t *testing.T) {
+func TestFleetUsesWarmingEndpoints(t *testing.T) {
 	fleet := newFleet(t, 80, nil, nil)
 	list := fleet.addEndpoints(60, 7)
 	fleet.run(fleet.now)
 	fleet.deliverAll(EndpointsChanged{Kind: FullSnapshot, Endpoints: list})
 	fleet.deliverAll(StageUpdate{Build: 7, Phase: Released, Stage: 2, ExposureCap: 1})
 	fleet.perform = fleet.serve
-	fleet.clients(900, fleet.now+60000)
+	fleet.startClients(900, fleet.now+60000)
 	fleet.run(fleet.now + 3000)
 	fleet.deliverAll(StageUpdate{Build: 8, Phase: InTrial, Stage: 0, ExposureCap: 0.112})
 	warm := fleet.addEndpoints(5, 8)
@@ -341,7 +341,7 @@
 
 // Discovery serves calls in turn, also those that have timed out. All instances of a fleet start at once:
 // each must have its watch soon, and with few calls in vain.
-func TestFleetPollsEndpoints(t *testing.T) {
+func TestFleetPollsWithoutOverload(t *testing.T) {
 	for name, test := range map[string]struct {
 		instances int
 		perCall   Millis // service time
@@ -367,15 +367,15 @@
 				calls++
 				free = max(free, fleet.now) + test.perCall
 				if wait := free - fleet.now; wait <= timeout {
-					fleet.at(free, func() {
+					fleet.scheduleAt(free, func() {
 						watching[instance] = fleet.now
 						fleet.deliver(instance, EndpointsChanged{Kind: Delta})
 					})
 				} else if wait <= 2*timeout {
-					fleet.at(fleet.now+timeout, func() { fleet.deliver(instance, EndpointsChanged{Kind: PollRejected}) })
+					fleet.scheduleAt(fleet.now+timeout, func() { fleet.deliver(instance, EndpointsChanged{Kind: PollRejected}) })
 				} else {
 					free -= test.perCall // rejected at once
-					fleet.at(fleet.now+1, func() { fleet.deliver(instance, EndpointsChanged{Kind: PollRejected}) })
+					fleet.scheduleAt(fleet.now+1, func() { fleet.deliver(instance, EndpointsChanged{Kind: PollRejected}) })
 				}
 			}
 			fleet.run(start + test.within)
--- a/decision/fleetslowdown.go
+++ b/decision/fleetslowdown.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	slowdownGroups    = 8.0  // multiplies rejectionsNeeded: this rule needs so many times as many
-	maxRatioWeight    = 4    // factors of slowRatio that one group counts for, at most
+	slowdownGroups    = 8.0  // factor on rejectionsNeeded for a rollback by this rule
+	maxRatioWeight    = 4    // maximum number of factors of slowRatio that one group counts for
 	slowdownFillTime  = 4000 // ms; a group that took this long to fill counts slowdownGroups times
-	arrivalRateMargin = 1.25 // arrival rate over the one before the trial from which no group is judged
-	minEarlyOutcomes  = 5    // outcomes needed to judge whether endpoints were slow already
+	arrivalRateMargin = 1.25 // ratio of the arrival rate to that before the trial from which no group is rejected
+	minEarlyOutcomes  = 5    // outcomes required to detect that endpoints were slow before the candidate started
 )
 
-// fleetSlowdown compares the outcomes of both builds with those from before the trial, for a candidate that
-// slows the baseline's endpoints too. In its comparison the baseline is the time before the trial.
+// fleetSlowdown compares the outcomes of both builds with those from before the trial. It detects a candidate
+// that slows the baseline's endpoints too. In the embedded comparison, the baseline holds the outcomes from before
+// the trial and the candidate those of both builds since.
 type fleetSlowdown struct {
 	comparison
-	preCandidate    []float64 // outcomes since the build was offered and before it had an endpoint
-	slowBeforeTrial bool      // they were slower already, which is not the candidate's doing
-	fillStartedAt   Millis    // first outcome of the group that is being filled
+	preCandidate    []float64 // outcomes since the offer of the build and before its first endpoint
+	slowBeforeTrial bool      // preCandidate is slower than the baseline; the candidate is not the cause
+	fillStartedAt   Millis    // time of the first outcome in the current group
 }
 
-// compareBeforeTrial adds an outcome of either build. value is a response time in ms, pace the one before the
-// trial.
-func (b *Balancer) compareBeforeTrial(slowdown *fleetSlowdown, value, pace float64) {
-	if slowdown == nil || pace == 0 || math.IsInf(value, 1) || len(slowdown.baseline.Last) == 0 {
+// compareBeforeTrial adds an outcome of either build. value is a response time in ms, and meanBefore the mean
+// response time from before the trial.
+func (b *Balancer) compareBeforeTrial(slowdown *fleetSlowdown, value, meanBefore float64) {
+	if slowdown == nil || meanBefore == 0 || math.IsInf(value, 1) || len(slowdown.baseline.Last) == 0 {
 		return
 	}
-	relative := value / pace
+	relative := value / meanBefore
 	candidates := b.endpoints.byBuildAndZone[candidateSide]
 	noCandidate := len(candidates[homeZone])+len(candidates[otherZone]) == 0
 	if noCandidate {
@@ -48,23 +49,24 @@
 	slowdown.rejections += slowdown.weight(b.now)
 }
 
-// slowdownExplained tells whether something else than the candidate may slow all endpoints: a fault, or more
-// first tries than before, as from the clients of instances that are down.
+// slowdownHasOtherCause reports whether a cause other than the candidate may slow all endpoints: a fault, or more
+// new requests than before the trial, for example from the clients of instances that are down.
 func (b *Balancer) slowdownHasOtherCause() bool {
 	return b.faultWithin(b.settings.SlowStartWindow) ||
 		b.trial.arrivalRate > arrivalRateMargin*b.trial.arrivalRateBefore
 }
 
-// addEarly takes an outcome from before the candidate's first endpoint.
+// addPreCandidate adds an outcome from before the candidate's first endpoint.
 func (s *fleetSlowdown) addPreCandidate(relative float64) {
 	s.preCandidate = append(s.preCandidate[:min(len(s.preCandidate), groupSize)], relative)
 	s.slowBeforeTrial = len(s.preCandidate) >= minEarlyOutcomes &&
 		stats.Median(s.preCandidate) > slowRatio*stats.Median(s.baseline.Last)
 }
 
-// weight counts the last group once for each factor of slowRatio by which it is slower, four at most, times
-// one for each half second that it took to fill, eight at most. At an instance with little traffic, one
-// group that took long to fill shows as well as several groups that the slowness lasts.
+// weight returns the number of rejections that the last group counts for: one for each factor of slowRatio by
+// which the group is slower, at most 4, times one for each half second that the group took to fill, at least 1
+// and at most 8. At an instance with little traffic, one group that took long to fill proves lasting slowness as
+// well as several groups do.
 func (s *fleetSlowdown) weight(now Millis) int {
 	lasted := min(slowdownGroups, max(1, slowdownGroups*(now-s.fillStartedAt)/slowdownFillTime))
 	ratios := min(maxRatioWeight, math.Log(s.medianRatio)/math.Log(slowRatio))
--- a/decision/fleetslowdown_test.go
+++ b/decision/fleetslowdown_test.go
@@ -10,7 +10,7 @@
 
 // Compared with the time before the trial, a group counts for each slow ratio by which it is slower, at
 // most four times. A group that is not slower resets the count.
-func TestGaps(t *testing.T) {
+func TestFleetSlowdownCountsByRatio(t *testing.T) {
 	sim := start(t, releasedUpdate(7), nil)
 	for i := range 2 * groupSize {
 		sim.balancer.classes.overall.add(false, 100+float64(i%groupSize))
@@ -33,7 +33,7 @@
 
 // A burst of first requests, as from clients of instances that are down, is not the candidate's doing, nor
 // is anything while no endpoint runs it. Clients that repeat requests because it is slow are.
-func TestAllSlowerByLoad(t *testing.T) {
+func TestFleetSlowdownIgnoresOtherCauses(t *testing.T) {
 	for _, test := range []struct {
 		name            string
 		first, repeated int // requests in excess
@@ -80,7 +80,7 @@
 
 // Slowness of all endpoints must last: eight groups in a row show that, or one group that took 4 s or more
 // to fill, as at an instance with little traffic.
-func TestAllSlowerCountsTime(t *testing.T) {
+func TestFleetSlowdownMustLast(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		took  Millis
--- a/decision/golden_test.go
+++ b/decision/golden_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	seeds       = 72
-	perPoint    = 1000 // events from one checkpoint to the next
-	checkpoints = 10   // of each seed
+	seedCount           = 72
+	eventsPerCheckpoint = 1000 // events from one checkpoint to the next
+	checkpointsPerSeed  = 10   // of each seed
 )
 
 var goldenFile = filepath.Join("testdata", "streams.txt")
@@ -26,14 +26,14 @@
 // TestStreams drives an instance through the rollouts of all seeds and compares a hash of all that it did, and of what it
 // says of itself, with the one that was kept at each checkpoint. A change that is meant to keep the behaviour keeps all
 // hashes; one that changes it on purpose rewrites them with -update.
-func TestStreams(t *testing.T) {
-	lines := make([][]string, seeds)
-	want := goldenLines(t)
+func TestStreamsMatchGolden(t *testing.T) {
+	lines := make([][]string, seedCount)
+	want := readGolden(t)
 	t.Run("seeds", func(t *testing.T) {
 		for seed := range lines {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				lines[seed] = streamLines(seed)
+				lines[seed] = checkpointLines(seed)
 				if !golden.Updating() {
 					compareLines(t, lines[seed], want)
 				}
@@ -46,7 +46,7 @@
 }
 
 // goldenLines are the kept lines by what they begin with, seed and checkpoint.
-func goldenLines(t *testing.T) map[string]string {
+func readGolden(t *testing.T) map[string]string {
 	t.Helper()
 	if golden.Updating() {
 		return nil
@@ -60,8 +60,8 @@
 		point, sum, _ := strings.Cut(strings.TrimSpace(line), ": ")
 		want[point] = sum
 	}
-	if len(want) != seeds*checkpoints {
-		t.Fatalf("%s has %d checkpoints, want %d", goldenFile, len(want), seeds*checkpoints)
+	if len(want) != seedCount*checkpointsPerSeed {
+		t.Fatalf("%s has %d checkpoints, want %d", goldenFile, len(want), seedCount*checkpointsPerSeed)
 	}
 	return want
 }
@@ -91,15 +91,15 @@
 }
 
 // streamLines plays a seed and returns one line for each checkpoint.
-func streamLines(seed int) (lines []string) {
-	s := newSimulation(uint64(seed), checkpoints*perPoint)
+func checkpointLines(seed int) (lines []string) {
+	s := newSimulation(uint64(seed), checkpointsPerSeed*eventsPerCheckpoint)
 	enc := encoder{xxhash.New()}
 	s.observe = func(now decision.Millis, _ decision.Event, actions []decision.Action) {
-		enc.actions(s.handled, now, actions)
-		if s.handled%perPoint == 0 {
-			enc.sight(s.instance.Status())
+		enc.actions(s.eventCount, now, actions)
+		if s.eventCount%eventsPerCheckpoint == 0 {
+			enc.status(s.instance.Status())
 			enc.evidence(s.instance.Evidence())
-			lines = append(lines, fmt.Sprintf("seed %d checkpoint %d: %016x", seed, s.handled/perPoint, enc.hash.Sum64()))
+			lines = append(lines, fmt.Sprintf("seed %d checkpoint %d: %016x", seed, s.eventCount/eventsPerCheckpoint, enc.hash.Sum64()))
 		}
 	}
 	s.run()
@@ -126,7 +126,7 @@
 	}
 }
 
-func (e encoder) truth(b bool) {
+func (e encoder) boolean(b bool) {
 	if b {
 		e.integer(1)
 	} else {
@@ -178,13 +178,13 @@
 	case decision.SendToPeer:
 		e.text("tell")
 		e.integer(int(action.To))
-		e.truth(action.All)
+		e.boolean(action.All)
 		e.text(string(action.Data))
 	case decision.Log: // its text may change
 		e.text("log")
 	case decision.WatchEndpoints:
 		e.text("watch")
-		e.truth(action.On)
+		e.boolean(action.On)
 	case decision.ResolveEndpoints:
 		e.text("lookup")
 	case decision.Vote:
@@ -198,7 +198,7 @@
 }
 
 // sight writes the figures that an instance gives to those who look on.
-func (e encoder) sight(s decision.Status) {
+func (e encoder) status(s decision.Status) {
 	e.text("sight")
 	for _, i := range []int{
 		s.Serving, s.WarmingUp, s.Unavailable, s.InFlight, s.Queued, int(s.Build), s.Stage, int(s.Phase), int(s.Verdict), s.Rejections,
@@ -211,7 +211,7 @@
 // evidence writes what an instance has seen of the newest build.
 func (e encoder) evidence(v decision.Evidence, onTrial bool) {
 	e.text("evidence")
-	e.truth(onTrial)
+	e.boolean(onTrial)
 	e.integer(int(v.Build))
 	e.integer(v.Stage)
 	e.integer(len(v.Classes))
@@ -232,8 +232,8 @@
 }
 
 // recorded is an event of a stream and the time it came.
-type recorded struct {
-	now   decision.Millis
+type recordedEvent struct {
+	at    decision.Millis
 	event decision.Event
 }
 
@@ -241,11 +241,11 @@
 func BenchmarkStreams(b *testing.B) {
 	for _, seed := range []uint64{0, 3, 5, 6, 8} {
 		b.Run(fmt.Sprint("seed", seed), func(b *testing.B) {
-			s := newSimulation(seed, checkpoints*perPoint)
+			s := newSimulation(seed, checkpointsPerSeed*eventsPerCheckpoint)
 			settings := s.settings
-			var stream []recorded
+			var stream []recordedEvent
 			s.observe = func(now decision.Millis, event decision.Event, _ []decision.Action) {
-				stream = append(stream, recorded{now, event})
+				stream = append(stream, recordedEvent{now, event})
 			}
 			s.run()
 			replay(b, settings, seed, stream)
@@ -254,13 +254,13 @@
 }
 
 // replay measures the events of one stream.
-func replay(b *testing.B, settings decision.Settings, seed uint64, stream []recorded) {
+func replay(b *testing.B, settings decision.Settings, seed uint64, stream []recordedEvent) {
 	b.Helper()
 	b.ReportAllocs()
 	for b.Loop() {
 		instance := decision.New(settings, seed)
 		for _, r := range stream {
-			instance.Handle(r.now, r.event)
+			instance.Handle(r.at, r.event)
 		}
 	}
 	events := float64(b.N) * float64(len(stream))
--- a/decision/healthcheck_test.go
+++ b/decision/healthcheck_test.go
@@ -6,7 +6,7 @@
 
 // While many requests miss their objective, a request goes to the first endpoint whose health check returns
 // as from an idle one, after three checks to the best of them. Without responses it goes by what is known.
-func TestHealthChecks(t *testing.T) {
+func TestHealthChecksFindIdleEndpoint(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		missed float64
@@ -47,7 +47,7 @@
 
 // A health check that returns at once from an endpoint with busy cores finds no idle endpoint: the reported
 // utilization counts as the slowdown of a queue, 1/(1-utilization).
-func TestHealthCheckRatioByUse(t *testing.T) {
+func TestReportedUtilizationRaisesHealthCheckRatio(t *testing.T) {
 	for _, test := range []struct {
 		use  float64 // -1: not reported
 		idle bool
--- a/decision/helpers_test.go
+++ b/decision/helpers_test.go
@@ -7,12 +7,12 @@
 
 // harness hands events to one balancer and records its actions.
 type harness struct {
-	t         *testing.T
-	balancer  *Balancer
-	now       Millis
-	actions   []Action
-	responded int // actions that respond has seen
-	lastID    RequestID
+	t                *testing.T
+	balancer         *Balancer
+	now              Millis
+	actions          []Action
+	respondedActions int // actions that respond has seen
+	lastID           RequestID
 }
 
 // start makes a balancer in zone a with four endpoints: a1 and b1 on build 7, a2 and b2 on build 8.
@@ -99,8 +99,8 @@
 
 // respond ends all attempts since its last call as succeeded, and counts those at one endpoint.
 func (sim *harness) respond(endpoint EndpointID, after Millis) (attempts int) {
-	for ; sim.responded < len(sim.actions); sim.responded++ {
-		started, ok := sim.actions[sim.responded].(StartAttempt)
+	for ; sim.respondedActions < len(sim.actions); sim.respondedActions++ {
+		started, ok := sim.actions[sim.respondedActions].(StartAttempt)
 		if !ok {
 			continue
 		}
@@ -156,7 +156,7 @@
 
 // judgedHarness feeds outcomes of both builds, those of the candidate from candidate; nil: like the
 // baseline.
-func judgedHarness(t *testing.T, change func(*Settings), candidate func(i int) (Outcome, Millis)) *harness {
+func startWithOutcomes(t *testing.T, change func(*Settings), candidate func(i int) (Outcome, Millis)) *harness {
 	t.Helper()
 	sim := start(t, StageUpdate{Build: 7, Phase: Released, ExposureCap: 1}, change)
 	play := func(n int, of func(i int) (Outcome, Millis)) {
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -4,43 +4,44 @@
 
 const (
 	avoidSuspicion = 4.0 // suspicion from which an endpoint gets no new attempts
-	ejectSuspicion = 8.0 // suspicion from which it is ejected and its attempts are moved
+	ejectSuspicion = 8.0 // suspicion from which it is ejected and its requests are migrated
 
-	failureWeight = 0.15        // of the newest outcome in an endpoint's share of failures
-	brokenWeight  = 0.15 * 0.15 // of the newest outcome in the share of broken connections
-	refusedWeight = 0.15        // of the newest outcome in the share of refused connections
+	failureWeight = 0.15        // weight of the newest outcome in an endpoint's share of failures
+	brokenWeight  = 0.15 * 0.15 // weight of the newest outcome in brokenShare
+	refusedWeight = 0.15        // weight of the newest outcome in refusedShare
 
-	baseEjectionShare = 0.15 // of the longest objective; the nth ejection in a row has 2^n times that for its mean
+	baseEjectionShare = 0.15 // of the longest latency objective; the nth consecutive ejection has a mean of 2^n times that
 	ejectionJitter    = 0.5  // an ejection lasts 0.5 to 1.5 times its mean
-	faultEjections    = 2    // ejections in a row that are a fault of the infrastructure
+	faultEjections    = 2    // consecutive ejections from which there is an infrastructure fault
 
-	immediateRefusalShare = 0.25 // of the base latency: a connection refused sooner was refused by its host
-	closeIdleRefusedShare = 0.05 // share of refused connections from which idle ones are closed
-	minBrokenShare        = 1e-9 // for the logarithm
+	immediateRefusalShare = 0.25 // of the base latency; a connection that failed sooner was refused by the host
+	closeIdleRefusedShare = 0.05 // refusedShare from which idle connections are closed
+	minBrokenShare        = 1e-9 // lower bound for the logarithm
 
-	capacityLossRatio = 1.25 // full capacity over the present one from which the loss of capacity is a fault
+	capacityLossRatio = 1.25 // ratio of full to current capacity from which there is an infrastructure fault
 )
 
-// outliers detects endpoints that are silent or out of reach, in the manner of a phi accrual failure
-// detector.
+// outliers holds the state for the detection of silent and unreachable endpoints, which works as a phi accrual
+// failure detector does.
 type outliers struct {
-	lastFaultAt  Millis  // when a fault of the infrastructure was last seen
-	brokenShare  float64 // smoothed share of attempts that found no connection or lost it
-	refusedShare float64 // smoothed share of attempts that were refused a connection at once
+	lastFaultAt  Millis  // time of the last infrastructure fault
+	brokenShare  float64 // smoothed share of attempts whose connection failed or broke
+	refusedShare float64 // smoothed share of attempts whose connection was refused at once
 }
 
-// faultWithin tells whether a fault of the infrastructure was seen within this span. Slowness during a fault
-// says nothing of the candidate, for the other endpoints are overloaded then.
+// faultWithin reports whether an infrastructure fault occurred within the last span. Slowness during a fault is
+// no evidence against the candidate, because a fault overloads the remaining endpoints.
 func (b *Balancer) faultWithin(span Millis) bool { return b.now-b.outliers.lastFaultAt < span }
 
-// suspicion is the negative logarithm of how likely an endpoint's silence is if responses came at its usual
-// pace.
+// suspicion returns the negative logarithm of the probability of an endpoint's silence if it responded at its
+// usual rate.
 func (b *Balancer) suspicion(ep *endpoint) float64 {
 	return float64(ep.inFlight) * (b.now - ep.lastResponseAt) / max(ep.latency, b.load.meanLatency)
 }
 
-// responded notes a sign of life of an endpoint and ends its ejection. It may have restarted without the
-// endpoint list showing that yet: it warms up from now on, for full traffic would overload it.
+// recordResponse records that an endpoint responded, and ends its ejection. An ejected endpoint may have
+// restarted before the endpoint list shows that, and full traffic would overload it then. So its slow start begins
+// with the response.
 func (b *Balancer) recordResponse(ep *endpoint) {
 	ep.lastResponseAt = b.now
 	ep.connectFailures = 0
@@ -50,7 +51,8 @@
 	}
 }
 
-// eject keeps an endpoint from new attempts for a time that doubles with each ejection in a row, with jitter.
+// eject excludes an endpoint from new attempts. The duration doubles with each consecutive ejection, has jitter
+// and is at most SlowStartWindow.
 func (b *Balancer) eject(ep *endpoint) {
 	ep.ejections++
 	mean := b.classes.overall.LatencyObjective * baseEjectionShare * math.Exp2(float64(ep.ejections))
@@ -58,16 +60,16 @@
 	ep.ejectedUntil = b.now + min(b.settings.SlowStartWindow, duration)
 }
 
-// ejectSilent ejects an endpoint that has been silent for too long. One silence is no fault of the
-// infrastructure: a candidate that slows all endpoints causes it too.
+// ejectSilent ejects an endpoint that has been silent for too long. A single ejection is not counted as an
+// infrastructure fault, because a candidate that slows all endpoints causes such silence too.
 func (b *Balancer) ejectSilent(ep *endpoint) {
 	if b.suspicion(ep) >= ejectSuspicion && b.now >= ep.ejectedUntil {
 		b.eject(ep)
 	}
 }
 
-// countUnresponsive counts the attempts in flight at silent endpoints, and notes a fault where an endpoint
-// was ejected again and again: a slow one responds when it is tried.
+// countUnresponsive counts the attempts in flight at silent endpoints. It records an infrastructure fault if an
+// endpoint was ejected repeatedly: an endpoint that is only slow responds when it is tried again.
 func (b *Balancer) countUnresponsive(ep *endpoint) {
 	if ep.ejections > 0 || b.suspicion(ep) >= avoidSuspicion {
 		b.load.unresponsive += ep.inFlight
@@ -77,20 +79,22 @@
 	}
 }
 
-// noteCapacityLoss notes a fault while so many endpoints are warming up that the rest is clearly slower: at
-// the last stage of an in-place rollout no baseline is left that would show whether the slowness comes from
-// the candidate. Failures count all the same. The cost is a delay where a slow build meets such a loss.
+// noteCapacityLoss records an infrastructure fault while so many endpoints are warming up that the others are
+// clearly slower. In the last stage of an in-place rollout, no baseline is left to show whether the candidate
+// causes the slowness. Failures still count as evidence. The cost is that a slow build is detected later during
+// such a loss of capacity.
 func (b *Balancer) noteCapacityLoss(capacity capacitySum) {
 	if capacity.bySide[baselineSide]+capacity.bySide[candidateSide] < capacity.full/capacityLossRatio {
 		b.outliers.lastFaultAt = b.now
 	}
 }
 
-// observeEndpoint takes the outcome of an attempt into what is known of the endpoint's health.
+// observeEndpoint updates the observations on an endpoint with the outcome of an attempt.
 func (b *Balancer) observeEndpoint(target *endpoint, event AttemptEnded) {
 	switch event.Outcome {
 	case Succeeded, EndpointFailed, EndpointRejected, MalformedResponse:
-		// A response is a sign of life whatever it says. Ejected for errors, all endpoints would go in turn.
+		// Any response shows that the endpoint is alive. If errors ejected endpoints, a bad build would eject one
+		// after another.
 		b.recordResponse(target)
 	}
 	b.observeRefusal(target, event)
@@ -104,7 +108,7 @@
 		target.failureShare += failureWeight * (1 - target.failureShare)
 	case TimedOut:
 		target.failureShare += failureWeight * (1 - target.failureShare)
-		// The endpoint may go on with work that its client has left.
+		// The endpoint may still work on the request after the timeout.
 		b.adjustEndpointLimit(target, max(event.After, target.latency))
 	case Unreachable, ConnectionBroken:
 		b.observeBroken(target, event)
@@ -112,8 +116,9 @@
 	b.outliers.brokenShare -= brokenWeight * b.outliers.brokenShare
 }
 
-// observeRefusal closes idle connections to an endpoint while connections are refused at once: an endpoint
-// that does so has none left, and idle ones of hundreds of instances keep others out.
+// observeRefusal closes idle connections to an endpoint while connections are refused at once. An endpoint that
+// refuses connections has reached its connection limit, and idle connections of hundreds of instances keep other
+// instances out.
 func (b *Balancer) observeRefusal(ep *endpoint, event AttemptEnded) {
 	b.outliers.refusedShare -= refusedWeight * b.outliers.refusedShare
 	if event.Outcome == Unreachable && event.After < b.load.baseLatency*immediateRefusalShare {
@@ -132,24 +137,24 @@
 	}
 }
 
-// observeBroken ejects an endpoint whose connections fail. Connections may break on the way to sound
-// endpoints; ejected for one each, all of them would go and come back warming up. So failures in a row count
-// as silence does, by how common they are everywhere.
+// observeBroken ejects an endpoint whose connections fail. Connections to healthy endpoints may break on the
+// network; if one break ejected an endpoint, all endpoints would be ejected and warm up again. So consecutive
+// failures raise the suspicion by the negative logarithm of their share at all endpoints.
 func (b *Balancer) observeBroken(ep *endpoint, event AttemptEnded) {
 	ep.connectFailures++
 	ep.failureShare += failureWeight * (1 - ep.failureShare)
-	notByItsHost := event.Outcome == Unreachable && event.After >= b.load.baseLatency*immediateRefusalShare
-	unlikely := -math.Log(b.outliers.brokenShare+minBrokenShare) * float64(ep.connectFailures)
-	lost := ep.ejections > 0 || notByItsHost || unlikely >= ejectSuspicion
+	notRefusedByHost := event.Outcome == Unreachable && event.After >= b.load.baseLatency*immediateRefusalShare
+	suspicion := -math.Log(b.outliers.brokenShare+minBrokenShare) * float64(ep.connectFailures)
+	failed := ep.ejections > 0 || notRefusedByHost || suspicion >= ejectSuspicion
 	b.outliers.brokenShare += brokenWeight
-	if lost && b.now >= ep.ejectedUntil {
+	if failed && b.now >= ep.ejectedUntil {
 		b.outliers.lastFaultAt = b.now
 		b.eject(ep)
 	}
 }
 
-// decayObservations lets what was observed of an endpoint fade. Otherwise an endpoint that was slow once, or
-// came while others were, would never be tried again by an instance with little traffic.
+// decayObservations moves the observations on an endpoint towards neutral values. Otherwise an instance with
+// little traffic would never try an endpoint again that was slow once, or that was added while others were slow.
 func (b *Balancer) decayObservations(ep *endpoint) {
 	ep.failureShare *= 1 - b.tickInterval/b.settings.SlowStartWindow
 	ep.latency += (b.load.meanLatency - ep.latency) * b.tickInterval / b.settings.SlowStartWindow
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -6,7 +6,7 @@
 
 // The one request that probes an ejected endpoint stays there until it has its response. Migrated at once,
 // it would never end an ejection.
-func TestEjectedEndpointProbed(t *testing.T) {
+func TestProbeOfEjectedEndpointIsNotMigrated(t *testing.T) {
 	sim := start(t, releasedUpdate(8), nil)
 	sim.replaceEndpoints(newEndpoint("a2", 8))
 	sim.balancer.eject(sim.balancer.endpoints.byID["a2"])
@@ -26,7 +26,7 @@
 
 // While endpoints refuse connections at once, idle ones are closed, so that other instances find a free
 // one. A handshake that times out is no refusal, and closing connections would lead to more handshakes.
-func TestCloseIdle(t *testing.T) {
+func TestRefusedConnectionsCloseIdleOnes(t *testing.T) {
 	for _, test := range []struct {
 		after  Millis // duration of the attempt
 		closes bool
@@ -53,7 +53,7 @@
 }
 
 // A malformed response does not eject its endpoint, and its request is retried only where it may run twice.
-func TestMalformedResponse(t *testing.T) {
+func TestMalformedResponseEjectsNoEndpoint(t *testing.T) {
 	for _, test := range []struct {
 		class    ClassName
 		attempts int
@@ -78,7 +78,7 @@
 
 // Where connections break at all endpoints alike, a break or two eject none of them. Where none did, the
 // first one does. A connection that is not established in time always does.
-func TestBrokenConnections(t *testing.T) {
+func TestBrokenConnectionsEject(t *testing.T) {
 	broken := AttemptEnded{Outcome: ConnectionBroken}
 	refused := AttemptEnded{Outcome: Unreachable}
 	failed := AttemptEnded{Outcome: EndpointFailed}
--- a/decision/polling.go
+++ b/decision/polling.go
@@ -3,29 +3,29 @@
 import "math"
 
 const (
-	firstPollShare          = 0.25 // of PollWithin: the first poll is due within it
-	pollWaitShare           = 0.25 // of PollWithin: no poll is taken to have waited longer
-	minPollBackoffFactor    = 0.15 // applied twice to PollWithin: the shortest backoff
-	pollSpreadHalfInstances = 20   // instances from which the first polls are spread over half of their time
+	firstPollShare          = 0.25 // share of PollWithin within which the first poll is sent
+	pollWaitShare           = 0.25 // share of PollWithin: upper bound for the assumed time of a poll in the queue
+	minPollBackoffFactor    = 0.15 // applied twice to PollWithin: minimum backoff
+	pollSpreadHalfInstances = 20   // instances at which the first polls are spread over half of their range
 )
 
-// pollSchedule says when the endpoint list is polled, where it is polled at all (PollEndpoints).
+// pollSchedule holds the times of polls for the endpoint list. It is used only with Settings.PollEndpoints.
 type pollSchedule struct {
-	nextAt  Millis
-	lastAt  Millis
-	backoff Millis // after a rejected poll; 0 after one that was answered
+	nextAt  Millis // +Inf while a poll is in flight or the list is watched
+	lastAt  Millis // time of the newest poll
+	backoff Millis // after the last rejected poll; 0 after an update of the endpoint list
 }
 
-// scheduleFirstPoll draws the time of the first poll, so that the instances of a fleet that start together
-// don't poll together.
+// scheduleFirstPoll draws the time of the first poll, so that the instances of a fleet that start together do not
+// poll at the same time.
 func (b *Balancer) scheduleFirstPoll() {
 	spread := 1 - pollSpreadHalfInstances/(pollSpreadHalfInstances+float64(b.settings.Instances))
 	b.polling.nextAt = b.now + b.settings.PollWithin*firstPollShare*b.random.Next()*spread
 }
 
-// pollRejected backs off exponentially with jitter. The backoff starts from the time that the poll waited in
-// the queue: a poll that waited in vain is served all the same, and polls repeated at once would fill the
-// queue for good.
+// pollRejected schedules the next poll by exponential backoff with jitter. The first backoff is at least the time
+// that the rejected poll waited in the queue: the service still processes polls that have timed out, and polls
+// repeated at once would keep the queue full.
 func (b *Balancer) pollRejected() {
 	askWithin := b.settings.PollWithin
 	waited := min(b.now-b.polling.lastAt, askWithin*pollWaitShare)
@@ -34,7 +34,7 @@
 	b.polling.nextAt = b.now + b.polling.backoff*(1+b.random.Next())/2
 }
 
-// pollIfDue sends the next poll. None follows until that one is rejected.
+// pollIfDue sends the next poll when it is due. Another poll follows only after a rejection.
 func (b *Balancer) pollIfDue() {
 	if !b.settings.PollEndpoints || b.now < b.polling.nextAt {
 		return
--- a/decision/proof.go
+++ b/decision/proof.go
@@ -7,40 +7,40 @@
 )
 
 const (
-	rejectProbability           = 0.05 // of a rejection without a difference, by rejectStatistic
-	outcomesWithoutGroupsFactor = 5    // outcomes that a vote without full groups needs, times ln(instances / AdvanceQuorum)
-	noOutcomesQuorum            = 40   // AdvanceQuorum from which an instance needs no outcomes of its own for such a vote
+	rejectProbability           = 0.05 // probability that rejectStatistic rejects a group without a difference
+	outcomesWithoutGroupsFactor = 5    // outcomes for a vote without full groups, per ln(instances / AdvanceQuorum)
+	noOutcomesQuorum            = 40   // AdvanceQuorum from which such a vote requires no outcomes of this instance
 )
 
-// proof is how much evidence one instance needs. Where one vote of hundreds decides, each instance needs a
-// lower rate of false alarms, for one false alarm among them would decide. Where many must agree, each may
-// vote on less.
+// evidenceThresholds holds the evidence that one instance requires for its votes. If one vote among hundreds of
+// instances decides, each instance must have a low rate of false alarms, because a single false alarm decides.
+// If many votes must agree, each instance may vote on less evidence.
 type evidenceThresholds struct {
-	statistic             float64 // of the test on failures, that proves a bad build
-	rejections            int     // in a row, that roll a build back
-	holdRejections        int     // in a row, that hold the clock
-	outcomesWithoutGroups float64 // of the candidate, that a vote to advance without full groups takes; 0: none
+	statistic             float64 // of the test on failures, from which a build is rolled back
+	rejections            int     // consecutive rejections for a vote to roll back
+	holdRejections        int     // consecutive rejections for a vote to hold the clock
+	outcomesWithoutGroups float64 // outcomes of the candidate for a vote to advance without full groups
 }
 
-// requiredProof derives the evidence from the number of instances and the votes that decide.
+// deriveThresholds derives the thresholds from the number of instances and the quorums.
 func deriveThresholds(settings Settings) evidenceThresholds {
 	instances := float64(max(1, settings.Instances))
-	alarm, rejections := allowedFalseAlarms(settings.RollbackQuorum, instances)
+	probability, rejections := allowedFalseAlarms(settings.RollbackQuorum, instances)
 	_, holdRejections := allowedFalseAlarms(settings.HoldQuorum, instances)
 	advance := float64(max(1, settings.AdvanceQuorum))
-	blind := outcomesWithoutGroupsFactor * math.Log(instances/advance) * max(0, 1-advance/noOutcomesQuorum)
+	withoutGroups := outcomesWithoutGroupsFactor * math.Log(instances/advance) * max(0, 1-advance/noOutcomesQuorum)
 	return evidenceThresholds{
-		statistic:             stats.ExceededBy(alarm),
+		statistic:             stats.ExceededBy(probability),
 		rejections:            rejections,
 		holdRejections:        holdRejections,
-		outcomesWithoutGroups: blind,
+		outcomesWithoutGroups: withoutGroups,
 	}
 }
 
-// falseAlarm is the probability of a false alarm that each instance is allowed when so many votes of all
-// instances decide, and the rejections in a row that bring its test down to that. The factor
-// exp(-4/sqrt(votes)) keeps the sum of chance votes clearly below the quorum: the smaller the quorum, the
-// more chance varies against it.
+// allowedFalseAlarms returns the probability of a false alarm that each instance may have if this number of
+// votes decides, and the number of consecutive rejections that lowers the test's probability to it. The factor
+// exp(-4/sqrt(votes)) keeps the number of votes by chance clearly below the quorum: the smaller the quorum, the
+// more that number varies relative to the quorum.
 func allowedFalseAlarms(votes int, instances float64) (probability float64, rejections int) {
 	needed := float64(max(1, votes))
 	probability = min(rejectProbability, needed/instances*math.Exp(-4/math.Sqrt(needed)))
--- a/decision/proof_test.go
+++ b/decision/proof_test.go
@@ -5,7 +5,7 @@
 )
 
 // How much evidence one instance needs follows from the number of instances and the votes that decide.
-func TestRequiredEvidence(t *testing.T) {
+func TestThresholdsFollowQuorums(t *testing.T) {
 	for _, test := range []struct{ instances, back, rejections int }{
 		{3, 1, 2},
 		{5, 1, 2},
@@ -26,7 +26,7 @@
 
 // Where one of hundreds of instances can hold the rollout, a single chance rejection must not: the number
 // of rejections in a row follows from the share of the instances that hold.
-func TestHoldQuorum(t *testing.T) {
+func TestHoldNeedsRejectionsByQuorum(t *testing.T) {
 	for _, test := range []struct{ instances, hold, rejects int }{
 		{3, 1, 2},
 		{17, 2, 2},
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -7,47 +7,47 @@
 )
 
 const (
-	firstAttemptWait = 0.25 // of the latency objective: a request waits for its first attempt no longer
-	retryWait        = 1.0  // of the latency objective, from the request's start: it waits for a retry no longer
-	expiryTicks      = 2    // ticks before its deadline at which a waiting request is given up
-	retryAfterShare  = 0.25 // of the latency objective is the Retry-After of a rejection
+	firstAttemptWait = 0.25 // of the latency objective: maximum wait for the first attempt
+	retryWait        = 1.0  // of the latency objective, since the request was received: maximum wait for a retry
+	expiryTicks      = 2    // ticks before the deadline at which a waiting request expires
+	retryAfterShare  = 0.25 // of the latency objective: Retry-After of a rejection
 )
 
-// requestTable holds the open requests. A request leaves it once it has its final response and no attempt in
-// flight.
+// requestTable holds the open requests. A request is removed once it has its final response and no attempt is
+// in flight.
 type requestTable struct {
 	open   map[RequestID]*request
-	queues [2][]*request // of requests that wait for a first attempt, and for a retry
+	queues [2][]*request // requests that wait for their first attempt or for a retry
 }
 
-// request is a client's request.
+// request is an open request with its attempts.
 type request struct {
 	*classState
 	id           RequestID
-	key          uint32   // hash; 0 without a key
-	placement    float64  // 0 to 1: the lowest go to the candidate; more after an attempt there
-	tenantSlow   *float64 // its tenant's share of slow responses
+	key          uint32   // hash of the key; 0 without a key
+	placement    float64  // 0 to 1; below candidateShare: meant for the candidate
+	tenantSlow   *float64 // the tenant's share of slow responses
 	receivedAt   Millis
 	deadline     Millis
 	attempts     []attempt
 	inFlight     int
-	done         bool // it has its final response, or its client has gone
-	healthChecks int  // that were sent for its next attempt
+	done         bool // final response sent, or client disconnected
+	healthChecks int  // sent for the next attempt
 
-	healthCheckedAt Millis // when the newest of them was sent
+	healthCheckedAt Millis // when the newest of these was sent
 }
 
-// attempt is one sending of a request to an endpoint.
+// attempt is an attempt to serve a request at an endpoint.
 type attempt struct {
 	*endpoint
 	startedAt   Millis
 	inFlight    bool
 	mayHaveRun  bool
-	noMigration bool // it is not cancelled or hedged again: it was already, or it streams its response
+	noMigration bool // not to be cancelled or hedged: that was done already, or the response is being streamed
 }
 
-// firstThatMayHaveRun returns the first attempt that may have run, or nil. Retries keep to its time and
-// place.
+// firstThatMayHaveRun returns the first attempt that may have run, or nil. That attempt determines where and how
+// long the request may be retried.
 func (r *request) firstThatMayHaveRun() *attempt {
 	for i := range r.attempts {
 		if r.attempts[i].mayHaveRun {
@@ -66,7 +66,7 @@
 	return req, &req.attempts[number]
 }
 
-// handleRequest takes a request into the queue for first attempts.
+// handleRequest adds a request to the queue for first attempts.
 func (b *Balancer) handleRequest(event RequestReceived) {
 	_, b.routing.lastPlacement = math.Modf(b.routing.lastPlacement + math.Phi)
 	req := &request{
@@ -79,7 +79,7 @@
 		classState: b.classes.find(event.Class),
 	}
 	if b.settings.StickyKeys && req.key != 0 {
-		// The candidate's part of the keys grows with the stage, so that few keys ever change sides.
+		// Placement by key, so that few keys change sides while the candidate's share grows with the stage.
 		req.placement = float64(req.key) / (1 << 32)
 	}
 	b.requests.open[req.id] = req
@@ -91,38 +91,38 @@
 	b.dispatch()
 }
 
-// dispatch starts attempts of the waiting requests, first attempts before retries, and gives up those that
-// have expired.
+// dispatch starts attempts of waiting requests, first attempts before retries, and sends the final response to
+// expired requests.
 func (b *Balancer) dispatch() {
 	for queue, wait := range []float64{firstAttemptWait, retryWait} {
 		waiting := b.requests.queues[queue]
-		left := waiting[:0]
+		remaining := waiting[:0]
 		for _, req := range waiting {
 			switch {
 			case req.done || b.startAttempt(req):
 			case b.expired(req, wait):
 				b.giveUp(req)
 			default:
-				left = append(left, req)
+				remaining = append(remaining, req)
 			}
 		}
-		clear(waiting[len(left):])
-		b.requests.queues[queue] = left
+		clear(waiting[len(remaining):])
+		b.requests.queues[queue] = remaining
 	}
 }
 
-// expired tells whether a waiting request is given up: nothing can come of it any more, or it has waited for
-// a share of its latency objective.
+// expired reports whether a waiting request must not wait any longer. That is the case if no further attempt is
+// allowed, if its wait exceeds a share of its latency objective, or if its deadline is near.
 func (b *Balancer) expired(req *request, wait float64) bool {
-	mayNotRepeat := req.Idempotency == NonIdempotent && req.firstThatMayHaveRun() != nil
-	if mayNotRepeat || len(req.attempts) >= b.settings.MaxAttempts {
+	noRetryAllowed := req.Idempotency == NonIdempotent && req.firstThatMayHaveRun() != nil
+	if noRetryAllowed || len(req.attempts) >= b.settings.MaxAttempts {
 		return true
 	}
 	return b.now >= min(req.receivedAt+req.LatencyObjective*wait, req.deadline-expiryTicks*b.tickInterval)
 }
 
-// giveUp gives the final response at once: a rejection with Retry-After where the client may send the request
-// again without harm, else an error.
+// giveUp sends the final response to a request: a rejection with Retry-After if the client may safely send the
+// request again, else an error.
 func (b *Balancer) giveUp(req *request) {
 	if req.firstThatMayHaveRun() == nil || req.Idempotency == Idempotent ||
 		req.Idempotency == IdempotentWithKey && req.RetryScope == ScopeAll {
@@ -134,8 +134,8 @@
 	b.finish(req)
 }
 
-// finish forgets a request that has its final response once its attempts have ended, and cancels those in
-// flight.
+// finish marks a request as done, cancels its attempts in flight where cancelling is allowed, and removes the
+// request if none is in flight.
 func (b *Balancer) finish(req *request) {
 	req.done = true
 	if req.inFlight == 0 {
@@ -149,7 +149,7 @@
 	}
 }
 
-// startAttempt sends a request to the endpoint that is chosen for it, and tells whether there is one.
+// startAttempt starts an attempt of a request at the chosen endpoint. It reports whether an attempt was started.
 func (b *Balancer) startAttempt(req *request) bool {
 	if b.load.full() {
 		return false
@@ -160,7 +160,7 @@
 	}
 	action := StartAttempt{Request: req.id, Endpoint: ep.ID}
 	if first := req.firstThatMayHaveRun(); first != nil && req.Idempotency == IdempotentWithKey {
-		// Its connection may come up late, when endpoints have forgotten the key.
+		// The connection may be established only after endpoints have dropped the key.
 		action.SendBy = b.lastRetryAt(req, first)
 	}
 	if !b.settings.CancelAllowed && req.Idempotency != NonIdempotent {
@@ -171,9 +171,9 @@
 	return true
 }
 
-// countAttempt notes an attempt that starts, and takes it from all balances.
+// countAttempt records a new attempt, and takes its tokens from the exposure and the slow start credit.
 func (b *Balancer) countAttempt(req *request, target *endpoint) {
-	req.placement += float64(b.sideOf(target)) // after the candidate, a retry goes to the baseline
+	req.placement += float64(b.sideOf(target)) // after an attempt at the candidate, retries go to the baseline
 	req.healthChecks = 0
 	target.healthCheckedAt = 0
 	if target.inFlight == 0 {
@@ -192,8 +192,8 @@
 	}
 }
 
-// handleResponseStart binds a request to an endpoint that streams its response: it is not retried, and has no
-// deadline.
+// handleResponseStart keeps a request at the endpoint that streams its response: the attempt is not migrated, and
+// the request's deadline no longer applies.
 func (b *Balancer) handleResponseStart(event ResponseStarted) {
 	req, att := b.attemptOf(event.Request, event.Attempt)
 	if att == nil {
@@ -204,8 +204,8 @@
 	b.recordResponse(att.endpoint)
 }
 
-// handleAttemptEnd takes the outcome of an attempt into all observations, and has the request wait for a
-// retry unless it is finished.
+// handleAttemptEnd updates all observations with the outcome of an attempt, and queues the request for a retry
+// unless the request is done.
 func (b *Balancer) handleAttemptEnd(event AttemptEnded) {
 	req, att := b.attemptOf(event.Request, event.Attempt)
 	if att == nil || !att.inFlight {
@@ -233,15 +233,15 @@
 	b.dispatch()
 }
 
-// handleClientDisconnect ends a request whose client has left.
+// handleClientDisconnect ends a request whose client has disconnected.
 func (b *Balancer) handleClientDisconnect(event ClientDisconnected) {
 	if req := b.requests.open[event.Request]; req != nil {
 		b.finish(req)
 	}
 }
 
-// migrateFromSilent moves requests that may run again off silent endpoints, by a hedged attempt where that is
-// allowed, else by cancelling the attempt so that a retry follows.
+// migrateFromSilent migrates requests that may run again from silent endpoints. It hedges a request if that is
+// allowed, and otherwise cancels the attempt, so that a retry follows.
 func (b *Balancer) migrateFromSilent() {
 	for _, id := range slices.Sorted(maps.Keys(b.requests.open)) {
 		req := b.requests.open[id]
@@ -250,8 +250,8 @@
 			continue
 		}
 		if b.settings.HedgingAllowed {
-			moved := b.startAttempt(req) // it may move the slice of attempts
-			req.attempts[last].noMigration = moved
+			hedged := b.startAttempt(req) // may reallocate req.attempts
+			req.attempts[last].noMigration = hedged
 		} else if b.settings.CancelAllowed && len(req.attempts) < b.settings.MaxAttempts {
 			req.attempts[last].noMigration = true
 			b.emit(Cancel{Request: req.id, Attempt: last})
@@ -259,8 +259,9 @@
 	}
 }
 
-// shouldMigrate tells whether a request's one attempt in flight stands at a silent endpoint. The attempt by
-// which an ejected endpoint is tried again gets some time.
+// shouldMigrate reports whether the only attempt in flight of a request is at a silent or ejected endpoint. The
+// attempt that tests an endpoint after its ejection time is not migrated at once, so that the endpoint has time to
+// respond.
 func (b *Balancer) shouldMigrate(req *request, last int) bool {
 	if req.done || req.inFlight != 1 || req.Idempotency == NonIdempotent {
 		return false
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -5,7 +5,7 @@
 )
 
 // A request that no endpoint can take gets exactly one response, before its deadline.
-func TestOneResponse(t *testing.T) {
+func TestUnservableRequestGetsOneResponse(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		ttl  Millis
@@ -46,7 +46,7 @@
 }
 
 // Idempotent requests leave an unresponsive endpoint, by migration or hedging. Others are never sent twice.
-func TestSilentEndpoint(t *testing.T) {
+func TestIdempotentRequestLeavesSilentEndpoint(t *testing.T) {
 	for _, test := range []struct {
 		class ClassName
 		copy  bool
@@ -77,7 +77,7 @@
 
 // A request that cannot succeed any more gets its response at once: a failure where it may have run, else a
 // rejection.
-func TestExpired(t *testing.T) {
+func TestRequestWithoutRetryEndsAtOnce(t *testing.T) {
 	for name, test := range map[string]struct {
 		class   ClassName
 		outcome Outcome
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -3,30 +3,32 @@
 import "math"
 
 const (
-	minExpectedLatency = 1e-9 // ms, a divisor
-	minCapacity        = 1e-9 // a divisor
+	minExpectedLatency = 1e-9 // ms; lower bound for a divisor
+	minCapacity        = 1e-9 // lower bound for a divisor
 )
 
-// routingState is what the choice of endpoints keeps between requests, and its buffers.
+// routingState holds the state of endpoint selection between requests, and its buffers.
 type routingState struct {
-	// turn is the place of the newest request in the order by which requests are given to the candidate, 0 to
-	// 1. It steps by the golden ratio: drawn anew for each request, half of those meant for the candidate
-	// would come while the exposure cap has no token for them.
+	// lastPlacement is the placement of the newest request, 0 to 1. It advances by the golden ratio, so that the
+	// requests meant for the candidate are evenly spaced. With independent random placements, half of these
+	// requests would arrive while the exposure cap has no token for them.
 	lastPlacement  float64
-	candidateShare float64 // of the requests, by capacity
+	candidateShare float64 // share of requests meant for the candidate, by capacity
 
-	eligible [2][]*endpoint // by zone; a nil entry stands for all warming ones without credit, and chooses none
-	weights  [2][]float64   // of the eligible endpoints
+	eligible [2][]*endpoint // by zone; a nil entry stands for warming endpoints without credit, and selects none
+	weights  [2][]float64   // of the eligible endpoints, by zone
 }
 
-// endpointChoice is the result of a choice. Without an endpoint, wait says that a health check decides soon.
+// endpointChoice is the result of endpoint selection. awaitCheck means that the request waits for the result of a
+// health check.
 type endpointChoice struct {
 	endpoint   *endpoint
 	awaitCheck bool
 }
 
-// choose returns the endpoint for the next attempt of a request: one of the side that it is meant for, else
-// of the other side, else a warm one beside warming endpoints that have no credit left.
+// choose returns the endpoint for the next attempt of a request, or nil. The endpoint is one of the side that the
+// request is meant for, else one of the other side, else a warm one of the first side in place of warming
+// endpoints without credit.
 func (b *Balancer) choose(req *request) *endpoint {
 	side := baselineSide
 	if req.placement < b.routing.candidateShare {
@@ -42,10 +44,10 @@
 	return b.chooseEndpoint(req, side, true).endpoint
 }
 
-// chooseEndpoint takes the better of two random choices at home. Endpoints of other zones must beat it by the
-// price of crossing. Where many requests miss their objective and health checks are allowed, endpoints are
-// checked first: what other instances send to an endpoint does not show here. With overflow, warm endpoints
-// take the share of warming ones that have no credit.
+// chooseEndpoint selects the better of two random choices in the home zone. Endpoints of other zones must be
+// better by CrossZonePrice. If many requests miss their objective and health checks are allowed, endpoints are
+// checked first, because an instance does not see the load that other instances put on an endpoint. With overflow,
+// warm endpoints take the share of warming endpoints without credit.
 func (b *Balancer) chooseEndpoint(req *request, side int, overflow bool) endpointChoice {
 	search := endpointSearch{balancer: b, request: req, lowestRisk: math.Inf(1)}
 	parts := &b.endpoints.byBuildAndZone[side]
@@ -67,13 +69,13 @@
 	return endpointChoice{endpoint: search.best}
 }
 
-// endpointSearch keeps the best endpoint so far.
+// endpointSearch holds the best endpoint found so far.
 type endpointSearch struct {
 	balancer    *Balancer
 	request     *request
 	best        *endpoint
 	lowestRisk  float64
-	homePenalty float64 // what home is worse by, for a request that may cross zones
+	homePenalty float64 // added to the risk in the home zone, for a request drawn to cross zones
 }
 
 func (s *endpointSearch) update(ep *endpoint) {
@@ -83,11 +85,11 @@
 	}
 }
 
-// collectEligible fills the buffers for one zone with the endpoints that may get the request, weighted by
-// capacity. An endpoint whose health check has just come back is considered at once.
+// collectEligible fills the buffers of one zone with the endpoints that are eligible for a request, weighted by
+// capacity. Endpoints with a recent health check enter the search here.
 func (b *Balancer) collectEligible(search *endpointSearch, zone int, part []*endpoint, overflow bool) {
 	eligible, weights := b.routing.eligible[zone][:0], b.routing.weights[zone][:0]
-	warming, withCredit := 0.0, 0.0 // capacity of warming endpoints, and of those that have credit
+	warming, withCredit := 0.0, 0.0 // capacity of warming endpoints, and of those with credit
 	for _, target := range part {
 		if !b.healthy(search.request, target) || !b.admits(search.request, target) {
 			continue
@@ -107,9 +109,9 @@
 			search.update(target)
 		}
 	}
-	// An instance with little traffic has credit for few warming endpoints at a time. These stand in for the
-	// others: by their own weight alone warming endpoints would stay empty, and the warm ones of that side
-	// would be overloaded.
+	// An instance with little traffic has credit for few warming endpoints at a time. These get the weight of
+	// all warming endpoints. With their own weight only, warming endpoints would stay idle, and the warm
+	// endpoints of that side would be overloaded.
 	for i, target := range eligible {
 		if b.slowStartWeight(target) < 1 {
 			weights[i] *= warming / withCredit
@@ -122,8 +124,8 @@
 	b.routing.eligible[zone], b.routing.weights[zone] = eligible, weights
 }
 
-// considerTwo draws two of a zone's eligible endpoints by weight. The second one counts if both are warm or
-// both are warming, for a warming endpoint loses against a warm one and would get nothing.
+// considerTwo draws two of a zone's eligible endpoints by weight. The second one is considered only if both are
+// warm or both are warming: a warming endpoint would always lose against a warm one and get no requests.
 func (b *Balancer) considerTwo(search *endpointSearch, zone int) {
 	eligible, weights := b.routing.eligible[zone], b.routing.weights[zone]
 	if len(eligible) == 0 {
@@ -140,8 +142,8 @@
 	}
 }
 
-// healthy tells whether an endpoint's health lets it take a request. An ejected endpoint is tried with one
-// idempotent request at a time.
+// healthy reports whether an endpoint is available for a request by its health and its concurrency limit. After
+// its ejection time, an endpoint gets one idempotent request at a time until it responds.
 func (b *Balancer) healthy(req *request, ep *endpoint) bool {
 	if b.now < ep.ejectedUntil || float64(ep.inFlight) >= ep.concurrencyLimit {
 		return false
@@ -151,13 +153,13 @@
 	}
 	suspicion := b.suspicion(ep)
 	if req.Idempotency == NonIdempotent {
-		suspicion *= 2 // it cannot be retried elsewhere
+		suspicion *= 2 // the request cannot be retried at another endpoint
 	}
 	return suspicion < avoidSuspicion
 }
 
-// risk is the chance that a request fails or misses its latency objective at an endpoint, and the price of
-// crossing zones. Response times are taken for exponential.
+// risk returns the probability that a request fails or misses its latency objective at an endpoint, plus
+// CrossZonePrice in another zone. Response times are assumed to be exponential.
 func (b *Balancer) risk(req *request, ep *endpoint) float64 {
 	expected := max(ep.latency*float64(ep.inFlight+1), (b.now-ep.lastResponseAt)*float64(min(1, ep.inFlight)))
 	if b.recentlyChecked(ep) {
@@ -167,9 +169,9 @@
 	return ep.failureShare + (1-ep.failureShare)*late + float64(b.zoneIndex(ep))*b.settings.CrossZonePrice
 }
 
-// updateCandidateShare sets the share of requests that are meant for the candidate. In place, it is the
-// candidate's share of the capacity. Otherwise both builds stand side by side, and the candidate gets as much
-// as it can take.
+// updateCandidateShare updates the share of requests that are meant for the candidate. In an in-place rollout,
+// that is the candidate's share of the capacity. Otherwise both builds run side by side at full capacity, and the
+// share is the candidate's capacity relative to the larger of the two.
 func (b *Balancer) updateCandidateShare(capacity capacitySum) {
 	baseline, candidate := capacity.bySide[baselineSide], capacity.bySide[candidateSide]
 	if b.settings.InPlace {
--- a/decision/samples.go
+++ b/decision/samples.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	latencySamples      = 40       // outcomes that a pace is the mean of
-	unsuccessfulSamples = 40       // unsuccessful attempts that are counted
-	comparableWeight    = 1 / 1.25 // (0.8) slow start weight from which an endpoint's response times are compared
+	latencySamples      = 40       // memory of the mean response times, in outcomes
+	unsuccessfulSamples = 40       // maximum total of trial.unsuccessful
+	comparableWeight    = 1 / 1.25 // 0.8; slow start weight from which an endpoint's response times are compared
 )
 
-// samples are a class's outcomes during a trial.
+// samples holds the outcomes of one class.
 type samples struct {
 	comparison
-	rejectionsNeeded     int            // rejections in a row that roll the candidate back
-	slowdown             *fleetSlowdown // against the time before the trial; nil before the first one
-	baselineAtStageStart []float64      // outcomes of the baseline as the stage began
+	rejectionsNeeded     int            // consecutive rejections for a vote to roll back
+	slowdown             *fleetSlowdown // nil before the first trial
+	baselineAtStageStart []float64      // newest baseline outcomes at the start of the stage
 
 	baselineLatency          stats.Mean // mean response time of the baseline
-	baselineLatencyAtOffer   float64    // the same when the build was offered
-	controllerLatency        stats.Mean // mean response time of the baseline by the controller's counts
-	controllerLatencyAtOffer float64    // the same when the build was offered
+	baselineLatencyAtOffer   float64    // baselineLatency when the build was offered
+	controllerLatency        stats.Mean // the same by the controller's counts
+	controllerLatencyAtOffer float64    // controllerLatency when the build was offered
 
-	removedEndpoints stats.Count // outcomes of baseline endpoints that have left the list since the build was offered
+	removedEndpoints stats.Count // outcomes of baseline endpoints removed since the build was offered
 
-	reported       [2]stats.Count // the controller's counts since the offer, by side, scaled to equal totals
-	baselineReport stats.Count    // of the baseline in the controller's newest period
+	reported       [2]stats.Count // controller counts since the offer by side, with equal totals
+	baselineReport stats.Count    // newest controller counts of the baseline, not yet paired
 }
 
-// recordOutcome adds an attempt's outcome to the samples of its build.
+// recordOutcome adds the outcome of an attempt to the samples of its build.
 //
-// A warming endpoint is slow whatever it runs, and one candidate endpoint on a slow type of machine is no
-// slow build. So response times count from endpoints that are nearly warm, each against the baseline's pace
-// in its class and on its type of machine.
+// A warming endpoint is slow with any build, and a candidate endpoint on a slow type of machine does not mean a
+// slow build. So only response times from nearly warm endpoints are compared, each relative to the baseline's mean
+// response time in its class and on its type of machine.
 func (b *Balancer) recordOutcome(req *request, target *endpoint, event AttemptEnded) {
 	class, value := req.classState, event.After
 	var outcome stats.Count
@@ -46,7 +46,8 @@
 		value = math.Inf(1)
 	}
 	b.countUnsuccessful(outcome)
-	// A timeout enters at its duration, unless the endpoint is silent: that says nothing of its build.
+	// A timeout counts with its duration. It does not count if the endpoint is ejected, because that is no
+	// evidence on the build.
 	countedTimeout := event.Outcome == TimedOut && target.ejections == 0 && !req.done
 	if outcome.Total() == 0 && !countedTimeout {
 		return
@@ -66,19 +67,19 @@
 	b.compareBeforeTrial(slowdown, value/target.machineTypeRatio.ValueOr(1), class.baselineLatencyAtOffer)
 }
 
-// countUnsuccessful takes an outcome, given as success or error response, into the counts of unsuccessful
-// attempts.
+// countUnsuccessful updates the counts of unsuccessful attempts. outcome is Good for a success, Bad for an error
+// response and zero for any other outcome.
 func (b *Balancer) countUnsuccessful(outcome stats.Count) {
 	counts := &b.trial.unsuccessful
 	counts.Add(stats.Count{Good: 1 - outcome.Total(), Bad: outcome.Bad}, 1)
 	*counts = counts.ScaledTo(unsuccessfulSamples)
 }
 
-// minFlagShare bounds the weight of a flagged response.
+// minFlagShare is the lower bound of the assumed FlagShare, which limits the weight of a flagged response.
 const minFlagShare = 0.15
 
-// handleFlag counts a response that a client found wrong as a failure. Only a share of them is reported, so
-// each counts for all that it stands for.
+// handleFlag counts a response that a client found wrong as a failure. Only a share of wrong responses is
+// reported, so each report has a weight of 1/FlagShare.
 func (b *Balancer) handleFlag(event ResponseFlagged) {
 	ep, class := b.endpoints.byID[event.Endpoint], b.classes.byName[event.Class]
 	if ep != nil && class != nil {
--- a/decision/samples_test.go
+++ b/decision/samples_test.go
@@ -7,7 +7,7 @@
 
 // Outcomes of the baseline are kept over a change of stage: where all its endpoints are replaced, no new
 // ones come.
-func TestOutcomesKeptOverStages(t *testing.T) {
+func TestBaselineOutcomesKeptAcrossStages(t *testing.T) {
 	sim := start(t, trialUpdate(0, 0.1), manyInstances)
 	sim.balancer.classes.overall.baseline.Fill = []float64{1, 2, 3, 4, 5}
 	sim.handle(trialUpdate(1, 0.5))
--- a/decision/settings_test.go
+++ b/decision/settings_test.go
@@ -6,7 +6,7 @@
 
 // New settings reach a running balancer: open requests stay open and get one response, the required
 // evidence follows the new settings, and the earlier settings restore it.
-func TestSettingsChange(t *testing.T) {
+func TestSettingsChangeKeepsRequests(t *testing.T) {
 	sim := start(t, trialUpdate(1, 0.5), func(s *Settings) { s.Instances = 3 })
 	was := sim.balancer.settings
 	request, to := sim.request("pay", "")
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -7,7 +7,7 @@
 // An endpoint that is warming up gets no more attempts than the overload rule allows, measured by what warm
 // endpoints of the same capacity serve. That holds too where no other endpoints are left and a burst of
 // requests comes.
-func TestSlowStart(t *testing.T) {
+func TestSlowStartLimitsAttempts(t *testing.T) {
 	for _, onlyWarming := range []bool{false, true} {
 		sim := start(t, releasedUpdate(7), func(s *Settings) {
 			s.Classes[0].LatencyObjective, s.CrossZonePrice = 200, 0.02
@@ -43,7 +43,7 @@
 
 // Many instances with little traffic send a warming endpoint no more in sum than its slow-start weight
 // allows. A free attempt for each instance would exceed that.
-func TestSlowStartAcrossInstances(t *testing.T) {
+func TestSlowStartLimitsFleet(t *testing.T) {
 	sent, rate := 0, 0.0
 	for seed := range 60 {
 		sim := start(t, releasedUpdate(7), nil)
@@ -68,7 +68,7 @@
 }
 
 // An endpoint that was unreachable counts as warming from its first response, for it may have restarted.
-func TestRecoveryAfterSilence(t *testing.T) {
+func TestRecoveredEndpointWarmsUp(t *testing.T) {
 	sim := start(t, releasedUpdate(8), nil)
 	endpoint := sim.balancer.endpoints.byID["a1"]
 	sim.balancer.eject(endpoint)
--- a/decision/status.go
+++ b/decision/status.go
@@ -1,26 +1,25 @@
 package decision
 
-// Status is how things stand for an instance at one moment, for its log and its operators. No decision reads
-// it.
+// Status is a summary of an instance's state for logs and operators. No decision depends on it.
 type Status struct {
-	Serving     int // endpoints that take requests
+	Serving     int // endpoints in the state Serving
 	WarmingUp   int // of these, warming up
-	Unavailable int // of these, ejected as silent or out of reach
+	Unavailable int // of these, ejected as silent or unreachable
 
-	InFlight int // attempts
+	InFlight int // attempts in flight
 	Queued   int // requests that wait for an attempt
 
-	Build   Build
-	Stage   int
-	Phase   Phase
-	Verdict Verdict // of the vote that was cast
+	Build   Build   // newest build
+	Stage   int     // of the newest build, from 0
+	Phase   Phase   // of the newest build
+	Verdict Verdict // of the instance's current vote
 
-	Outcomes        float64 // of the candidate that were seen
-	FailureEvidence float64 // against it, as a multiple of what proves a bad build
-	Rejections      int     // in a row, the most of any class
+	Outcomes        float64 // number of outcomes of the candidate
+	FailureEvidence float64 // test statistic on failures, as a multiple of the threshold for a rollback
+	Rejections      int     // consecutive rejections, highest of all classes
 }
 
-// Status returns how things stand now.
+// Status returns a summary of the current state.
 func (b *Balancer) Status() Status {
 	update := &b.trial.update
 	status := Status{
--- a/decision/stickykeys.go
+++ b/decision/stickykeys.go
@@ -2,21 +2,22 @@
 
 import "hash/crc32"
 
-// stickyKeys are the keys that a build has answered, by a hash of 16 bits: the table is bounded, and a
-// collision only keeps one more key with the newer build.
+// stickyKeys is the set of keys that a build has responded to, as 16-bit hashes. So the table is bounded. A
+// collision only keeps another key at the newer build too.
 type stickyKeys struct {
 	build  Build
 	hashes map[uint16]bool
 }
 
-// hashKey is 0 for a request without a key only.
+// hashKey returns a hash of a key. The hash is 0 only for an empty key.
 func hashKey(key Key) uint32 {
 	return crc32.ChecksumIEEE([]byte(key)) | uint32(min(1, len(key)))
 }
 
+// stickyHash returns the 16 bits of a key's hash that stickyKeys stores.
 func stickyHash(key uint32) uint16 { return uint16(key >> 16) }
 
-// stick notes that a build has answered a key. Keys of earlier builds are forgotten.
+// record adds a key that a build has responded to. A newer build discards the keys of earlier builds.
 func (s *stickyKeys) record(build Build, key uint32) {
 	if build > s.build {
 		s.build, s.hashes = build, map[uint16]bool{}
@@ -24,10 +25,10 @@
 	s.hashes[stickyHash(key)] = true
 }
 
-// release lets all keys go to any build again, as a rollback does.
+// clear removes all keys, so that they may go to any build again, for example after a rollback.
 func (s *stickyKeys) clear() { s.build, s.hashes = 0, map[uint16]bool{} }
 
-// stickKey notes the key of a request that succeeded at the candidate.
+// recordStickyKey records the key of a request that succeeded at the newest build.
 func (b *Balancer) recordStickyKey(req *request, ep *endpoint) {
 	if req.key != 0 && b.settings.StickyKeys && b.trial.known && ep.Build >= b.trial.update.Build {
 		b.sticky.record(ep.Build, req.key)
--- a/decision/stickykeys_test.go
+++ b/decision/stickykeys_test.go
@@ -6,7 +6,7 @@
 
 // A sticky key to which the candidate has responded goes to no earlier build until the candidate is rolled
 // back. Where the candidate cannot take it, it is rejected.
-func TestStickyKeys(t *testing.T) {
+func TestStickyKeyStaysAtCandidate(t *testing.T) {
 	sim := start(t, trialUpdate(1, 1), func(s *Settings) { s.StickyKeys = true })
 	sim.replaceEndpoints(newEndpoint("a2", 8))
 	req, to := sim.request("read", "k")
--- a/decision/stored_golden_test.go
+++ b/decision/stored_golden_test.go
@@ -9,7 +9,7 @@
 )
 
 // Evidence is stored in checkpoints, and read there by instances that run another version of the program.
-func TestStoredEvidence(t *testing.T) {
+func TestStoredEvidenceFormat(t *testing.T) {
 	evidence := Evidence{
 		Build: 8, Stage: 2,
 		Classes: []ClassEvidence{{Class: "read", Baseline: []float64{0.5, 1.25}, Candidate: []float64{0.75}}},
--- a/decision/trial.go
+++ b/decision/trial.go
@@ -6,27 +6,27 @@
 	"ottershed/internal/stats"
 )
 
-// keptBaselineOutcomes are the least outcomes of the baseline that a new stage begins with. An instance with
-// little traffic closes no group between two stages, and where the baseline is gone no outcomes come any
-// more.
+// minKeptBaselineOutcomes is the number of baseline outcomes from which they replace baselineAtStageStart when a
+// stage starts. An instance with little traffic fills no group between two stages, and once the baseline's
+// endpoints are replaced there are no new outcomes.
 const minKeptBaselineOutcomes = 5
 
-// trial is what is known of the newest build's rollout.
+// trial is the state of the newest build's rollout.
 type trial struct {
-	known          bool        // an update was received
-	update         StageUpdate // the newest one
+	known          bool        // at least one update was received
+	update         StageUpdate // newest update
 	stageStartedAt Millis
 
-	arrivalRate       float64 // first tries of clients a millisecond, smoothed
-	arrivalRateBefore float64 // the same when the build was offered
+	arrivalRate       float64 // smoothed rate of new requests, without those sent before, per ms
+	arrivalRateBefore float64 // arrivalRate when the build was offered
 
-	// unsuccessful counts the instance's own unsuccessful attempts, of the newest 40: Bad those with an error
-	// response, Good all others.
+	// unsuccessful counts the unsuccessful attempts of this instance, scaled to a total of at most 40. Bad counts
+	// those with an error response, Good all others.
 	unsuccessful stats.Count
 }
 
-// handleStageUpdate takes over what the rollout controller says. A new stage begins new groups, a new build
-// new counts.
+// handleStageUpdate applies an update from the rollout controller. A new stage or phase starts new groups, and a
+// new build new counts.
 func (b *Balancer) handleStageUpdate(update StageUpdate) {
 	if update.IsVoteResult {
 		b.handleVoteResult(update.VoteResult)
@@ -53,8 +53,8 @@
 	}
 }
 
-// startStage begins the groups of a stage. Outcomes of the baseline are kept for the vote without full groups
-// only: taken for a group of the new stage they would roll good builds back.
+// startStage starts the groups of a stage. The baseline's outcomes are kept only for votes without full groups.
+// As part of a group of the new stage they would cause rollbacks of good builds.
 func (b *Balancer) startStage() {
 	for _, class := range b.classes.all {
 		if seen := slices.Concat(class.baseline.Last, class.baseline.Fill); len(seen) >= minKeptBaselineOutcomes {
@@ -65,7 +65,8 @@
 	}
 }
 
-// startBuild starts counting for a newly offered build, and keeps how things were before.
+// startBuild resets the counts for a newly offered build, and stores the arrival rate, the mean response times and
+// the outcomes from before the trial.
 func (b *Balancer) startBuild() {
 	b.trial.arrivalRateBefore = b.trial.arrivalRate
 	for _, class := range b.classes.all {
--- a/decision/verdict.go
+++ b/decision/verdict.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	noGroupsVoteDelay           = 4000.0 // ms after a stage's start: no full groups are needed from then on
-	slowdownWindowsAfterRelease = 3      // slow start windows after the release, in which a slowdown still counts
-	blockingFailureShare        = 0.5    // of proof by failures, from which there is no vote to advance
+	noGroupsVoteDelay           = 4000.0 // ms since the start of a stage from which a vote requires no full groups
+	slowdownWindowsAfterRelease = 3      // slow start windows after a release during which a fleet slowdown counts
+	blockingFailureShare        = 0.5    // failureEvidence.strength from which there is no vote to advance
 )
 
-// decidedVote is a verdict with its reason.
+// decidedVote is a verdict with the reason for the log.
 type decidedVote struct {
 	verdict Verdict
 	reason  string
 }
 
+// undecided is the result while no rule leads to a vote.
 var undecided = decidedVote{VoteNone, "not settled"}
 
-// verdictRule is one reason for a vote. It returns false where it does not apply.
+// verdictRule evaluates one reason for a vote. It returns false if the rule does not apply.
 type verdictRule func(*Balancer, *assessment) (decidedVote, bool)
 
-// verdictRules are the reasons for a vote in the order in which they are tried. The first that applies
-// decides.
+// verdictRules lists the rules in the order of evaluation. The first rule that applies determines the verdict.
 var verdictRules = []verdictRule{
 	rollbackForFailures,
 	rollbackForSlowness,
@@ -38,7 +38,7 @@
 	advanceWithoutGroups,
 }
 
-// verdict is what the instance stands for now.
+// decideVerdict returns the verdict that follows from the current observations.
 func (b *Balancer) decideVerdict() decidedVote {
 	found := b.assess()
 	for _, rule := range verdictRules {
@@ -49,19 +49,20 @@
 	return undecided
 }
 
-// assessment is what the outcomes of all classes say together.
+// assessment summarises the outcomes of all classes.
 type assessment struct {
 	failures    failureEvidence
 	inTrial     bool
-	fullGroups  int  // classes with full groups of both builds; the overall one only if no other has
-	groupsAgree bool // all of these agree
-	rejected    bool // any class has a rejection
-	holdReached bool // any class has the rejections that hold the clock
+	fullGroups  int  // classes with full groups of both builds; the overall class only if no other has them
+	groupsAgree bool // the builds agree in all of these classes
+	rejected    bool // a class has a rejection
+	holdReached bool // a class has the rejections to hold the clock
 
-	slower      *classState    // a class with the rejections that roll the build back
-	fleetSlower *fleetSlowdown // the same against the time before the trial
+	slower      *classState    // a class with the rejections to roll the build back, or nil
+	fleetSlower *fleetSlowdown // the same compared with the time before the trial
 }
 
+// assess evaluates the outcomes of all classes.
 func (b *Balancer) assess() assessment {
 	found := assessment{failures: b.failureEvidence(), inTrial: b.trial.update.Phase == InTrial, groupsAgree: true}
 	fault := b.faultWithin(b.settings.SlowStartWindow)
@@ -87,12 +88,14 @@
 	return found
 }
 
+// addRejections adds the consecutive rejections of one class. toHold rejections hold the clock.
 func (a *assessment) addRejections(rejections, toHold int) {
 	a.rejected = a.rejected || rejections > 0
 	a.holdReached = a.holdReached || rejections >= toHold
 }
 
-// rollbackForFailures applies in trial and after the release. During and after a rollback there is no vote.
+// rollbackForFailures applies if the failures prove a bad build, in trial and after the release. During and after a
+// rollback no vote is cast.
 func rollbackForFailures(_ *Balancer, found *assessment) (decidedVote, bool) {
 	if found.failures.strength < 1 {
 		return decidedVote{}, false
@@ -101,7 +104,7 @@
 	return decidedVote{VoteRollback, reason}, true
 }
 
-// rollbackForSlowness applies once a class has the rejections in a row that prove a slow build.
+// rollbackForSlowness applies in trial once a class has the consecutive rejections that prove a slow build.
 func rollbackForSlowness(_ *Balancer, found *assessment) (decidedVote, bool) {
 	if !found.inTrial || found.slower == nil {
 		return decidedVote{}, false
@@ -111,8 +114,8 @@
 	return decidedVote{VoteRollback, reason}, true
 }
 
-// rollbackForFleetSlowdown applies once all endpoints are slower than before the trial, for a while after the
-// release too.
+// rollbackForFleetSlowdown applies once all endpoints are slower than before the trial, in trial and for some time
+// after the release.
 func rollbackForFleetSlowdown(b *Balancer, found *assessment) (decidedVote, bool) {
 	recent := b.now-b.trial.stageStartedAt < slowdownWindowsAfterRelease*b.settings.SlowStartWindow
 	if found.fleetSlower == nil || !found.inTrial && !recent {
@@ -123,13 +126,14 @@
 	return decidedVote{VoteRollback, reason}, true
 }
 
-// holdForOperators holds the clock while the operators have halted rollouts.
+// holdForOperators applies to rollouts by clock while the operators have halted rollouts.
 func holdForOperators(b *Balancer, found *assessment) (decidedVote, bool) {
 	applies := found.inTrial && b.settings.Control == ByClock && b.settings.Halt
 	return decidedVote{VoteHold, "halted by the operators"}, applies
 }
 
-// holdForSlowness holds the clock after fewer rejections than a rollback takes.
+// holdForSlowness applies to rollouts by clock once a class has the consecutive rejections to hold, which may be
+// fewer than those for a rollback.
 func holdForSlowness(b *Balancer, found *assessment) (decidedVote, bool) {
 	if !found.inTrial || b.settings.Control != ByClock || !found.holdReached {
 		return decidedVote{}, false
@@ -137,25 +141,24 @@
 	return decidedVote{VoteHold, fmt.Sprintf("clearly slower, %d times in a row", b.thresholds.holdRejections)}, true
 }
 
-// blockAdvance leaves the vote open where none to advance can be cast, or where something speaks against the
-// build.
+// blockAdvance applies if no vote to advance may be cast, or if there is evidence against the build.
 func blockAdvance(b *Balancer, found *assessment) (decidedVote, bool) {
 	blocked := !found.inTrial || b.settings.Control == ByClock || b.settings.Halt ||
 		found.failures.strength >= blockingFailureShare || found.rejected
 	return undecided, blocked
 }
 
-// advanceOnAgreement applies when every class with full groups agrees. A vote to advance stands until
-// something blocks it.
+// advanceOnAgreement applies if the builds agree in every class with full groups. An earlier vote to advance stands
+// until blockAdvance applies; without full groups, only if such a vote requires outcomes of this instance.
 func advanceOnAgreement(b *Balancer, found *assessment) (decidedVote, bool) {
 	agreed := found.fullGroups > 0 && found.groupsAgree
 	stands := b.voting.vote.Verdict == VoteAdvance && (found.fullGroups > 0 || b.thresholds.outcomesWithoutGroups > 0)
 	return decidedVote{VoteAdvance, "groups agree"}, agreed || stands
 }
 
-// advanceWithoutGroups applies where the stage has lasted a while without full groups and nothing speaks
-// against the build. It takes outcomes in proportion to the share of endpoints that the vote would open.
-// Warming endpoints hide a slow build, so the vote that opens the whole fleet takes outcomes of warm ones.
+// advanceWithoutGroups applies if the stage has lasted for noGroupsVoteDelay without full groups and there is no
+// evidence against the build. The required outcomes are in proportion to the share of endpoints in the next stage.
+// Warming endpoints hide a slow build, so a vote that opens the whole fleet requires outcomes of warm endpoints.
 func advanceWithoutGroups(b *Balancer, found *assessment) (decidedVote, bool) {
 	if found.fullGroups > 0 || b.now-b.trial.stageStartedAt < noGroupsVoteDelay {
 		return decidedVote{}, false
@@ -176,7 +179,7 @@
 	return decidedVote{VoteAdvance, fmt.Sprintf("%.0f s without full groups", noGroupsVoteDelay/1000)}, true
 }
 
-// nextStageShare is the share of endpoints that run the candidate in the next stage; 1 after the last one.
+// nextStageShare returns the share of endpoints that run the candidate in the next stage, or 1 in the last stage.
 func (b *Balancer) nextStageShare() float64 {
 	next := b.trial.update.Stage + 1
 	if next >= len(b.settings.Stages) {
@@ -185,10 +188,11 @@
 	return b.settings.Stages[max(next, 0)]
 }
 
-// suspectsSlowness tells whether the few response times seen speak against the candidate: their median is
-// above slowRatio to the power of 1.5 (1.40) times the baseline's, a wider margin than elsewhere because few
-// times scatter. No instance with little traffic can prove a slow build, but most of hundreds are right. In
-// the last stage such times say nothing during a fault, which overloads the other endpoints.
+// suspectsSlowness reports whether few response times are reason enough not to vote to advance: their median is
+// above slowRatio to the power of 1.5 (1.40) times the baseline's. The margin is wider than elsewhere because a
+// median of few response times scatters. No instance with little traffic can prove a slow build, but most of
+// hundreds of instances suspect it rightly. In the last stage, response times during a fault are no evidence,
+// because the fault overloads the remaining endpoints.
 func (b *Balancer) suspectsSlowness() bool {
 	lastStage := b.trial.update.Stage+1 >= len(b.settings.Stages)
 	if b.thresholds.outcomesWithoutGroups != 0 || lastStage && b.faultWithin(b.settings.SlowStartWindow) {
--- a/decision/verdict_test.go
+++ b/decision/verdict_test.go
@@ -9,7 +9,7 @@
 
 // A vote without full groups that exposes the whole fleet takes outcomes of warm endpoints: while endpoints
 // warm up, a slow build does not show.
-func TestBlindVote(t *testing.T) {
+func TestAdvanceWithoutGroupsNeedsWarmOutcomes(t *testing.T) {
 	for _, test := range []struct {
 		stage, outcomes, warm int
 		want                  Verdict
@@ -33,7 +33,7 @@
 
 // Slowness of all endpoints rolls a build back during its trial and for some time after its release, but
 // not later.
-func TestAllSlower(t *testing.T) {
+func TestFleetSlowdownRollsBack(t *testing.T) {
 	for _, test := range []struct {
 		phase Phase
 		age   Millis
@@ -50,7 +50,7 @@
 // Lost endpoints overload the others. So slowness rolls no build back until a slow-start window after the
 // last fault, nor while an endpoint is found unreachable again and again: an instance with little traffic
 // tries it seldom.
-func TestSlowDuringFault(t *testing.T) {
+func TestSlownessDuringFaultIsNoEvidence(t *testing.T) {
 	for _, test := range []struct {
 		ago    Millis
 		found  int // faults in a row
@@ -80,7 +80,7 @@
 
 // An endpoint that is unresponsive once is no fault that explains slowness. A candidate that slows all
 // endpoints causes such silence itself.
-func TestOneSilentEndpoint(t *testing.T) {
+func TestOneSilentEndpointIsNoFault(t *testing.T) {
 	sim := start(t, trialUpdate(1, 0.5), nil)
 	sim.balancer.classes.ordered[0].rejections = rejectionsToRollback
 	endpoint := sim.balancer.endpoints.byID["b1"]
@@ -93,7 +93,7 @@
 
 // While most of the capacity is warming up, as in the last stage of an in-place rollout, slowness rolls no
 // build back, for the few warm endpoints take everything. Once they are warm, it does.
-func TestSlowStartTurnover(t *testing.T) {
+func TestSlownessDuringWarmUpIsNoEvidence(t *testing.T) {
 	for _, test := range []struct {
 		age  Millis // of the candidate's endpoints
 		want Verdict
@@ -160,7 +160,7 @@
 
 // A fault of endpoints voids the suspicion that response times raise, for the others are overloaded. Where
 // the vote would raise the exposure, it does not.
-func TestSuspectsCandidateDuringFault(t *testing.T) {
+func TestFaultVoidsSuspicionInLastStage(t *testing.T) {
 	for _, test := range []struct {
 		stage int
 		fault bool
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -3,24 +3,24 @@
 import "fmt"
 
 const (
-	voteCheckIntervalShare = 0.25   // interval between verdicts: this share of the longest latency objective
-	maxVoteCheckInterval   = 200.0  // ms; its upper bound
-	voteRenewalShare       = 0.85   // of its time to live: a vote is renewed at this age
-	minPartialGroupSize    = 2      // outcomes that a group must have to be judged before it is full
-	partialGroupInterval   = 4000.0 // ms between two such groups
+	voteCheckIntervalShare = 0.25   // interval between verdicts, as a share of the longest latency objective
+	maxVoteCheckInterval   = 200.0  // ms; upper bound of that interval
+	voteRenewalShare       = 0.85   // share of VoteTTL after which a vote is renewed
+	minPartialGroupSize    = 2      // outcomes from which a group may be evaluated before it is full
+	partialGroupInterval   = 4000.0 // ms between two such evaluations
 )
 
-// ballot is the vote that the instance has cast.
+// votingState is the state of the instance's vote.
 type votingState struct {
-	vote           Vote
-	castAt         Millis
+	vote           Vote   // newest vote
+	castAt         Millis // time of that vote
 	accepted       bool   // by the rollout controller
-	nextAt         Millis // no vote is cast before
-	partialGroupAt Millis // the overall group that is being filled is judged as it is from then on
+	nextAt         Millis // no verdict before this time
+	partialGroupAt Millis // no evaluation of a partial group before this time
 }
 
-// noteVoteResult takes the rollout controller's response to a vote. One that was not accepted is cast again
-// after a while, at a random time.
+// handleVoteResult records the rollout controller's response to a vote. A vote that was not accepted is cast again
+// after a random part of VoteWait.
 func (b *Balancer) handleVoteResult(result VoteResult) {
 	b.voting.accepted = result == VoteAccepted
 	wait := b.settings.VoteWait * b.random.Next()
@@ -30,8 +30,8 @@
 	b.voting.nextAt = b.now + wait
 }
 
-// castVote casts the instance's vote when it changes or is about to lapse. A vote to roll back stands until
-// the next stage.
+// castVote casts the instance's vote when the verdict has changed or the vote is about to expire. A vote to roll
+// back stands until the next stage.
 func (b *Balancer) castVote() {
 	update := &b.trial.update
 	if !b.trial.known || b.now < b.voting.nextAt || update.Phase == RollingBack || update.Phase == RolledBack {
@@ -47,7 +47,7 @@
 	if decided.verdict == current && (current == VoteNone || b.voteStands()) {
 		return
 	}
-	// Hundreds of lines on votes to advance would hide the others.
+	// Votes to advance are not logged: hundreds of such lines would hide the others.
 	if decided.verdict != current && decided.verdict != VoteAdvance {
 		b.emit(Log{Text: fmt.Sprintf("vote %d on build %d stage %d: %s",
 			decided.verdict, update.Build, update.Stage, decided.reason)})
@@ -59,13 +59,13 @@
 	b.emit(b.voting.vote)
 }
 
-// voteStands tells whether the current vote was accepted and is not about to lapse.
+// voteStands reports whether the current vote was accepted and is not about to expire.
 func (b *Balancer) voteStands() bool {
 	return b.voting.accepted && b.now-b.voting.castAt < b.settings.VoteTTL*voteRenewalShare
 }
 
-// judgePartialGroup judges the overall group that is being filled as it is, where an instance has too little
-// traffic to fill one in time.
+// evaluatePartialGroup evaluates the candidate's current overall group before it is full, because an instance with
+// little traffic does not fill a group in time.
 func (b *Balancer) evaluatePartialGroup() {
 	if b.now < b.voting.partialGroupAt || b.now-b.trial.stageStartedAt < noGroupsVoteDelay {
 		return
--- a/decision/vote_test.go
+++ b/decision/vote_test.go
@@ -8,7 +8,7 @@
 )
 
 // Votes follow from the outcomes of both builds.
-func TestVotes(t *testing.T) {
+func TestVotesFollowOutcomes(t *testing.T) {
 	like := func(i int) (Outcome, Millis) { return Succeeded, Millis(20 + i*7%13) }
 	slow := func(i int) (Outcome, Millis) { return Succeeded, Millis(50 + i*7%13) }
 	faster := func(i int) (Outcome, Millis) { return Succeeded, Millis(10 + i*7%13) }
@@ -38,7 +38,7 @@
 		{"alike under a clock, halted", haltClock, like, "2", "13"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			got := judgedHarness(t, test.change, test.candidate).votes()
+			got := startWithOutcomes(t, test.change, test.candidate).votes()
 			if !strings.Contains(got, test.has) || test.not != "" && strings.ContainsAny(got, test.not) {
 				t.Errorf("votes %q, want %q and none of %q", got, test.has, test.not)
 			}
