--- a/decision/stream_test.go
+++ b/decision/stream_test.go
@@ -10,101 +10,104 @@
 	"ottershed/decision"
 )
 
-// simulation is a simulated world around one instance of the load balancer: clients, endpoints, a service registry and a
-// controller that rolls builds out. All of it is drawn from one seed, and it reacts to what the instance does. Nothing in
-// it depends on the order of a map, so a seed gives the same stream of events as long as the instance behaves the same.
+// simulation simulates the environment of one load balancer instance: clients, endpoints, a service registry and a
+// rollout controller. All random values are drawn from one seed, and the environment reacts to the actions of the
+// instance. Nothing depends on the iteration order of a map, so a seed results in the same stream of events as long as
+// the behaviour of the instance does not change.
 type simulation struct {
 	scenario
 	settings       decision.Settings
 	random         *rand.Rand
 	now            decision.Millis
 	pending        schedule
-	scheduledCount int // entries put in the schedule so far
+	scheduledCount int // events added to the schedule so far
 	instance       *decision.Balancer
 	observe        func(now decision.Millis, event decision.Event, actions []decision.Action)
-	eventCount     int // events so far
-	eventLimit     int // events after which the simulation stops
+	eventCount     int // events passed to the instance so far
+	eventLimit     int // the simulation stops after this number of events
 
-	endpoints        []*endpoint // in the registry, in the order of their start
+	endpoints        []*endpoint // in the registry, in the order of their first start
 	byID             map[decision.EndpointID]*endpoint
 	requests         map[decision.RequestID]*request // never iterated over
 	lastID           decision.RequestID
-	startedEndpoints int // endpoints so far
+	startedEndpoints int // number of endpoints started so far
 	controller       controller
-	subscribed       bool // the instance is told of changes of the endpoints
-	evidence         decision.Evidence
+	subscribed       bool              // the instance receives changes of the endpoint list
+	evidence         decision.Evidence // evidence of the instance at an earlier time
 }
 
-// scenario holds the conditions of a seed, beside the settings.
+// scenario holds the environment's parameters for a seed. The times with suffix At start a condition that lasts for
+// faultDuration; 0 means never.
 type scenario struct {
-	arrivalRate           float64         // requests a millisecond
-	serviceTime           decision.Millis // of an idle, warm endpoint
-	fleetSize             int             // endpoints at the start
-	endpointCapacity      int             // requests that an endpoint takes at once
-	faultInterval         decision.Millis // mean time between troubles of single endpoints
-	randomOutcomeShare    float64         // share of attempts that end in a drawn way
+	arrivalRate           float64         // requests per millisecond
+	serviceTime           decision.Millis // at an idle, warm endpoint
+	fleetSize             int             // number of endpoints at the start
+	endpointCapacity      int             // requests in flight that an endpoint accepts
+	faultInterval         decision.Millis // mean time between faults of single endpoints
+	randomOutcomeShare    float64         // share of attempts with a random outcome
 	keyedShare            float64         // share of requests with a key
-	streamedShare         float64         // share of answers that are streams
-	followedVoteShare     float64         // share of votes that the controller follows
-	rejectedPollShare     float64         // share of calls for the list that are refused
-	maxStageDuration      decision.Millis // longest stay in one stage
-	candidateSlowdown     float64         // service time of a bad candidate, as a multiple
-	candidateFailureShare float64         // share of failures of a bad candidate
-	badCandidateShare     float64         // share of candidates that are bad
-	zoneLostAt            decision.Millis // the second zone can't be reached from then on, for a while; 0: never
-	fleetSlowdownAt       decision.Millis // all endpoints are slower from then on, for a while; 0: never
-	fleetSlowdownFactor   float64         // by this factor
-	slowdownAtOffer       bool            // half of the candidates are offered just as all endpoints get slower
-	homeSlowdownAt        decision.Millis // endpoints of the instance's own zone are slower from then on, for a while; 0: never
-	homeSlowdownFactor    float64         // by this factor
-	releasePause          decision.Millis // from the release of a build to the offer of the next
-	replacementInterval   decision.Millis // from the replacement of one endpoint to that of the next
-	candidateSlowsAll     bool            // a bad candidate slows all endpoints as long as one runs it
-	burstAt               decision.Millis // more requests come from then on, for a while; 0: never
-	faultDuration         decision.Millis // the whiles above
-}
-
-// controller rolls builds out, one after the other.
+	streamedShare         float64         // share of responses that are streamed
+	followedVoteShare     float64         // share of accepted votes that the controller follows
+	rejectedPollShare     float64         // share of polls that are rejected
+	maxStageDuration      decision.Millis // maximum duration of a stage
+	candidateSlowdown     float64         // factor on the service time of a bad candidate
+	candidateFailureShare float64         // share of failed requests at a bad candidate
+	badCandidateShare     float64         // share of bad candidates
+	zoneLostAt            decision.Millis // the other zone is unreachable
+	fleetSlowdownAt       decision.Millis // all endpoints are slower
+	fleetSlowdownFactor   float64         // factor on the service time at fleetSlowdownAt
+	slowdownAtOffer       bool            // a fleet slowdown starts with the offer of half of the candidates
+	homeSlowdownAt        decision.Millis // endpoints in the instance's zone are slower
+	homeSlowdownFactor    float64         // factor on the service time at homeSlowdownAt
+	releasePause          decision.Millis // time from the release of a build to the offer of the next build
+	replacementInterval   decision.Millis // mean time between replacements of endpoints by the rollout
+	candidateSlowsAll     bool            // a bad candidate slows all endpoints while any of them runs it
+	burstAt               decision.Millis // the arrival rate is four times as high
+	faultDuration         decision.Millis // duration of the conditions above
+}
+
+// controller is the state of the simulated rollout controller, which rolls out one build after another.
 type controller struct {
 	build          decision.Build
 	phase          decision.Phase
 	stage          int
-	stageStartedAt decision.Millis // start of the stage
+	stageStartedAt decision.Millis // start of the current stage or phase
 	bad            bool            // the build is slow or failing
 }
 
-// endpoint is a simulated one.
+// endpoint is a simulated endpoint.
 type endpoint struct {
 	decision.Endpoint
 	inFlight         int
-	slowdown         float64 // service time, as a multiple of that of a sound one
-	errorShare       float64 // share of failures
-	silent           bool    // accepts requests and never answers
+	slowdown         float64 // factor on the service time
+	errorShare       float64 // share of requests that get an error response
+	silent           bool    // accepts requests and never responds
 	down             bool    // refuses connections
-	runsBadCandidate bool    // runs a bad candidate
+	runsBadCandidate bool    // its build is a bad candidate
 }
 
-// request is one as its client sees it.
+// request is a request from the client's point of view.
 type request struct {
 	decision.RequestReceived
 	attempts []*attempt
-	done     bool
+	done     bool // final response received, or client disconnected
 }
 
-// attempt is one forward of a request to an endpoint.
+// attempt is an attempt to serve a request at an endpoint.
 type attempt struct {
 	endpoint  *endpoint
 	startedAt decision.Millis
 	ended     bool
 }
 
-// entry is something that happens at a time, in the order of its making where times are equal.
+// scheduledEvent is a function that runs at a time. Functions with equal times run in the order of their scheduling.
 type scheduledEvent struct {
 	at    decision.Millis
 	order int
 	run   func()
 }
 
+// schedule is a priority queue of events; it implements heap.Interface.
 type schedule []scheduledEvent
 
 func (s schedule) Len() int { return len(s) }
@@ -119,7 +122,7 @@
 	return last
 }
 
-// newSimulation draws the settings and the conditions of a seed and starts an instance.
+// newSimulation draws the settings and the scenario of a seed and creates an instance.
 func newSimulation(seed uint64, limit int) *simulation {
 	random := rand.New(rand.NewPCG(seed, 0x6f74746572))
 	s := &simulation{
@@ -138,7 +141,7 @@
 	return s
 }
 
-// drawSettings draws figures of a deployment, with every switch on in some seeds and off in others.
+// drawSettings draws the settings of a deployment. Each boolean setting is true with some seeds and false with others.
 func drawSettings(random *rand.Rand) decision.Settings {
 	flip := func() bool { return random.IntN(2) == 0 }
 	target := 300 + 900*random.Float64()
@@ -156,9 +159,18 @@
 	}
 	settings.Classes = []decision.RequestClass{
 		{Name: "read", LatencyObjective: target, Idempotency: decision.Idempotent},
-		{Name: "mark-cell", LatencyObjective: target * 1.5, Idempotency: decision.IdempotentWithKey, RetryScope: decision.ScopeCell, DedupWindow: target},
-		{Name: "mark-zone", LatencyObjective: target * 1.2, Idempotency: decision.IdempotentWithKey, RetryScope: decision.ScopeZone, DedupWindow: target},
-		{Name: "mark-all", LatencyObjective: target, Idempotency: decision.IdempotentWithKey, RetryScope: decision.ScopeAll, DedupWindow: target * 2},
+		{
+			Name: "mark-cell", LatencyObjective: target * 1.5, Idempotency: decision.IdempotentWithKey,
+			RetryScope: decision.ScopeCell, DedupWindow: target,
+		},
+		{
+			Name: "mark-zone", LatencyObjective: target * 1.2, Idempotency: decision.IdempotentWithKey,
+			RetryScope: decision.ScopeZone, DedupWindow: target,
+		},
+		{
+			Name: "mark-all", LatencyObjective: target, Idempotency: decision.IdempotentWithKey,
+			RetryScope: decision.ScopeAll, DedupWindow: target * 2,
+		},
 		{Name: "pay", LatencyObjective: target * 2, Idempotency: decision.NonIdempotent},
 	}
 	if flip() {
@@ -182,7 +194,7 @@
 	return settings
 }
 
-// drawScenario draws the conditions that all seeds have.
+// drawScenario draws the parameters that are common to all variants.
 func drawScenario(random *rand.Rand) scenario {
 	return scenario{
 		arrivalRate: 0.04 + 0.12*random.Float64(), serviceTime: 15 + 60*random.Float64(),
@@ -198,7 +210,7 @@
 	}
 }
 
-// themes are what seeds are drawn around, in turn.
+// scenarioVariants are applied to the seeds in turn.
 var scenarioVariants = []func(*simulation){
 	(*simulation).calm,
 	(*simulation).slowCandidates,
@@ -214,27 +226,28 @@
 	(*simulation).shortObjectives,
 }
 
-// calm: calm, long enough for whole rollouts.
+// calm has no faults, so that whole rollouts complete.
 func (s *simulation) calm() {
 	s.faultInterval, s.randomOutcomeShare = 1e5, 0
 }
 
-// slowCandidates: slow candidates.
+// slowCandidates makes most candidates slow.
 func (s *simulation) slowCandidates() {
 	s.candidateSlowdown, s.badCandidateShare = 1.4+3*s.random.Float64(), 0.8
 }
 
-// failingCandidates: failing candidates.
+// failingCandidates makes most candidates fail requests.
 func (s *simulation) failingCandidates() {
 	s.candidateFailureShare, s.badCandidateShare = 0.05+0.4*s.random.Float64(), 0.8
 }
 
-// zoneLoss: the other zone is lost.
+// zoneLoss makes the other zone unreachable for some time.
 func (s *simulation) zoneLoss() {
 	s.zoneLostAt = s.now + 3000 + 8000*s.random.Float64()
 }
 
-// sharedSlowness: all endpoints are slower, in half of the seeds as a candidate is offered that none of them runs yet.
+// sharedSlowness makes all endpoints slower for some time. With half of the seeds, the slowdown starts with the offer
+// of a candidate, before any endpoint runs it.
 func (s *simulation) sharedSlowness() {
 	s.fleetSlowdownAt, s.fleetSlowdownFactor = s.now+3000+8000*s.random.Float64(), 2+6*s.random.Float64()
 	if s.slowdownAtOffer = s.random.IntN(2) == 0; s.slowdownAtOffer {
@@ -242,58 +255,58 @@
 	}
 }
 
-// manyInstances: one of hundreds of instances, with few requests.
+// manyInstances simulates one of hundreds of instances, with little traffic.
 func (s *simulation) manyInstances() {
 	s.setLowTraffic(100 + s.random.IntN(300))
 }
 
-// overload: overload.
+// overload sends more requests than the endpoints can serve for some time.
 func (s *simulation) overload() {
 	s.burstAt, s.fleetSize, s.endpointCapacity = s.now+4000, 3, 6
 	s.serviceTime *= 2
 }
 
-// manyInstancesWithBadCandidates: thin, with bad candidates.
+// manyInstancesWithBadCandidates simulates one of hundreds of instances, with little traffic and bad candidates.
 func (s *simulation) manyInstancesWithBadCandidates() {
 	s.setLowTraffic(100 + s.random.IntN(700))
 	s.candidateSlowdown, s.candidateFailureShare, s.badCandidateShare = 1+3*s.random.Float64(), 0.3*s.random.Float64(), 0.7
-	if s.random.IntN(2) == 0 { // slow, with much trouble, through all stages
+	if s.random.IntN(2) == 0 { // slow candidates and frequent faults, in all stages
 		s.candidateFailureShare, s.badCandidateShare, s.faultInterval, s.maxStageDuration = 0, 1, 500, 7000
 		s.settings.Control, s.settings.Halt, s.settings.SlowStartWindow = decision.ByVotes, false, 800
 	}
 }
 
-// dozensOfInstances: one of dozens.
+// dozensOfInstances simulates one of dozens of instances.
 func (s *simulation) dozensOfInstances() {
 	s.setLowTraffic(10 + s.random.IntN(50))
 	s.settings.AdvanceQuorum = 1 + s.settings.Instances/4
 }
 
-// candidatesThatSlowAll: candidates that slow all endpoints.
+// candidatesThatSlowAll makes candidates slow all endpoints.
 func (s *simulation) candidatesThatSlowAll() {
 	s.faultInterval, s.randomOutcomeShare, s.fleetSize, s.candidateSlowsAll = 1e5, 0, 4, true
-	s.settings.SlowStartFloor, s.replacementInterval = 0.85, 250 // else cold endpoints explain the slowness
+	s.settings.SlowStartFloor, s.replacementInterval = 0.85, 250 // otherwise warming endpoints would explain the slowness
 	s.candidateSlowdown, s.badCandidateShare, s.maxStageDuration = 2+4*s.random.Float64(), 0.9, 9000
-	if s.random.IntN(3) > 0 { // found out after the release
+	if s.random.IntN(3) > 0 { // the slowness is detected only after the release
 		s.maxStageDuration, s.releasePause = 500+1500*s.random.Float64(), 15000
 	}
 }
 
-// slowHomeZone: the instance's own zone is slow.
+// slowHomeZone makes the endpoints in the instance's zone slow.
 func (s *simulation) slowHomeZone() {
 	s.homeSlowdownAt, s.faultDuration = s.now+2000+4000*s.random.Float64(), 20000
 	s.homeSlowdownFactor = s.settings.Classes[0].LatencyObjective * (0.3 + s.random.Float64()) / s.serviceTime
 	s.arrivalRate, s.fleetSize, s.endpointCapacity = 0.01+0.05*s.random.Float64(), 16, 60
 }
 
-// shortObjectives: overload and silent endpoints, with short targets.
+// shortObjectives sets short latency objectives, with overload and frequent faults.
 func (s *simulation) shortObjectives() {
 	s.shortenTimes(20)
 	s.fleetSize, s.faultInterval, s.arrivalRate = 4, 300, 0.5
 	s.settings.PollWithin = 20
 }
 
-// thin makes the instance one of many that sees a few requests a second.
+// setLowTraffic makes the instance one of many, with a few requests per second.
 func (s *simulation) setLowTraffic(instances int) {
 	s.settings.Instances = instances
 	s.settings.AdvanceQuorum = instances * 6 / 10
@@ -306,22 +319,22 @@
 	}
 }
 
-// hurry makes targets and service times so many times shorter.
-func (s *simulation) shortenTimes(times float64) {
+// shortenTimes divides latency objectives and service times by a factor.
+func (s *simulation) shortenTimes(factor float64) {
 	s.settings.ClockGranularity = 0.5
-	s.serviceTime /= times
+	s.serviceTime /= factor
 	for i := range s.settings.Classes {
-		s.settings.Classes[i].LatencyObjective /= times
+		s.settings.Classes[i].LatencyObjective /= factor
 	}
 }
 
-// at has something happen at a time, at the earliest now.
+// scheduleAt schedules a function for a time, or for now if that time is past.
 func (s *simulation) scheduleAt(when decision.Millis, run func()) {
 	s.scheduledCount++
 	heap.Push(&s.pending, scheduledEvent{max(when, s.now), s.scheduledCount, run})
 }
 
-// every has something happen again and again, after drawn pauses with this mean.
+// every schedules a function repeatedly, at random intervals with this mean.
 func (s *simulation) every(mean decision.Millis, run func()) {
 	s.scheduleAt(s.now+mean*(0.5+s.random.Float64()), func() {
 		run()
@@ -329,7 +342,7 @@
 	})
 }
 
-// run plays the world until the limit of events.
+// run runs the simulation until eventLimit is reached.
 func (s *simulation) run() {
 	s.scheduleInitialEvents()
 	for s.eventCount < s.eventLimit {
@@ -339,7 +352,7 @@
 	}
 }
 
-// handle gives the instance an event and carries out what it wants.
+// handle passes an event to the instance and performs the returned actions.
 func (s *simulation) handle(event decision.Event) {
 	if s.eventCount >= s.eventLimit {
 		return
@@ -352,11 +365,13 @@
 	}
 }
 
-// begin schedules what happens by itself.
+// scheduleInitialEvents passes the first endpoint list to the instance and schedules the recurring events.
 func (s *simulation) scheduleInitialEvents() {
 	s.handle(decision.EndpointsChanged{Kind: decision.CachedSnapshot, Endpoints: s.endpointList()})
 	if s.subscribed = !s.settings.PollEndpoints; s.subscribed {
-		s.scheduleAt(s.now+20, func() { s.handle(decision.EndpointsChanged{Kind: decision.FullSnapshot, Endpoints: s.endpointList()}) })
+		s.scheduleAt(s.now+20, func() {
+			s.handle(decision.EndpointsChanged{Kind: decision.FullSnapshot, Endpoints: s.endpointList()})
+		})
 	}
 	s.scheduleAt(s.now+1000*s.random.Float64(), s.sendStageUpdate)
 	s.scheduleAt(s.now+3000, s.offerBuild)
@@ -376,79 +391,82 @@
 		s.every(s.settings.CountInterval, s.sendControllerCounts)
 	}
 	s.every(400, s.limitStageDuration)
-	s.every(6000, func() { s.handle(decision.EndpointsChanged{Kind: decision.PollRejected}) }) // not asked for
+	s.every(6000, func() { s.handle(decision.EndpointsChanged{Kind: decision.PollRejected}) }) // not in response to a poll
 }
 
-// perform carries out an action of the instance. It only schedules events, for an action is performed within one.
+// perform performs an action of the instance. It only schedules events, because it is called while an event is being
+// handled.
 func (s *simulation) perform(action decision.Action) {
-	switch todo := action.(type) {
+	switch action := action.(type) {
 	case decision.StartAttempt:
-		s.startAttempt(todo)
+		s.startAttempt(action)
 	case decision.Reject:
-		s.retryRejected(todo)
+		s.retryRejected(action)
 	case decision.Fail:
-		s.requests[todo.Request].done = true
+		s.requests[action.Request].done = true
 	case decision.Cancel:
-		s.cancelAttempt(todo)
+		s.cancelAttempt(action)
 	case decision.WakeAt:
-		s.scheduleAt(todo.At, func() { s.handle(decision.TimerFired{Token: todo.Token}) })
+		s.scheduleAt(action.At, func() { s.handle(decision.TimerFired{Token: action.Token}) })
 	case decision.StartHealthCheck:
-		s.startHealthCheck(todo.Endpoint)
+		s.startHealthCheck(action.Endpoint)
 	case decision.WatchEndpoints, decision.ResolveEndpoints:
 		s.scheduleAt(s.now+5+200*s.random.Float64(), s.respondToPoll)
 	case decision.Vote:
-		s.scheduleAt(s.now+2+60*s.random.Float64(), func() { s.handleVote(todo) })
+		s.scheduleAt(s.now+2+60*s.random.Float64(), func() { s.handleVote(action) })
 	}
 }
 
-// arrive has a request come, and the next one after it.
+// scheduleArrival schedules the next request, which schedules the one after it.
 func (s *simulation) scheduleArrival() {
-	pace := s.arrivalRate
+	rate := s.arrivalRate
 	if s.isActive(s.burstAt) {
-		pace *= 4
+		rate *= 4
 	}
-	s.scheduleAt(s.now+s.random.ExpFloat64()/pace, func() {
+	s.scheduleAt(s.now+s.random.ExpFloat64()/rate, func() {
 		s.receiveRequest(s.drawRequest())
 		s.scheduleArrival()
 	})
 }
 
-// during tells whether a trouble that begins at a time lasts now.
+// isActive reports whether a condition that starts at a time is in effect now.
 func (s *simulation) isActive(start decision.Millis) bool {
 	return start > 0 && s.now >= start && s.now < start+s.faultDuration
 }
 
+// drawRequest draws a request with a random class, tenant, key and time to live.
 func (s *simulation) drawRequest() decision.RequestReceived {
 	class := s.settings.Classes[s.random.IntN(len(s.settings.Classes))]
-	taken := decision.RequestReceived{Class: class.Name, TTL: class.LatencyObjective * (0.5 + 3*s.random.Float64())}
-	taken.Tenant = []decision.TenantID{"gold", "silver", "unknown"}[min(2, s.random.IntN(20)/9)]
+	received := decision.RequestReceived{Class: class.Name, TTL: class.LatencyObjective * (0.5 + 3*s.random.Float64())}
+	received.Tenant = []decision.TenantID{"gold", "silver", "unknown"}[min(2, s.random.IntN(20)/9)]
 	if s.random.IntN(60) == 0 {
-		taken.Class = "unheard-of"
+		received.Class = "unheard-of"
 	}
 	if s.random.Float64() < s.keyedShare {
-		taken.Key = decision.Key(fmt.Sprint("key", s.random.IntN(40)))
+		received.Key = decision.Key(fmt.Sprint("key", s.random.IntN(40)))
 	}
 	if s.random.IntN(4) == 0 {
-		taken.Hint = 10
+		received.Hint = 10
 	}
-	return taken
+	return received
 }
 
-// take hands a request to the instance. Its client leaves at the end of its time, some earlier.
-func (s *simulation) receiveRequest(taken decision.RequestReceived) {
+// receiveRequest passes a request to the instance. Its client disconnects at the end of the request's TTL, and in some
+// cases earlier.
+func (s *simulation) receiveRequest(received decision.RequestReceived) {
 	s.lastID++
-	taken.Request = s.lastID
-	r := &request{RequestReceived: taken}
+	received.Request = s.lastID
+	r := &request{RequestReceived: received}
 	s.requests[r.Request] = r
-	s.handle(taken)
-	stay := taken.TTL
+	s.handle(received)
+	waitTime := received.TTL
 	if s.random.IntN(25) == 0 {
-		stay *= s.random.Float64()
+		waitTime *= s.random.Float64()
 	}
-	s.scheduleAt(s.now+stay, func() { s.disconnectClient(r) })
+	s.scheduleAt(s.now+waitTime, func() { s.disconnectClient(r) })
 }
 
-// leave has a client that still waits go away; its attempts break off a little later.
+// disconnectClient disconnects a client that still waits. The attempts in flight of its request end soon afterwards.
 func (s *simulation) disconnectClient(r *request) {
 	if !r.done {
 		r.done = true
@@ -456,46 +474,46 @@
 	}
 	for i, a := range r.attempts {
 		if !a.ended {
-			how := []decision.Outcome{decision.TimedOut, decision.ConnectionBroken, decision.Canceled}[s.random.IntN(3)]
-			s.scheduleAt(s.now+3, func() { s.endAttempt(r, i, how) })
+			outcome := []decision.Outcome{decision.TimedOut, decision.ConnectionBroken, decision.Canceled}[s.random.IntN(3)]
+			s.scheduleAt(s.now+3, func() { s.endAttempt(r, i, outcome) })
 		}
 	}
 }
 
-// bounced has most clients come again after the time that they were told.
-func (s *simulation) retryRejected(b decision.Reject) {
-	r := s.requests[b.Request]
+// retryRejected ends a rejected request. Most clients send the request again after the Retry-After.
+func (s *simulation) retryRejected(reject decision.Reject) {
+	r := s.requests[reject.Request]
 	r.done = true
 	if s.random.IntN(3) > 0 {
-		again := r.RequestReceived
-		again.Retried = true
-		s.scheduleAt(s.now+b.RetryAfter, func() { s.receiveRequest(again) })
+		retry := r.RequestReceived
+		retry.Retried = true
+		s.scheduleAt(s.now+reject.RetryAfter, func() { s.receiveRequest(retry) })
 	}
 }
 
-// send carries out an attempt and schedules its ending.
-func (s *simulation) startAttempt(f decision.StartAttempt) {
-	request, server := s.requests[f.Request], s.byID[f.Endpoint]
-	number := len(request.attempts)
+// startAttempt starts an attempt and schedules its end.
+func (s *simulation) startAttempt(start decision.StartAttempt) {
+	request, server := s.requests[start.Request], s.byID[start.Endpoint]
+	index := len(request.attempts)
 	request.attempts = append(request.attempts, &attempt{endpoint: server, startedAt: s.now})
 	server.inFlight++
-	how, after := s.drawOutcome(server)
-	if connect := 4 * s.random.Float64(); f.SendBy > 0 && s.now+connect >= f.SendBy || s.random.IntN(400) == 0 {
-		how, after = decision.NotSent, connect
+	outcome, after := s.drawOutcome(server)
+	if connect := 4 * s.random.Float64(); start.SendBy > 0 && s.now+connect >= start.SendBy || s.random.IntN(400) == 0 {
+		outcome, after = decision.NotSent, connect
 	}
-	if f.Timeout > 0 && after > f.Timeout {
-		how, after = decision.TimedOut, f.Timeout
+	if start.Timeout > 0 && after > start.Timeout {
+		outcome, after = decision.TimedOut, start.Timeout
 	}
-	if after >= 60000 { // it never ends by itself
+	if after >= 60000 { // the attempt does not end by itself
 		return
 	}
-	if how == decision.Succeeded && s.random.Float64() < s.streamedShare {
-		s.scheduleAt(s.now+after/2, func() { s.startResponse(request, number) })
+	if outcome == decision.Succeeded && s.random.Float64() < s.streamedShare {
+		s.scheduleAt(s.now+after/2, func() { s.startResponse(request, index) })
 	}
-	s.scheduleAt(s.now+after, func() { s.endAttempt(request, number, how) })
+	s.scheduleAt(s.now+after, func() { s.endAttempt(request, index, outcome) })
 }
 
-// serve draws how an attempt at an endpoint ends and how long it takes.
+// drawOutcome draws the outcome and the duration of an attempt at an endpoint.
 func (s *simulation) drawOutcome(e *endpoint) (decision.Outcome, decision.Millis) {
 	lost := e.Zone != s.settings.Zone && s.isActive(s.zoneLostAt)
 	switch {
@@ -520,7 +538,8 @@
 	return decision.Succeeded, after
 }
 
-// serviceTimeAt draws the service time at an endpoint: by its kind, build, warmth, load and zone.
+// drawServiceTime draws the service time at an endpoint. It depends on the endpoint's machine type, build, slow start,
+// load and zone.
 func (s *simulation) drawServiceTime(server *endpoint) decision.Millis {
 	after := s.serviceTime * server.slowdown * (0.4 + 0.6*s.random.ExpFloat64()) * (1 + float64(server.inFlight-1)/4)
 	if server.MachineType == "old" {
@@ -535,7 +554,8 @@
 	if server.Zone == s.settings.Zone && s.isActive(s.homeSlowdownAt) {
 		after *= s.homeSlowdownFactor
 	}
-	if server.runsBadCandidate || s.candidateSlowsAll && slices.ContainsFunc(s.endpoints, func(other *endpoint) bool { return other.runsBadCandidate }) {
+	if server.runsBadCandidate ||
+		s.candidateSlowsAll && slices.ContainsFunc(s.endpoints, func(other *endpoint) bool { return other.runsBadCandidate }) {
 		after *= s.candidateSlowdown
 	}
 	if server.Zone != s.settings.Zone {
@@ -544,78 +564,86 @@
 	return after
 }
 
-func (s *simulation) startResponse(r *request, number int) {
-	if a := r.attempts[number]; !a.ended {
-		s.handle(decision.ResponseStarted{Request: r.Request, Attempt: number, Endpoint: a.endpoint.ID, After: s.now - a.startedAt})
+// startResponse reports to the instance that the response to an attempt is being streamed.
+func (s *simulation) startResponse(r *request, index int) {
+	if a := r.attempts[index]; !a.ended {
+		s.handle(decision.ResponseStarted{
+			Request: r.Request, Attempt: index, Endpoint: a.endpoint.ID, After: s.now - a.startedAt,
+		})
 	}
 }
 
-// end tells the instance how an attempt ended.
-func (s *simulation) endAttempt(r *request, number int, how decision.Outcome) {
-	a := r.attempts[number]
+// endAttempt reports the outcome of an attempt to the instance.
+func (s *simulation) endAttempt(r *request, index int, outcome decision.Outcome) {
+	a := r.attempts[index]
 	if a.ended {
 		return
 	}
 	a.ended = true
 	a.endpoint.inFlight--
-	last := how == decision.Succeeded || how == decision.EndpointFailed && s.random.IntN(2) == 0
-	r.done = r.done || last
+	requestEnded := outcome == decision.Succeeded || outcome == decision.EndpointFailed && s.random.IntN(2) == 0
+	r.done = r.done || requestEnded
 	s.handle(decision.AttemptEnded{
-		Request: r.Request, Outcome: how, Endpoint: a.endpoint.ID, Attempt: number,
-		After: s.now - a.startedAt, RequestEnded: last, Load: s.drawLoad(a.endpoint),
+		Request: r.Request, Outcome: outcome, Endpoint: a.endpoint.ID, Attempt: index,
+		After: s.now - a.startedAt, RequestEnded: requestEnded, Load: s.drawLoad(a.endpoint),
 	})
-	if s.random.IntN(200) == 0 { // heard twice
-		s.handle(decision.AttemptEnded{Request: r.Request, Outcome: how, Endpoint: a.endpoint.ID, Attempt: number, RequestEnded: last})
+	if s.random.IntN(200) == 0 { // reported twice
+		s.handle(decision.AttemptEnded{
+			Request: r.Request, Outcome: outcome, Endpoint: a.endpoint.ID, Attempt: index, RequestEnded: requestEnded,
+		})
 	}
 }
 
+// cancelAttempt schedules the end of an attempt that the instance has cancelled.
 func (s *simulation) cancelAttempt(c decision.Cancel) {
 	r := s.requests[c.Request]
 	s.scheduleAt(s.now+2*s.random.Float64(), func() { s.endAttempt(r, c.Attempt, decision.Canceled) })
 }
 
-// drawLoad is an endpoint's report of its load; some give none, some only a part.
+// drawLoad draws the load report of an endpoint. Some reports are absent or incomplete.
 func (s *simulation) drawLoad(e *endpoint) *decision.Load {
-	busy := min(1, float64(e.inFlight)/float64(s.endpointCapacity)+0.3*s.random.Float64())
+	util := min(1, float64(e.inFlight)/float64(s.endpointCapacity)+0.3*s.random.Float64())
 	switch s.random.IntN(3) {
 	case 0:
 		return nil
 	case 1:
 		return &decision.Load{Util: -1, Queue: float64(e.inFlight)}
 	}
-	return &decision.Load{Util: busy, Queue: float64(e.inFlight)}
+	return &decision.Load{Util: util, Queue: float64(e.inFlight)}
 }
 
-// probe answers a probe, unless the endpoint is silent.
+// startHealthCheck schedules the result of a health check.
 func (s *simulation) startHealthCheck(id decision.EndpointID) {
 	e := s.byID[id]
 	after := 0.5 + s.random.Float64()*(1+float64(e.inFlight))/2
-	how := decision.Succeeded
+	outcome := decision.Succeeded
 	if e.down || e.silent {
-		how, after = decision.Unreachable, 20
+		outcome, after = decision.Unreachable, 20
 	}
 	s.scheduleAt(s.now+after, func() {
-		s.handle(decision.HealthCheckEnded{Endpoint: id, Outcome: how, After: after, Load: s.drawLoad(e)})
+		s.handle(decision.HealthCheckEnded{Endpoint: id, Outcome: outcome, After: after, Load: s.drawLoad(e)})
 	})
 }
 
-// list is what the registry says of all endpoints, in a drawn order.
-func (s *simulation) endpointList() (nodes []decision.Endpoint) {
+// endpointList returns the entries of all endpoints in a random order.
+func (s *simulation) endpointList() (entries []decision.Endpoint) {
 	for _, e := range s.endpoints {
-		nodes = append(nodes, e.Endpoint)
+		entries = append(entries, e.Endpoint)
 	}
-	s.random.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
-	return nodes
+	s.random.Shuffle(len(entries), func(i, j int) { entries[i], entries[j] = entries[j], entries[i] })
+	return entries
 }
 
-// changed tells the instance that one endpoint has changed.
-func (s *simulation) sendDelta(node decision.Endpoint) {
+// sendDelta reports the change of one endpoint to the instance.
+func (s *simulation) sendDelta(entry decision.Endpoint) {
 	if s.subscribed {
-		s.handle(decision.EndpointsChanged{Kind: decision.Delta, Version: int64(s.eventCount), Endpoints: []decision.Endpoint{node}})
+		s.handle(decision.EndpointsChanged{
+			Kind: decision.Delta, Version: int64(s.eventCount), Endpoints: []decision.Endpoint{entry},
+		})
 	}
 }
 
-// answerWatch answers a call for the list.
+// respondToPoll responds to a poll for the endpoint list.
 func (s *simulation) respondToPoll() {
 	if s.random.Float64() < s.rejectedPollShare {
 		s.handle(decision.EndpointsChanged{Kind: decision.PollRejected})
@@ -625,14 +653,18 @@
 	s.handle(decision.EndpointsChanged{Kind: decision.FullSnapshot, Endpoints: s.endpointList()})
 }
 
-// startEndpoint starts one more endpoint on a build and lists it.
+// startEndpoint adds an endpoint with a build to the registry.
 func (s *simulation) startEndpoint(build decision.Build, at decision.Millis) *endpoint {
 	i := s.startedEndpoints
 	s.startedEndpoints++
-	e := &endpoint{slowdown: 1, runsBadCandidate: s.controller.bad && build == s.controller.build, Endpoint: decision.Endpoint{
-		ID: decision.EndpointID(fmt.Sprintf("endpoint%02d", i)), Cell: decision.Cell(i % 3), Started: at, Build: build,
-		Zone: decision.Zone("ab"[i%2 : i%2+1]), MachineType: []decision.MachineType{"new", "old"}[i%5/4], Capacity: float64(1 + i%3),
-	}}
+	e := &endpoint{
+		slowdown: 1, runsBadCandidate: s.controller.bad && build == s.controller.build,
+		Endpoint: decision.Endpoint{
+			ID: decision.EndpointID(fmt.Sprintf("endpoint%02d", i)), Cell: decision.Cell(i % 3), Started: at, Build: build,
+			Zone: decision.Zone("ab"[i%2 : i%2+1]), MachineType: []decision.MachineType{"new", "old"}[i%5/4],
+			Capacity: float64(1 + i%3),
+		},
+	}
 	if e.runsBadCandidate {
 		e.errorShare = s.candidateFailureShare
 	}
@@ -641,27 +673,27 @@
 	return e
 }
 
-// restart replaces an endpoint by a new one of the same name.
+// restartEndpoint replaces an endpoint by a new one with the same ID.
 func (s *simulation) restartEndpoint(e *endpoint, build decision.Build) {
-	fresh := *e
-	fresh.Started, fresh.Build, fresh.State = s.now, build, decision.Serving
-	fresh.inFlight, fresh.slowdown, fresh.errorShare, fresh.silent, fresh.down = 0, 1, 0, false, false
-	if fresh.runsBadCandidate = s.controller.bad && build == s.controller.build; fresh.runsBadCandidate {
-		fresh.errorShare = s.candidateFailureShare
+	restarted := *e
+	restarted.Started, restarted.Build, restarted.State = s.now, build, decision.Serving
+	restarted.inFlight, restarted.slowdown, restarted.errorShare, restarted.silent, restarted.down = 0, 1, 0, false, false
+	if restarted.runsBadCandidate = s.controller.bad && build == s.controller.build; restarted.runsBadCandidate {
+		restarted.errorShare = s.candidateFailureShare
 	}
-	s.endpoints[slices.Index(s.endpoints, e)] = &fresh
-	s.byID[e.ID] = &fresh
-	s.sendDelta(fresh.Endpoint)
+	s.endpoints[slices.Index(s.endpoints, e)] = &restarted
+	s.byID[e.ID] = &restarted
+	s.sendDelta(restarted.Endpoint)
 }
 
-// drain takes an endpoint out of service and removes it later.
+// drainEndpoint drains an endpoint and removes it later.
 func (s *simulation) drainEndpoint(e *endpoint) {
 	e.State = decision.Draining
 	s.sendDelta(e.Endpoint)
 	s.scheduleAt(s.now+800, func() {
 		if i := slices.Index(s.endpoints, e); i >= 0 && e.State == decision.Draining {
 			s.endpoints = slices.Delete(s.endpoints, i, i+1)
-			if drained := e.Endpoint; s.random.IntN(3) > 0 { // else only the next whole list shows it
+			if drained := e.Endpoint; s.random.IntN(3) > 0 { // otherwise only the next full snapshot shows the removal
 				drained.State = decision.Removed
 				s.sendDelta(drained)
 			}
@@ -669,60 +701,62 @@
 	})
 }
 
-// troubleEndpoint gives one endpoint a trouble for a while.
+// injectEndpointFault applies a random fault to one endpoint for some time.
 func (s *simulation) injectEndpointFault() {
-	victim := s.endpoints[s.random.IntN(len(s.endpoints))]
-	was := *victim
+	target := s.endpoints[s.random.IntN(len(s.endpoints))]
+	before := *target
 	switch s.random.IntN(6) {
 	case 0:
-		victim.silent = true
+		target.silent = true
 	case 1:
-		victim.down = true
-		s.scheduleAt(s.now+300, func() { s.restartIfListed(victim) })
+		target.down = true
+		s.scheduleAt(s.now+300, func() { s.restartIfListed(target) })
 	case 2:
-		victim.slowdown = 2 + 6*s.random.Float64()
+		target.slowdown = 2 + 6*s.random.Float64()
 	case 3:
-		victim.errorShare = 0.2 + 0.6*s.random.Float64()
+		target.errorShare = 0.2 + 0.6*s.random.Float64()
 	case 4:
-		s.restartEndpoint(victim, victim.Build)
+		s.restartEndpoint(target, target.Build)
 	case 5:
-		s.sendDelta(s.startEndpoint(victim.Build, s.now).Endpoint)
+		s.sendDelta(s.startEndpoint(target.Build, s.now).Endpoint)
 		if len(s.endpoints) > 4 {
-			s.drainEndpoint(victim)
+			s.drainEndpoint(target)
 		}
 	}
 	s.scheduleAt(s.now+500+2500*s.random.Float64(), func() {
-		victim.silent, victim.down, victim.slowdown, victim.errorShare = false, false, was.slowdown, was.errorShare
+		target.silent, target.down, target.slowdown, target.errorShare = false, false, before.slowdown, before.errorShare
 	})
 }
 
+// restartIfListed restarts an endpoint unless it was removed, is draining or was replaced.
 func (s *simulation) restartIfListed(e *endpoint) {
 	if slices.Contains(s.endpoints, e) && e.State == decision.Serving {
 		s.restartEndpoint(e, e.Build)
 	}
 }
 
-// rotate brings the endpoints to where the rollout stands, one at a time.
+// replaceForRollout replaces one endpoint if the current stage or a rollback requires that.
 func (s *simulation) replaceForRollout() {
 	c := &s.controller
-	on := 0
+	onNewest := 0
 	for _, e := range s.endpoints {
 		if e.Build == c.build {
-			on++
+			onNewest++
 		}
 	}
 	share := append(slices.Clone(s.settings.Stages), 1)[min(c.stage, len(s.settings.Stages))]
-	switch back := c.phase == decision.RollingBack || c.phase == decision.RolledBack; {
-	case back && on > 0:
+	switch rollingBack := c.phase == decision.RollingBack || c.phase == decision.RolledBack; {
+	case rollingBack && onNewest > 0:
 		s.replaceEndpoint(func(e *endpoint) bool { return e.Build == c.build }, c.build-1)
-	case !back && (on == 0 || float64(on) < share*float64(len(s.endpoints))):
+	case !rollingBack && (onNewest == 0 || float64(onNewest) < share*float64(len(s.endpoints))):
 		s.replaceEndpoint(func(e *endpoint) bool { return e.Build < c.build }, c.build)
 	}
 }
 
-// replace moves the first endpoint that is fit to a build: it restarts in place, or a new one starts beside it.
-func (s *simulation) replaceEndpoint(fit func(*endpoint) bool, build decision.Build) {
-	i := slices.IndexFunc(s.endpoints, func(e *endpoint) bool { return e.State == decision.Serving && fit(e) })
+// replaceEndpoint replaces the first endpoint that matches by one with another build: by a restart if the rollout is
+// in place, otherwise by a new endpoint.
+func (s *simulation) replaceEndpoint(matches func(*endpoint) bool, build decision.Build) {
+	i := slices.IndexFunc(s.endpoints, func(e *endpoint) bool { return e.State == decision.Serving && matches(e) })
 	if i < 0 {
 		return
 	}
@@ -735,7 +769,7 @@
 	s.restartEndpoint(e, build)
 }
 
-// offer begins the rollout of the next build.
+// offerBuild starts the rollout of the next build.
 func (s *simulation) offerBuild() {
 	bad := s.random.Float64() < s.badCandidateShare
 	s.controller = controller{build: s.controller.build + 1, stageStartedAt: s.now, bad: bad}
@@ -745,20 +779,21 @@
 	s.sendStageUpdate()
 }
 
-// announce tells the instance where the newest build stands.
+// sendStageUpdate reports the current stage of the newest build to the instance.
 func (s *simulation) sendStageUpdate() { s.handle(s.stageUpdate()) }
 
+// stageUpdate returns the current stage of the newest build.
 func (s *simulation) stageUpdate() decision.StageUpdate {
 	c := s.controller
-	n := decision.StageUpdate{Age: s.now - c.stageStartedAt, Build: c.build, Phase: c.phase, Stage: c.stage}
-	n.ExposureCap = s.settings.ExposureCaps[min(c.stage, len(s.settings.ExposureCaps)-1)]
+	update := decision.StageUpdate{Age: s.now - c.stageStartedAt, Build: c.build, Phase: c.phase, Stage: c.stage}
+	update.ExposureCap = s.settings.ExposureCaps[min(c.stage, len(s.settings.ExposureCaps)-1)]
 	if c.phase == decision.RollingBack || c.phase == decision.RolledBack {
-		n.ExposureCap = 0
+		update.ExposureCap = 0
 	}
-	return n
+	return update
 }
 
-// move brings the rollout to a stage; the last one releases the build.
+// advanceStage advances the rollout by one stage, and releases the build after the last stage.
 func (s *simulation) advanceStage() {
 	c := &s.controller
 	if c.phase != decision.InTrial {
@@ -772,7 +807,7 @@
 	s.sendStageUpdate()
 }
 
-// goBack takes the candidate out of service; another one follows.
+// rollBack rolls the candidate back and schedules the offer of the next build.
 func (s *simulation) rollBack() {
 	c := &s.controller
 	if c.phase != decision.InTrial {
@@ -787,7 +822,7 @@
 	s.scheduleAt(s.now+3000, s.offerBuild)
 }
 
-// checkStage moves a stage on or back that lasts too long, as the votes of other instances would.
+// limitStageDuration advances or rolls back a stage that exceeds maxStageDuration, as votes of other instances would.
 func (s *simulation) limitStageDuration() {
 	if s.now-s.controller.stageStartedAt < s.maxStageDuration {
 		return
@@ -799,12 +834,12 @@
 	}
 }
 
-// voted has the controller answer a vote, and follow some.
-func (s *simulation) handleVote(v decision.Vote) {
-	fate := decision.VoteResult(max(0, s.random.IntN(16)-11))
-	current := v.Build == s.controller.build && v.Stage == s.controller.stage
-	if fate == decision.VoteAccepted && current && s.random.Float64() < s.followedVoteShare {
-		switch v.Verdict {
+// handleVote responds to a vote as the controller, and follows some of the accepted votes.
+func (s *simulation) handleVote(vote decision.Vote) {
+	voteResult := decision.VoteResult(max(0, s.random.IntN(16)-11))
+	current := vote.Build == s.controller.build && vote.Stage == s.controller.stage
+	if voteResult == decision.VoteAccepted && current && s.random.Float64() < s.followedVoteShare {
+		switch vote.Verdict {
 		case decision.VoteAdvance:
 			s.advanceStage()
 		case decision.VoteRollback:
@@ -814,36 +849,36 @@
 		}
 	}
 	result := s.stageUpdate()
-	result.IsVoteResult, result.VoteResult = true, fate
+	result.IsVoteResult, result.VoteResult = true, voteResult
 	s.handle(result)
 }
 
-// count gives the controller's counts of all instances, for the candidate and the build before it.
+// sendControllerCounts sends the controller's counts for the newest build and the build before it.
 func (s *simulation) sendControllerCounts() {
 	for _, class := range s.settings.Classes[:1+s.random.IntN(len(s.settings.Classes))] {
 		for _, build := range []decision.Build{s.controller.build - 1, s.controller.build} {
-			t := decision.ControllerCounts{Build: build, Class: class.Name, Count: s.random.IntN(40), Age: 20}
-			t.Mean = s.serviceTime * (1.2 + 0.3*s.random.Float64())
+			counts := decision.ControllerCounts{Build: build, Class: class.Name, Count: s.random.IntN(40), Age: 20}
+			counts.Mean = s.serviceTime * (1.2 + 0.3*s.random.Float64())
 			if s.isActive(s.fleetSlowdownAt) {
-				t.Mean *= s.fleetSlowdownFactor
+				counts.Mean *= s.fleetSlowdownFactor
 			}
-			failing := 0.01
+			failedShare := 0.01
 			if build == s.controller.build && s.controller.bad {
-				t.Mean *= s.candidateSlowdown
-				failing = s.candidateFailureShare
+				counts.Mean *= s.candidateSlowdown
+				failedShare = s.candidateFailureShare
 			}
-			for range t.Count {
-				if s.random.Float64() < failing {
-					t.Failed++
+			for range counts.Count {
+				if s.random.Float64() < failedShare {
+					counts.Failed++
 				}
 			}
-			s.handle(t)
+			s.handle(counts)
 		}
 	}
 	s.handle(decision.ControllerCounts{Build: s.controller.build, Class: "unheard-of", Count: 3})
 }
 
-// flag tells of a wrong answer of an endpoint.
+// flagResponse reports a wrong response of an endpoint, more often if the endpoint fails requests.
 func (s *simulation) flagResponse() {
 	e := s.endpoints[s.random.IntN(len(s.endpoints))]
 	if e.errorShare > 0 || s.random.IntN(8) == 0 {
@@ -852,7 +887,7 @@
 	}
 }
 
-// administer has the operators or the other instances step in.
+// injectOperation simulates an intervention by operators or other instances.
 func (s *simulation) injectOperation() {
 	switch s.random.IntN(4) {
 	case 0:
@@ -860,8 +895,8 @@
 	case 1:
 		s.handle(decision.EvidenceRevoked{})
 	case 2:
-		if e, on := s.instance.Evidence(); on {
-			s.evidence = e
+		if evidence, inTrial := s.instance.Evidence(); inTrial {
+			s.evidence = evidence
 		}
 		s.handle(decision.EvidenceAcquired{Evidence: s.drawEvidence()})
 	case 3:
@@ -869,18 +904,20 @@
 	}
 }
 
-// changeSettings brings new figures of the deployment.
+// changeSettings sends new settings of the deployment to the instance.
 func (s *simulation) changeSettings() {
 	next, drawn := s.settings, drawSettings(s.random)
-	next.FreeAttempts, next.MaxAttempts, next.GuardedStages, next.StickyKeys = drawn.FreeAttempts, drawn.MaxAttempts, drawn.GuardedStages, drawn.StickyKeys
-	next.CancelAllowed, next.HedgingAllowed, next.HealthChecksAllowed = drawn.CancelAllowed, drawn.HedgingAllowed, drawn.HealthChecksAllowed
+	next.FreeAttempts, next.MaxAttempts, next.GuardedStages, next.StickyKeys =
+		drawn.FreeAttempts, drawn.MaxAttempts, drawn.GuardedStages, drawn.StickyKeys
+	next.CancelAllowed, next.HedgingAllowed, next.HealthChecksAllowed =
+		drawn.CancelAllowed, drawn.HedgingAllowed, drawn.HealthChecksAllowed
 	next.WithheldShare, next.Halt, next.CrossZonePrice = drawn.WithheldShare, drawn.Halt, drawn.CrossZonePrice
 	s.settings = next
 	s.handle(decision.SettingsChanged{Settings: next})
 }
 
-// drawEvidence is what another instance may have seen: as this one had, with outcomes of its own and of endpoints that are
-// gone.
+// drawEvidence draws the evidence of another instance: this instance's evidence from an earlier time with additional
+// outcomes, also of endpoints that were removed.
 func (s *simulation) drawEvidence() decision.Evidence {
 	evidence := decision.Evidence{Build: s.controller.build, Stage: s.controller.stage}
 	evidence.Build = cmp.Or(s.evidence.Build, evidence.Build)
