--- a/decision/fleet_test.go
+++ b/decision/fleet_test.go
@@ -9,46 +9,45 @@
 	"ottershed/internal/stats"
 )
 
-// fleet is many balancers on one fake clock against a simulated platform. They share nothing but that.
+// fleet runs many balancers on one fake clock against one simulated platform. The balancers share nothing else.
 type fleet struct {
 	now       Millis
 	events    schedule
 	balancers []*Balancer
-	perform   func(instance int, action Action) // what the platform does with an action
+	perform   func(instance int, action Action) // performs an action on the platform
 	endpoints map[EndpointID]*fakeEndpoint
 	random    stats.Random
 	lastID    RequestID
 	requests  map[RequestID]*clientRequest
-	results   map[string]int     // of requests, since the last reset
-	attempts  map[EndpointID]int // since the last reset
+	results   map[string]int     // number of requests by result, since the last reset
+	attempts  map[EndpointID]int // number of attempts, since the last reset
 }
 
-// clientRequest is a request as its client sees it.
+// clientRequest is a request from the client's point of view.
 type clientRequest struct {
 	at, deadline Millis
-	inFlight     []bool // by attempt
+	inFlight     []bool // by index of the attempt
 	done         bool
 }
 
-// fakeEndpoint is a simulated endpoint: a queue and a few cores.
+// fakeEndpoint is a simulated endpoint with a queue and a few cores.
 type fakeEndpoint struct {
 	Endpoint
-	cores       []Millis // busy until
-	slowdown    float64  // factor on the work
+	cores       []Millis // time until which each core is busy
+	slowdown    float64  // factor on the service time
 	unreachable bool     // connections are never established
 }
 
-// scheduled is something that happens at a time. Where times are equal the order is that of scheduling.
+// scheduledEvent is a function that runs at a time. Functions with equal times run in the order of their scheduling.
 type scheduledEvent struct {
 	at    Millis
 	order int
 	run   func()
 }
 
+// schedule is a priority queue of events; it implements heap.Interface.
 type schedule []scheduledEvent
 
-// Len, Less, Swap, Push and Pop are those of heap.Interface.
-
 func (s schedule) Len() int { return len(s) }
 
 func (s schedule) Less(i, j int) bool {
@@ -65,15 +64,16 @@
 	return last
 }
 
+// scheduledCount is the number of events scheduled so far, by all fleets.
 var scheduledCount int
 
-// at schedules something.
+// scheduleAt schedules a function for a time.
 func (f *fleet) scheduleAt(when Millis, run func()) {
 	scheduledCount++
 	heap.Push(&f.events, scheduledEvent{when, scheduledCount, run})
 }
 
-// deliver hands a balancer an event and carries out its actions.
+// deliver passes an event to a balancer and performs the returned actions.
 func (f *fleet) deliver(instance int, event Event) {
 	for _, action := range f.balancers[instance].Handle(f.now, event) {
 		if wake, ok := action.(WakeAt); ok {
@@ -84,7 +84,7 @@
 	}
 }
 
-// run runs what is scheduled until a time.
+// run runs all functions that are scheduled until a time, and advances the clock to it.
 func (f *fleet) run(until Millis) {
 	for len(f.events) > 0 && f.events[0].at <= until {
 		next := heap.Pop(&f.events).(scheduledEvent)
@@ -94,7 +94,7 @@
 	f.now = until
 }
 
-// newFleet starts so many balancers at once with an endpoint list.
+// newFleet starts balancers at the same time with the same endpoint list.
 func newFleet(t *testing.T, size int, endpoints []Endpoint, change func(*Settings)) *fleet {
 	t.Helper()
 	f := &fleet{
@@ -115,6 +115,7 @@
 	return f
 }
 
+// fleetSettings returns the settings for a fleet of a number of instances.
 func fleetSettings(size int) Settings {
 	return Settings{
 		Instances: size, Zone: "a", ClockGranularity: 1, MaxAttempts: 5, CancelAllowed: true, MaxRetryAfter: 500,
@@ -125,7 +126,7 @@
 	}
 }
 
-// addEndpoints adds endpoints of a build and returns the list of them.
+// addEndpoints adds endpoints with a build and returns their entries.
 func (f *fleet) addEndpoints(count int, build Build) (list []Endpoint) {
 	for range count {
 		i := len(f.endpoints)
@@ -139,14 +140,14 @@
 	return list
 }
 
-// deliverAll hands all balancers an event.
+// deliverAll passes an event to all balancers.
 func (f *fleet) deliverAll(event Event) {
 	for instance := range f.balancers {
 		f.deliver(instance, event)
 	}
 }
 
-// resetCounts starts to count results and attempts from 0.
+// resetCounts resets the counts of results and attempts to 0.
 func (f *fleet) resetCounts() {
 	f.results = map[string]int{}
 	f.attempts = map[EndpointID]int{}
@@ -155,11 +156,11 @@
 const (
 	fleetObjective   Millis = 700
 	clientTimeout    Millis = 2000
-	meanWork                = 110.0 // ms on one core
+	meanWork                = 110.0 // mean service time on one core, ms
 	coresPerEndpoint        = 3
 )
 
-// serve carries out actions on requests, and counts the results.
+// serve performs actions on requests, and counts the results.
 func (f *fleet) serve(instance int, action Action) {
 	switch action := action.(type) {
 	case StartAttempt:
@@ -175,6 +176,7 @@
 	}
 }
 
+// startAttempt starts an attempt at a simulated endpoint and schedules its end.
 func (f *fleet) startAttempt(instance int, start StartAttempt) {
 	f.attempts[start.Endpoint]++
 	request, endpoint, startedAt := f.requests[start.Request], f.endpoints[start.Endpoint], f.now
@@ -204,8 +206,8 @@
 	f.scheduleAt(f.processRequest(endpoint), func() { end(Succeeded) })
 }
 
-// work puts a request on the core that is free first, and returns when it is done. Warming endpoints are
-// slower.
+// processRequest assigns a request to the core that is free first, and returns the time of completion. Warming
+// endpoints are slower.
 func (f *fleet) processRequest(endpoint *fakeEndpoint) Millis {
 	free := 0
 	for i, until := range endpoint.cores {
@@ -222,6 +224,7 @@
 	return endpoint.cores[free]
 }
 
+// cancel cancels an attempt and reports its end to the instance.
 func (f *fleet) cancel(instance int, action Cancel) {
 	request := f.requests[action.Request]
 	if !request.inFlight[action.Attempt] {
@@ -235,7 +238,7 @@
 	})
 }
 
-// clients sends requests at a rate to the whole fleet for a while, each to any instance.
+// startClients sends requests at a rate until a time, each to a random instance.
 func (f *fleet) startClients(perSecond float64, until Millis) {
 	var arrive func()
 	arrive = func() {
@@ -252,8 +255,8 @@
 	f.scheduleAt(f.now, arrive)
 }
 
-// Half of the endpoints are lost and come back warming. An instance of a large fleet has an outcome of an
-// endpoint only every few seconds: what it knew before the fault must not exclude endpoints long after it.
+// Half of the endpoints become unreachable and restart. An instance of a large fleet has an outcome of each endpoint
+// only every few seconds. Outdated observations from the fault must not exclude the endpoints long after their restart.
 func TestFleetReadmitsRestartedEndpoints(t *testing.T) {
 	fleet := newFleet(t, 80, nil, nil)
 	list := fleet.addEndpoints(60, 7)
@@ -263,21 +266,21 @@
 	fleet.perform = fleet.serve
 	fleet.startClients(900, fleet.now+24000)
 	fleet.run(fleet.now + 4000)
-	var lost, back []Endpoint
+	var removed, restarted []Endpoint
 	for _, endpoint := range list[:30] {
 		fleet.endpoints[endpoint.ID].unreachable = true
 		endpoint.State = Removed
-		lost = append(lost, endpoint)
+		removed = append(removed, endpoint)
 	}
 	fleet.run(fleet.now + 2000)
-	fleet.deliverAll(EndpointsChanged{Kind: Delta, Endpoints: lost})
+	fleet.deliverAll(EndpointsChanged{Kind: Delta, Endpoints: removed})
 	fleet.run(fleet.now + 3000)
 	for _, endpoint := range list[:30] {
 		endpoint.Started = fleet.now
 		fleet.endpoints[endpoint.ID].unreachable, fleet.endpoints[endpoint.ID].Started = false, fleet.now
-		back = append(back, endpoint)
+		restarted = append(restarted, endpoint)
 	}
-	fleet.deliverAll(EndpointsChanged{Kind: Delta, Endpoints: back})
+	fleet.deliverAll(EndpointsChanged{Kind: Delta, Endpoints: restarted})
 	fleet.run(fleet.now + 6000)
 	fleet.resetCounts()
 	fleet.run(fleet.now + 5000)
@@ -285,16 +288,18 @@
 	for i, endpoint := range list {
 		shares[i/30] += fleet.attempts[endpoint.ID]
 	}
-	if part := float64(fleet.results["in time"]) / float64(fleet.results["received"]); part < 0.93 {
-		t.Errorf("%.2f of the requests in time 6 to 11 s after the endpoints were back: %v", part, fleet.results)
+	if share := float64(fleet.results["in time"]) / float64(fleet.results["received"]); share < 0.93 {
+		t.Errorf("share of requests in time 6 to 11 s after the restart: got %.2f, want at least 0.93; results %v",
+			share, fleet.results)
 	}
-	if part := float64(shares[0]) / float64(shares[0]+shares[1]); part < 0.4 {
-		t.Errorf("those that came back get %.2f of the attempts", part)
+	if share := float64(shares[0]) / float64(shares[0]+shares[1]); share < 0.4 {
+		t.Errorf("share of attempts at restarted endpoints: got %.2f, want at least 0.4", share)
 	}
 }
 
-// A new stage replaces half of the fleet by warming endpoints of the candidate. Those must not stay empty,
-// nor may their share go to the few warm endpoints of the candidate, which would look slow.
+// A new stage replaces half of the fleet by warming endpoints of the candidate. The warming endpoints must not stay
+// idle. Their share must not go to the few warm endpoints of the candidate either, because overload would make the
+// candidate look slow.
 func TestFleetUsesWarmingEndpoints(t *testing.T) {
 	fleet := newFleet(t, 80, nil, nil)
 	list := fleet.addEndpoints(60, 7)
@@ -318,47 +323,47 @@
 	for second := range 3 {
 		fleet.resetCounts()
 		fleet.run(fleet.now + 1000)
-		per := map[Build]float64{}
+		attemptsPer := map[Build]float64{}
 		for _, endpoint := range warm {
-			per[8] += float64(fleet.attempts[endpoint.ID]) / float64(len(warm))
+			attemptsPer[8] += float64(fleet.attempts[endpoint.ID]) / float64(len(warm))
 		}
 		for _, endpoint := range list[36:] {
-			per[7] += float64(fleet.attempts[endpoint.ID]) / float64(len(list[36:]))
+			attemptsPer[7] += float64(fleet.attempts[endpoint.ID]) / float64(len(list[36:]))
 		}
-		if per[8] > 1.5*per[7] || per[8] > 30 {
-			t.Errorf("second %d: %.0f attempts to each warm endpoint of the candidate, %.0f to each of the baseline",
-				second, per[8], per[7])
+		if attemptsPer[8] > 1.5*attemptsPer[7] || attemptsPer[8] > 30 {
+			t.Errorf("second %d: got %.0f attempts per warm endpoint of the candidate, want at most 30 and 1.5 times %.0f",
+				second, attemptsPer[8], attemptsPer[7])
 		}
 		got := 0.0
 		for _, endpoint := range warming {
 			got += float64(fleet.attempts[endpoint.ID]) / float64(len(warming))
 		}
-		if least := []float64{3, 7, 9}[second]; got < least { // they can serve 9 to 27
-			t.Errorf("second %d: %.1f attempts to each warming endpoint", second, got)
+		if least := []float64{3, 7, 9}[second]; got < least { // each can serve 9 to 27
+			t.Errorf("second %d: got %.1f attempts per warming endpoint, want at least 3, 7 and 9", second, got)
 		}
 	}
 }
 
-// Discovery serves calls in turn, also those that have timed out. All instances of a fleet start at once:
-// each must have its watch soon, and with few calls in vain.
+// The discovery service processes polls one after another, also those that have timed out. All instances of a fleet
+// start at the same time. Each must receive the endpoint list soon, with few rejected polls.
 func TestFleetPollsWithoutOverload(t *testing.T) {
 	for name, test := range map[string]struct {
 		instances int
-		perCall   Millis // service time
-		within    Millis // all must watch by then
-		calls     float64
+		perCall   Millis  // service time of a poll
+		within    Millis  // time until all instances watch the list
+		calls     float64 // maximum number of polls per instance
 	}{
-		"a handful":           {3, 60, 1000, 1},
-		"a large fleet":       {80, 60, 12000, 2},
-		"large and overtaxed": {80, 130, 40000, 5},
-		"one":                 {1, 60, 500, 1},
+		"few instances":               {3, 60, 1000, 1},
+		"a large fleet":               {80, 60, 12000, 2},
+		"a large fleet, slow service": {80, 130, 40000, 5},
+		"one":                         {1, 60, 500, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			const timeout, within = 2000, 10000
 			fleet := newFleet(t, test.instances, nil, func(s *Settings) {
 				s.PollEndpoints, s.PollWithin = true, within
 			})
-			free, calls, start := fleet.now, 0, fleet.now // when the service is free
+			free, calls, start := fleet.now, 0, fleet.now // free: when the service is idle
 			watching := map[int]Millis{}
 			fleet.perform = func(instance int, action Action) {
 				if _, ok := action.(WatchEndpoints); !ok {
@@ -374,14 +379,14 @@
 				} else if wait <= 2*timeout {
 					fleet.scheduleAt(fleet.now+timeout, func() { fleet.deliver(instance, EndpointsChanged{Kind: PollRejected}) })
 				} else {
-					free -= test.perCall // rejected at once
+					free -= test.perCall // rejected immediately, without service time
 					fleet.scheduleAt(fleet.now+1, func() { fleet.deliver(instance, EndpointsChanged{Kind: PollRejected}) })
 				}
 			}
 			fleet.run(start + test.within)
 			if len(watching) < test.instances || float64(calls) > test.calls*float64(test.instances) {
-				t.Errorf("%d of %d instances watch after %.0f ms, by %d calls", len(watching), test.instances, test.within,
-					calls)
+				t.Errorf("got %d of %d instances watching after %.0f ms with %d polls, want all with fewer polls", len(watching),
+					test.instances, test.within, calls)
 			}
 		})
 	}
--- a/decision/golden_test.go
+++ b/decision/golden_test.go
@@ -17,15 +17,15 @@
 
 const (
 	seedCount           = 72
-	eventsPerCheckpoint = 1000 // events from one checkpoint to the next
-	checkpointsPerSeed  = 10   // of each seed
+	eventsPerCheckpoint = 1000 // events between two checkpoints
+	checkpointsPerSeed  = 10   // checkpoints per seed
 )
 
 var goldenFile = filepath.Join("testdata", "streams.txt")
 
-// TestStreams drives an instance through the rollouts of all seeds and compares a hash of all that it did, and of what it
-// says of itself, with the one that was kept at each checkpoint. A change that is meant to keep the behaviour keeps all
-// hashes; one that changes it on purpose rewrites them with -update.
+// TestStreamsMatchGolden runs an instance in the simulated environment of each seed. At each checkpoint it compares a
+// hash of all actions, status and evidence so far with the golden file. A change that keeps the behaviour keeps all
+// hashes. A change of behaviour on purpose rewrites them with -update.
 func TestStreamsMatchGolden(t *testing.T) {
 	lines := make([][]string, seedCount)
 	want := readGolden(t)
@@ -45,7 +45,8 @@
 	}
 }
 
-// goldenLines are the kept lines by what they begin with, seed and checkpoint.
+// readGolden returns the hashes of the golden file by the start of their lines, which names seed and checkpoint. With
+// -update it returns nil.
 func readGolden(t *testing.T) map[string]string {
 	t.Helper()
 	if golden.Updating() {
@@ -66,22 +67,23 @@
 	return want
 }
 
-// compareLines names the first checkpoint of a seed that differs.
+// compareLines fails the test at the first checkpoint whose hash differs.
 func compareLines(t *testing.T, got []string, want map[string]string) {
 	t.Helper()
 	for _, line := range got {
 		point, sum, _ := strings.Cut(line, ": ")
 		if want[point] != sum {
-			t.Fatalf("%s is the first that differs: hash %s, want %q", point, sum, want[point])
+			t.Fatalf("%s: first difference, got hash %s, want %q", point, sum, want[point])
 		}
 	}
 }
 
+// writeGolden writes the lines of all seeds to the golden file.
 func writeGolden(t *testing.T, lines [][]string) {
 	t.Helper()
 	var out strings.Builder
-	for _, ofSeed := range lines {
-		for _, line := range ofSeed {
+	for _, seedLines := range lines {
+		for _, line := range seedLines {
 			out.WriteString(line + "\n")
 		}
 	}
@@ -90,7 +92,7 @@
 	}
 }
 
-// streamLines plays a seed and returns one line for each checkpoint.
+// checkpointLines runs the simulation of a seed and returns one line per checkpoint.
 func checkpointLines(seed int) (lines []string) {
 	s := newSimulation(uint64(seed), checkpointsPerSeed*eventsPerCheckpoint)
 	enc := encoder{xxhash.New()}
@@ -99,14 +101,16 @@
 		if s.eventCount%eventsPerCheckpoint == 0 {
 			enc.status(s.instance.Status())
 			enc.evidence(s.instance.Evidence())
-			lines = append(lines, fmt.Sprintf("seed %d checkpoint %d: %016x", seed, s.eventCount/eventsPerCheckpoint, enc.hash.Sum64()))
+			lines = append(lines,
+				fmt.Sprintf("seed %d checkpoint %d: %016x", seed, s.eventCount/eventsPerCheckpoint, enc.hash.Sum64()))
 		}
 	}
 	s.run()
 	return lines
 }
 
-// encoder writes values to a hash in a form that depends on no name of a type or field.
+// encoder writes values to a hash. The encoding does not depend on the names of types and fields. Its fixed texts are
+// part of the hashes in the golden file, so they stay when a type is renamed.
 type encoder struct{ hash *xxhash.Digest }
 
 func (e encoder) text(s string) {
@@ -134,7 +138,7 @@
 	}
 }
 
-// actions writes all that an event led to.
+// actions writes the actions that result from one event.
 func (e encoder) actions(number int, now decision.Millis, actions []decision.Action) {
 	if len(actions) == 0 {
 		return
@@ -146,7 +150,7 @@
 	}
 }
 
-// action writes one action: a fixed text for its kind and its fields in order.
+// action writes one action: a fixed text for its type, and its fields in order.
 func (e encoder) action(action decision.Action) {
 	switch action := action.(type) {
 	case decision.StartAttempt:
@@ -180,7 +184,7 @@
 		e.integer(int(action.To))
 		e.boolean(action.All)
 		e.text(string(action.Data))
-	case decision.Log: // its text may change
+	case decision.Log: // its text is not hashed and may change
 		e.text("log")
 	case decision.WatchEndpoints:
 		e.text("watch")
@@ -193,25 +197,26 @@
 		e.integer(action.Stage)
 		e.integer(int(action.Verdict))
 	default:
-		panic("an action of a new kind: write it to the hash here")
+		panic("unknown type of action: add its encoding here")
 	}
 }
 
-// sight writes the figures that an instance gives to those who look on.
+// status writes the status of an instance.
 func (e encoder) status(s decision.Status) {
 	e.text("sight")
 	for _, i := range []int{
-		s.Serving, s.WarmingUp, s.Unavailable, s.InFlight, s.Queued, int(s.Build), s.Stage, int(s.Phase), int(s.Verdict), s.Rejections,
+		s.Serving, s.WarmingUp, s.Unavailable, s.InFlight, s.Queued, int(s.Build), s.Stage, int(s.Phase),
+		int(s.Verdict), s.Rejections,
 	} {
 		e.integer(i)
 	}
 	e.floats(s.Outcomes, s.FailureEvidence)
 }
 
-// evidence writes what an instance has seen of the newest build.
-func (e encoder) evidence(v decision.Evidence, onTrial bool) {
+// evidence writes the evidence of an instance.
+func (e encoder) evidence(v decision.Evidence, inTrial bool) {
 	e.text("evidence")
-	e.boolean(onTrial)
+	e.boolean(inTrial)
 	e.integer(int(v.Build))
 	e.integer(v.Stage)
 	e.integer(len(v.Classes))
@@ -231,13 +236,13 @@
 	}
 }
 
-// recorded is an event of a stream and the time it came.
+// recordedEvent is an event of a stream with its time.
 type recordedEvent struct {
 	at    decision.Millis
 	event decision.Event
 }
 
-// BenchmarkStreams replays the recorded events of a few seeds to a fresh instance and reports the cost of an event.
+// BenchmarkStreams replays the recorded events of a few seeds to a new instance and reports the time per event.
 func BenchmarkStreams(b *testing.B) {
 	for _, seed := range []uint64{0, 3, 5, 6, 8} {
 		b.Run(fmt.Sprint("seed", seed), func(b *testing.B) {
@@ -253,7 +258,7 @@
 	}
 }
 
-// replay measures the events of one stream.
+// replay passes the events of one stream to a new instance, as often as the benchmark asks for.
 func replay(b *testing.B, settings decision.Settings, seed uint64, stream []recordedEvent) {
 	b.Helper()
 	b.ReportAllocs()
--- a/decision/helpers_test.go
+++ b/decision/helpers_test.go
@@ -5,17 +5,18 @@
 	"testing"
 )
 
-// harness hands events to one balancer and records its actions.
+// harness passes events to one balancer and records the returned actions.
 type harness struct {
 	t                *testing.T
 	balancer         *Balancer
 	now              Millis
 	actions          []Action
-	respondedActions int // actions that respond has seen
+	respondedActions int // index of the first action that respond has not processed
 	lastID           RequestID
 }
 
-// start makes a balancer in zone a with four endpoints: a1 and b1 on build 7, a2 and b2 on build 8.
+// start creates a balancer in zone a with four endpoints: a1 and b1 with build 7, a2 and b2 with build 8. change
+// changes the settings; nil: not at all. An update without a build is not sent.
 func start(t *testing.T, update StageUpdate, change func(*Settings)) *harness {
 	t.Helper()
 	settings := Settings{
@@ -46,23 +47,24 @@
 	return sim
 }
 
-// newEndpoint is an endpoint in the zone that its id begins with.
+// newEndpoint returns an endpoint in the zone that is the first letter of its ID.
 func newEndpoint(id EndpointID, build Build) Endpoint {
 	return Endpoint{ID: id, Zone: Zone(id[:1]), Cell: Cell(id[0]), Build: build, MachineType: "k", Capacity: 1}
 }
 
-// replaceEndpoints sends a snapshot of these endpoints alone.
+// replaceEndpoints sends a full snapshot with these endpoints.
 func (sim *harness) replaceEndpoints(endpoints ...Endpoint) {
 	sim.handle(EndpointsChanged{Kind: FullSnapshot, Endpoints: endpoints})
 }
 
+// handle passes an event to the balancer and returns the actions.
 func (sim *harness) handle(event Event) []Action {
 	actions := sim.balancer.Handle(sim.now, event)
 	sim.actions = append(sim.actions, actions...)
 	return actions
 }
 
-// advance lets time pass, a tick at a time.
+// advance advances the time in tick intervals, with a tick each.
 func (sim *harness) advance(span Millis) {
 	for end := sim.now + span; sim.now < end; {
 		sim.now += sim.balancer.tickInterval
@@ -70,14 +72,14 @@
 	}
 }
 
-// request sends a request and returns its id, and the endpoint of its first attempt if one was started.
+// request sends a request and returns its ID, and the endpoint of its first attempt if one was started.
 func (sim *harness) request(class ClassName, key Key) (RequestID, EndpointID) {
 	sim.lastID++
 	sim.handle(RequestReceived{Request: sim.lastID, Class: class, Key: key, TTL: 1000})
 	return sim.lastID, sim.attemptedAt(sim.lastID, 0)
 }
 
-// attemptedAt returns the endpoint of an attempt, counted from 0; empty if it was not started.
+// attemptedAt returns the endpoint of an attempt by index, or an empty ID if that attempt was not started.
 func (sim *harness) attemptedAt(id RequestID, attempt int) EndpointID {
 	for _, action := range sim.actions {
 		if started, ok := action.(StartAttempt); ok && started.Request == id {
@@ -90,6 +92,7 @@
 	return ""
 }
 
+// endAttempt reports the outcome of an attempt to the balancer.
 func (sim *harness) endAttempt(id RequestID, attempt int, outcome Outcome, after Millis) {
 	sim.handle(AttemptEnded{
 		Request: id, Attempt: attempt, Outcome: outcome, Endpoint: sim.attemptedAt(id, attempt), After: after,
@@ -97,7 +100,7 @@
 	})
 }
 
-// respond ends all attempts since its last call as succeeded, and counts those at one endpoint.
+// respond ends all attempts since its last call as succeeded, and returns the number of those at one endpoint.
 func (sim *harness) respond(endpoint EndpointID, after Millis) (attempts int) {
 	for ; sim.respondedActions < len(sim.actions); sim.respondedActions++ {
 		started, ok := sim.actions[sim.respondedActions].(StartAttempt)
@@ -114,7 +117,8 @@
 	return attempts
 }
 
-// responses counts the balancer's own responses to a request, and names the last one.
+// responses returns the number of final responses of the balancer to a request and the kind of the last one, "reject"
+// or "fail".
 func (sim *harness) responses(id RequestID) (count int, last string) {
 	for _, action := range sim.actions {
 		switch action := action.(type) {
@@ -133,7 +137,7 @@
 	return count, last
 }
 
-// votes returns the verdicts cast, in order, a digit each.
+// votes returns the verdicts of all votes in order, one digit each.
 func (sim *harness) votes() string {
 	out := ""
 	for _, action := range sim.actions {
@@ -144,22 +148,22 @@
 	return out
 }
 
-// trialUpdate says that build 8 is the candidate.
+// trialUpdate returns an update with build 8 in trial.
 func trialUpdate(stage int, exposureCap float64) StageUpdate {
 	return StageUpdate{Build: 8, Phase: InTrial, Stage: stage, ExposureCap: exposureCap}
 }
 
-// releasedUpdate says that a build is released.
+// releasedUpdate returns an update with a released build.
 func releasedUpdate(build Build) StageUpdate {
 	return StageUpdate{Build: build, Phase: Released, ExposureCap: 1}
 }
 
-// judgedHarness feeds outcomes of both builds, those of the candidate from candidate; nil: like the
-// baseline.
+// startWithOutcomes starts a harness and sends 300 requests during a trial. candidate determines the outcomes at the
+// candidate; nil: as at the baseline.
 func startWithOutcomes(t *testing.T, change func(*Settings), candidate func(i int) (Outcome, Millis)) *harness {
 	t.Helper()
 	sim := start(t, StageUpdate{Build: 7, Phase: Released, ExposureCap: 1}, change)
-	play := func(n int, of func(i int) (Outcome, Millis)) {
+	send := func(n int, candidate func(i int) (Outcome, Millis)) {
 		for i := range n {
 			id, to := sim.request("read", "")
 			if to == "" {
@@ -167,8 +171,8 @@
 				continue
 			}
 			outcome, after := Succeeded, Millis(20+i*7%13)
-			if of != nil && sim.balancer.endpoints.byID[to].Build == 8 {
-				outcome, after = of(i)
+			if candidate != nil && sim.balancer.endpoints.byID[to].Build == 8 {
+				outcome, after = candidate(i)
 			}
 			sim.advance(40)
 			sim.endAttempt(id, 0, outcome, after)
@@ -177,14 +181,14 @@
 			}
 		}
 	}
-	play(120, nil)
+	send(120, nil)
 	sim.handle(trialUpdate(1, 0.5))
-	play(300, candidate)
+	send(300, candidate)
 	return sim
 }
 
-// manyInstances sets hundreds of instances, each with little traffic: what one observes is next to nothing,
-// what all observe is proof.
+// manyInstances sets hundreds of instances, each with little traffic. A single instance has almost no outcomes; those
+// of all instances together are sufficient evidence.
 func manyInstances(s *Settings) {
 	s.Instances = 300
 	s.AdvanceQuorum = 180
--- a/decision/stream_test.go
+++ b/decision/stream_test.go
@@ -555,7 +555,7 @@
 		after *= s.homeSlowdownFactor
 	}
 	if server.runsBadCandidate ||
-		s.candidateSlowsAll && slices.ContainsFunc(s.endpoints, func(other *endpoint) bool { return other.runsBadCandidate }) {
+		s.candidateSlowsAll && slices.ContainsFunc(s.endpoints, func(e *endpoint) bool { return e.runsBadCandidate }) {
 		after *= s.candidateSlowdown
 	}
 	if server.Zone != s.settings.Zone {
