--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// After an attempt that did not succeed, the request class decides whether the request may be retried and
-// in which zone. A request that may not be retried fails.
+// After an unsuccessful attempt, the request class determines whether and in which zone the request may be retried. A
+// request that must not be retried gets an error.
 func TestRetryKeepsToScopeOfClass(t *testing.T) {
 	released := StageUpdate{Build: 8, Phase: Released, Stage: 2, ExposureCap: 1}
 	for _, test := range []struct {
@@ -26,70 +26,70 @@
 		{"pay", Unreachable, 20, "", ""},
 		{"mark", EndpointFailed, 20, "same", ""},
 		{"mark", EndpointRejected, 20, "", ""},
-		{"mark", EndpointFailed, 995, "-", "fail"}, // the endpoints have forgotten the key
+		{"mark", EndpointFailed, 995, "-", "fail"}, // endpoints no longer remember the key
 		{"unknown", EndpointFailed, 20, "-", "fail"},
 	} {
 		t.Run(fmt.Sprint(test.class, test.outcome, test.after), func(t *testing.T) {
 			sim := start(t, released, nil)
 			req, first := sim.request(test.class, "")
 			if first == "" {
-				t.Fatal("no first attempt")
+				t.Fatal("got no first attempt, want one")
 			}
 			sim.now += test.after
 			sim.endAttempt(req, 0, test.outcome, test.after)
 			sim.advance(600)
 			retried := sim.attemptedAt(req, 1)
 			if (retried == "") != (test.zone == "-") || test.zone == "same" && retried[0] != first[0] {
-				t.Errorf("first %q, then %q", first, retried)
+				t.Errorf("first attempt at %q: got retry at %q, want it by the scope of the class", first, retried)
 			}
 			if _, got := sim.responses(req); test.zone == "-" && got != test.response {
-				t.Errorf("response %q, want %q", got, test.response)
+				t.Errorf("got response %q, want %q", got, test.response)
 			}
 		})
 	}
 }
 
-// A retry of a request that is idempotent with a key, and whose earlier attempt may have run, must be sent
-// while the endpoints remember the key. Other attempts may be sent until the client gives up.
+// Once an attempt of a request with an idempotency key may have run, a retry must be sent while endpoints remember the
+// key. A connection that is established later would let the request run twice. Other attempts have no SendBy.
 func TestKeyedRetryHasSendBy(t *testing.T) {
 	for _, test := range []struct {
 		class ClassName
-		ends  []Outcome // of the attempts before
-		want  Millis    // after the first attempt; 0: no bound
+		ends  []Outcome // outcomes of the earlier attempts
+		want  Millis    // time after the first attempt; 0: no SendBy
 	}{
 		{"mark", nil, 0},
 		{"mark", []Outcome{Unreachable}, 0},
 		{"mark", []Outcome{ConnectionBroken}, 990},
 		{"mark", []Outcome{ConnectionBroken, ConnectionBroken}, 990},
-		{"mark", []Outcome{Unreachable, ConnectionBroken}, 1010}, // the second was sent 20 ms later
+		{"mark", []Outcome{Unreachable, ConnectionBroken}, 1010}, // the second attempt started 20 ms later
 		{"read", []Outcome{ConnectionBroken}, 0},
 		{"pay", []Outcome{EndpointRejected}, 0},
 	} {
 		t.Run(fmt.Sprint(test.class, test.ends), func(t *testing.T) {
 			sim := start(t, StageUpdate{Build: 8, Phase: Released, Stage: 2, ExposureCap: 1}, nil)
 			req, _ := sim.request(test.class, "")
-			began := sim.now
+			startedAt := sim.now
 			for i, outcome := range test.ends {
 				sim.now += 20
 				sim.endAttempt(req, i, outcome, 20)
 			}
 			if sim.attemptedAt(req, len(test.ends)) == "" {
-				t.Fatal("no retry")
+				t.Fatal("got no retry, want one")
 			}
 			last := sim.actions[len(sim.actions)-1].(StartAttempt)
-			if want := test.want; want > 0 && last.SendBy != began+want || want == 0 && last.SendBy != 0 {
-				t.Errorf("SendBy %g, want %g after the first attempt", last.SendBy-began, want)
+			if want := test.want; want > 0 && last.SendBy != startedAt+want || want == 0 && last.SendBy != 0 {
+				t.Errorf("got SendBy %g ms after the first attempt, want %g", last.SendBy-startedAt, want)
 			}
 		})
 	}
 }
 
-// In guarded stages only idempotent requests go to the candidate.
+// In guarded stages, only idempotent requests go to the candidate.
 func TestGuardedStageTakesOnlyIdempotentRequests(t *testing.T) {
 	for _, test := range []struct {
-		stage int
-		class ClassName
-		may   bool
+		stage   int
+		class   ClassName
+		allowed bool
 	}{
 		{0, "read", true},
 		{0, "mark", false},
@@ -100,8 +100,8 @@
 	} {
 		sim := start(t, trialUpdate(test.stage, 1), func(s *Settings) { s.GuardedStages = 1 })
 		sim.replaceEndpoints(newEndpoint("a2", 8))
-		if _, to := sim.request(test.class, ""); (to != "") != test.may {
-			t.Errorf("stage %d %s: sent to %q", test.stage, test.class, to)
+		if _, to := sim.request(test.class, ""); (to != "") != test.allowed {
+			t.Errorf("stage %d, class %s: got attempt at %q, want it only where the stage allows", test.stage, test.class, to)
 		}
 	}
 }
--- a/decision/balancer_test.go
+++ b/decision/balancer_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The same settings, seed and events lead to the same actions.
+// Two balancers with the same settings, seed and events return the same actions.
 func TestSameInputsGiveSameActions(t *testing.T) {
 	run := func() string {
 		sim := start(t, trialUpdate(1, 0.5), nil)
@@ -20,6 +20,6 @@
 	}
 	first, second := run(), run()
 	if first != second {
-		t.Error("two runs differ")
+		t.Error("got different actions in two runs, want the same")
 	}
 }
--- a/decision/comparison_test.go
+++ b/decision/comparison_test.go
@@ -7,9 +7,9 @@
 	"ottershed/internal/stats"
 )
 
-// A single group that was fast by chance does not make a build look slow.
+// Outcomes are slower only if they are slower than both baseline groups: a single baseline group may be fast by chance.
 func TestSlowerNeedsBothBaselineGroups(t *testing.T) {
-	twenty := func(v float64) (out []float64) {
+	fullGroup := func(v float64) (out []float64) {
 		for i := range groupSize {
 			out = append(out, v+float64(i)/100)
 		}
@@ -25,13 +25,13 @@
 		{1, 1, 1.1, false},
 		{1, 1, 0.5, false},
 		{1, 1, math.Inf(1), false},
-	} { // failures are counted by endpoint
-		g := &comparison{baseline: stats.Groups{Before: twenty(test.older), Last: twenty(test.baseline)}}
-		if got := g.slower(twenty(test.got), 1); got != test.want {
-			t.Errorf("%+v: %v", test, got)
+	} { // a group whose median is a failure is not slower
+		groups := &comparison{baseline: stats.Groups{Before: fullGroup(test.older), Last: fullGroup(test.baseline)}}
+		if got := groups.slower(fullGroup(test.got), 1); got != test.want {
+			t.Errorf("%+v: got slower %v", test, got)
 		}
 	}
-	if g := (&comparison{baseline: stats.Groups{Last: twenty(1)}}); g.slower(twenty(2), 1) {
-		t.Error("slower than a single group")
+	if groups := (&comparison{baseline: stats.Groups{Last: fullGroup(1)}}); groups.slower(fullGroup(2), 1) {
+		t.Error("with a single baseline group: got slower, want not slower")
 	}
 }
--- a/decision/controllercounts_test.go
+++ b/decision/controllercounts_test.go
@@ -6,20 +6,21 @@
 	"testing"
 )
 
-// The rollout controller's counts stand in for outcomes: equal builds advance, a failing or slow one is
-// rolled back. Requests that endpoints do not respond to under both builds are no reason.
+// The rollout controller's counts lead to votes as an instance's own outcomes do: equal builds advance, and a failing
+// or slow build is rolled back. Failed requests without error responses of endpoints are no evidence: they may have
+// been rejected.
 func TestControllerCountsDecideVote(t *testing.T) {
 	for _, test := range []struct {
 		name                            string
-		baselineFailed, candidateFailed int // of 40
+		baselineFailed, candidateFailed int // of 40 responses
 		candidateMean                   Millis
-		errors                          bool
-		want                            string
+		errors                          bool   // the instance's own unsuccessful attempts have error responses
+		want                            string // first vote
 	}{
 		{"alike", 0, 0, 50, true, "1"},
 		{"failing", 0, 20, 50, true, "3"},
-		{"no response, of both", 20, 20, 50, false, "1"},
-		{"no response, more of the candidate", 10, 20, 50, false, "1"},
+		{"without error responses, both builds", 20, 20, 50, false, "1"},
+		{"without error responses, more at the candidate", 10, 20, 50, false, "1"},
 		{"slow", 0, 0, 150, true, "3"},
 	} {
 		sim := start(t, releasedUpdate(7), func(s *Settings) { s.CountInterval = 500 })
@@ -45,7 +46,7 @@
 		}
 		got := strings.TrimLeft(sim.votes(), "0")
 		if !strings.HasPrefix(got, test.want) || test.want == "" && got != "" {
-			t.Errorf("%s: votes %q, want %q", test.name, got, test.want)
+			t.Errorf("%s: got votes %q, want %q first", test.name, got, test.want)
 		}
 	}
 }
--- a/decision/crosszone_test.go
+++ b/decision/crosszone_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-// Where the endpoints of one zone are overloaded, an instance with little traffic sees too few outcomes of
-// each to notice that the other zone is not. Outcomes by zone move requests over: half of them at most, and
-// none to a zone that is slow itself, fails, or is quicker by less than the price of crossing.
+// If the endpoints of the home zone are overloaded, an instance with little traffic has too few outcomes of each
+// endpoint to detect free capacity in the other zone. By the response times of whole zones, it sends up to half of its
+// requests to the other zone. It sends none if the other zone is slow or unreachable, or faster by less than
+// CrossZonePrice.
 func TestOverloadedZoneSendsRequestsAcross(t *testing.T) {
 	const zoneSize, requests = 30, 400
 	succeeds := func(after Millis) func() (Outcome, Millis) {
@@ -18,12 +19,12 @@
 	const half = maxCrossZoneShare + (1-maxCrossZoneShare)/2
 	for _, test := range []struct {
 		name        string
-		home, away  func() (Outcome, Millis)
+		home, other func() (Outcome, Millis)
 		price       float64
-		least, most float64 // share of the requests that cross
+		least, most float64 // share of requests in the other zone
 	}{
 		{"home overloaded", succeeds(400), succeeds(60), 0.02, 0.25, half},
-		{"both quick", succeeds(60), succeeds(60), 0.02, 0, 0.1},
+		{"both fast", succeeds(60), succeeds(60), 0.02, 0, 0.1},
 		{"both overloaded", succeeds(400), succeeds(400), 0.02, 0, 0.2},
 		{"home overloaded, high price", succeeds(400), succeeds(60), 0.5, 0, 0.1},
 		{"home overloaded, other zone unreachable", succeeds(400), unreachable, 0.02, 0, 0.15},
@@ -44,34 +45,35 @@
 			for i := range requests {
 				req, to := sim.request("read", "")
 				sim.advance(300)
-				end := test.home
+				draw := test.home
 				if strings.HasPrefix(string(to), "b") {
-					end = test.away
-					if i >= requests/2 { // by then it has enough outcomes
+					draw = test.other
+					if i >= requests/2 { // the instance has enough outcomes by then
 						crossed++
 					}
 				}
-				outcome, after := end()
+				outcome, after := draw()
 				sim.endAttempt(req, 0, outcome, after)
 				if retried := sim.attemptedAt(req, 1); retried != "" {
 					sim.endAttempt(req, 1, Succeeded, after)
 				}
 			}
 			if share := float64(crossed) / (requests / 2); share < test.least || share > test.most {
-				t.Errorf("a share of %.3f crosses, want %.2f to %.2f", share, test.least, test.most)
+				t.Errorf("share of requests in the other zone: got %.3f, want %.2f to %.2f", share, test.least, test.most)
 			}
 			if sim.balancer.crossZone.share > maxCrossZoneShare {
-				t.Errorf("crossing %v", sim.balancer.crossZone.share)
+				t.Errorf("cross-zone share: got %v, want at most maxCrossZoneShare", sim.balancer.crossZone.share)
 			}
 		})
 	}
 }
 
-// An instance that knows the response times of each endpoint chooses by these. Moving requests by zone as
-// well would give the builds different shares of the zones, and make a good candidate look slow.
+// An instance with many responses of each endpoint selects by these, and its cross-zone share stays low. A high share
+// would distribute the requests of both builds over the zones in different proportions, and make a good candidate look
+// slow.
 func TestKnownEndpointsKeepCrossZoneShareLow(t *testing.T) {
 	for name, test := range map[string]struct {
-		rate        float64 // responses a ms of each endpoint
+		rate        float64 // responses per ms and endpoint
 		least, most float64
 	}{
 		"few responses of each endpoint":  {0.00001, 0.3, maxCrossZoneShare},
@@ -84,7 +86,7 @@
 				sim.balancer.tick()
 			}
 			if sim.balancer.crossZone.share < test.least || sim.balancer.crossZone.share > test.most {
-				t.Errorf("crossing %.3f, want %v to %v", sim.balancer.crossZone.share, test.least, test.most)
+				t.Errorf("cross-zone share: got %.3f, want %v to %v", sim.balancer.crossZone.share, test.least, test.most)
 			}
 		})
 	}
--- a/decision/endpoints_test.go
+++ b/decision/endpoints_test.go
@@ -4,13 +4,13 @@
 	"testing"
 )
 
-// No request goes to an endpoint that is draining, removed or missing from a snapshot, from that event on.
+// Once an endpoint is draining, removed or missing from a full snapshot, no more requests are sent to it.
 func TestUnavailableEndpointGetsNoRequests(t *testing.T) {
 	draining := newEndpoint("a1", 7)
 	draining.State = Draining
 	removed := newEndpoint("a1", 7)
 	removed.State = Removed
-	for name, e := range map[string]EndpointsChanged{
+	for name, update := range map[string]EndpointsChanged{
 		"draining": {Kind: Delta, Endpoints: []Endpoint{draining}},
 		"removed":  {Kind: Delta, Endpoints: []Endpoint{removed}},
 		"missing": {Kind: FullSnapshot, Endpoints: []Endpoint{
@@ -18,10 +18,10 @@
 		}},
 	} {
 		sim := start(t, releasedUpdate(8), nil)
-		sim.handle(e)
+		sim.handle(update)
 		for range 100 {
 			if req, to := sim.request("read", ""); to == "a1" {
-				t.Fatalf("%s: request sent there", name)
+				t.Fatalf("%s: got a request at the endpoint, want none", name)
 			} else if to != "" {
 				sim.endAttempt(req, 0, Succeeded, 20)
 			}
--- a/decision/evidence_test.go
+++ b/decision/evidence_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Evidence that another instance acquires counts there as if observed there, once. An instance whose
-// evidence was acquired starts without any.
+// Evidence that an instance acquires counts as its own outcomes do. An instance whose evidence was acquired by another
+// one discards it, so that the outcomes do not count twice.
 func TestAcquiredEvidenceCountsAsOwn(t *testing.T) {
 	slow := func(i int) (Outcome, Millis) { return Succeeded, Millis(50 + i*7%13) }
 	fails := func(i int) (Outcome, Millis) {
@@ -16,34 +16,34 @@
 		return Succeeded, Millis(20 + i*7%13)
 	}
 	for name, candidate := range map[string]func(int) (Outcome, Millis){"slow": slow, "failing": fails} {
-		dead := startWithOutcomes(t, nil, candidate)
-		evidence, found := dead.balancer.Evidence()
+		terminated := startWithOutcomes(t, nil, candidate)
+		evidence, found := terminated.balancer.Evidence()
 		if !found || evidence.Build != 8 || evidence.Stage != 1 {
-			t.Fatalf("%s: %+v", name, evidence)
+			t.Fatalf("%s: got evidence %+v, want some for build 8, stage 1", name, evidence)
 		}
 		successor := startWithOutcomes(t, nil, nil)
 		for _, test := range []struct {
-			why    string
+			name   string
 			change func(*Evidence)
 			want   bool
-		}{{"of another build", func(e *Evidence) { e.Build++ }, false}, {"as it was", func(*Evidence) {}, true}} {
+		}{{"for another build", func(e *Evidence) { e.Build++ }, false}, {"as recorded", func(*Evidence) {}, true}} {
 			other := evidence
 			test.change(&other)
 			successor.handle(EvidenceAcquired{other})
 			successor.advance(successor.balancer.settings.VoteTTL)
-			if back := strings.Contains(successor.votes(), "3"); back != test.want {
-				t.Errorf("%s, %s: votes %q", name, test.why, successor.votes())
+			if rollback := strings.Contains(successor.votes(), "3"); rollback != test.want {
+				t.Errorf("%s, %s: got votes %q, want one to roll back only for the same build", name, test.name, successor.votes())
 			}
 		}
-		dead.handle(EvidenceRevoked{})
-		evidence, _ = dead.balancer.Evidence()
-		vote := dead.balancer.voting.vote
+		terminated.handle(EvidenceRevoked{})
+		evidence, _ = terminated.balancer.Evidence()
+		vote := terminated.balancer.voting.vote
 		if len(evidence.Counts) > 0 || len(evidence.Classes[0].Candidate) > 0 || vote.Verdict != VoteNone {
-			t.Errorf("%s: revoked, it still has %+v", name, evidence)
+			t.Errorf("%s: after revocation, got evidence %+v, want none", name, evidence)
 		}
 	}
 	sim := start(t, releasedUpdate(8), nil)
 	if _, found := sim.balancer.Evidence(); found {
-		t.Error("evidence of a build that is released")
+		t.Error("got evidence on a released build, want none")
 	}
 }
--- a/decision/exposure_test.go
+++ b/decision/exposure_test.go
@@ -4,17 +4,17 @@
 	"testing"
 )
 
-// In every window of time, attempts at the candidate are at most the free attempts and the exposure limit
-// times the requests. This holds for windows that begin between two requests too.
+// In every time window, the attempts at the candidate number at most FreeAttempts plus the exposure cap times the
+// received requests, also in windows that begin between two requests.
 func TestExposureCapHoldsInEveryWindow(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		update StageUpdate
-		cap    float64 // that binds
+		cap    float64 // exposure cap in effect
 	}{
 		{"first stage", trialUpdate(0, 0.1), 0.1},
 		{"middle", trialUpdate(1, 0.5), 0.5},
-		{"awkward share", trialUpdate(1, 0.84), 0.84},
+		{"uneven share", trialUpdate(1, 0.84), 0.84},
 		{"last", trialUpdate(2, 1), 1},
 		{"no stage update yet", StageUpdate{}, 0.1},
 		{"unannounced", StageUpdate{Build: 7, Phase: Released, Stage: 2, ExposureCap: 1}, 0.1},
@@ -29,20 +29,21 @@
 					from, to := attempts[i], attempts[j]
 					count := countBetween(requests, from, to)
 					if float64(j-i+1) > 1+test.cap*float64(count)+1e-9 {
-						t.Fatalf("%d attempts for %d requests from %v to %v", j-i+1, count, from, to)
+						t.Fatalf("got %d attempts for %d requests from %v to %v, want at most 1 + cap x requests", j-i+1,
+							count, from, to)
 					}
 				}
 			}
 			if test.cap == 0 && len(attempts) > 0 ||
 				test.cap > 0 && len(attempts) < int(250*test.cap*test.cap) {
-				t.Errorf("%d attempts", len(attempts))
+				t.Errorf("got %d attempts, want none without and enough with exposure", len(attempts))
 			}
 		})
 	}
 }
 
-// exposureOf sends requests, some at the same time and some followed by a timer, and returns the times of
-// these and of the attempts, which succeed at once.
+// exposureOf sends requests, some at the same time and some followed by a timer. It returns the times of the requests
+// and of their attempts, which succeed at once.
 func exposureOf(sim *harness) (requests, attempts []Millis) {
 	for i := range 300 {
 		sim.now += []Millis{0, 0, 3, 40, 0, 7}[i%6]
@@ -66,6 +67,7 @@
 	return requests, attempts
 }
 
+// countBetween returns the number of times in a closed interval.
 func countBetween(times []Millis, from, to Millis) (count int) {
 	for _, at := range times {
 		if at >= from && at <= to {
@@ -75,7 +77,7 @@
 	return count
 }
 
-// Where the exposure limit holds for each class, an attempt of one class leaves the tokens of the others.
+// With ExposurePerClass, an attempt of one class takes no token from the other classes.
 func TestExposureCapAppliesPerClass(t *testing.T) {
 	for _, perClass := range []bool{false, true} {
 		sim := start(t, trialUpdate(0, 0.1), func(s *Settings) { s.ExposurePerClass = perClass })
@@ -83,12 +85,12 @@
 		req, first := sim.request("read", "")
 		sim.endAttempt(req, 0, Succeeded, 20)
 		if _, second := sim.request("pay", ""); first != "a2" || (second == "a2") != perClass {
-			t.Errorf("per class %v: %q then %q", perClass, first, second)
+			t.Errorf("per class %v: got attempts at %q and %q, want the second one only per class", perClass, first, second)
 		}
 	}
 }
 
-// The share that operators withhold from candidates lowers the exposure limit.
+// WithheldShare lowers the exposure cap of the candidate.
 func TestWithheldShareLowersExposure(t *testing.T) {
 	for _, test := range []struct {
 		share       float64
@@ -105,7 +107,7 @@
 			sim.endAttempt(req, 0, Succeeded, 20)
 		}
 		if n < test.least || n > test.most {
-			t.Errorf("withheld %g: %d of 200 requests went to the candidate", test.share, n)
+			t.Errorf("withheld share %g: got %d of 200 requests at the candidate", test.share, n)
 		}
 	}
 }
--- a/decision/failures_test.go
+++ b/decision/failures_test.go
@@ -7,11 +7,11 @@
 	"ottershed/internal/stats"
 )
 
-// Failures at one of several candidate endpoints are a fault of that endpoint, not of the build.
+// Failures at only one of several candidate endpoints are attributed to that endpoint, not to the build.
 func TestOneFailingEndpointIsNoEvidence(t *testing.T) {
 	for _, test := range []struct {
-		bad  []float64 // failures among 30 outcomes, by candidate endpoint
-		back bool
+		bad   []float64 // failures among 30 outcomes, by candidate endpoint
+		proof bool      // the failures prove a bad build
 	}{
 		{[]float64{20, 0}, false},
 		{[]float64{10, 10}, true},
@@ -29,24 +29,24 @@
 			outcomes := &sim.balancer.endpoints.byID[list[i].ID].outcomes[0]
 			outcomes.Good, outcomes.Bad = 30-bad, bad
 		}
-		for _, left := range []bool{false, true} { // of the baseline's endpoints, the last one
-			if left {
+		for _, removed := range []bool{false, true} { // the baseline's endpoint was removed
+			if removed {
 				sim.replaceEndpoints(list...)
 			}
-			if found := sim.balancer.failureEvidence(); (found.strength >= 1) != test.back {
-				t.Errorf("%v, left %v: statistic %v", test.bad, left, found.strength)
+			if found := sim.balancer.failureEvidence(); (found.strength >= 1) != test.proof {
+				t.Errorf("failures %v, baseline removed %v: got strength %v", test.bad, removed, found.strength)
 			}
 		}
 	}
 }
 
-// A single candidate endpoint that fails proves nothing while an endpoint of the baseline fails alike, nor
-// while it is the only one of several that has outcomes.
+// A single failing candidate endpoint is no evidence if a baseline endpoint fails at a similar rate, or if other
+// candidate endpoints have no outcomes yet.
 func TestSingleCandidateEndpointFails(t *testing.T) {
 	for _, test := range []struct {
 		baseline float64 // failures among 30 outcomes of one of two endpoints
 		others   int     // candidate endpoints without outcomes
-		back     bool
+		proof    bool
 	}{{0, 0, true}, {1, 0, true}, {25, 0, false}, {0, 3, false}} {
 		sim := start(t, trialUpdate(0, 0.1), nil)
 		list := []Endpoint{newEndpoint("a1", 7), newEndpoint("b1", 7), newEndpoint("a2", 8)}
@@ -57,23 +57,23 @@
 		for id, bad := range map[EndpointID]float64{"a1": test.baseline, "b1": 0, "a2": 25} {
 			sim.balancer.endpoints.byID[id].outcomes[0] = stats.Count{Good: 30 - bad, Bad: bad}
 		}
-		if found := sim.balancer.failureEvidence(); (found.strength >= 1) != test.back {
-			t.Errorf("baseline fails %v times, %d others: statistic %v", test.baseline, test.others, found.strength)
+		if found := sim.balancer.failureEvidence(); (found.strength >= 1) != test.proof {
+			t.Errorf("%v baseline failures, %d other endpoints: got strength %v", test.baseline, test.others, found.strength)
 		}
 	}
 }
 
-// An instance with little traffic has one outcome of most endpoints. Leaving out the endpoints with most
-// failures must not remove all failures that it has seen.
+// An instance with little traffic has one outcome from most endpoints. The exclusion of the endpoints with most
+// failures must not remove every failure.
 func TestFailuresAcrossEndpointsAreEvidence(t *testing.T) {
 	for _, test := range []struct {
-		bad  [8]float64 // failures, by candidate endpoint
-		each float64    // outcomes of each endpoint
-		back bool
+		bad   [8]float64 // failures, by candidate endpoint
+		each  float64    // outcomes of each endpoint
+		proof bool
 	}{
 		{[8]float64{1, 1, 1}, 1, true},
 		{[8]float64{1}, 1, false},
-		{[8]float64{20}, 20, false}, // only one endpoint fails
+		{[8]float64{20}, 20, false}, // a fault of one endpoint
 		{[8]float64{6, 7, 6, 8, 6, 7, 6, 7}, 20, true},
 	} {
 		sim := start(t, trialUpdate(0, 0.1), func(s *Settings) { s.Instances, s.RollbackQuorum = 20, 2 })
@@ -88,8 +88,8 @@
 			candidate := sim.balancer.endpoints.byID[endpoints[i+1].ID]
 			candidate.outcomes[overall.index] = stats.Count{Good: test.each - bad, Bad: bad}
 		}
-		if found := sim.balancer.failureEvidence(); (found.strength >= 1) != test.back {
-			t.Errorf("%v of %v: statistic %v", test.bad, test.each, found.strength)
+		if found := sim.balancer.failureEvidence(); (found.strength >= 1) != test.proof {
+			t.Errorf("failures %v of %v outcomes each: got strength %v", test.bad, test.each, found.strength)
 		}
 	}
 }
--- a/decision/fleetslowdown_test.go
+++ b/decision/fleetslowdown_test.go
@@ -8,8 +8,8 @@
 	"ottershed/internal/stats"
 )
 
-// Compared with the time before the trial, a group counts for each slow ratio by which it is slower, at
-// most four times. A group that is not slower resets the count.
+// A group counts as one rejection for each factor of slowRatio by which it is slower than before the trial, at most as
+// four. A group that is not slower resets the count.
 func TestFleetSlowdownCountsByRatio(t *testing.T) {
 	sim := start(t, releasedUpdate(7), nil)
 	for i := range 2 * groupSize {
@@ -17,35 +17,36 @@
 	}
 	sim.balancer.classes.overall.baselineLatency.Add(100, latencySamples)
 	sim.handle(trialUpdate(1, 0.5))
-	b := sim.balancer.classes.overall.slowdown
+	slowdown := sim.balancer.classes.overall.slowdown
 	for _, test := range []struct {
 		times float64
 		want  int
 	}{{1.3, 0}, {1.6, 2}, {2, 5}, {4, 9}, {math.Inf(1), 9}, {1, 0}, {1000, 4}} {
 		for i := range groupSize {
-			sim.balancer.compareBeforeTrial(b, test.times*(100+float64(i)), 1)
+			sim.balancer.compareBeforeTrial(slowdown, test.times*(100+float64(i)), 1)
 		}
-		if b.rejections != test.want {
-			t.Errorf("%g times slower: count %d, want %d", test.times, b.rejections, test.want)
+		if slowdown.rejections != test.want {
+			t.Errorf("%g times slower: got %d rejections, want %d", test.times, slowdown.rejections, test.want)
 		}
 	}
 }
 
-// A burst of first requests, as from clients of instances that are down, is not the candidate's doing, nor
-// is anything while no endpoint runs it. Clients that repeat requests because it is slow are.
+// A slowdown is not attributed to the candidate during a burst of new requests, for example from the clients of failed
+// instances, or if it began before an endpoint ran the candidate. Requests that clients send again do not explain it,
+// because clients also do that when the candidate is slow.
 func TestFleetSlowdownIgnoresOtherCauses(t *testing.T) {
 	for _, test := range []struct {
 		name            string
-		first, repeated int // requests in excess
-		none, rejects   bool
-		early           float64 // response time before an endpoint ran it; 0: no outcomes
+		first, repeated int     // additional requests, new and sent before
+		none, rejects   bool    // no endpoint runs the candidate; a rejection is expected
+		early           float64 // response time before an endpoint runs the candidate; 0: no outcomes
 	}{
-		{"as many requests", 0, 0, false, true, 0},
-		{"a burst", 400, 0, false, false, 0},
-		{"clients that repeat requests", 0, 400, false, true, 0},
-		{"no endpoint runs it", 0, 0, true, false, 0},
-		{"slow before an endpoint ran it", 0, 0, false, false, 2},
-		{"slow since endpoints run it", 0, 0, false, true, 1.1},
+		{"unchanged arrival rate", 0, 0, false, true, 0},
+		{"burst of new requests", 400, 0, false, false, 0},
+		{"requests sent again by clients", 0, 400, false, true, 0},
+		{"no endpoint runs the candidate", 0, 0, true, false, 0},
+		{"slow before an endpoint runs the candidate", 0, 0, false, false, 2},
+		{"slow since endpoints run the candidate", 0, 0, false, true, 1.1},
 	} {
 		sim := start(t, releasedUpdate(7), manyInstances)
 		sim.balancer.trial.arrivalRate = 0.02
@@ -73,13 +74,13 @@
 			sim.balancer.compareBeforeTrial(sim.balancer.classes.overall.slowdown, 3, 1)
 		}
 		if got := sim.balancer.classes.overall.slowdown.rejections > 0; got != test.rejects {
-			t.Errorf("%s: rejected %v", test.name, got)
+			t.Errorf("%s: got rejected %v, want the opposite", test.name, got)
 		}
 	}
 }
 
-// Slowness of all endpoints must last: eight groups in a row show that, or one group that took 4 s or more
-// to fill, as at an instance with little traffic.
+// A slowdown of all endpoints must last before it is evidence, for eight consecutive groups or for one group that took
+// at least 4 s to fill, as at an instance with little traffic.
 func TestFleetSlowdownMustLast(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -91,7 +92,7 @@
 		{"in half a second", 500, 3, false},
 		{"in four seconds", 4000, 3, true},
 		{"in a minute", 60000, 3, true},
-		{"in four seconds, a little slower", 4000, 1.3, false},
+		{"in four seconds, slightly slower", 4000, 1.3, false},
 	} {
 		sim := start(t, releasedUpdate(7), manyInstances)
 		overall := sim.balancer.classes.overall
@@ -108,7 +109,7 @@
 		}
 		rejections := overall.slowdown.rejections
 		if got := rejections >= slowdownGroups*overall.rejectionsNeeded; got != test.proof {
-			t.Errorf("%s: %d rejections, proof %v", test.name, rejections, got)
+			t.Errorf("%s: got %d rejections, proof %v, want the opposite", test.name, rejections, got)
 		}
 	}
 }
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// The one request that probes an ejected endpoint stays there until it has its response. Migrated at once,
-// it would never end an ejection.
+// The request that tests an endpoint after its ejection time is not migrated at once. Otherwise the endpoint could
+// never respond, and its ejection would not end.
 func TestProbeOfEjectedEndpointIsNotMigrated(t *testing.T) {
 	sim := start(t, releasedUpdate(8), nil)
 	sim.replaceEndpoints(newEndpoint("a2", 8))
@@ -15,17 +15,17 @@
 	sim.advance(60)
 	sim.endAttempt(req, 0, Succeeded, 60)
 	if to != "a2" || sim.balancer.endpoints.byID["a2"].ejections != 0 {
-		t.Errorf("sent to %q, ejections %d", to, sim.balancer.endpoints.byID["a2"].ejections)
+		t.Errorf("got attempt at %q and %d ejections, want a2 and 0", to, sim.balancer.endpoints.byID["a2"].ejections)
 	}
 	for _, a := range sim.actions {
 		if _, ok := a.(Cancel); ok {
-			t.Error("canceled")
+			t.Error("got a Cancel, want none")
 		}
 	}
 }
 
-// While endpoints refuse connections at once, idle ones are closed, so that other instances find a free
-// one. A handshake that times out is no refusal, and closing connections would lead to more handshakes.
+// While endpoints refuse connections at once, idle connections are closed, so that other instances can connect. A
+// handshake that times out is no refusal, and closing connections would only cause more handshakes.
 func TestRefusedConnectionsCloseIdleOnes(t *testing.T) {
 	for _, test := range []struct {
 		after  Millis // duration of the attempt
@@ -47,12 +47,12 @@
 			}
 		}
 		if (closed > 0) != test.closes {
-			t.Errorf("unreachable after %v: %d closed", test.after, closed)
+			t.Errorf("unreachable after %v ms: got %d CloseIdle, want some only for refusals at once", test.after, closed)
 		}
 	}
 }
 
-// A malformed response does not eject its endpoint, and its request is retried only where it may run twice.
+// A malformed response does not eject the endpoint. The request is retried only if it may run twice.
 func TestMalformedResponseEjectsNoEndpoint(t *testing.T) {
 	for _, test := range []struct {
 		class    ClassName
@@ -64,20 +64,20 @@
 		sim.endAttempt(req, 0, MalformedResponse, 50)
 		_, last := sim.responses(req)
 		if last != test.last || (sim.attemptedAt(req, 1) != "") != (test.attempts == 2) {
-			t.Errorf("%s: response %q, then sent to %q", test.class, last, sim.attemptedAt(req, 1))
+			t.Errorf("%s: got response %q and retry at %q", test.class, last, sim.attemptedAt(req, 1))
 		}
 		endpoint := sim.balancer.endpoints.byID[id]
 		ejected := endpoint.ejections != 0 || endpoint.ejectedUntil > sim.now
 		weight := sim.balancer.slowStartWeight(endpoint)
 		if ejected || sim.balancer.outliers.lastFaultAt == sim.now || weight < 1 {
-			t.Errorf("%s: ejections %d, ejected for %v, slow-start weight %v", test.class, endpoint.ejections,
-				endpoint.ejectedUntil-sim.now, weight)
+			t.Errorf("%s: got %d ejections, ejected for %v ms, slow start weight %v, want 0, 0 and 1", test.class,
+				endpoint.ejections, endpoint.ejectedUntil-sim.now, weight)
 		}
 	}
 }
 
-// Where connections break at all endpoints alike, a break or two eject none of them. Where none did, the
-// first one does. A connection that is not established in time always does.
+// If connections break at all endpoints, one or two broken connections do not eject an endpoint. If none broke before,
+// the first broken connection does. A connection that is not established in time always ejects the endpoint.
 func TestBrokenConnectionsEject(t *testing.T) {
 	broken := AttemptEnded{Outcome: ConnectionBroken}
 	refused := AttemptEnded{Outcome: Unreachable}
@@ -87,11 +87,11 @@
 		outcomes []AttemptEnded
 		ejected  bool
 	}{
-		"the first break":         {0, []AttemptEnded{broken}, true},
-		"breaks are usual":        {0.1, []AttemptEnded{broken, broken}, false},
-		"many in a row":           {0.1, []AttemptEnded{broken, refused, refused, refused, refused}, true},
-		"with a response between": {0.1, []AttemptEnded{broken, broken, failed, broken, broken}, false},
-		"never established":       {0.1, []AttemptEnded{{Outcome: Unreachable, After: 250}}, true},
+		"first broken connection":       {0, []AttemptEnded{broken}, true},
+		"broken connections are common": {0.1, []AttemptEnded{broken, broken}, false},
+		"many consecutive failures":     {0.1, []AttemptEnded{broken, refused, refused, refused, refused}, true},
+		"with a response in between":    {0.1, []AttemptEnded{broken, broken, failed, broken, broken}, false},
+		"connection not established":    {0.1, []AttemptEnded{{Outcome: Unreachable, After: 250}}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			sim := start(t, releasedUpdate(8), nil)
@@ -101,7 +101,7 @@
 				sim.balancer.observeEndpoint(endpoint, e)
 			}
 			if endpoint.ejections > 0 != test.ejected {
-				t.Errorf("ejected %d times", endpoint.ejections)
+				t.Errorf("got %d ejections", endpoint.ejections)
 			}
 		})
 	}
--- a/decision/polling_test.go
+++ b/decision/polling_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// After each rejection the next poll waits longer, with jitter, up to the bound of the settings.
+// After each rejection, the wait for the next poll grows, with jitter, up to PollWithin.
 func TestRejectedPollsBackOff(t *testing.T) {
 	sim := start(t, StageUpdate{}, func(s *Settings) { s.PollEndpoints, s.PollWithin = true, 8000 })
 	var waits []Millis
-	sim.advance(8000) // the first poll was sent
+	sim.advance(8000) // the first poll has been sent
 	sim.handle(EndpointsChanged{Kind: Delta})
 	sim.balancer.polling.lastAt = sim.now
 	for range 9 {
@@ -19,19 +19,20 @@
 		for len(sim.actions) == 0 || sim.actions[len(sim.actions)-1] != (WatchEndpoints{On: true}) {
 			sim.advance(sim.balancer.tickInterval)
 			if sim.now > rejectedAt+20000 {
-				t.Fatal("never polled again")
+				t.Fatal("got no poll within 20 s after a rejection, want one")
 			}
 		}
 		waits = append(waits, sim.now-rejectedAt)
 	}
 	bounded := waits[8] >= 4000 && waits[8] <= 8000+sim.balancer.tickInterval
 	if waits[0] < 100 || waits[3] < 2*waits[0] || !bounded || math.Abs(waits[8]-waits[7]) < 1e-9 {
-		t.Errorf("waits of %.0f ms", waits)
+		t.Errorf("got waits of %.0f ms, want them to double up to 4 to 8 s, with jitter", waits)
 	}
-	sim.handle(EndpointsChanged{Kind: Delta}) // the poll was accepted
+	sim.handle(EndpointsChanged{Kind: Delta}) // the poll was not rejected
 	rejectedAt := sim.now
 	sim.handle(EndpointsChanged{Kind: PollRejected})
 	if sim.balancer.polling.nextAt-rejectedAt > waits[8] {
-		t.Errorf("waits %.0f ms after a poll that was accepted", sim.balancer.polling.nextAt-rejectedAt)
+		t.Errorf("got a wait of %.0f ms after a successful poll, want the backoff reset",
+			sim.balancer.polling.nextAt-rejectedAt)
 	}
 }
--- a/decision/proof_test.go
+++ b/decision/proof_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// How much evidence one instance needs follows from the number of instances and the votes that decide.
+// The evidence that one instance requires follows from the number of instances and the quorum.
 func TestThresholdsFollowQuorums(t *testing.T) {
-	for _, test := range []struct{ instances, back, rejections int }{
+	for _, test := range []struct{ instances, quorum, rejections int }{
 		{3, 1, 2},
 		{5, 1, 2},
 		{60, 1, 3},
@@ -14,18 +14,18 @@
 		{200, 16, 1},
 	} {
 		sim := start(t, trialUpdate(0, 0.1), func(s *Settings) {
-			s.Instances, s.RollbackQuorum = test.instances, test.back
+			s.Instances, s.RollbackQuorum = test.instances, test.quorum
 		})
 		rejections, statistic := sim.balancer.classes.overall.rejectionsNeeded, sim.balancer.thresholds.statistic
 		oneDecides := statistic > 1.9*rejectStatistic
-		if rejections != test.rejections || statistic < rejectStatistic || (test.back == 1) != oneDecides {
-			t.Errorf("%+v: %d rejections, statistic %v", test, rejections, statistic)
+		if rejections != test.rejections || statistic < rejectStatistic || (test.quorum == 1) != oneDecides {
+			t.Errorf("%+v: got %d rejections and statistic %v", test, rejections, statistic)
 		}
 	}
 }
 
-// Where one of hundreds of instances can hold the rollout, a single chance rejection must not: the number
-// of rejections in a row follows from the share of the instances that hold.
+// If one of hundreds of instances can hold the clock, one rejection by chance must not hold it. The number of required
+// consecutive rejections follows from HoldQuorum as a share of the instances.
 func TestHoldNeedsRejectionsByQuorum(t *testing.T) {
 	for _, test := range []struct{ instances, hold, rejects int }{
 		{3, 1, 2},
@@ -43,9 +43,9 @@
 				s.HoldQuorum, s.RollbackQuorum = test.hold, test.instances
 			})
 			sim.balancer.classes.ordered[0].rejections = rejects
-			sim.balancer.outliers.lastFaultAt = sim.balancer.now // no rollback during a fault
+			sim.balancer.outliers.lastFaultAt = sim.balancer.now // a fault prevents the vote to roll back
 			if got := sim.balancer.decideVerdict(); rejects > 0 && got.verdict != want {
-				t.Errorf("%+v with %d rejections: %v, %s", test, rejects, got.verdict, got.reason)
+				t.Errorf("%+v, %d rejections: got verdict %v, %s", test, rejects, got.verdict, got.reason)
 			}
 		}
 	}
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// A request that no endpoint can take gets exactly one response, before its deadline.
+// A request that no endpoint can serve gets exactly one final response, before its deadline.
 func TestUnservableRequestGetsOneResponse(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -19,16 +19,17 @@
 		sim.handle(AttemptEnded{Request: 9, Outcome: EndpointFailed})
 		open := len(sim.balancer.requests.open)
 		if n, got := sim.responses(9); n != 1 || got != test.want || open != 0 {
-			t.Errorf("%s: %d responses, last %q, %d requests open", test.name, n, got, open)
+			t.Errorf("%s: got %d responses, the last %q, and %d open requests, want one rejection and none open",
+				test.name, n, got, open)
 		}
 	}
 }
 
-// A rejection has a Retry-After up to the maximum, and none where the settings allow none.
+// A rejection has a Retry-After of at most MaxRetryAfter, and none if MaxRetryAfter is 0.
 func TestRejectHasRetryAfter(t *testing.T) {
-	for _, may := range []bool{true, false} {
+	for _, allowed := range []bool{true, false} {
 		sim := start(t, trialUpdate(0, 0), func(s *Settings) {
-			if !may {
+			if !allowed {
 				s.MaxRetryAfter = 0
 			}
 		})
@@ -37,24 +38,24 @@
 		sim.advance(300)
 		for _, a := range sim.actions {
 			rejected, ok := a.(Reject)
-			most := sim.balancer.settings.MaxRetryAfter
-			if ok && ((rejected.RetryAfter > 0) != may || rejected.RetryAfter > most) {
-				t.Errorf("allowed %v: Retry-After %v", may, rejected.RetryAfter)
+			longest := sim.balancer.settings.MaxRetryAfter
+			if ok && ((rejected.RetryAfter > 0) != allowed || rejected.RetryAfter > longest) {
+				t.Errorf("Retry-After allowed %v: got %v ms", allowed, rejected.RetryAfter)
 			}
 		}
 	}
 }
 
-// Idempotent requests leave an unresponsive endpoint, by migration or hedging. Others are never sent twice.
+// An idempotent request at a silent endpoint is migrated or hedged. A non-idempotent request is never sent twice.
 func TestIdempotentRequestLeavesSilentEndpoint(t *testing.T) {
 	for _, test := range []struct {
-		class ClassName
-		copy  bool
-		want  string
+		class   ClassName
+		hedging bool
+		want    string
 	}{{"read", false, "cancel"}, {"read", true, "hedge"}, {"pay", false, ""}, {"pay", true, ""}} {
-		sim := start(t, releasedUpdate(8), func(s *Settings) { s.HedgingAllowed = test.copy })
+		sim := start(t, releasedUpdate(8), func(s *Settings) { s.HedgingAllowed = test.hedging })
 		silent, at := sim.request(test.class, "")
-		for sim.now < 10950 { // other requests get responses, and avoid it
+		for sim.now < 10950 { // other requests avoid the silent endpoint and succeed
 			if req, to := sim.request("read", ""); to != "" && to != at {
 				sim.endAttempt(req, 0, Succeeded, 20)
 			}
@@ -70,34 +71,34 @@
 			got = "hedge"
 		}
 		if got != test.want {
-			t.Errorf("%s, hedging %v: %q", test.class, test.copy, got)
+			t.Errorf("%s, hedging %v: got %q, want another action", test.class, test.hedging, got)
 		}
 	}
 }
 
-// A request that cannot succeed any more gets its response at once: a failure where it may have run, else a
-// rejection.
+// A request that can get no further attempt gets its final response at once: an error if it may have run and must not
+// run again, otherwise a rejection.
 func TestRequestWithoutRetryEndsAtOnce(t *testing.T) {
 	for name, test := range map[string]struct {
-		class   ClassName
-		outcome Outcome
-		most    int
-		last    string
+		class       ClassName
+		outcome     Outcome
+		maxAttempts int
+		last        string
 	}{
 		"may have run":           {"pay", ConnectionBroken, 4, "fail"},
 		"may run again":          {"read", ConnectionBroken, 4, ""},
-		"no attempt is left":     {"read", ConnectionBroken, 1, "reject"},
-		"nor for what never ran": {"pay", Unreachable, 1, "reject"},
+		"no attempts remain":     {"read", ConnectionBroken, 1, "reject"},
+		"none remain, never ran": {"pay", Unreachable, 1, "reject"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			sim := start(t, releasedUpdate(8), func(s *Settings) { s.MaxAttempts = test.most })
+			sim := start(t, releasedUpdate(8), func(s *Settings) { s.MaxAttempts = test.maxAttempts })
 			req, _ := sim.request(test.class, "")
 			for _, n := range sim.balancer.endpoints.ordered {
-				n.ejectedUntil = sim.now + 5000 // no other endpoint is left
+				n.ejectedUntil = sim.now + 5000 // no other endpoint is available
 			}
 			sim.endAttempt(req, 0, test.outcome, 1)
 			if n, last := sim.responses(req); last != test.last || n > 1 {
-				t.Errorf("%d responses, the last a %q", n, last)
+				t.Errorf("got %d responses, the last %q", n, last)
 			}
 		})
 	}
--- a/decision/samples_test.go
+++ b/decision/samples_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Outcomes of the baseline are kept over a change of stage: where all its endpoints are replaced, no new
-// ones come.
+// The baseline's outcomes are kept across a change of stage. Once all baseline endpoints are replaced there are no new
+// ones, and votes without full groups would have nothing to compare with.
 func TestBaselineOutcomesKeptAcrossStages(t *testing.T) {
 	sim := start(t, trialUpdate(0, 0.1), manyInstances)
 	sim.balancer.classes.overall.baseline.Fill = []float64{1, 2, 3, 4, 5}
@@ -16,6 +16,7 @@
 	want := []float64{1, 2, 3, 4, 5}
 	overall := sim.balancer.classes.overall
 	if !slices.Equal(overall.baselineAtStageStart, want) || overall.baseline.Last != nil {
-		t.Errorf("kept %v, group %v", overall.baselineAtStageStart, overall.baseline.Last)
+		t.Errorf("got outcomes %v and group %v, want those of the first stage and no group",
+			overall.baselineAtStageStart, overall.baseline.Last)
 	}
 }
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -4,15 +4,15 @@
 	"testing"
 )
 
-// An endpoint that is warming up gets no more attempts than the overload rule allows, measured by what warm
-// endpoints of the same capacity serve. That holds too where no other endpoints are left and a burst of
-// requests comes.
+// A warming endpoint gets no more attempts than OverloadFactor and OverloadWindow allow, relative to the service rate
+// of warm endpoints with the same capacity. That holds also if there are no other endpoints and a burst of requests
+// arrives.
 func TestSlowStartLimitsAttempts(t *testing.T) {
 	for _, onlyWarming := range []bool{false, true} {
 		sim := start(t, releasedUpdate(7), func(s *Settings) {
 			s.Classes[0].LatencyObjective, s.CrossZonePrice = 200, 0.02
 		})
-		for range 400 { // 40 ms apart: 12 responses a second of each warm endpoint
+		for range 400 { // one request per 40 ms: 12 responses per second and warm endpoint
 			sim.advance(40)
 			sim.request("read", "")
 			sim.respond("", 20)
@@ -31,18 +31,18 @@
 			sent += sim.respond("a9", 2)
 			rate = max(rate, sim.balancer.load.serviceRate)
 		}
-		// The overload factor times the capacity at the end, over the time and one window.
+		// The bound is the overload factor times the final capacity, over the elapsed time and one window.
 		settings := sim.balancer.settings
 		weight := sim.balancer.slowStartWeight(sim.balancer.endpoints.byID["a9"])
 		most := settings.OverloadFactor * rate * weight * (sim.now - from + settings.OverloadWindow)
 		if rate <= 0 || sent == 0 || float64(sent) > most+1 {
-			t.Errorf("only warming %v: %d attempts, at most %v", onlyWarming, sent, most)
+			t.Errorf("only warming %v: got %d attempts, want at least 1 and at most %v", onlyWarming, sent, most)
 		}
 	}
 }
 
-// Many instances with little traffic send a warming endpoint no more in sum than its slow-start weight
-// allows. A free attempt for each instance would exceed that.
+// Many instances with little traffic together send a warming endpoint no more attempts than its slow start weight
+// allows. One attempt without credit per instance would exceed that.
 func TestSlowStartLimitsFleet(t *testing.T) {
 	sent, rate := 0, 0.0
 	for seed := range 60 {
@@ -63,18 +63,18 @@
 		}
 	}
 	if most := rate * 0.4 * 2.5 * 1000; sent == 0 || float64(sent) > most {
-		t.Errorf("%d attempts, at most %v", sent, most)
+		t.Errorf("got %d attempts, want at least 1 and at most %v", sent, most)
 	}
 }
 
-// An endpoint that was unreachable counts as warming from its first response, for it may have restarted.
+// An ejected endpoint is in slow start from its first response on, because it may have restarted.
 func TestRecoveredEndpointWarmsUp(t *testing.T) {
 	sim := start(t, releasedUpdate(8), nil)
 	endpoint := sim.balancer.endpoints.byID["a1"]
 	sim.balancer.eject(endpoint)
 	sim.now += 100
 	sim.balancer.recordResponse(endpoint)
-	if w := sim.balancer.slowStartWeight(endpoint); w != 0.4 || endpoint.ejections != 0 {
-		t.Errorf("slow-start weight %v, ejections %d", w, endpoint.ejections)
+	if weight := sim.balancer.slowStartWeight(endpoint); weight != 0.4 || endpoint.ejections != 0 {
+		t.Errorf("got slow start weight %v and %d ejections, want 0.4 and 0", weight, endpoint.ejections)
 	}
 }
--- a/decision/stickykeys_test.go
+++ b/decision/stickykeys_test.go
@@ -4,20 +4,20 @@
 	"testing"
 )
 
-// A sticky key to which the candidate has responded goes to no earlier build until the candidate is rolled
-// back. Where the candidate cannot take it, it is rejected.
+// Once the candidate has responded to a sticky key, requests with that key go to no earlier build until the candidate
+// is rolled back. If the candidate has no endpoints, they are rejected.
 func TestStickyKeyStaysAtCandidate(t *testing.T) {
 	sim := start(t, trialUpdate(1, 1), func(s *Settings) { s.StickyKeys = true })
 	sim.replaceEndpoints(newEndpoint("a2", 8))
 	req, to := sim.request("read", "k")
 	if to != "a2" {
-		t.Fatalf("sent to %q", to)
+		t.Fatalf("got first attempt at %q, want a2", to)
 	}
 	sim.endAttempt(req, 0, Succeeded, 20)
 	sim.replaceEndpoints(newEndpoint("a1", 7))
 	for _, test := range []struct {
-		update StageUpdate
-		may    bool
+		update  StageUpdate
+		allowed bool
 	}{
 		{trialUpdate(2, 1), false},
 		{releasedUpdate(8), false},
@@ -26,12 +26,12 @@
 		sim.handle(test.update)
 		req, to := sim.request("read", "k")
 		sim.advance(300)
-		if n, kind := sim.responses(req); (to == "a1") != test.may || !test.may && (n != 1 || kind != "reject") {
-			t.Errorf("%+v: sent to %q, %d responses %q", test.update, to, n, kind)
+		if n, kind := sim.responses(req); (to == "a1") != test.allowed || !test.allowed && (n != 1 || kind != "reject") {
+			t.Errorf("%+v: got attempt at %q and %d responses, the last %q", test.update, to, n, kind)
 		}
-		o, other := sim.request("read", "other")
-		if sim.endAttempt(o, 0, Succeeded, 20); other != "a1" {
-			t.Errorf("another key went to %q", other)
+		otherReq, otherTo := sim.request("read", "other")
+		if sim.endAttempt(otherReq, 0, Succeeded, 20); otherTo != "a1" {
+			t.Errorf("another key: got attempt at %q, want a1", otherTo)
 		}
 	}
 }
--- a/decision/stored_golden_test.go
+++ b/decision/stored_golden_test.go
@@ -8,7 +8,8 @@
 	"ottershed/internal/golden"
 )
 
-// Evidence is stored in checkpoints, and read there by instances that run another version of the program.
+// The encoding of evidence matches the golden file. Checkpoints store evidence, and instances with another version of
+// the program read it.
 func TestStoredEvidenceFormat(t *testing.T) {
 	evidence := Evidence{
 		Build: 8, Stage: 2,
--- a/decision/verdict_test.go
+++ b/decision/verdict_test.go
@@ -7,8 +7,8 @@
 	"ottershed/internal/stats"
 )
 
-// A vote without full groups that exposes the whole fleet takes outcomes of warm endpoints: while endpoints
-// warm up, a slow build does not show.
+// A vote without full groups that opens the whole fleet requires outcomes of warm endpoints, because warming endpoints
+// hide a slow build.
 func TestAdvanceWithoutGroupsNeedsWarmOutcomes(t *testing.T) {
 	for _, test := range []struct {
 		stage, outcomes, warm int
@@ -26,13 +26,12 @@
 		overall.candidate.Fill = make([]float64, test.warm)
 		sim.balancer.now += noGroupsVoteDelay
 		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
-			t.Errorf("%+v: %v, %s", test, got.verdict, got.reason)
+			t.Errorf("%+v: got verdict %v, %s", test, got.verdict, got.reason)
 		}
 	}
 }
 
-// Slowness of all endpoints rolls a build back during its trial and for some time after its release, but
-// not later.
+// A slowdown of all endpoints rolls a build back during its trial and for some time after its release, but not later.
 func TestFleetSlowdownRollsBack(t *testing.T) {
 	for _, test := range []struct {
 		phase Phase
@@ -42,20 +41,20 @@
 		sim := start(t, StageUpdate{Build: 8, Phase: test.phase, Stage: 2, ExposureCap: 1, Age: test.age}, nil)
 		sim.balancer.classes.overall.slowdown.rejections = 8 * rejectionsToRollback
 		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
-			t.Errorf("%+v: %v, %s", test, got.verdict, got.reason)
+			t.Errorf("%+v: got verdict %v, %s", test, got.verdict, got.reason)
 		}
 	}
 }
 
-// Lost endpoints overload the others. So slowness rolls no build back until a slow-start window after the
-// last fault, nor while an endpoint is found unreachable again and again: an instance with little traffic
-// tries it seldom.
+// The loss of endpoints overloads the others. So slowness rolls no build back within a slow start window after the last
+// fault, nor while an endpoint is unreachable repeatedly: an instance with little traffic rarely tries it, so the
+// fault may be older than the window.
 func TestSlownessDuringFaultIsNoEvidence(t *testing.T) {
 	for _, test := range []struct {
-		ago    Millis
-		found  int // faults in a row
-		ticked bool
-		want   Verdict
+		faultAge Millis
+		failures int // consecutive connection failures
+		ticked   bool
+		want     Verdict
 	}{
 		{0, 1, false, VoteNone},
 		{3900, 1, false, VoteNone},
@@ -64,22 +63,22 @@
 	} {
 		sim := start(t, trialUpdate(1, 0.5), nil)
 		sim.balancer.classes.ordered[0].rejections = rejectionsToRollback
-		for range test.found {
-			faulty := sim.balancer.endpoints.byID["b1"]
-			sim.balancer.observeEndpoint(faulty, AttemptEnded{Outcome: Unreachable, After: 250})
-			faulty.ejectedUntil = 0
+		for range test.failures {
+			unreachable := sim.balancer.endpoints.byID["b1"]
+			sim.balancer.observeEndpoint(unreachable, AttemptEnded{Outcome: Unreachable, After: 250})
+			unreachable.ejectedUntil = 0
 		}
-		if sim.balancer.now += test.ago; test.ticked {
+		if sim.balancer.now += test.faultAge; test.ticked {
 			sim.balancer.tick()
 		}
 		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
-			t.Errorf("%+v: %v, %s", test, got.verdict, got.reason)
+			t.Errorf("%+v: got verdict %v, %s", test, got.verdict, got.reason)
 		}
 	}
 }
 
-// An endpoint that is unresponsive once is no fault that explains slowness. A candidate that slows all
-// endpoints causes such silence itself.
+// A single ejection of a silent endpoint is no fault that explains slowness, because a candidate that slows all
+// endpoints causes such silence too.
 func TestOneSilentEndpointIsNoFault(t *testing.T) {
 	sim := start(t, trialUpdate(1, 0.5), nil)
 	sim.balancer.classes.ordered[0].rejections = rejectionsToRollback
@@ -87,19 +86,19 @@
 	endpoint.inFlight, endpoint.lastResponseAt = 1, sim.now-10000
 	sim.balancer.tick()
 	if got := sim.balancer.decideVerdict(); endpoint.ejections != 1 || got.verdict != VoteRollback {
-		t.Errorf("ejected %d times: %v, %s", endpoint.ejections, got.verdict, got.reason)
+		t.Errorf("got %d ejections and verdict %v, %s, want 1 and VoteRollback", endpoint.ejections, got.verdict, got.reason)
 	}
 }
 
-// While most of the capacity is warming up, as in the last stage of an in-place rollout, slowness rolls no
-// build back, for the few warm endpoints take everything. Once they are warm, it does.
+// While most of the capacity is warming up, as in the last stage of an in-place rollout, slowness rolls no build back,
+// because the few warm endpoints are overloaded. Once the endpoints are warm, it does.
 func TestSlownessDuringWarmUpIsNoEvidence(t *testing.T) {
 	for _, test := range []struct {
 		age  Millis // of the candidate's endpoints
 		want Verdict
 	}{{500, VoteNone}, {2000, VoteNone}, {3500, VoteRollback}, {9000, VoteRollback}} {
 		sim := start(t, trialUpdate(2, 1), nil)
-		for _, id := range []EndpointID{"a1", "b1"} { // the baseline has drained
+		for _, id := range []EndpointID{"a1", "b1"} { // the baseline is draining
 			sim.balancer.endpoints.byID[id].State = Draining
 		}
 		for _, id := range []EndpointID{"a2", "b2"} {
@@ -114,17 +113,17 @@
 		}
 		sim.balancer.tick()
 		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
-			t.Errorf("%+v: %v, %s", test, got.verdict, got.reason)
+			t.Errorf("%+v: got verdict %v, %s", test, got.verdict, got.reason)
 		}
 	}
 }
 
-// An instance with little traffic has next to no outcomes of its own, while all of them together have
-// proof. One that has seen nothing votes to advance. One that has seen a failure, or response times that
-// tend to be slower, does not, and withdraws its vote.
+// An instance with little traffic has almost no outcomes of its own, while all instances together have sufficient
+// evidence. An instance without outcomes votes to advance. An instance that has seen a failure, or response times that
+// are mostly slower, does not, and withdraws its vote.
 func TestVotesAtLowTraffic(t *testing.T) {
-	slow, like := slices.Repeat([]float64{1.6}, 4), slices.Repeat([]float64{1.1}, 4)
-	was := []float64{0.8, 1, 1, 1, 1.2}
+	slow, equal := slices.Repeat([]float64{1.6}, 4), slices.Repeat([]float64{1.1}, 4)
+	before := []float64{0.8, 1, 1, 1, 1.2}
 	for _, test := range []struct {
 		name                string
 		stage               int
@@ -133,15 +132,15 @@
 		change              func(*Settings)
 		want                Verdict
 	}{
-		{"no outcomes, first stage", 0, 0, 0, was, nil, manyInstances, VoteAdvance},
-		{"one failure of three", 0, 2, 1, was, nil, manyInstances, VoteRollback}, // none of the baseline's
-		{"one failure of twelve", 0, 11, 1, was, nil, manyInstances, VoteNone},
-		{"one failure of forty", 0, 39, 1, was, nil, manyInstances, VoteAdvance},
-		{"too few outcomes", 1, 3, 0, was, nil, manyInstances, VoteNone},
-		{"times alike", 1, 4, 0, was, like, manyInstances, VoteAdvance},
-		{"slower times", 1, 4, 0, was, slow, manyInstances, VoteNone},
-		{"one failure of thirty, few instances", 0, 29, 1, was, nil, nil, VoteAdvance},
-		{"slower times, few instances", 1, 30, 0, was, slices.Repeat([]float64{1.6}, 5), nil, VoteAdvance},
+		{"no outcomes, first stage", 0, 0, 0, before, nil, manyInstances, VoteAdvance},
+		{"one failure of three", 0, 2, 1, before, nil, manyInstances, VoteRollback}, // no failure at the baseline
+		{"one failure of twelve", 0, 11, 1, before, nil, manyInstances, VoteNone},
+		{"one failure of forty", 0, 39, 1, before, nil, manyInstances, VoteAdvance},
+		{"too few outcomes", 1, 3, 0, before, nil, manyInstances, VoteNone},
+		{"equal times", 1, 4, 0, before, equal, manyInstances, VoteAdvance},
+		{"slower times", 1, 4, 0, before, slow, manyInstances, VoteNone},
+		{"one failure of thirty, few instances", 0, 29, 1, before, nil, nil, VoteAdvance},
+		{"slower times, few instances", 1, 30, 0, before, slices.Repeat([]float64{1.6}, 5), nil, VoteAdvance},
 		{"no baseline", 1, 4, 0, nil, slow, manyInstances, VoteAdvance},
 	} {
 		sim := start(t, trialUpdate(test.stage, 0.5), test.change)
@@ -150,16 +149,16 @@
 		sim.balancer.endpoints.byID["a2"].outcomes[overall.index] = stats.Count{Good: test.good, Bad: test.bad}
 		overall.baselineAtStageStart = test.baseline
 		overall.candidate.Fill = test.candidate
-		sim.balancer.voting.vote.Verdict = VoteAdvance // cast already
+		sim.balancer.voting.vote.Verdict = VoteAdvance // cast earlier
 		sim.balancer.now += noGroupsVoteDelay
 		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
-			t.Errorf("%s: %v, %s", test.name, got.verdict, got.reason)
+			t.Errorf("%s: got verdict %v, %s", test.name, got.verdict, got.reason)
 		}
 	}
 }
 
-// A fault of endpoints voids the suspicion that response times raise, for the others are overloaded. Where
-// the vote would raise the exposure, it does not.
+// In the last stage, response times during a fault do not raise suspicion against the candidate, because the remaining
+// endpoints are overloaded. In earlier stages they do, because the vote would raise the exposure.
 func TestFaultVoidsSuspicionInLastStage(t *testing.T) {
 	for _, test := range []struct {
 		stage int
@@ -175,7 +174,7 @@
 			sim.balancer.outliers.lastFaultAt = sim.balancer.now - 1
 		}
 		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
-			t.Errorf("%+v: %v, %s", test, got.verdict, got.reason)
+			t.Errorf("%+v: got verdict %v, %s", test, got.verdict, got.reason)
 		}
 	}
 }
