--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -60,15 +60,15 @@
 		exposure:  tokenBucket{tokens: settings.FreeAttempts},
 		sticky:    stickyKeys{hashes: map[uint16]bool{}},
 	}
-	longest := balancer.classes.overall.LatencyObjective
+	longestObjective := balancer.classes.overall.LatencyObjective
 	balancer.tickInterval = math.Inf(1)
 	for _, class := range settings.Classes {
 		balancer.tickInterval = min(balancer.tickInterval, class.LatencyObjective*tickFraction)
 	}
-	balancer.tickInterval = max(min(balancer.tickInterval, longest), settings.ClockGranularity, 1)
+	balancer.tickInterval = max(min(balancer.tickInterval, longestObjective), settings.ClockGranularity, 1)
 	balancer.applySettings(settings)
 	balancer.routing.lastPlacement = balancer.random.Next()
-	balancer.load = newLoadLimiter(balancer.classes, longest*initialLatencyShare)
+	balancer.load = newLoadLimiter(balancer.classes, longestObjective*initialLatencyShare)
 	return balancer
 }
 
--- a/decision/classes.go
+++ b/decision/classes.go
@@ -30,13 +30,14 @@
 	samples
 }
 
+// newClassTable returns the table for the classes of the settings.
 func newClassTable(settings Settings) classTable {
 	exposure := tokenBucket{tokens: settings.FreeAttempts}
 	table := classTable{
 		byName:  map[ClassName]*classState{},
 		overall: &classState{exposure: exposure, index: len(settings.Classes), slowShare: new(float64)},
-		// All instances see the same counts, so requiring more rejections would not lower the rate of false
-		// alarms.
+		// All instances see the same counts, so more instances do not cause more false alarms, and requiring more
+		// rejections gains nothing.
 		controller: &classState{samples: samples{rejectionsNeeded: rejectionsToRollback}},
 	}
 	for i, class := range settings.Classes {
--- a/decision/comparison.go
+++ b/decision/comparison.go
@@ -19,7 +19,7 @@
 type comparison struct {
 	baseline    stats.Groups
 	candidate   stats.Groups
-	agrees      bool    // no difference between the candidate's last two groups, nor between the last one and the baseline
+	agrees      bool    // the candidate's last two groups agree, and the last one agrees with the baseline
 	rejections  int     // consecutive groups that were clearly slower
 	medianRatio float64 // of the outcomes last passed to slower, over the baseline
 }
@@ -43,7 +43,7 @@
 
 // evaluateLastGroup compares the candidate's last group with the baseline. Two consecutive groups must agree
 // with each other before the last one can agree with the baseline. A rejection does not require that: with a
-// build that is too slow for its load, response times keep rising and no two groups agree.
+// build that is too slow for its load, no two groups agree.
 func (c *comparison) evaluateLastGroup() {
 	if c.baseline.Last == nil {
 		return
--- a/decision/concurrency.go
+++ b/decision/concurrency.go
@@ -42,6 +42,8 @@
 	tenants    map[TenantID]*float64 // the same by tenant; bounded only where the settings list tenants
 }
 
+// newLoadLimiter returns a limiter without a total limit. latency is the assumed response time before the first
+// response.
 func newLoadLimiter(classes classTable, latency Millis) loadLimiter {
 	limiter := loadLimiter{
 		limit:       math.Inf(1),
@@ -73,11 +75,11 @@
 // leastSlowShare returns the lowest share of slow responses of any class or tenant. Only if all of them are
 // slow is there a lack of capacity.
 func (l *loadLimiter) leastSlowShare() float64 {
-	least := 1.0
+	lowest := 1.0
 	for _, share := range l.slowShares {
-		least = min(least, *share)
+		lowest = min(lowest, *share)
 	}
-	return least
+	return lowest
 }
 
 // observeLatency updates the mean response time and the base latency with a response time.
@@ -93,8 +95,8 @@
 	ep.latency += latencyWeight * (after - ep.latency)
 	objective := b.classes.overall.LatencyObjective
 	share := objective / b.load.baseLatency / float64(b.settings.Instances) / queuedObjectiveDivisor
-	tolerated := min(1, latencyTolerance*b.load.baseLatency/ep.latency)
-	ep.concurrencyLimit -= limitFallWeight * ep.concurrencyLimit * (1 - tolerated)
+	latencyFactor := min(1, latencyTolerance*b.load.baseLatency/ep.latency)
+	ep.concurrencyLimit -= limitFallWeight * ep.concurrencyLimit * (1 - latencyFactor)
 	if float64(ep.inFlight+1) < ep.concurrencyLimit {
 		return
 	}
@@ -103,8 +105,8 @@
 	ep.concurrencyLimit = min(raised, max(1, share, served))
 }
 
-// backOffEndpoint sends nothing to an endpoint that rejected an attempt for one response time, because
-// rejections cost the endpoint work too, and lowers its limit.
+// backOffEndpoint lowers the limit of an endpoint that rejected an attempt, and stops sending to the endpoint for
+// one response time, because rejections cost the endpoint work too.
 func (b *Balancer) backOffEndpoint(ep *endpoint) {
 	used := min(ep.concurrencyLimit, float64(ep.inFlight+1))
 	ep.concurrencyLimit = max(minEndpointLimit, used*rejectionLimitFactor)
@@ -120,13 +122,13 @@
 		*share += slowShareWeight * (slow - *share)
 	}
 	inFlight := float64(b.load.inFlight - b.load.unresponsive + 1)
-	least := b.load.leastSlowShare()
-	if least > overloadedShare {
+	lowest := b.load.leastSlowShare()
+	if lowest > overloadedShare {
 		// The limit is cut from the recent peak. Cut from the attempts in flight at one moment, it would drop
 		// to nearly 0 by chance at an instance with little traffic. Unresponsive attempts may have ended since
 		// they were counted, so inFlight may be too low.
-		cut := 1 - totalLimitCutWeight*(least-overloadedShare)/(1-overloadedShare)
-		b.load.limit = max(minTotalLimit, min(b.load.limit, max(inFlight, b.load.recentPeak))*cut)
+		cutFactor := 1 - totalLimitCutWeight*(lowest-overloadedShare)/(1-overloadedShare)
+		b.load.limit = max(minTotalLimit, min(b.load.limit, max(inFlight, b.load.recentPeak))*cutFactor)
 	} else if inFlight >= b.load.limit {
 		b.load.limit += totalLimitStep
 	}
--- a/decision/doc.go
+++ b/decision/doc.go
@@ -32,5 +32,5 @@
 //	reasons for a vote, in order                         verdict.go           verdictRules
 //	evidence that one instance needs                     proof.go             deriveThresholds
 //	casting and renewal of votes                         vote.go              castVote
-//	polling of the endpoint list                         polling.go           schedulePoll, pollRejected
+//	polling of the endpoint list                         polling.go           pollIfDue, pollRejected
 package decision
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -40,6 +40,7 @@
 	healthCheckedAt  Millis  // end of that check; 0 once an attempt has started there since
 }
 
+// newEndpointTable returns an empty table.
 func newEndpointTable() endpointTable {
 	return endpointTable{byID: map[EndpointID]*endpoint{}, machineTypes: map[MachineType]*stats.Mean{}}
 }
@@ -84,6 +85,7 @@
 	}
 }
 
+// newEndpoint adds an endpoint without observations to the table.
 func (b *Balancer) newEndpoint(entry Endpoint) *endpoint {
 	ep := &endpoint{
 		warmingSince:     entry.Started,
@@ -115,8 +117,8 @@
 func (b *Balancer) partitionEndpoints() {
 	b.endpoints.byBuildAndZone = [2][2][]*endpoint{}
 	for _, ep := range b.endpoints.ordered {
-		part := &b.endpoints.byBuildAndZone[b.sideOf(ep)][b.zoneIndex(ep)]
-		*part = append(*part, ep)
+		partition := &b.endpoints.byBuildAndZone[b.sideOf(ep)][b.zoneIndex(ep)]
+		*partition = append(*partition, ep)
 	}
 }
 
@@ -140,6 +142,7 @@
 	full   float64    // with warming endpoints at full capacity
 }
 
+// addCapacity adds the capacity of an endpoint to a sum.
 func (b *Balancer) addCapacity(sum *capacitySum, ep *endpoint) {
 	if ep.State != Serving || ep.ejections > 0 {
 		return
--- a/decision/exposure.go
+++ b/decision/exposure.go
@@ -2,8 +2,8 @@
 
 // tokenBucket limits the attempts at builds in trial. Each received request adds the exposure cap to the tokens,
 // each attempt takes one token, and the bucket carries at most FreeAttempts from one instant to the next. So in
-// every interval the attempts number at most FreeAttempts + cap x received requests. Counting by fixed
-// windows would guarantee that only for windows that end at an attempt.
+// every time window, the attempts number at most FreeAttempts + cap x received requests. Counting by fixed windows
+// would guarantee that only for windows that end at an attempt.
 type tokenBucket struct {
 	tokens     float64
 	refilledAt Millis
@@ -32,12 +32,12 @@
 // trialOf returns the state of a build's trial. A build that the rollout controller has not announced yet is
 // treated as in its first stage.
 func (b *Balancer) trialOf(build Build) buildTrial {
-	highest := 1 - b.settings.WithheldShare
+	maxCap := 1 - b.settings.WithheldShare
 	update := &b.trial.update
 	if b.trial.known && build == update.Build {
-		return buildTrial{update.Phase != Released, update.Stage, min(update.ExposureCap, highest)}
+		return buildTrial{update.Phase != Released, update.Stage, min(update.ExposureCap, maxCap)}
 	}
-	return buildTrial{!b.trial.known || build > update.Build, 0, min(b.settings.ExposureCaps[0], highest)}
+	return buildTrial{!b.trial.known || build > update.Build, 0, min(b.settings.ExposureCaps[0], maxCap)}
 }
 
 // exposureRefill returns the tokens that one request adds: the lowest exposure cap of the listed builds in
--- a/decision/failures.go
+++ b/decision/failures.go
@@ -37,7 +37,7 @@
 }
 
 // failureEvidence compares the failures of both builds by a rank test on good and bad outcomes, in each class and
-// in the overall class. The overall class comes last and determines outcomes and suspected.
+// in the overall class. The overall class comes last and determines the outcomes and suspected fields.
 func (b *Balancer) failureEvidence() failureEvidence {
 	var evidence failureEvidence
 	for _, class := range b.classes.withOverall {
@@ -73,12 +73,12 @@
 	}
 	worstFirst := func(a, b stats.Count) int { return cmp.Compare(b.Bad*a.Total(), a.Bad*b.Total()) }
 	slices.SortFunc(perEndpoint, worstFirst)
-	worst := (len(perEndpoint) + worstEndpointDivisor - 1) / worstEndpointDivisor
+	maxExcluded := (len(perEndpoint) + worstEndpointDivisor - 1) / worstEndpointDivisor
 	for i, outcomes := range perEndpoint {
 		counts.candidateAll.Add(outcomes, 1)
 		counts.candidateOutcomes += outcomes.Total()
-		single := counts.candidateEndpoints == 1 && 2*worstBaseline*outcomes.Total() < outcomes.Bad
-		if outcomes.Bad < minFailures || i >= worst || single {
+		keepOnlyEndpoint := counts.candidateEndpoints == 1 && 2*worstBaseline*outcomes.Total() < outcomes.Bad
+		if outcomes.Bad < minFailures || i >= maxExcluded || keepOnlyEndpoint {
 			counts.candidate.Add(outcomes, 1)
 		}
 	}
--- a/decision/fleetslowdown.go
+++ b/decision/fleetslowdown.go
@@ -68,7 +68,7 @@
 // and at most 8. At an instance with little traffic, one group that took long to fill proves lasting slowness as
 // well as several groups do.
 func (s *fleetSlowdown) weight(now Millis) int {
-	lasted := min(slowdownGroups, max(1, slowdownGroups*(now-s.fillStartedAt)/slowdownFillTime))
-	ratios := min(maxRatioWeight, math.Log(s.medianRatio)/math.Log(slowRatio))
-	return int(lasted * ratios)
+	durationWeight := min(slowdownGroups, max(1, slowdownGroups*(now-s.fillStartedAt)/slowdownFillTime))
+	ratioWeight := min(maxRatioWeight, math.Log(s.medianRatio)/math.Log(slowRatio))
+	return int(durationWeight * ratioWeight)
 }
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -128,6 +128,7 @@
 	}
 }
 
+// observeSuccess updates response times, limits and the failure share with a success.
 func (b *Balancer) observeSuccess(ep *endpoint, event AttemptEnded) {
 	b.observeLatency(event.After)
 	b.adjustEndpointLimit(ep, event.After)
@@ -137,9 +138,9 @@
 	}
 }
 
-// observeBroken ejects an endpoint whose connections fail. Connections to healthy endpoints may break on the
-// network; if one break ejected an endpoint, all endpoints would be ejected and warm up again. So consecutive
-// failures raise the suspicion by the negative logarithm of their share at all endpoints.
+// observeBroken ejects an endpoint whose connections fail. The network may break connections to healthy endpoints. If
+// one broken connection ejected an endpoint, all endpoints would be ejected and warm up again. So each consecutive
+// failure raises the suspicion by the negative logarithm of the share of failures at all endpoints.
 func (b *Balancer) observeBroken(ep *endpoint, event AttemptEnded) {
 	ep.connectFailures++
 	ep.failureShare += failureWeight * (1 - ep.failureShare)
--- a/decision/polling.go
+++ b/decision/polling.go
@@ -27,10 +27,10 @@
 // that the rejected poll waited in the queue: the service still processes polls that have timed out, and polls
 // repeated at once would keep the queue full.
 func (b *Balancer) pollRejected() {
-	askWithin := b.settings.PollWithin
-	waited := min(b.now-b.polling.lastAt, askWithin*pollWaitShare)
-	shortest := askWithin * minPollBackoffFactor * minPollBackoffFactor
-	b.polling.backoff = min(2*max(b.polling.backoff, waited, shortest), askWithin)
+	pollWithin := b.settings.PollWithin
+	waited := min(b.now-b.polling.lastAt, pollWithin*pollWaitShare)
+	shortest := pollWithin * minPollBackoffFactor * minPollBackoffFactor
+	b.polling.backoff = min(2*max(b.polling.backoff, waited, shortest), pollWithin)
 	b.polling.nextAt = b.now + b.polling.backoff*(1+b.random.Next())/2
 }
 
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -58,12 +58,12 @@
 }
 
 // attemptOf returns an open request and one of its attempts, or nil for both.
-func (b *Balancer) attemptOf(id RequestID, number int) (*request, *attempt) {
+func (b *Balancer) attemptOf(id RequestID, index int) (*request, *attempt) {
 	req := b.requests.open[id]
-	if req == nil || number < 0 || number >= len(req.attempts) {
+	if req == nil || index < 0 || index >= len(req.attempts) {
 		return nil, nil
 	}
-	return req, &req.attempts[number]
+	return req, &req.attempts[index]
 }
 
 // handleRequest adds a request to the queue for first attempts.
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -78,6 +78,7 @@
 	homePenalty float64 // added to the risk in the home zone, for a request drawn to cross zones
 }
 
+// update makes an endpoint the best one if its risk is lower than the lowest so far.
 func (s *endpointSearch) update(ep *endpoint) {
 	risk := s.balancer.risk(s.request, ep) + s.homePenalty*float64(otherZone-s.balancer.zoneIndex(ep))
 	if risk < s.lowestRisk {
@@ -87,10 +88,10 @@
 
 // collectEligible fills the buffers of one zone with the endpoints that are eligible for a request, weighted by
 // capacity. Endpoints with a recent health check enter the search here.
-func (b *Balancer) collectEligible(search *endpointSearch, zone int, part []*endpoint, overflow bool) {
+func (b *Balancer) collectEligible(search *endpointSearch, zone int, endpoints []*endpoint, overflow bool) {
 	eligible, weights := b.routing.eligible[zone][:0], b.routing.weights[zone][:0]
 	warming, withCredit := 0.0, 0.0 // capacity of warming endpoints, and of those with credit
-	for _, target := range part {
+	for _, target := range endpoints {
 		if !b.healthy(search.request, target) || !b.admits(search.request, target) {
 			continue
 		}
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -18,7 +18,7 @@
 	ClockGranularity Millis // smallest step of timers; time limits are kept with a margin of two steps
 	Classes          []RequestClass
 	Tenants          []TenantID
-	PollEndpoints    bool   // the endpoint list is polled through a queue and not pushed by itself
+	PollEndpoints    bool   // the endpoint list is polled through a queue instead of being pushed
 	PollWithin       Millis // maximum time until the next poll; with PollEndpoints
 
 	CrossZonePrice   float64 // cost of sending a request to another zone, as a share of its value, 0 to 1
@@ -32,8 +32,8 @@
 
 	SlowStartFloor  float64 // capacity of an endpoint at its start, as a share of its full capacity
 	SlowStartWindow Millis  // time from an endpoint's start to its full capacity
-	OverloadFactor  float64 // multiple of its capacity that a warming endpoint can serve ...
-	OverloadWindow  Millis  // ... for this time
+	OverloadFactor  float64 // multiple of its capacity that a warming endpoint can serve for OverloadWindow
+	OverloadWindow  Millis  // see OverloadFactor
 
 	Control          Control
 	InPlace          bool      // endpoints of the candidate replace those of the baseline, which drain
@@ -54,7 +54,7 @@
 	// Settings of the operators:
 
 	WithheldShare float64 // the exposure cap is at most 1 minus this share; 0: no effect
-	Halt          bool    // no votes to advance; votes to roll back are still cast
+	Halt          bool    // no votes to advance, and votes to hold a clock; votes to roll back are still cast
 }
 
 // tickFraction times the shortest latency objective is the tick interval.
--- a/decision/trial.go
+++ b/decision/trial.go
@@ -7,8 +7,8 @@
 )
 
 // minKeptBaselineOutcomes is the number of baseline outcomes from which they replace baselineAtStageStart when a
-// stage starts. An instance with little traffic fills no group between two stages, and once the baseline's
-// endpoints are replaced there are no new outcomes.
+// stage starts. With fewer, the earlier outcomes are kept: an instance with little traffic fills no group between two
+// stages, and once the baseline's endpoints are replaced there are no new outcomes.
 const minKeptBaselineOutcomes = 5
 
 // trial is the state of the newest build's rollout.
@@ -57,8 +57,8 @@
 // As part of a group of the new stage they would cause rollbacks of good builds.
 func (b *Balancer) startStage() {
 	for _, class := range b.classes.all {
-		if seen := slices.Concat(class.baseline.Last, class.baseline.Fill); len(seen) >= minKeptBaselineOutcomes {
-			class.baselineAtStageStart = seen
+		if outcomes := slices.Concat(class.baseline.Last, class.baseline.Fill); len(outcomes) >= minKeptBaselineOutcomes {
+			class.baselineAtStageStart = outcomes
 		}
 		class.baseline.Fill = nil
 		class.resetCandidate()
--- a/decision/verdict.go
+++ b/decision/verdict.go
@@ -40,9 +40,9 @@
 
 // decideVerdict returns the verdict that follows from the current observations.
 func (b *Balancer) decideVerdict() decidedVote {
-	found := b.assess()
+	assessed := b.assess()
 	for _, rule := range verdictRules {
-		if vote, applies := rule(b, &found); applies {
+		if vote, applies := rule(b, &assessed); applies {
 			return vote
 		}
 	}
@@ -64,28 +64,28 @@
 
 // assess evaluates the outcomes of all classes.
 func (b *Balancer) assess() assessment {
-	found := assessment{failures: b.failureEvidence(), inTrial: b.trial.update.Phase == InTrial, groupsAgree: true}
+	assessed := assessment{failures: b.failureEvidence(), inTrial: b.trial.update.Phase == InTrial, groupsAgree: true}
 	fault := b.faultWithin(b.settings.SlowStartWindow)
 	for _, class := range b.classes.all {
 		full := class.baseline.Last != nil && len(class.candidate.Last) == groupSize
-		if full && (class != b.classes.overall || found.fullGroups == 0) {
-			found.fullGroups++
-			found.groupsAgree = found.groupsAgree && class.agrees
+		if full && (class != b.classes.overall || assessed.fullGroups == 0) {
+			assessed.fullGroups++
+			assessed.groupsAgree = assessed.groupsAgree && class.agrees
 		}
-		found.addRejections(class.rejections, b.thresholds.holdRejections)
+		assessed.addRejections(class.rejections, b.thresholds.holdRejections)
 		if class.rejections >= class.rejectionsNeeded && !fault {
-			found.slower = class
+			assessed.slower = class
 		}
 		slowdown := class.slowdown
 		if slowdown == nil {
 			continue
 		}
-		found.addRejections(slowdown.rejections, b.thresholds.holdRejections)
+		assessed.addRejections(slowdown.rejections, b.thresholds.holdRejections)
 		if float64(slowdown.rejections) >= slowdownGroups*float64(class.rejectionsNeeded) {
-			found.fleetSlower = slowdown
+			assessed.fleetSlower = slowdown
 		}
 	}
-	return found
+	return assessed
 }
 
 // addRejections adds the consecutive rejections of one class. toHold rejections hold the clock.
@@ -96,76 +96,76 @@
 
 // rollbackForFailures applies if the failures prove a bad build, in trial and after the release. During and after a
 // rollback no vote is cast.
-func rollbackForFailures(_ *Balancer, found *assessment) (decidedVote, bool) {
-	if found.failures.strength < 1 {
+func rollbackForFailures(_ *Balancer, assessed *assessment) (decidedVote, bool) {
+	if assessed.failures.strength < 1 {
 		return decidedVote{}, false
 	}
-	reason := fmt.Sprintf("it fails more often, %.1f times what proves it", found.failures.strength)
+	reason := fmt.Sprintf("it fails more often, %.1f times what proves it", assessed.failures.strength)
 	return decidedVote{VoteRollback, reason}, true
 }
 
 // rollbackForSlowness applies in trial once a class has the consecutive rejections that prove a slow build.
-func rollbackForSlowness(_ *Balancer, found *assessment) (decidedVote, bool) {
-	if !found.inTrial || found.slower == nil {
+func rollbackForSlowness(_ *Balancer, assessed *assessment) (decidedVote, bool) {
+	if !assessed.inTrial || assessed.slower == nil {
 		return decidedVote{}, false
 	}
-	class := found.slower
+	class := assessed.slower
 	reason := fmt.Sprintf("request class %q clearly slower again, last by %.2f", class.Name, class.medianRatio)
 	return decidedVote{VoteRollback, reason}, true
 }
 
 // rollbackForFleetSlowdown applies once all endpoints are slower than before the trial, in trial and for some time
 // after the release.
-func rollbackForFleetSlowdown(b *Balancer, found *assessment) (decidedVote, bool) {
+func rollbackForFleetSlowdown(b *Balancer, assessed *assessment) (decidedVote, bool) {
 	recent := b.now-b.trial.stageStartedAt < slowdownWindowsAfterRelease*b.settings.SlowStartWindow
-	if found.fleetSlower == nil || !found.inTrial && !recent {
+	if assessed.fleetSlower == nil || !assessed.inTrial && !recent {
 		return decidedVote{}, false
 	}
-	ratio := found.fleetSlower.medianRatio
+	ratio := assessed.fleetSlower.medianRatio
 	reason := fmt.Sprintf("all endpoints slower than before the trial, last by %.2f", ratio)
 	return decidedVote{VoteRollback, reason}, true
 }
 
 // holdForOperators applies to rollouts by clock while the operators have halted rollouts.
-func holdForOperators(b *Balancer, found *assessment) (decidedVote, bool) {
-	applies := found.inTrial && b.settings.Control == ByClock && b.settings.Halt
+func holdForOperators(b *Balancer, assessed *assessment) (decidedVote, bool) {
+	applies := assessed.inTrial && b.settings.Control == ByClock && b.settings.Halt
 	return decidedVote{VoteHold, "halted by the operators"}, applies
 }
 
 // holdForSlowness applies to rollouts by clock once a class has the consecutive rejections to hold, which may be
 // fewer than those for a rollback.
-func holdForSlowness(b *Balancer, found *assessment) (decidedVote, bool) {
-	if !found.inTrial || b.settings.Control != ByClock || !found.holdReached {
+func holdForSlowness(b *Balancer, assessed *assessment) (decidedVote, bool) {
+	if !assessed.inTrial || b.settings.Control != ByClock || !assessed.holdReached {
 		return decidedVote{}, false
 	}
 	return decidedVote{VoteHold, fmt.Sprintf("clearly slower, %d times in a row", b.thresholds.holdRejections)}, true
 }
 
 // blockAdvance applies if no vote to advance may be cast, or if there is evidence against the build.
-func blockAdvance(b *Balancer, found *assessment) (decidedVote, bool) {
-	blocked := !found.inTrial || b.settings.Control == ByClock || b.settings.Halt ||
-		found.failures.strength >= blockingFailureShare || found.rejected
+func blockAdvance(b *Balancer, assessed *assessment) (decidedVote, bool) {
+	blocked := !assessed.inTrial || b.settings.Control == ByClock || b.settings.Halt ||
+		assessed.failures.strength >= blockingFailureShare || assessed.rejected
 	return undecided, blocked
 }
 
 // advanceOnAgreement applies if the builds agree in every class with full groups. An earlier vote to advance stands
 // until blockAdvance applies; without full groups, only if such a vote requires outcomes of this instance.
-func advanceOnAgreement(b *Balancer, found *assessment) (decidedVote, bool) {
-	agreed := found.fullGroups > 0 && found.groupsAgree
-	stands := b.voting.vote.Verdict == VoteAdvance && (found.fullGroups > 0 || b.thresholds.outcomesWithoutGroups > 0)
+func advanceOnAgreement(b *Balancer, assessed *assessment) (decidedVote, bool) {
+	agreed := assessed.fullGroups > 0 && assessed.groupsAgree
+	stands := b.voting.vote.Verdict == VoteAdvance && (assessed.fullGroups > 0 || b.thresholds.outcomesWithoutGroups > 0)
 	return decidedVote{VoteAdvance, "groups agree"}, agreed || stands
 }
 
 // advanceWithoutGroups applies if the stage has lasted for noGroupsVoteDelay without full groups and there is no
 // evidence against the build. The required outcomes are in proportion to the share of endpoints in the next stage.
 // Warming endpoints hide a slow build, so a vote that opens the whole fleet requires outcomes of warm endpoints.
-func advanceWithoutGroups(b *Balancer, found *assessment) (decidedVote, bool) {
-	if found.fullGroups > 0 || b.now-b.trial.stageStartedAt < noGroupsVoteDelay {
+func advanceWithoutGroups(b *Balancer, assessed *assessment) (decidedVote, bool) {
+	if assessed.fullGroups > 0 || b.now-b.trial.stageStartedAt < noGroupsVoteDelay {
 		return decidedVote{}, false
 	}
 	next := b.nextStageShare()
-	tooFew := found.failures.outcomes < b.thresholds.outcomesWithoutGroups*next
-	if tooFew || found.failures.suspected || b.suspectsSlowness() {
+	tooFew := assessed.failures.outcomes < b.thresholds.outcomesWithoutGroups*next
+	if tooFew || assessed.failures.suspected || b.suspectsSlowness() {
 		return decidedVote{}, false
 	}
 	overall, controller := b.classes.overall, b.classes.controller
@@ -190,8 +190,8 @@
 
 // suspectsSlowness reports whether few response times are reason enough not to vote to advance: their median is
 // above slowRatio to the power of 1.5 (1.40) times the baseline's. The margin is wider than elsewhere because a
-// median of few response times scatters. No instance with little traffic can prove a slow build, but most of
-// hundreds of instances suspect it rightly. In the last stage, response times during a fault are no evidence,
+// median of few response times scatters. No instance with little traffic can prove a slow build, but among
+// hundreds of instances most suspicions are right. In the last stage, response times during a fault are no evidence,
 // because the fault overloads the remaining endpoints.
 func (b *Balancer) suspectsSlowness() bool {
 	lastStage := b.trial.update.Stage+1 >= len(b.settings.Stages)
