--- a/decision/crosszone_test.go
+++ b/decision/crosszone_test.go
@@ -8,7 +8,7 @@
 
 // If the endpoints of the home zone are overloaded, an instance with little traffic has too few outcomes of each
 // endpoint to detect free capacity in the other zone. By the response times of whole zones, it sends up to half of its
-// requests to the other zone. It sends none if the other zone is slow or unreachable, or faster by less than
+// requests to the other zone. It sends few if the other zone is slow or unreachable, or better by less than
 // CrossZonePrice.
 func TestOverloadedZoneSendsRequestsAcross(t *testing.T) {
 	const zoneSize, requests = 30, 400
--- a/decision/healthcheck_test.go
+++ b/decision/healthcheck_test.go
@@ -48,7 +48,7 @@
 
 // A fast health check at an endpoint with busy cores does not mean that the endpoint is idle. The reported utilisation
 // raises the ratio to that of a queue, 1/(1-utilisation).
-func TestReportedUtilizationRaisesHealthCheckRatio(t *testing.T) {
+func TestReportedUtilisationRaisesHealthCheckRatio(t *testing.T) {
 	for _, test := range []struct {
 		utilisation float64 // reported utilisation; -1: none
 		idle        bool
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -19,7 +19,7 @@
 	}
 	for _, a := range sim.actions {
 		if _, ok := a.(Cancel); ok {
-			t.Error("got a Cancel, want none")
+			t.Error("got the attempt canceled, want it kept")
 		}
 	}
 }
@@ -47,7 +47,8 @@
 			}
 		}
 		if (closed > 0) != test.closes {
-			t.Errorf("unreachable after %v ms: got %d CloseIdle, want some only for refusals at once", test.after, closed)
+			t.Errorf("unreachable after %v ms: got %d closures of idle connections, want some only after refusals at once",
+				test.after, closed)
 		}
 	}
 }
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -20,7 +20,7 @@
 }
 
 // handleVoteResult records the rollout controller's response to a vote. A vote that was not accepted is cast again
-// after a random part of VoteWait.
+// after a random part of the retry wait.
 func (b *Balancer) handleVoteResult(result VoteResult) {
 	b.voting.accepted = result == VoteAccepted
 	wait := b.settings.VoteWait * b.random.Next()
