--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -101,7 +101,7 @@
 		sim := start(t, trialUpdate(test.stage, 1), func(s *Settings) { s.GuardedStages = 1 })
 		sim.replaceEndpoints(newEndpoint("a2", 8))
 		if _, to := sim.request(test.class, ""); (to != "") != test.allowed {
-			t.Errorf("stage %d, class %s: got attempt at %q, want it only where the stage allows", test.stage, test.class, to)
+			t.Errorf("stage %d, class %s: got attempt at %q, want allowed %v", test.stage, test.class, to, test.allowed)
 		}
 	}
 }
--- a/decision/evidence_test.go
+++ b/decision/evidence_test.go
@@ -32,7 +32,7 @@
 			successor.handle(EvidenceAcquired{other})
 			successor.advance(successor.balancer.settings.VoteTTL)
 			if rollback := strings.Contains(successor.votes(), "3"); rollback != test.want {
-				t.Errorf("%s, %s: got votes %q, want one to roll back only for the same build", name, test.name, successor.votes())
+				t.Errorf("%s, %s: got votes %q, want a vote to roll back: %v", name, test.name, successor.votes(), test.want)
 			}
 		}
 		terminated.handle(EvidenceRevoked{})
--- a/decision/exposure_test.go
+++ b/decision/exposure_test.go
@@ -107,7 +107,8 @@
 			sim.endAttempt(req, 0, Succeeded, 20)
 		}
 		if n < test.least || n > test.most {
-			t.Errorf("withheld share %g: got %d of 200 requests at the candidate", test.share, n)
+			t.Errorf("withheld share %g: got %d of 200 requests at the candidate, want %d to %d", test.share, n, test.least,
+				test.most)
 		}
 	}
 }
--- a/decision/failures_test.go
+++ b/decision/failures_test.go
@@ -34,7 +34,8 @@
 				sim.replaceEndpoints(list...)
 			}
 			if found := sim.balancer.failureEvidence(); (found.strength >= 1) != test.proof {
-				t.Errorf("failures %v, baseline removed %v: got strength %v", test.bad, removed, found.strength)
+				t.Errorf("failures %v, baseline removed %v: got strength %v, want proof %v", test.bad, removed,
+					found.strength, test.proof)
 			}
 		}
 	}
@@ -58,7 +59,8 @@
 			sim.balancer.endpoints.byID[id].outcomes[0] = stats.Count{Good: 30 - bad, Bad: bad}
 		}
 		if found := sim.balancer.failureEvidence(); (found.strength >= 1) != test.proof {
-			t.Errorf("%v baseline failures, %d other endpoints: got strength %v", test.baseline, test.others, found.strength)
+			t.Errorf("%v baseline failures, %d other endpoints: got strength %v, want proof %v", test.baseline, test.others,
+				found.strength, test.proof)
 		}
 	}
 }
@@ -89,7 +91,8 @@
 			candidate.outcomes[overall.index] = stats.Count{Good: test.each - bad, Bad: bad}
 		}
 		if found := sim.balancer.failureEvidence(); (found.strength >= 1) != test.proof {
-			t.Errorf("failures %v of %v outcomes each: got strength %v", test.bad, test.each, found.strength)
+			t.Errorf("failures %v of %v outcomes each: got strength %v, want proof %v", test.bad, test.each,
+				found.strength, test.proof)
 		}
 	}
 }
--- a/decision/fleetslowdown_test.go
+++ b/decision/fleetslowdown_test.go
@@ -74,7 +74,7 @@
 			sim.balancer.compareBeforeTrial(sim.balancer.classes.overall.slowdown, 3, 1)
 		}
 		if got := sim.balancer.classes.overall.slowdown.rejections > 0; got != test.rejects {
-			t.Errorf("%s: got rejected %v, want the opposite", test.name, got)
+			t.Errorf("%s: got rejected %v, want %v", test.name, got, test.rejects)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 		}
 		rejections := overall.slowdown.rejections
 		if got := rejections >= slowdownGroups*overall.rejectionsNeeded; got != test.proof {
-			t.Errorf("%s: got %d rejections, proof %v, want the opposite", test.name, rejections, got)
+			t.Errorf("%s: got %d rejections, proof %v, want %v", test.name, rejections, got, test.proof)
 		}
 	}
 }
--- a/decision/healthcheck_test.go
+++ b/decision/healthcheck_test.go
@@ -41,7 +41,8 @@
 			sim.handle(TimerFired{Token: 1})
 		}
 		if to := sim.attemptedAt(1, 0); to == "" || best != "" && to != best || checks != test.checks {
-			t.Errorf("%s: got %d health checks, fastest at %q, and the attempt at %q", test.name, checks, best, to)
+			t.Errorf("%s: got %d health checks, fastest at %q, and the attempt at %q, want %d checks and an attempt there",
+				test.name, checks, best, to, test.checks)
 		}
 	}
 }
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -65,7 +65,8 @@
 		sim.endAttempt(req, 0, MalformedResponse, 50)
 		_, last := sim.responses(req)
 		if last != test.last || (sim.attemptedAt(req, 1) != "") != (test.attempts == 2) {
-			t.Errorf("%s: got response %q and retry at %q", test.class, last, sim.attemptedAt(req, 1))
+			t.Errorf("%s: got response %q and retry at %q, want %q and %d attempts", test.class, last,
+				sim.attemptedAt(req, 1), test.last, test.attempts)
 		}
 		endpoint := sim.balancer.endpoints.byID[id]
 		ejected := endpoint.ejections != 0 || endpoint.ejectedUntil > sim.now
@@ -102,7 +103,7 @@
 				sim.balancer.observeEndpoint(endpoint, e)
 			}
 			if endpoint.ejections > 0 != test.ejected {
-				t.Errorf("got %d ejections", endpoint.ejections)
+				t.Errorf("got %d ejections, want ejected %v", endpoint.ejections, test.ejected)
 			}
 		})
 	}
--- a/decision/proof_test.go
+++ b/decision/proof_test.go
@@ -45,7 +45,7 @@
 			sim.balancer.classes.ordered[0].rejections = rejects
 			sim.balancer.outliers.lastFaultAt = sim.balancer.now // a fault prevents the vote to roll back
 			if got := sim.balancer.decideVerdict(); rejects > 0 && got.verdict != want {
-				t.Errorf("%+v, %d rejections: got verdict %v, %s", test, rejects, got.verdict, got.reason)
+				t.Errorf("%+v, %d rejections: got verdict %v, %s, want %v", test, rejects, got.verdict, got.reason, want)
 			}
 		}
 	}
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -40,7 +40,7 @@
 			rejected, ok := a.(Reject)
 			longest := sim.balancer.settings.MaxRetryAfter
 			if ok && ((rejected.RetryAfter > 0) != allowed || rejected.RetryAfter > longest) {
-				t.Errorf("Retry-After allowed %v: got %v ms", allowed, rejected.RetryAfter)
+				t.Errorf("Retry-After allowed %v: got %v ms, want at most %v", allowed, rejected.RetryAfter, longest)
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 			got = "hedge"
 		}
 		if got != test.want {
-			t.Errorf("%s, hedging %v: got %q, want another action", test.class, test.hedging, got)
+			t.Errorf("%s, hedging %v: got %q, want %q", test.class, test.hedging, got, test.want)
 		}
 	}
 }
@@ -98,7 +98,7 @@
 			}
 			sim.endAttempt(req, 0, test.outcome, 1)
 			if n, last := sim.responses(req); last != test.last || n > 1 {
-				t.Errorf("got %d responses, the last %q", n, last)
+				t.Errorf("got %d responses, the last %q, want at most 1 and %q", n, last, test.last)
 			}
 		})
 	}
--- a/decision/stickykeys_test.go
+++ b/decision/stickykeys_test.go
@@ -27,7 +27,8 @@
 		req, to := sim.request("read", "k")
 		sim.advance(300)
 		if n, kind := sim.responses(req); (to == "a1") != test.allowed || !test.allowed && (n != 1 || kind != "reject") {
-			t.Errorf("%+v: got attempt at %q and %d responses, the last %q", test.update, to, n, kind)
+			t.Errorf("%+v: got attempt at %q and %d responses, the last %q, want an attempt at a1: %v", test.update, to, n,
+				kind, test.allowed)
 		}
 		otherReq, otherTo := sim.request("read", "other")
 		if sim.endAttempt(otherReq, 0, Succeeded, 20); otherTo != "a1" {
--- a/decision/verdict_test.go
+++ b/decision/verdict_test.go
@@ -152,7 +152,7 @@
 		sim.balancer.voting.vote.Verdict = VoteAdvance // cast earlier
 		sim.balancer.now += noGroupsVoteDelay
 		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
-			t.Errorf("%s: got verdict %v, %s", test.name, got.verdict, got.reason)
+			t.Errorf("%s: got verdict %v, %s, want %v", test.name, got.verdict, got.reason, test.want)
 		}
 	}
 }
