--- a/decision/stream_test.go
+++ b/decision/stream_test.go
@@ -53,7 +53,7 @@
 	candidateSlowdown     float64         // factor on the service time of a bad candidate
 	candidateFailureShare float64         // share of failed requests at a bad candidate
 	badCandidateShare     float64         // share of bad candidates
-	zoneLostAt            decision.Millis // the other zone is unreachable
+	otherZoneDownAt       decision.Millis // the other zone is unreachable
 	fleetSlowdownAt       decision.Millis // all endpoints are slower
 	fleetSlowdownFactor   float64         // factor on the service time at fleetSlowdownAt
 	slowdownAtOffer       bool            // a fleet slowdown starts with the offer of half of the candidates
@@ -215,8 +215,8 @@
 	(*simulation).calm,
 	(*simulation).slowCandidates,
 	(*simulation).failingCandidates,
-	(*simulation).zoneLoss,
-	(*simulation).sharedSlowness,
+	(*simulation).otherZoneDown,
+	(*simulation).slowFleet,
 	(*simulation).manyInstances,
 	(*simulation).overload,
 	(*simulation).manyInstancesWithBadCandidates,
@@ -241,14 +241,14 @@
 	s.candidateFailureShare, s.badCandidateShare = 0.05+0.4*s.random.Float64(), 0.8
 }
 
-// zoneLoss makes the other zone unreachable for some time.
-func (s *simulation) zoneLoss() {
-	s.zoneLostAt = s.now + 3000 + 8000*s.random.Float64()
+// otherZoneDown makes the other zone unreachable for some time.
+func (s *simulation) otherZoneDown() {
+	s.otherZoneDownAt = s.now + 3000 + 8000*s.random.Float64()
 }
 
-// sharedSlowness makes all endpoints slower for some time. With half of the seeds, the slowdown starts with the offer
+// slowFleet makes all endpoints slower for some time. With half of the seeds, the slowdown starts with the offer
 // of a candidate, before any endpoint runs it.
-func (s *simulation) sharedSlowness() {
+func (s *simulation) slowFleet() {
 	s.fleetSlowdownAt, s.fleetSlowdownFactor = s.now+3000+8000*s.random.Float64(), 2+6*s.random.Float64()
 	if s.slowdownAtOffer = s.random.IntN(2) == 0; s.slowdownAtOffer {
 		s.arrivalRate = 0.006 + 0.012*s.random.Float64()
@@ -515,13 +515,13 @@
 
 // drawOutcome draws the outcome and the duration of an attempt at an endpoint.
 func (s *simulation) drawOutcome(e *endpoint) (decision.Outcome, decision.Millis) {
-	lost := e.Zone != s.settings.Zone && s.isActive(s.zoneLostAt)
+	unreachable := e.Zone != s.settings.Zone && s.isActive(s.otherZoneDownAt)
 	switch {
 	case e.down && s.random.IntN(2) == 0:
 		return decision.Unreachable, 0.5
-	case e.down, lost && s.random.IntN(2) == 0:
+	case e.down, unreachable && s.random.IntN(2) == 0:
 		return decision.Unreachable, 300
-	case lost:
+	case unreachable:
 		return decision.ConnectionBroken, 100 * s.random.Float64()
 	case e.silent:
 		return decision.TimedOut, 1e9
