--- a/decision/stored_golden_test.go
+++ b/decision/stored_golden_test.go
@@ -8,8 +8,9 @@
 	"ottershed/internal/golden"
 )
 
-// Evidence is stored in checkpoints, and read there by instances that run another version of the program.
-func TestStoredEvidence(t *testing.T) {
+// The encoding of evidence matches the golden file. Checkpoints store evidence, and instances with another version of
+// the program read it.
+func TestStoredEvidenceFormat(t *testing.T) {
 	evidence := Evidence{
 		Build: 8, Stage: 2,
 		Classes: []ClassEvidence{{Class: "read", Baseline: []float64{0.5, 1.25}, Candidate: []float64{0.75}}},
