--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,8 +1,9 @@
-// Package clock is the one clock of an instance: Unix time at its start, advanced by the monotonic clock. So the
-// start times of endpoints, which are Unix time, and all waits compare, and a change of the system's time has no
-// effect.
+// Package clock provides the clock of an instance. The clock starts at the Unix time of the process start and advances
+// with the monotonic clock. So start times of endpoints, which are Unix times, can be compared with its readings, and
+// later changes of the system time have no effect.
 //
-// New makes the clock of a process; Duration turns the module's milliseconds into the standard library's unit.
+// [New] returns the clock of a process. [Duration] converts milliseconds, the unit of the module, to the unit of the
+// standard library.
 package clock
 
 import (
@@ -14,22 +15,23 @@
 	"ottershed/decision"
 )
 
-// Clock tells the time in fractional milliseconds. Its methods may be called from any goroutine.
+// Clock reads the time in fractional milliseconds. Its methods are safe for concurrent use.
 type Clock struct {
-	start time.Time       // with the monotonic clock's reading
-	unix  decision.Millis // at start, Unix time
-	rate  float64         // milliseconds of this clock in one of the monotonic clock; 1 but in a testbed
+	start time.Time       // with a reading of the monotonic clock
+	unix  decision.Millis // Unix time at start
+	rate  float64         // milliseconds of this clock in one of the monotonic clock; 1 except in a testbed
 }
 
-// TestbedEnv is the environment variable with which the testbed starts processes whose clocks are wrong: "OFFSET
-// RATE", such as "-1h 1.1". It is not meant for operators: the rate changes the readings of this clock alone, not
-// timers and deadlines.
+// TestbedEnv is the environment variable by which the testbed starts processes with a wrong clock. Its value is "OFFSET
+// RATE", such as "-1h 1.1". It is not meant for operators: the rate changes only the readings of this clock, not timers
+// and socket deadlines.
 const TestbedEnv = "OTTERSHED_LAB_CLOCK"
 
-// New makes a clock that starts now.
+// New returns a clock that starts now, with the offset and rate of TestbedEnv if that is set.
 func New() *Clock { return fromEnv(os.Getenv(TestbedEnv)) }
 
-// fromEnv makes the clock that the value of TestbedEnv describes; a part that can't be read is ignored.
+// fromEnv returns the clock that a value of TestbedEnv describes. It ignores an offset or rate that is malformed, and a
+// rate that is not positive.
 func fromEnv(text string) *Clock {
 	now := time.Now()
 	c := &Clock{start: now, unix: float64(now.UnixMicro()) / 1000, rate: 1}
@@ -43,18 +45,19 @@
 	return c
 }
 
-// Uptime is the time since the clock was made.
+// Uptime returns the time since the clock was made.
 func (c *Clock) Uptime() decision.Millis { return c.Now() - c.unix }
 
-// Now is the present Unix time.
+// Now returns the current Unix time.
 func (c *Clock) Now() decision.Millis {
 	return c.unix + c.rate*float64(time.Since(c.start))/float64(time.Millisecond)
 }
 
-// Time is the moment of a reading of this clock, for deadlines of sockets.
-func (c *Clock) Time(at decision.Millis) time.Time {
-	return c.start.Add(Duration((at - c.unix) / c.rate))
+// Time converts a reading of this clock to a time.Time for socket deadlines. It compensates for the offset and rate of
+// the testbed.
+func (c *Clock) Time(reading decision.Millis) time.Time {
+	return c.start.Add(Duration((reading - c.unix) / c.rate))
 }
 
-// Duration is a length of time in the unit of the standard library, cut off to whole nanoseconds.
+// Duration converts milliseconds to a time.Duration, truncated to whole nanoseconds.
 func Duration(ms decision.Millis) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The clock starts at Unix time with the offset and advances at the rate; what can't be read changes nothing.
-func TestFromEnv(t *testing.T) {
+// The clock starts at the Unix time plus the offset and advances at the rate. Malformed parts are ignored.
+func TestFromEnvSetsOffsetAndRate(t *testing.T) {
 	for text, want := range map[string]struct {
 		offset time.Duration
 		rate   float64
@@ -25,14 +25,14 @@
 				clock := fromEnv(text)
 				start := float64(began.Add(want.offset).UnixMilli())
 				if clock.Now() != start {
-					t.Errorf("starts at %v, want %v", clock.Now(), start)
+					t.Errorf("start: got %v, want %v", clock.Now(), start)
 				}
 				time.Sleep(time.Second)
 				if passed := 1000 * want.rate; clock.Now() != start+passed || clock.Uptime() != passed {
-					t.Errorf("%v after a second, uptime %v, want %v", clock.Now()-start, clock.Uptime(), passed)
+					t.Errorf("after a second: got %v ms, uptime %v, want %v", clock.Now()-start, clock.Uptime(), passed)
 				}
-				if moment := clock.Time(clock.Now()); !moment.Equal(time.Now()) {
-					t.Errorf("now is the moment %v, want %v", moment, time.Now())
+				if got := clock.Time(clock.Now()); !got.Equal(time.Now()) {
+					t.Errorf("Time(Now()): got %v, want %v", got, time.Now())
 				}
 			})
 		})
@@ -44,7 +44,7 @@
 		0: 0, 1: time.Millisecond, 0.25: 250 * time.Microsecond, -2: -2 * time.Millisecond, 1e12: 1e12 * time.Millisecond,
 	} {
 		if got := Duration(ms); got != want {
-			t.Errorf("%v ms: %v, want %v", ms, got, want)
+			t.Errorf("Duration(%v): got %v, want %v", ms, got, want)
 		}
 	}
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging makes the logger of an instance, New, and keeps repeated causes from filling its log, Limiter.
+// Package logging provides the logger of an instance, [New], and a rate limit for repeated log lines, [Limiter].
 package logging
 
 import (
@@ -9,11 +9,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// New makes a logger that writes lines of fields to a writer, from the given level on. Times have milliseconds and a
-// zone.
-func New(to io.Writer, level logrus.Level) *logrus.Logger {
+// New returns a logger that writes one line of key=value fields for each entry of the given level or a more severe one.
+// Timestamps have milliseconds and a time zone.
+func New(out io.Writer, level logrus.Level) *logrus.Logger {
 	logger := logrus.New()
-	logger.SetOutput(to)
+	logger.SetOutput(out)
 	logger.SetLevel(level)
 	logger.SetFormatter(&logrus.TextFormatter{
 		DisableColors: true, FullTimestamp: true,
@@ -22,27 +22,27 @@
 	return logger
 }
 
-// repeatInterval is the shortest time between two lines with the same cause.
+// repeatInterval is the minimum time between two lines with the same cause.
 const repeatInterval = 10 * time.Second
 
-// Limiter lets each cause through once in 10 s. The zero value is ready; its method may be called from any goroutine.
-// It keeps an entry for each cause for good, so causes must be constant texts.
+// Limiter allows one line for each cause in 10 s. The zero value is ready to use, and Allow is safe for concurrent use.
+// Limiter never removes a cause, so causes must be constant strings.
 type Limiter struct {
-	mu   sync.Mutex
-	last map[string]time.Time // when a cause was let through last
+	mu          sync.Mutex
+	lastAllowed map[string]time.Time // by cause
 }
 
-// Allow tells whether a line with this cause may be written now.
+// Allow reports whether a line with this cause may be written now. If so, it starts the interval anew.
 func (l *Limiter) Allow(cause string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	last, known := l.last[cause]
+	last, known := l.lastAllowed[cause]
 	if known && time.Since(last) < repeatInterval {
 		return false
 	}
-	if l.last == nil {
-		l.last = map[string]time.Time{}
+	if l.lastAllowed == nil {
+		l.lastAllowed = map[string]time.Time{}
 	}
-	l.last[cause] = time.Now()
+	l.lastAllowed[cause] = time.Now()
 	return true
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,20 +10,20 @@
 	"github.com/sirupsen/logrus"
 )
 
-// A line has its time in milliseconds, its level, message and fields; lines below the level are left out.
-func TestNew(t *testing.T) {
+// A line holds the time in milliseconds, level, message and fields. Entries below the level are not written.
+func TestNewWritesEntriesOfLevel(t *testing.T) {
 	var out bytes.Buffer
 	logger := New(&out, logrus.InfoLevel)
 	logger.Debug("left out")
 	logger.WithField("cause", "x y").Info("written")
 	want := regexp.MustCompile(`^time="\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}(Z|[+-]\d\d:\d\d)" level=info msg=written cause="x y"\n$`)
 	if !want.Match(out.Bytes()) {
-		t.Errorf("got %q", out.String())
+		t.Errorf("got %q, want a match of %s", out.String(), want)
 	}
 }
 
-// Each cause is let through once in repeatInterval.
-func TestLimiter(t *testing.T) {
+// Each cause is allowed once in repeatInterval.
+func TestLimiterAllowsCauseOncePerInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var limiter Limiter
 		for i, step := range []struct {
@@ -41,7 +41,7 @@
 		} {
 			time.Sleep(step.after)
 			if got := limiter.Allow(step.cause); got != step.want {
-				t.Errorf("step %d: %s allowed: %t, want %t", i, step.cause, got, step.want)
+				t.Errorf("step %d: Allow(%q): got %t, want %t", i, step.cause, got, step.want)
 			}
 		}
 	})
--- a/internal/stats/random.go
+++ b/internal/stats/random.go
@@ -6,37 +6,41 @@
 	"math"
 )
 
-// Exponential is the i-th of a low-discrepancy sequence with the exponential distribution of mean 1: any run of it is
-// spread like the distribution.
+// Exponential returns the i-th value of a low-discrepancy sequence that follows the exponential distribution of mean 1.
+// Any run of consecutive values approximates the distribution.
 func Exponential(i int) float64 {
-	_, part := math.Modf((float64(i) + 0.5) * math.Phi)
-	return -math.Log(1 - part)
+	_, fraction := math.Modf((float64(i) + 0.5) * math.Phi)
+	return -math.Log(1 - fraction)
 }
 
-// Random draws numbers from 0 to 1 from a seed and a counter. The checksum of seed and counter is linear, so both the
-// counter and the sum are multiplied by odd constants: sums of neighbouring counters are too much alike, and two sums
-// over one seed differ by the same bits whatever the seed, so that at all instances a draw would predict the next.
-type Random struct{ Seed, drawn uint64 }
+// Random generates pseudorandom numbers from a seed and a counter by a CRC-32 checksum. It is not safe for concurrent
+// use.
+//
+// The checksum is linear, so both the counter and the checksum are multiplied by odd constants. Without the first
+// factor the checksums of consecutive counters are too similar. Without the second one, the checksums of two counters
+// differ in the same bits for every seed, so a number would predict the next one at all instances.
+type Random struct{ Seed, counter uint64 }
 
-// Next draws one number.
+// Next returns the next number, uniform from 0 to below 1.
 func (r *Random) Next() float64 {
-	r.drawn++
+	r.counter++
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], r.Seed)
-	binary.LittleEndian.PutUint64(b[8:], r.drawn*0x9e3779b97f4a7c15)
+	binary.LittleEndian.PutUint64(b[8:], r.counter*0x9e3779b97f4a7c15)
 	return float64(crc32.ChecksumIEEE(b[:])*0x9e3779b1) / (1 << 32)
 }
 
-// Draw draws an index with a probability in proportion to its weight.
+// Draw returns a random index into weights, with a probability in proportion to its weight. It returns the last index
+// if all weights are 0, and -1 if there are no weights.
 func (r *Random) Draw(weights []float64) int {
 	total := 0.0
 	for _, w := range weights {
 		total += w
 	}
-	at := r.Next() * total
+	rest := r.Next() * total
 	for i, w := range weights {
-		at -= w
-		if at < 0 {
+		rest -= w
+		if rest < 0 {
 			return i
 		}
 	}
--- a/internal/stats/ranktest.go
+++ b/internal/stats/ranktest.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// KruskalWallis is the statistic of the Kruskal-Wallis rank test for two groups, ties at their middle rank. It is 0
-// if no rank differs.
+// KruskalWallis returns the statistic of the Kruskal-Wallis rank test for two groups. Tied values have their mean rank.
+// The statistic is 0 if all ranks are equal.
 func KruskalWallis(a, b []float64) float64 {
 	all := append(slices.Clone(a), b...)
 	slices.Sort(all)
-	mid := float64(len(all)+1) / 2
+	meanRank := float64(len(all)+1) / 2
 	var between, within float64
 	for _, group := range [][]float64{a, b} {
 		sum := 0.0
@@ -20,7 +20,7 @@
 			for high < len(all) && all[high] == v {
 				high++
 			}
-			deviation := float64(low+high+1)/2 - mid // of the middle rank
+			deviation := float64(low+high+1)/2 - meanRank // of the mean rank of the tied values
 			sum += deviation
 			within += deviation * deviation
 		}
@@ -34,8 +34,8 @@
 	return float64(len(all)-1) * between / within
 }
 
-// KruskalWallisCounts is the same statistic over outcomes that are only good or bad. It is 0 if either group or
-// either outcome is missing.
+// KruskalWallisCounts returns the same statistic for outcomes that are only good or bad. It is 0 if one of the groups
+// is empty, or if all outcomes of both groups are good or all are bad.
 func KruskalWallisCounts(a, b Count) float64 {
 	if a.Total() == 0 || b.Total() == 0 || a.Good+b.Good == 0 || a.Bad+b.Bad == 0 {
 		return 0
@@ -44,9 +44,9 @@
 	return (a.Total() + b.Total() - 1) * d * d / (a.Total() * b.Total() * (a.Good + b.Good) * (a.Bad + b.Bad))
 }
 
-// ExceededBy is the value that either statistic exceeds with this probability if there is no difference: the quantile
-// of the chi-squared distribution with one degree of freedom.
-func ExceededBy(chance float64) float64 {
-	z := math.Erfcinv(chance)
+// ExceededBy returns the critical value of both statistics: the value that they exceed with the given probability,
+// from 0 to 1, if the groups do not differ. It is a quantile of the chi-squared distribution with one degree of freedom.
+func ExceededBy(probability float64) float64 {
+	z := math.Erfcinv(probability)
 	return 2 * z * z
 }
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The statistics are those of the literature: of two groups, with ties, and over counts.
+// The statistics have the values of the formulas in the literature: for two groups, with ties, and over counts.
 func TestKruskalWallis(t *testing.T) {
 	inf := math.Inf(1)
 	for _, c := range []struct {
@@ -20,41 +20,41 @@
 		{nil, []float64{1, 2}, 0},
 	} {
 		if got := KruskalWallis(c.a, c.b); math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("%v %v: %v, want %v", c.a, c.b, got, c.want)
+			t.Errorf("KruskalWallis(%v, %v) = %v, want %v", c.a, c.b, got, c.want)
 		}
 	}
-	// Counts are the same test on two values.
+	// Counts are groups that hold only two values.
 	if got := KruskalWallisCounts(Count{2, 2}, Count{3, 1}); math.Abs(got-7.0/15) > 1e-9 {
-		t.Errorf("counts: %v", got)
+		t.Errorf("KruskalWallisCounts: got %v, want 7/15", got)
 	}
 }
 
-// Draws are uniform, and each is independent of those before it.
-func TestRandom(t *testing.T) {
-	c, sum, pairs := Random{Seed: 3}, 0.0, 0.0
+// Random numbers are uniform, and each is independent of the earlier ones.
+func TestRandomIsUniformAndIndependent(t *testing.T) {
+	random, sum, pairs := Random{Seed: 3}, 0.0, 0.0
 	for range 4000 {
-		a, b := c.Next(), c.Next()
+		a, b := random.Next(), random.Next()
 		sum += a + b
 		pairs += (a - 0.5) * (b - 0.5)
 	}
 	if math.Abs(sum/8000-0.5) > 0.02 || math.Abs(pairs/4000) > 0.01 {
-		t.Errorf("mean %v, neighbours %v", sum/8000, pairs/4000)
+		t.Errorf("got mean %v, covariance of consecutive numbers %v; want 0.5 and 0", sum/8000, pairs/4000)
 	}
-	// Over many instances too a draw does not predict the next ones.
+	// Over the seeds of many instances, a number does not predict the following ones either.
 	for gap := range 9 {
-		alike := 0
+		sameHalf := 0
 		for seed := range 2000 {
-			c := Random{Seed: uint64(seed+1) * 0x9e3779b97f4a7c15, drawn: 70}
-			a, b := c.Next(), c.Next()
+			random := Random{Seed: uint64(seed+1) * 0x9e3779b97f4a7c15, counter: 70}
+			a, b := random.Next(), random.Next()
 			for range gap {
-				b = c.Next()
+				b = random.Next()
 			}
 			if (a < 0.5) == (b < 0.5) {
-				alike++
+				sameHalf++
 			}
 		}
-		if alike < 800 || alike > 1200 {
-			t.Errorf("draw %d after another: %d of 2000 in the same half", gap+1, alike)
+		if sameHalf < 800 || sameHalf > 1200 {
+			t.Errorf("numbers %d apart: %d of 2000 seeds have both in the same half, want 800 to 1200", gap+1, sameHalf)
 		}
 	}
 }
--- a/internal/stats/summary.go
+++ b/internal/stats/summary.go
@@ -2,34 +2,36 @@
 
 import "slices"
 
-// Count is a number of good outcomes and one of bad outcomes. Both may be fractions, of weighted outcomes.
+// Count holds the numbers of good and of bad outcomes. Weighted outcomes make the numbers fractional.
 type Count struct{ Good, Bad float64 }
 
-// Total is the number of outcomes.
+// Total returns the number of all outcomes.
 func (c Count) Total() float64 { return c.Good + c.Bad }
 
-// Add adds another count, multiplied by times.
-func (c *Count) Add(t Count, times float64) {
-	c.Good += times * t.Good
-	c.Bad += times * t.Bad
+// Add adds another count, multiplied by weight.
+func (c *Count) Add(other Count, weight float64) {
+	c.Good += weight * other.Good
+	c.Bad += weight * other.Bad
 }
 
-// ScaledTo is the count scaled down to a total of at most n.
+// ScaledTo returns the count scaled down to a total of at most n. A total below 1 is taken as 1.
 func (c Count) ScaledTo(n float64) Count {
 	factor := min(1, n/max(c.Total(), 1))
 	return Count{c.Good * factor, c.Bad * factor}
 }
 
-// Median is that of a group that is not empty.
-func Median(v []float64) float64 {
-	sorted := slices.Sorted(slices.Values(v))
+// Median returns the median of the values. It panics if there are none.
+func Median(values []float64) float64 {
+	sorted := slices.Sorted(slices.Values(values))
 	return (sorted[(len(sorted)-1)/2] + sorted[len(sorted)/2]) / 2
 }
 
-// Groups divides a stream of values into disjoint groups: the one being filled and the last two full ones.
+// Groups divides a stream of values into disjoint groups. Fill is the group that is being filled, Last is the last full
+// group, Before the one before Last.
 type Groups struct{ Fill, Last, Before []float64 }
 
-// Add adds a value and tells whether that has filled a group of this size.
+// Add adds a value to the group that is being filled. It closes the group and returns true if the group then holds size
+// values.
 func (g *Groups) Add(v float64, size int) bool {
 	g.Fill = append(g.Fill, v)
 	if len(g.Fill) < size {
@@ -39,23 +41,25 @@
 	return true
 }
 
-// Close ends the group that is being filled, whatever its size.
+// Close makes the group that is being filled the last full one, whatever its size, and starts an empty group.
 func (g *Groups) Close() { g.Fill, g.Last, g.Before = nil, g.Fill, g.Last }
 
-// Mean is a running mean: exact over the first values, and exponentially smoothed from the memory-th on.
+// Mean is a running mean. It is the exact mean of the first values and is exponentially smoothed once as many values as
+// the memory of Add were added.
 type Mean struct{ Value, count float64 }
 
-// Add adds a value and returns the mean. A higher memory, 1 or more, follows changes more slowly and with less noise.
+// Add adds a value and returns the mean. The memory is a number of values, 1 or more; a higher one follows changes more
+// slowly and with less noise.
 func (m *Mean) Add(v, memory float64) float64 {
 	m.count = min(m.count+1, memory)
 	m.Value += (v - m.Value) / m.count
 	return m.Value
 }
 
-// ValueOr returns the mean, or another value before the first Add.
-func (m *Mean) ValueOr(other float64) float64 {
+// ValueOr returns the mean, or fallback before the first Add.
+func (m *Mean) ValueOr(fallback float64) float64 {
 	if m.count == 0 {
-		return other
+		return fallback
 	}
 	return m.Value
 }
