--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-// running is a server that runs, with a path of each kind.
-type running struct {
+// testServer is a running server with one path for GET and one for POST.
+type testServer struct {
 	address string
 	cancel  context.CancelFunc
-	ended   chan error // of Run
+	ended   chan error // receives the result of Run
 }
 
-// start runs a server; stop ends it and must be called.
-func start(t *testing.T) running {
+// startTestServer runs a server. The test must call stop.
+func startTestServer(t *testing.T) testServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,13 +32,13 @@
 		return "done", nil
 	})
 	ctx, cancel := context.WithCancel(t.Context())
-	r := running{address: listener.Addr().String(), cancel: cancel, ended: make(chan error)}
+	r := testServer{address: listener.Addr().String(), cancel: cancel, ended: make(chan error)}
 	go func() { r.ended <- server.Run(ctx, listener) }()
 	return r
 }
 
-// stop ends the server, which is no error.
-func (r running) stop(t *testing.T) {
+// stop ends the server and checks that Run returns no error.
+func (r testServer) stop(t *testing.T) {
 	t.Helper()
 	r.cancel()
 	if err := <-r.ended; err != nil {
@@ -46,59 +46,59 @@
 	}
 }
 
-// An instance serves its commands, with the reason where a request is rejected, until its end.
-func TestCall(t *testing.T) {
-	server := start(t)
+// The server responds until it is stopped. Call returns the JSON, or the reason or status of an error response.
+func TestCallReturnsResponseOrReason(t *testing.T) {
+	server := startTestServer(t)
 	for _, c := range []struct{ path, body, want string }{
 		{"/who", "", `"n": 1`},
 		{"/do", `"it"`, "done"},
 	} {
-		got, err := Call(t.Context(), server.address, c.path, bodyOf(c.body))
+		got, err := Call(t.Context(), server.address, c.path, requestBody(c.body))
 		if err != nil || !strings.Contains(string(got), c.want) {
-			t.Errorf("%s %s: %.60q, %v", c.path, c.body, got, err)
+			t.Errorf("%s %s: got %.60q, error %v, want %s", c.path, c.body, got, err, c.want)
 		}
 	}
 	for _, c := range []struct{ path, body, reason string }{
 		{"/do", `"that"`, "that can't be done"},
 		{"/do", strings.Repeat("x", maxBodyBytes+1), "http: request body too large"},
 	} {
-		got, err := Call(t.Context(), server.address, c.path, bodyOf(c.body))
+		got, err := Call(t.Context(), server.address, c.path, requestBody(c.body))
 		var rejected *RequestError
 		if !errors.As(err, &rejected) || *rejected != (RequestError{server.address, c.reason}) {
-			t.Errorf("%s %.20s: %.60q, %v", c.path, c.body, got, err)
+			t.Errorf("%s %.20s: got %.60q, error %v, want RequestError %q", c.path, c.body, got, err, c.reason)
 		}
 	}
 	var status *StatusError
 	got, err := Call(t.Context(), server.address, "/none", nil)
 	if !errors.As(err, &status) || status.Code != http.StatusNotFound {
-		t.Errorf("/none: %.60q, %v", got, err)
+		t.Errorf("/none: got %.60q, error %v, want a StatusError of code 404", got, err)
 	}
 	server.stop(t)
 	if _, err := Call(t.Context(), server.address, "/who", nil); err == nil {
-		t.Error("it responds after its end")
+		t.Error("responds after its end")
 	}
 }
 
-// bodyOf is the body of a request; none if the text is empty.
-func bodyOf(text string) []byte {
+// requestBody returns the body for Call: nil, for a GET, if the text is empty.
+func requestBody(text string) []byte {
 	if text == "" {
 		return nil
 	}
 	return []byte(text)
 }
 
-// A page in a browser on this machine gets no response but an error.
-func TestRequireLocal(t *testing.T) {
-	server := start(t)
+// A page in a browser on the same machine can send forms and use host names that resolve to loopback. Both get errors.
+func TestBrowserRequestsAreRejected(t *testing.T) {
+	server := startTestServer(t)
 	defer server.stop(t)
 	for name, test := range map[string]struct {
 		change func(*http.Request)
 		status int
 	}{
-		"a form": {
+		"content type of a form": {
 			func(r *http.Request) { r.Header.Set("Content-Type", "text/plain") }, http.StatusUnsupportedMediaType,
 		},
-		"by another name": {func(r *http.Request) { r.Host = "attacker.example:80" }, http.StatusMisdirectedRequest},
+		"Host is a name": {func(r *http.Request) { r.Host = "attacker.example:80" }, http.StatusMisdirectedRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
 			url := "http://" + server.address + "/do"
@@ -112,27 +112,26 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			_ = res.Body.Close() // the status is all that counts
+			_ = res.Body.Close() // only the status is checked
 			if res.StatusCode != test.status {
-				t.Errorf("status %s, want %d", res.Status, test.status)
+				t.Errorf("got status %s, want %d", res.Status, test.status)
 			}
 		})
 	}
 }
 
-// Only addresses of loopback may be listened on.
-func TestCheck(t *testing.T) {
+func TestOnlyLoopbackAddressesPassCheck(t *testing.T) {
 	for _, address := range []string{"127.0.0.1:80", "[::1]:80"} {
 		if err := Check(address); err != nil {
-			t.Errorf("%s: %v", address, err)
+			t.Errorf("%s: got error %v, want none", address, err)
 		}
 	}
 	for address, want := range map[string]string{
 		"10.0.0.1:80": "an address of loopback", "127.0.0.1:0": "ip:port", "host:80": "ip:port",
 	} {
-		var fault *AddressError
-		if err := Check(address); !errors.As(err, &fault) || *fault != (AddressError{want, address}) {
-			t.Errorf("%s: %v, want %s", address, err, want)
+		var rejected *AddressError
+		if err := Check(address); !errors.As(err, &rejected) || *rejected != (AddressError{want, address}) {
+			t.Errorf("%s: got error %v, want %s", address, err, want)
 		}
 	}
 }
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -9,7 +9,7 @@
 	"net/http"
 )
 
-// RequestError is returned for a request that the instance has rejected with a reason.
+// RequestError is returned by Call if the instance rejected the request with a reason.
 type RequestError struct {
 	Address string // of the instance
 	Reason  string
@@ -17,18 +17,21 @@
 
 func (e *RequestError) Error() string { return e.Address + ": " + e.Reason }
 
-// StatusError is returned for a response that is neither a success nor has a reason.
+// StatusError is returned by Call if the response is neither a success nor states a reason.
 type StatusError struct {
 	Address string // of the instance
 	Path    string
 	Code    int
-	Status  string // with its code, such as 404 Not Found
+	Status  string // code and text, such as "404 Not Found"
 }
 
-func (e *StatusError) Error() string { return "ask " + e.Address + e.Path + ": " + e.Status }
+func (e *StatusError) Error() string {
+	return "admin request to " + e.Address + e.Path + ": " + e.Status
+}
 
-// Call sends a request to the instance whose admin address (ip:port) is given: with a body a POST, without a GET. It
-// returns the response's JSON. The error is a RequestError or StatusError if there was a response.
+// Call sends a request to the admin interface of an instance and returns the JSON of the response. The address is
+// ip:port. The request is a POST if body is not nil, and a GET otherwise. If the response is not a success, the error is
+// a RequestError or StatusError. Of a response of more than 4 MiB only the first 4 MiB are returned.
 func Call(ctx context.Context, address, path string, body []byte) ([]byte, error) {
 	method := http.MethodGet
 	if body != nil {
@@ -36,25 +39,25 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, fmt.Errorf("ask %s: %w", address, err)
+		return nil, fmt.Errorf("admin request to %s: %w", address, err)
 	}
 	req.Header.Set("Content-Type", jsonType)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, Proxy: nil}}
 	res, err := client.Do(req)
 	if err != nil {
-		return nil, fmt.Errorf("ask %s: %w", address, err)
+		return nil, fmt.Errorf("admin request to %s: %w", address, err)
 	}
-	defer func() { _ = res.Body.Close() }() // what counts of the body was read
+	defer func() { _ = res.Body.Close() }() // the body was read before; an error of Close has no effect
 	raw, err := io.ReadAll(io.LimitReader(res.Body, maxBodyBytes))
 	if err != nil {
-		return nil, fmt.Errorf("ask %s: %w", address, err)
+		return nil, fmt.Errorf("admin request to %s: %w", address, err)
 	}
 	if res.StatusCode == http.StatusOK {
 		return raw, nil
 	}
-	var rejected errorResponse
-	if json.Unmarshal(raw, &rejected) == nil && rejected.Error != "" {
-		return nil, &RequestError{Address: address, Reason: rejected.Error}
+	var failure errorResponse
+	if json.Unmarshal(raw, &failure) == nil && failure.Error != "" {
+		return nil, &RequestError{Address: address, Reason: failure.Error}
 	}
 	return nil, &StatusError{Address: address, Path: path, Code: res.StatusCode, Status: res.Status}
 }
--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -1,8 +1,9 @@
-// Package admin serves the operator's commands at a running instance, on loopback only. No client's request comes here.
+// Package admin provides the HTTP interface between a running instance and the operator's commands. It serves JSON on a
+// loopback address only; clients of the balancer do not use it.
 //
-// New makes a Server; Get, GetWith and Post add paths, Run serves them on a listener until its context ends. Call is
-// the commands' side.
+// [New] returns a [Server]. [Server.Get], [Server.GetWith] and [Server.Post] register paths, and [Server.Run] serves them
+// until its context ends. [Call] is the client side, which the commands use.
 //
-//	server.go   Server and what it lets through
+//	server.go   server, its limits, and the check that a request is local
 //	client.go   Call and its errors
 package admin
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -12,14 +12,14 @@
 	"ottershed/internal/golden"
 )
 
-// sample stands for any response.
-type sample struct {
+// sampleResponse is the result of a handler.
+type sampleResponse struct {
 	Text   string `json:"text"`
 	Number int    `json:"number"`
 }
 
-// responseBody is the body of the response that a path gives.
-func responseBody(t *testing.T, server *Server, method, path string) []byte {
+// serveBody sends a request to the handler of a server and returns the body of its response.
+func serveBody(t *testing.T, server *Server, method, path string) []byte {
 	t.Helper()
 	request := httptest.NewRequest(method, "http://127.0.0.1:1"+path, strings.NewReader("{}"))
 	request.Header.Set("Content-Type", jsonType)
@@ -28,22 +28,22 @@
 	return recorder.Body.Bytes()
 }
 
-// Responses and errors are as commands of earlier programs read them.
+// Commands of earlier versions read responses and errors of this form. The form of both must not change.
 func TestResponsesOnTheWire(t *testing.T) {
-	want := sample{Text: "x", Number: 1}
+	want := sampleResponse{Text: "x", Number: 1}
 	server := New()
 	server.Get("/sample", func() any { return want })
-	server.Post("/fault", func(context.Context, []byte) (any, error) { return nil, errors.New("that can't be done") })
-	golden.Compare(t, "answer.json", responseBody(t, server, http.MethodGet, "/sample"))
-	golden.Compare(t, "fault.json", responseBody(t, server, http.MethodPost, "/fault"))
-	var got sample
-	if err := json.Unmarshal(golden.Read(t, "answer.json"), &got); err != nil {
+	server.Post("/error", func(context.Context, []byte) (any, error) { return nil, errors.New("that can't be done") })
+	golden.Compare(t, "response.json", serveBody(t, server, http.MethodGet, "/sample"))
+	golden.Compare(t, "error.json", serveBody(t, server, http.MethodPost, "/error"))
+	var got sampleResponse
+	if err := json.Unmarshal(golden.Read(t, "response.json"), &got); err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "answer.json", got, want)
-	var read errorResponse
-	if err := json.Unmarshal(golden.Read(t, "fault.json"), &read); err != nil {
+	golden.Equal(t, "response.json", got, want)
+	var failure errorResponse
+	if err := json.Unmarshal(golden.Read(t, "error.json"), &failure); err != nil {
 		t.Fatal(err)
 	}
-	golden.Equal(t, "fault.json", read, errorResponse{Error: "that can't be done"})
+	golden.Equal(t, "error.json", failure, errorResponse{Error: "that can't be done"})
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	readTimeout    = 5 * time.Second  // of a request, and of an idle connection
-	writeTimeout   = 20 * time.Second // of a request with its response; one may have to ask other instances
+	readTimeout    = 5 * time.Second  // for reading a request, and for an idle connection
+	writeTimeout   = 20 * time.Second // for a request and its response; some handlers query other instances
 	maxHeaderBytes = 4 << 10
-	maxBodyBytes   = 4 << 20 // of a request, and of a response that Call takes
+	maxBodyBytes   = 4 << 20 // of a request, and of a response that Call reads
 )
 
 const jsonType = "application/json"
 
-// Server serves JSON on one listener.
+// Server is an HTTP server that responds in JSON.
 type Server struct {
 	mux    *http.ServeMux
 	server *http.Server
 }
 
-// New makes a server without paths.
+// New returns a server without paths.
 func New() *Server {
 	mux := http.NewServeMux()
 	return &Server{mux: mux, server: &http.Server{
@@ -37,60 +37,61 @@
 	}}
 }
 
-// requireLocal lets through what a command may have sent. A page in a browser on this machine can reach loopback too,
-// by a name that resolves to it or with a form, and could propose policies.
+// requireLocal rejects requests that cannot come from a command: a Host that is not a loopback address, or a POST with
+// another content type than JSON. Without this check, a page in a browser on the same machine could propose policies by
+// a host name that resolves to loopback (DNS rebinding) or by a form (CSRF).
 func requireLocal(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		host, err := netip.ParseAddrPort(r.Host)
 		if err != nil || !host.Addr().IsLoopback() {
-			write(w, http.StatusMisdirectedRequest, errorResponse{"not asked by an address of loopback"})
+			writeJSON(w, http.StatusMisdirectedRequest, errorResponse{"not asked by an address of loopback"})
 			return
 		}
 		if r.Method == http.MethodPost && r.Header.Get("Content-Type") != jsonType {
-			write(w, http.StatusUnsupportedMediaType, errorResponse{"want " + jsonType})
+			writeJSON(w, http.StatusUnsupportedMediaType, errorResponse{"want " + jsonType})
 			return
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// Get serves a path with what show returns, as JSON.
-func (s *Server) Get(path string, show func() any) {
-	s.GetWith(path, func(context.Context) any { return show() })
+// Get registers a path for GET requests. The response is the result of handle as JSON.
+func (s *Server) Get(path string, handle func() any) {
+	s.GetWith(path, func(context.Context) any { return handle() })
 }
 
-// GetWith does so where show needs time; its context ends with the request.
-func (s *Server) GetWith(path string, show func(context.Context) any) {
+// GetWith does the same for a handler that takes time. The context of handle ends with the request.
+func (s *Server) GetWith(path string, handle func(context.Context) any) {
 	s.mux.HandleFunc("GET "+path, func(w http.ResponseWriter, r *http.Request) {
-		write(w, http.StatusOK, show(r.Context()))
+		writeJSON(w, http.StatusOK, handle(r.Context()))
 	})
 }
 
-// Post serves a path that takes a body with what do returns, as JSON. The text of an error goes to the caller, with
-// status 409.
-func (s *Server) Post(path string, do func(ctx context.Context, body []byte) (any, error)) {
+// Post registers a path for POST requests. The response is the result of handle for the request's body, as JSON. If
+// handle returns an error, the response is its text with status 409. A body of more than 4 MiB gets status 413.
+func (s *Server) Post(path string, handle func(ctx context.Context, body []byte) (any, error)) {
 	s.mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		if err != nil {
-			write(w, http.StatusRequestEntityTooLarge, errorResponse{err.Error()})
+			writeJSON(w, http.StatusRequestEntityTooLarge, errorResponse{err.Error()})
 			return
 		}
-		response, err := do(r.Context(), body)
+		response, err := handle(r.Context(), body)
 		if err != nil {
-			write(w, http.StatusConflict, errorResponse{err.Error()})
+			writeJSON(w, http.StatusConflict, errorResponse{err.Error()})
 			return
 		}
-		write(w, http.StatusOK, response)
+		writeJSON(w, http.StatusOK, response)
 	})
 }
 
-// errorResponse says what is wrong with a request.
+// errorResponse is the body of a response that reports an error.
 type errorResponse struct {
 	Error string `json:"error"`
 }
 
-// write sends a response.
-func write(w http.ResponseWriter, status int, response any) {
+// writeJSON sends a response with a JSON body. It responds with status 500 if the value cannot be encoded.
+func writeJSON(w http.ResponseWriter, status int, response any) {
 	raw, err := json.MarshalIndent(response, "", "  ")
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -98,19 +99,20 @@
 	}
 	w.Header().Set("Content-Type", jsonType)
 	w.WriteHeader(status)
-	_, _ = w.Write(append(raw, '\n')) // the caller has gone, and nobody else waits for the response
+	_, _ = w.Write(append(raw, '\n')) // fails if the caller has disconnected; the response has no other reader
 }
 
 // AddressError is returned for an address that the server may not listen on.
 type AddressError struct {
-	Want    string
-	Address string
+	Want    string // the form that is required, such as "ip:port"
+	Address string // the rejected address
 }
 
 func (e *AddressError) Error() string { return fmt.Sprintf("want %s, got %q", e.Want, e.Address) }
 
-// Check tells whether the server may listen on an address: ip:port of loopback only, since responses are for this
-// machine alone. The error is an AddressError.
+// Check returns an AddressError unless the server may listen on the address. Only ip:port of a loopback address is
+// allowed, with a port other than 0, since the interface has no authentication and is for this
+// machine alone.
 func Check(address string) error {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil || parsed.Port() == 0 {
@@ -122,13 +124,13 @@
 	return nil
 }
 
-// Run serves until ctx ends.
+// Run serves requests on a listener until ctx ends, and closes the listener. It returns nil if ctx has ended the server.
 func (s *Server) Run(ctx context.Context, l net.Listener) error {
-	// Close returns the listener's error; the end of Serve is all that counts.
+	// Close returns an error of closing the listener, which has no effect on the result of Serve.
 	stop := context.AfterFunc(ctx, func() { _ = s.server.Close() })
 	defer stop()
 	if err := s.server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("admin: %w", err)
+		return fmt.Errorf("serve admin interface: %w", err)
 	}
 	return nil
 }
--- a/internal/admin/wire_golden_test.go
+++ b/internal/admin/wire_golden_test.go
@@ -17,35 +17,35 @@
 	"ottershed/internal/golden"
 )
 
-// date is the header whose value depends on when the test runs.
-var date = regexp.MustCompile(`Date: [^\r]*\r\n`)
+// dateHeader matches the header whose value depends on when the test runs.
+var dateHeader = regexp.MustCompile(`Date: [^\r]*\r\n`)
 
-// The bytes of each kind of response are those of the golden file. The value of Date and the
-// address are volatile and stand there as DATE and ADDRESS.
+// The bytes of each kind of response equal those of the golden file, in which DATE and ADDRESS replace the date and the
+// address of the server.
 func TestGoldenResponses(t *testing.T) {
 	address := goldenServer(t)
 	var observed strings.Builder
 	for _, c := range []struct{ title, line, headers, body string }{
-		{"an answer", "GET /who", "", ""},
-		{"an answer to a body", "POST /do", "Content-Type: application/json\r\n", `"it"`},
-		{"what can't be done", "POST /do", "Content-Type: application/json\r\n", `"<that>"`},
-		{"a body that is too long", "POST /do", "Content-Type: application/json\r\n", strings.Repeat("x", maxBodyBytes+1)},
-		{"no such path", "GET /none", "", ""},
-		{"another method", "DELETE /who", "", ""},
-		{"a form", "POST /do", "Content-Type: text/plain\r\n", `"it"`},
-		{"asked by a name", "GET http://elsewhere.example:80/who", "", ""},
-		{"an answer that is no JSON", "GET /broken", "", ""},
+		{"response to GET", "GET /who", "", ""},
+		{"response to POST", "POST /do", "Content-Type: application/json\r\n", `"it"`},
+		{"error of the handler", "POST /do", "Content-Type: application/json\r\n", `"<that>"`},
+		{"body too long", "POST /do", "Content-Type: application/json\r\n", strings.Repeat("x", maxBodyBytes+1)},
+		{"unknown path", "GET /none", "", ""},
+		{"unsupported method", "DELETE /who", "", ""},
+		{"content type of a form", "POST /do", "Content-Type: text/plain\r\n", `"it"`},
+		{"Host is a name", "GET http://elsewhere.example:80/who", "", ""},
+		{"result that JSON cannot encode", "GET /broken", "", ""},
 	} {
 		request := fmt.Sprintf("%s HTTP/1.1\r\nHost: %s\r\nConnection: close\r\n%sContent-Length: %d\r\n\r\n%s", c.line, address,
 			c.headers, len(c.body), c.body)
 		observed.WriteString(golden.Section(c.title, golden.Quote(exchange(t, address, request))))
 	}
-	if err := golden.Check("testdata/answers.golden", []byte(observed.String())); err != nil {
+	if err := golden.Check("testdata/responses.golden", []byte(observed.String())); err != nil {
 		t.Error(err)
 	}
 }
 
-// goldenServer runs a server that has a response of each kind.
+// goldenServer runs a server with a path for each kind of response and returns its address.
 func goldenServer(t *testing.T) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -73,14 +73,14 @@
 	return listener.Addr().String()
 }
 
-// exchange sends a request and reads its response, with what is volatile replaced.
+// exchange sends a request and returns the bytes of its response, with the date and address replaced.
 func exchange(t *testing.T, address, request string) []byte {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Close() }() // nothing is lost with it
+	defer func() { _ = c.Close() }() // the test reads nothing more from it
 	if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
@@ -95,17 +95,17 @@
 	if _, err := io.Copy(io.Discard, res.Body); err != nil {
 		t.Fatal(err)
 	}
-	raw := date.ReplaceAll(all.Bytes(), []byte("Date: DATE\r\n"))
+	raw := dateHeader.ReplaceAll(all.Bytes(), []byte("Date: DATE\r\n"))
 	return bytes.ReplaceAll(raw, []byte(address), []byte("ADDRESS"))
 }
 
-// The requests that the commands send are those of the golden file.
+// The bytes of the requests that Call sends equal those of the golden file.
 func TestGoldenRequests(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = listener.Close() }() // nothing is lost with it
+	defer func() { _ = listener.Close() }() // the test reads nothing more from it
 	requests := make(chan []byte, 2)
 	go func() {
 		for c, err := listener.Accept(); err == nil; c, err = listener.Accept() {
@@ -119,25 +119,26 @@
 		}
 		observed += golden.Quote(bytes.ReplaceAll(<-requests, []byte(listener.Addr().String()), []byte("ADDRESS"))) + "\n"
 	}
-	if err := golden.Check("testdata/questions.golden", []byte(observed)); err != nil {
+	if err := golden.Check("testdata/requests.golden", []byte(observed)); err != nil {
 		t.Error(err)
 	}
 }
 
-// respondEmpty reads a request from a connection, responds with an empty object and returns the request's bytes.
+// respondEmpty reads a request from a connection, responds with an empty JSON object, and returns the bytes of the
+// request.
 func respondEmpty(t *testing.T, c net.Conn) []byte {
 	t.Helper()
-	defer func() { _ = c.Close() }() // the caller's failure shows what is lost with it
+	defer func() { _ = c.Close() }() // Call returns an error if the response is lost
 	var all bytes.Buffer
 	request, err := http.ReadRequest(bufio.NewReader(io.TeeReader(c, &all)))
 	if err != nil {
 		return all.Bytes()
 	}
 	if _, err := io.Copy(io.Discard, request.Body); err != nil {
-		t.Errorf("body not read: %v", err)
+		t.Errorf("read request body: %v", err)
 	}
 	if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"); err != nil {
-		t.Errorf("response not sent: %v", err)
+		t.Errorf("write response: %v", err)
 	}
 	return all.Bytes()
 }
