--- a/internal/ingress/benchmark_test.go
+++ b/internal/ingress/benchmark_test.go
@@ -15,13 +15,13 @@
 	"ottershed/internal/settings"
 )
 
-// immediateEngine gives every request its final response during the hand-over.
+// immediateEngine responds to every request within ReceiveRequest.
 type immediateEngine struct{ result engine.Result }
 
 func (e immediateEngine) ReceiveRequest(r *engine.ClientRequest)   { r.Respond(e.result) }
 func (e immediateEngine) ClientDisconnected(*engine.ClientRequest) {}
 
-// startForBenchmark serves on loopback and returns the address.
+// startForBenchmark starts a server on loopback and returns its address.
 func startForBenchmark(b *testing.B, result engine.Result) string {
 	b.Helper()
 	log := logrus.New()
@@ -47,7 +47,8 @@
 	return l.Addr().String()
 }
 
-// rawClient sends prepared bytes and reads responses of a known end, without allocations of its own.
+// rawClient sends prepared bytes and reads responses up to a known end. It allocates no memory in exchange, so benchmarks
+// count only the allocations of the server.
 type rawClient struct {
 	conn   net.Conn
 	buffer []byte
@@ -62,7 +63,7 @@
 	return rawClient{conn, buffer}
 }
 
-// exchange sends a request and reads until the response is complete, which ends in bodyEnd.
+// exchange sends a request and reads the response up to bodyEnd.
 func (c rawClient) exchange(b *testing.B, request, bodyEnd []byte) {
 	b.Helper()
 	if _, err := c.conn.Write(request); err != nil {
@@ -112,20 +113,20 @@
 	{
 		"large response", "GET /read/1 HTTP/1.1\r\nHost: app.svc\r\nX-Time-Left: 1\r\nX-Correlation-Id: b5\r\n\r\n",
 		engine.Result{Response: &engine.Response{
-			Fields: http.Header{}, Body: append(bytes.Repeat([]byte("x"), maxBody-3), "end"...),
+			Fields: http.Header{}, Body: append(bytes.Repeat([]byte("x"), maxBodyBytes-3), "end"...),
 		}},
 		"xend",
 	},
 }
 
-// BenchmarkRequest measures a request over a kept connection: parsing, hand-over to the engine, final response.
+// BenchmarkRequest measures a request over a persistent connection: parsing, call of the engine, final response.
 func BenchmarkRequest(b *testing.B) {
 	for _, bc := range benchmarkCases {
 		if bc.name == "malformed" {
-			continue // it ends its connection
+			continue // its response closes the connection
 		}
 		b.Run(bc.name, func(b *testing.B) {
-			client := connect(b, startForBenchmark(b, bc.result), make([]byte, 2*maxBody))
+			client := connect(b, startForBenchmark(b, bc.result), make([]byte, 2*maxBodyBytes))
 			request, bodyEnd := []byte(bc.request), []byte(bc.bodyEnd)
 			client.exchange(b, request, bodyEnd)
 			b.ReportAllocs()
@@ -139,12 +140,12 @@
 	}
 }
 
-// BenchmarkAccept measures a connection with one request, from accepting on; the client's dialing is a part of it.
+// BenchmarkAccept measures a connection with one request, including the dial of the client.
 func BenchmarkAccept(b *testing.B) {
 	for _, bc := range benchmarkCases {
 		b.Run(bc.name, func(b *testing.B) {
 			address := startForBenchmark(b, bc.result)
-			request, bodyEnd, buffer := []byte(bc.request), []byte(bc.bodyEnd), make([]byte, 2*maxBody)
+			request, bodyEnd, buffer := []byte(bc.request), []byte(bc.bodyEnd), make([]byte, 2*maxBodyBytes)
 			b.ReportAllocs()
 			for b.Loop() {
 				client := connect(b, address, buffer)
--- a/internal/ingress/closing_test.go
+++ b/internal/ingress/closing_test.go
@@ -18,44 +18,44 @@
 	nextRequest  = "GET /read/2 HTTP/1.1\r\nHost: app.svc\r\nX-Time-Left: 1\r\nX-Correlation-Id: next\r\n\r\n"
 )
 
-// requestParts names how many bytes of nextRequest the server has read when its connection may be closed.
-var requestParts = map[string]int{
+// partLengths holds the number of bytes of nextRequest that the server has read when connections are closed.
+var partLengths = map[string]int{
 	"one byte": 1, "half the head": len(nextRequest) / 2, "the whole request": len(nextRequest),
 }
 
-// readerWaits is more than the server takes from a response until it reads on.
-const readerWaits = 20 * time.Millisecond
+// readResumeWait is longer than the server takes to read again after a response.
+const readResumeWait = 20 * time.Millisecond
 
-// eachInstant runs a test for every way to close connections and every part of a request.
-func eachInstant(t *testing.T, run func(t *testing.T, closeConns func(*Server), part, rest string)) {
+// forEachClosing runs a test for each reason to close connections and each length of partLengths.
+func forEachClosing(t *testing.T, run func(t *testing.T, closeConns func(*Server), part, rest string)) {
 	t.Helper()
 	for name, closeConns := range map[string]func(*Server){
-		"the grace begins": func(server *Server) { server.state.advance(draining) },
-		"accepting has ended": func(server *Server) {
+		"draining begins": func(server *Server) { server.state.advance(draining) },
+		"accepting ends": func(server *Server) {
 			server.state.advance(draining)
 			_ = server.limiter.shutdown() // the tests of Drain check its result
-			server.limiter.pastMoment()
-			server.limiter.closeQuiet()
+			server.limiter.expireGrace()
+			server.limiter.closeUnusedAndIdle()
 		},
-		"connections are evicted": func(server *Server) { server.limiter.pastMoment(); server.limiter.evictAll() },
+		"connections are evicted": func(server *Server) { server.limiter.expireGrace(); server.limiter.evictAll() },
 	} {
-		for part, length := range requestParts {
+		for part, length := range partLengths {
 			t.Run(name+" after "+part, func(t *testing.T) { run(t, closeConns, nextRequest[:length], nextRequest[length:]) })
 		}
 	}
 }
 
-// pastMoment has every connection have stood for longer than a new one's grace period.
-func (l *connLimiter) pastMoment() {
+// expireGrace ends the grace period of all unused connections.
+func (l *connLimiter) expireGrace() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for connection, place := range l.conns.positions {
-		place.since = place.since.Add(-newConnectionGrace)
-		l.conns.positions[connection] = place
+	for connection, entry := range l.conns.entries {
+		entry.since = entry.since.Add(-newConnectionGrace)
+		l.conns.entries[connection] = entry
 	}
 }
 
-// evictAll closes whatever the limiter would close beyond the limit.
+// evictAll evicts all connections that the limiter can evict.
 func (l *connLimiter) evictAll() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,17 +63,17 @@
 	}
 }
 
-// unread tells whether bytes wait in the socket of a connection.
-func (l *connLimiter) unread() (yes bool) {
+// hasUnreadBytes reports whether the socket of a connection holds bytes that were not read.
+func (l *connLimiter) hasUnreadBytes() (unread bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for connection := range l.conns.positions {
-		yes = yes || !sockopt.IsIdle(connection.(*sockopt.Conn))
+	for connection := range l.conns.entries {
+		unread = unread || !sockopt.IsIdle(connection.(*sockopt.Conn))
 	}
-	return yes
+	return unread
 }
 
-// observeStates has inspect called after each step of a connection, before the server goes on with it.
+// observeStates calls inspect after each state change of a connection, before the server continues with the connection.
 func observeStates(server *Server, inspect func(net.Conn, http.ConnState)) {
 	server.httpServer.ConnState = func(connection net.Conn, state http.ConnState) {
 		server.limiter.track(connection, state)
@@ -81,28 +81,28 @@
 	}
 }
 
-// waitFor waits until something is so.
-func waitFor(t *testing.T, what string, so func() bool) {
+// waitFor waits until a condition holds, and fails the test after 5 s.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(5 * time.Second); !so(); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(5 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("not within 5s: %s", what)
 		}
 	}
 }
 
-// failed is the result that wantResponse takes for one of the engine.
-func failed() engine.Result { return engine.Result{Kind: engine.Failed} }
+// failedResult returns the result of the engine that readFailedOrRejected accepts.
+func failedResult() engine.Result { return engine.Result{Kind: engine.Failed} }
 
-// succeeded makes results of so many bytes.
-func succeeded(size int) func() engine.Result {
+// succeededResult returns a function that makes results with a body of size bytes.
+func succeededResult(size int) func() engine.Result {
 	return func() engine.Result {
 		response := &engine.Response{Fields: http.Header{}, Body: make([]byte, size)}
 		return engine.Result{Kind: engine.Succeeded, Response: response}
 	}
 }
 
-// respondToRequests has all requests responded to at once from now on.
+// respondToRequests responds to all further requests at once, until the test ends.
 func respondToRequests(t *testing.T, fake fakeEngine, result func() engine.Result) {
 	t.Helper()
 	done := make(chan struct{})
@@ -120,68 +120,69 @@
 	}()
 }
 
-// wantResponse reads a response, 500 for failed or 503 with Retry-After; it tells whether that closes the connection.
-func (c *client) wantResponse() bool {
+// readFailedOrRejected reads a response and checks that it is a 500 for failedResult, or a 503 with Retry-After that
+// closes the connection. It reports whether the response closes the connection.
+func (c *client) readFailedOrRejected() bool {
 	c.t.Helper()
 	response, _ := c.readResponse()
 	rejected := response.StatusCode == http.StatusServiceUnavailable && response.Header.Get("Retry-After") != "" &&
 		response.Close
 	if response.StatusCode != http.StatusInternalServerError && !rejected {
-		c.t.Errorf("status %d (0: closed without a response), %v", response.StatusCode, response.Header)
+		c.t.Errorf("got status %d (0: closed without a response), %v; want 500, or 503 with Retry-After and close",
+			response.StatusCode, response.Header)
 	}
 	return response.Close
 }
 
-// keep has the connection carry a request and come to rest.
-func (c *client) keep(server *Server) {
+// makeIdle sends a request, reads its response and waits until the server counts the connection as idle.
+func (c *client) makeIdle(server *Server) {
 	c.send("GET /up", "", "")
 	c.readResponse()
-	waitFor(c.t, "a kept connection", func() bool { return server.limiter.resting() == 1 })
+	waitFor(c.t, "connection is idle", func() bool { return server.limiter.idleCount() == 1 })
 }
 
-// Guards against a connection that is closed as unused or idle, or by a draining server, although the server has read a
-// part of a request from it: the client would be left without a response.
-func TestRequestMeetsClosing(t *testing.T) {
-	for name, kept := range map[string]bool{"on a new connection": false, "on a kept connection": true} {
+// Guards against closing a connection as unused or idle, or while draining, after the server has read a part of a request
+// from it. The client would get no response.
+func TestPartiallyReadRequestSurvivesClosing(t *testing.T) {
+	for name, idle := range map[string]bool{"new connection": false, "idle connection": true} {
 		t.Run(name, func(t *testing.T) {
-			eachInstant(t, func(t *testing.T, closeConns func(*Server), part, rest string) {
+			forEachClosing(t, func(t *testing.T, closeConns func(*Server), part, rest string) {
 				t.Helper()
 				server, fake, address := start(t, 10)
 				c := dial(t, address)
-				if kept {
-					c.keep(server)
+				if idle {
+					c.makeIdle(server)
 				}
 				c.write(part)
-				waitFor(t, "the server's read", func() bool { return server.limiter.requestPending() == 1 })
+				waitFor(t, "server has read the request part", func() bool { return server.limiter.pendingCount() == 1 })
 				closeConns(server)
 				c.write(rest)
-				respondToRequests(t, fake, failed)
-				if last := c.wantResponse(); server.state.reached(draining) && !last {
-					t.Error("a draining server doesn't say that it closes")
+				respondToRequests(t, fake, failedResult)
+				if last := c.readFailedOrRejected(); server.state.reached(draining) && !last {
+					t.Error("the response of a draining server does not close the connection")
 				}
 			})
 		})
 	}
 }
 
-// Guards against the same for a request that comes before the response to the one before it: the server holds bytes of
-// it in a buffer of its own, where the limiter can't see them. The first response says that the connection closes, or
-// the second request gets a response too.
-func TestPipelinedMeetsClosing(t *testing.T) {
+// Guards against the same failure for a pipelined request. Its bytes are in a buffer of http.Server, where the limiter
+// cannot see them. Either the first response announces the close, or the second request gets a response too.
+func TestPipelinedRequestSurvivesClosing(t *testing.T) {
 	for name, test := range map[string]struct {
-		apart bool // the second request comes by itself, else in one segment with the first
-		early bool // the closing comes before the first response
-		late  bool // the closing comes once the reader waits for the rest; else as the connection comes to rest
+		separate bool // the second request is sent by itself; otherwise in one segment with the first
+		early    bool // connections are closed before the first response
+		late     bool // connections are closed while the server waits for the rest; otherwise when the connection becomes idle
 	}{
-		"in one segment, before the response": {false, true, false},
-		"in one segment, after the response":  {false, false, false},
-		"in one segment, as its rest is read": {false, false, true},
-		"by itself, before the response":      {true, true, false},
-		"by itself, after the response":       {true, false, false},
-		"by itself, as its rest is read":      {true, false, true},
+		"one segment, before the response":    {false, true, false},
+		"one segment, after the response":     {false, false, false},
+		"one segment, while the rest is read": {false, false, true},
+		"separate, before the response":       {true, true, false},
+		"separate, after the response":        {true, false, false},
+		"separate, while the rest is read":    {true, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			eachInstant(t, func(t *testing.T, closeConns func(*Server), part, rest string) {
+			forEachClosing(t, func(t *testing.T, closeConns func(*Server), part, rest string) {
 				t.Helper()
 				l, connsClosed := listen(t), make(chan struct{})
 				var closeOnce func()
@@ -195,12 +196,12 @@
 				})
 				conn := dial(t, l.Addr().String())
 				var request *engine.ClientRequest
-				if test.apart {
+				if test.separate {
 					conn.write(firstRequest)
 					request = <-fake.requests
 					conn.write(part)
-					// Of several bytes the server takes one ahead, the others wait in the socket.
-					waitFor(t, "the server's read", func() bool { return len(part) > 1 || !server.limiter.unread() })
+					// The server reads one byte ahead; further bytes stay in the socket.
+					waitFor(t, "server has read the request part", func() bool { return len(part) > 1 || !server.limiter.hasUnreadBytes() })
 				} else {
 					conn.write(firstRequest + part)
 					request = <-fake.requests
@@ -208,117 +209,119 @@
 				if test.early {
 					closeOnce()
 				}
-				request.Respond(failed())
-				if conn.wantResponse() {
+				request.Respond(failedResult())
+				if conn.readFailedOrRejected() {
 					return
 				}
 				if test.late {
-					time.Sleep(readerWaits)
+					time.Sleep(readResumeWait)
 					closeOnce()
 				}
 				<-connsClosed
 				conn.write(rest)
-				respondToRequests(t, fake, failed)
-				conn.wantResponse()
+				respondToRequests(t, fake, failedResult)
+				conn.readFailedOrRejected()
 			})
 		})
 	}
 }
 
-// Guards against the end of an idle connection's time after the first bytes of a request were read: the client has as
-// long for the rest of the head as every client.
-func TestRequestMeetsIdleTimeout(t *testing.T) {
-	for part, length := range requestParts {
+// Guards against an idle timeout that closes a connection after the first bytes of a request were read. From then on,
+// readTimeout applies as for every request.
+func TestPartiallyReadRequestSurvivesIdleTimeout(t *testing.T) {
+	for part, length := range partLengths {
 		t.Run(part, func(t *testing.T) {
 			t.Parallel()
 			l := listen(t)
 			server, fake := serve(t, l, 10, func(server *Server) { server.httpServer.IdleTimeout = readTimeout / 2 })
 			c := dial(t, l.Addr().String())
-			c.keep(server)
+			c.makeIdle(server)
 			c.write(nextRequest[:length])
-			waitFor(t, "the server's read", func() bool { return server.limiter.requestPending() == 1 })
-			c.readUntil(time.Now().Add(readTimeout * 3 / 4)) // the idle time is over, that of a head is not
+			waitFor(t, "server has read the request part", func() bool { return server.limiter.pendingCount() == 1 })
+			c.setReadDeadline(time.Now().Add(readTimeout * 3 / 4)) // after the idle timeout, before readTimeout
 			if _, err := c.r.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Fatalf("not kept for the rest of the request: %v", err)
+				t.Fatalf("got error %v, want the connection open for the rest of the request", err)
 			}
-			c.readUntil(time.Now().Add(responseDue))
+			c.setReadDeadline(time.Now().Add(responseTimeout))
 			c.write(nextRequest[length:])
-			respondToRequests(t, fake, failed)
-			c.wantResponse()
+			respondToRequests(t, fake, failedResult)
+			c.readFailedOrRejected()
 		})
 	}
 }
 
-// Guards against a request that reaches the engine although its connection's idle time was over before it was read.
-func TestRequestAfterIdleTimeout(t *testing.T) {
+// Guards against a request that reaches the engine although the idle timeout of its connection expired before it was
+// read.
+func TestRequestAfterIdleTimeoutIsNotServed(t *testing.T) {
 	l := listen(t)
 	server, fake := serve(t, l, 10, func(server *Server) {
-		server.httpServer.IdleTimeout = 1 // over as soon as it begins
+		server.httpServer.IdleTimeout = 1 // expires at once
 	})
 	c := dial(t, l.Addr().String())
 	c.send("GET /up", "", "")
 	c.readResponse()
 	c.write(nextRequest)
 	if response, _ := c.readResponse(); response.StatusCode != 0 {
-		t.Errorf("status %d", response.StatusCode)
+		t.Errorf("got status %d, want the connection closed", response.StatusCode)
 	}
-	waitFor(t, "the connection's end", func() bool { return server.limiter.count() == 0 })
+	waitFor(t, "connection has ended", func() bool { return server.limiter.connCount() == 0 })
 	if len(fake.requests) != 0 {
-		t.Error("it reached the engine")
+		t.Error("the request reached the engine")
 	}
 }
 
-// blockedWriter is a writer of a response that holds up the handler once the last byte is written.
+// blockedWriter is a response writer that blocks the handler after the last byte of the response, until release is
+// closed.
 type blockedWriter struct {
 	http.ResponseWriter
-	left int
-	let  chan struct{}
+	remaining int // bytes of the response
+	release   chan struct{}
 }
 
-func (request *blockedWriter) Unwrap() http.ResponseWriter { return request.ResponseWriter }
+func (b *blockedWriter) Unwrap() http.ResponseWriter { return b.ResponseWriter }
 
-func (request *blockedWriter) Write(p []byte) (int, error) {
-	n, err := request.ResponseWriter.Write(p)
-	if request.left -= n; request.left == 0 {
-		<-request.let
+func (b *blockedWriter) Write(p []byte) (int, error) {
+	n, err := b.ResponseWriter.Write(p)
+	if b.remaining -= n; b.remaining == 0 {
+		<-b.release
 	}
 	return n, err
 }
 
-// Guards against "that of an open request" for a client that has read the last byte of its response. The bytes of a
-// short response go out once its handler has ended; those of a long one before, and there the handler is held up.
-func TestIDReusedAfterResponse(t *testing.T) {
+// Guards against a 409 for a client that reuses its correlation id after the last byte of its response. net/http sends a
+// short response when the handler has ended, and a long one earlier, so here the handler is blocked after the last byte.
+func TestCorrelationIDIsFreeAfterResponse(t *testing.T) {
 	for name, test := range map[string]struct {
 		size int
-		same bool // connection
+		same bool // both requests use one connection
 	}{
-		"short, on the same connection": {2, true},
-		"short, on another connection":  {2, false},
-		"long, on the same connection":  {maxBody, true},
-		"long, on another connection":   {maxBody, false},
+		"short, same connection":  {2, true},
+		"short, other connection": {2, false},
+		"long, same connection":   {maxBodyBytes, true},
+		"long, other connection":  {maxBodyBytes, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, let := listen(t), make(chan struct{})
+			l, release := listen(t), make(chan struct{})
 			_, fake := serve(t, l, 10, func(server *Server) {
 				handler := server.httpServer.Handler
 				server.httpServer.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-					handler.ServeHTTP(&blockedWriter{w, maxBody, let}, r)
+					handler.ServeHTTP(&blockedWriter{w, maxBodyBytes, release}, r)
 				})
 			})
-			free := sync.OnceFunc(func() { close(let) })
-			defer free()
+			unblock := sync.OnceFunc(func() { close(release) })
+			defer unblock()
 			clients := []*client{dial(t, l.Addr().String()), dial(t, l.Addr().String())}
 			if test.same {
 				clients[1] = clients[0]
 			}
-			respondToRequests(t, fake, succeeded(test.size))
+			respondToRequests(t, fake, succeededResult(test.size))
 			for i, c := range clients {
 				c.send("GET /read/1", "X-Time-Left: 1\r\nX-Correlation-Id: same\r\n", "")
 				if i == 1 && test.same {
-					free()
+					unblock()
 				}
 				if response, body := c.readResponse(); response.StatusCode != http.StatusOK || len(body) != test.size {
-					t.Errorf("request %d: status %d, %d bytes", i+1, response.StatusCode, len(body))
+					t.Errorf("request %d: got status %d, %d bytes; want 200, %d", i+1, response.StatusCode, len(body), test.size)
 				}
 			}
 		})
--- a/internal/ingress/doc.go
+++ b/internal/ingress/doc.go
@@ -1,16 +1,16 @@
-// Package ingress is the HTTP server that clients connect to. It checks each request, hands it to the engine and passes
-// the engine's final result back as the response.
+// Package ingress is the HTTP server for clients. It checks each request, passes it to the engine and sends the final
+// result of the engine as the response.
 //
-// Make a [Server] with [New]; before [Server.Serve] call [Server.HandleResumed] and [Server.SetNotReady] where they are
-// wanted; end it with [Server.Drain].
+// [New] returns a [Server]. Call [Server.HandleResumed] and [Server.SetNotReady], where they are needed, before
+// [Server.Serve]. [Server.Drain] shuts the server down gracefully.
 //
-// # Which file holds what
+// # Files
 //
-//	server.go     construction, Serve, readiness on /up, connections that are closed after their response
-//	parse.go      what a request must look like, in the order in which it is checked
-//	refusal.go    table of the refusals: status code and text
-//	handover.go   one request: parse, read the body, claim its id, hand it to the engine, wait for the result
-//	response.go   final results and refusals as HTTP responses
-//	limits.go     connections counted and evicted; rejection beyond the limit
-//	drain.go      states of the server, their transitions, accepting while it drains, graceful shutdown
+//	server.go     construction, Serve, readiness check on /up, responses that close their connection
+//	parse.go      form of requests, in the order of the checks
+//	errors.go     status code and text for each request that is not passed to the engine
+//	serve.go      handling of one request: parse, read the body, claim its id, wait for the result of the engine
+//	response.go   results and errors as HTTP responses
+//	limits.go     connection limit: counting, eviction, rejection beyond the limit
+//	drain.go      lifecycle of the server, accepting while it drains, graceful shutdown
 package ingress
--- a/internal/ingress/drain.go
+++ b/internal/ingress/drain.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-// state is how far the graceful shutdown of a server has come. The transitions:
+// state is a stage in the lifecycle of a server. These are the only transitions:
 //
 //	serving  -> draining  Drain is called
 //	draining -> closing   the grace period is over (connLimiter.shutdown)
-//	closing  -> closed    Drain has ended the connections
+//	closing  -> closed    Drain has closed the connections
 //
-// No state is entered again that was left, and none is left in any other way.
+// A state is never entered again.
 type state int32
 
 const (
-	// serving: connections are accepted and requests handed to the engine.
+	// serving: connections are accepted and requests are passed to the engine.
 	serving state = iota
-	// draining: as serving, but /up responds 503 and each response closes its connection.
+	// draining: like serving, but /up responds 503 and each response closes its connection.
 	draining
-	// closing: the connections that wait in the system's queue are accepted, no others; new requests are rejected, those
-	// that are open get their responses, and connections without a request are closed.
+	// closing: only connections that are already in the accept queue of the kernel are accepted. New requests are
+	// rejected, open ones get their responses, and connections without a request are closed.
 	closing
-	// closed: no connection is left.
+	// closed: all connections are closed.
 	closed
 )
 
-// lifecycle is the present state of a server.
+// lifecycle holds the current state of a server. It is safe for concurrent use.
 type lifecycle struct{ current atomic.Int32 }
 
-// reached tells whether a state or a later one has been entered.
+// reached reports whether the state or a later one has been entered.
 func (l *lifecycle) reached(s state) bool { return state(l.current.Load()) >= s }
 
-// advance enters a state, unless that or a later one has been entered before.
+// advance enters a state, unless that state or a later one has already been entered.
 func (l *lifecycle) advance(to state) {
 	for {
 		from := l.current.Load()
@@ -46,20 +46,24 @@
 }
 
 const (
-	// newConnectionGrace is how long a new connection may carry nothing while others want its place, or while the server
-	// closes. A client sends a request again only if its connection had carried one before, so a new one has a moment.
+	// newConnectionGrace is the time that a new connection has for the first byte of a request before it may be evicted,
+	// or closed by a closing server. Without it the client would lose its first request: clients retry on another
+	// connection only if the closed one has carried a request before.
 	newConnectionGrace = readTimeout / 10
-	// drainAcceptWait is how long a closing server looks for connections that came before; the system has them ready.
+	// drainAcceptWait is how long a closing server waits for a connection from the accept queue. Connections in the queue
+	// are available at once.
 	drainAcceptWait = 5 * time.Millisecond
-	// drainPollInterval is how often a closing server looks for connections without a request.
+	// drainPollInterval is the interval at which a closing server closes connections without a request.
 	drainPollInterval = newConnectionGrace / 10
 )
 
-// Drain ends the server gracefully: /up responds 503 from now on; requests are served for the grace period, for the
-// layer in front learns of it late; then nothing new is accepted. It returns once everything that was accepted has its
-// response, or the longest time of a request is over.
+// Drain shuts the server down gracefully and returns when it is closed. From the call on /up responds 503. Requests are
+// still served for the grace period, since the load balancer in front learns of the readiness with a delay. After that no
+// connections are accepted, and Drain waits until all open requests have their responses, at most for the longest time
+// of a request.
 //
-// http.Server.Shutdown is not used: it may close a connection as idle whose request it has just read.
+// Drain does not use http.Server.Shutdown, which may close a connection as idle although a request was just read from
+// it.
 func (s *Server) Drain(grace time.Duration) error {
 	s.state.advance(draining)
 	time.Sleep(grace)
@@ -67,7 +71,7 @@
 		return err
 	}
 	end := time.Now().Add(s.drainTimeout)
-	for s.limiter.closeQuiet() > 0 && time.Now().Before(end) {
+	for s.limiter.closeUnusedAndIdle() > 0 && time.Now().Before(end) {
 		time.Sleep(drainPollInterval)
 	}
 	err := s.httpServer.Close()
@@ -75,78 +79,79 @@
 	return err
 }
 
-// listen has the limiter accept from a listener; false once the server is closing.
-func (l *connLimiter) listen(listener net.Listener) bool {
+// setListener sets the listener to accept from. It returns false if the server is already closing.
+func (l *connLimiter) setListener(listener net.Listener) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.listener = listener
 	return !l.state.reached(closing)
 }
 
-// Addr is that of the listener.
+// Addr returns the address of the listener.
 func (l *connLimiter) Addr() net.Addr { return l.listener.Addr() }
 
-// Close closes the listener; http.Server does so at its end. With nothing left to respond to, it may end before it has
-// seen that the listener is closed, and closes it again, which is not a fault.
+// Close closes the listener. http.Server calls it when it closes. If no request is open, that may happen before
+// http.Server has noticed that shutdown closed the listener, so closing it twice is not an error.
 func (l *connLimiter) Close() error { return l.closeListener() }
 
-// acceptingEnded tells whether the server is closing. It takes the lock: who sees it sets the listener's deadline anew,
-// which must follow the one that shutdown sets.
-func (l *connLimiter) acceptingEnded() bool {
+// isClosing reports whether the server is closing. It takes the lock because acceptNext then sets another deadline on
+// the listener, which must not be overwritten by the deadline that shutdown sets under the lock.
+func (l *connLimiter) isClosing() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state.reached(closing)
 }
 
-// setAcceptDeadline ends waiting for a connection at a time, and tells whether the listener can do so.
-func (l *connLimiter) setAcceptDeadline(at time.Time) bool {
+// setAcceptDeadline sets the time at which Accept of the listener returns with an error. It reports whether the listener
+// supports deadlines.
+func (l *connLimiter) setAcceptDeadline(deadline time.Time) bool {
 	listener, ok := l.listener.(interface{ SetDeadline(time.Time) error })
-	return ok && listener.SetDeadline(at) == nil
+	return ok && listener.SetDeadline(deadline) == nil
 }
 
-// acceptNext accepts a connection. While the server is closing it accepts those that have come before, then it closes
-// the listener and returns net.ErrClosed: a request on a connection that waits in the system's queue is lost if the
-// listener closes first.
+// acceptNext accepts a connection. While the server is closing, it accepts the connections that are left in the accept
+// queue, then closes the listener and returns net.ErrClosed. If the listener were closed first, requests on queued
+// connections would be lost.
 func (l *connLimiter) acceptNext() (net.Conn, error) {
 	for {
-		ended := l.acceptingEnded()
-		if ended && !l.setAcceptDeadline(time.Now().Add(drainAcceptWait)) {
-			return nil, l.endAccepting()
+		closing := l.isClosing()
+		if closing && !l.setAcceptDeadline(time.Now().Add(drainAcceptWait)) {
+			return nil, l.stopAccepting()
 		}
 		conn, err := l.listener.Accept()
-		late := errors.Is(err, os.ErrDeadlineExceeded)
-		if late && !ended {
-			continue // woken by shutdown
+		timedOut := errors.Is(err, os.ErrDeadlineExceeded)
+		if timedOut && !closing {
+			continue // shutdown has set the deadline to wake this call
 		}
-		if late || errors.Is(err, net.ErrClosed) {
-			return nil, l.endAccepting()
+		if timedOut || errors.Is(err, net.ErrClosed) {
+			return nil, l.stopAccepting()
 		}
 		return conn, err
 	}
 }
 
-// endAccepting closes the listener and returns the error with which Accept says so.
-func (l *connLimiter) endAccepting() error {
-	_ = l.closeListener() // shutdown and Close return it
+// stopAccepting closes the listener and returns net.ErrClosed, the result of Accept on a closed listener.
+func (l *connLimiter) stopAccepting() error {
+	_ = l.closeListener() // shutdown and Close return the error
 	return net.ErrClosed
 }
 
-// shutdown ends accepting, and returns once all connections that had come are accepted. Short of descriptors
-// http.Server accepts only now and then, so the wait has an end.
+// shutdown enters the state closing, waits until the queued connections are accepted and closes the listener. The wait
+// is bounded by responseTimeout, since http.Server accepts only at intervals while file descriptors are exhausted.
 func (l *connLimiter) shutdown() error {
 	l.mu.Lock()
 	l.state.advance(closing)
-	listening := l.listener != nil
-	woken := l.setAcceptDeadline(time.Now()) // under the lock, see acceptingEnded
+	hasListener := l.listener != nil
+	woken := l.setAcceptDeadline(time.Now()) // under the lock, see isClosing
 	l.mu.Unlock()
 	l.slotFreed.Broadcast()
-	if !listening {
-		return nil // Serve comes too late and accepts nothing
+	if !hasListener {
+		return nil // a later Serve accepts nothing
 	}
 	if woken {
 		select {
 		case <-l.listenerClosed:
-		case <-time.After(responseDue):
+		case <-time.After(responseTimeout):
 		}
 	}
 	return l.closeListener()
--- a/internal/ingress/floods_test.go
+++ b/internal/ingress/floods_test.go
@@ -14,96 +14,96 @@
 	"ottershed/internal/sockopt"
 )
 
-// peak is the most of each that stood at once.
-type peak struct {
+// peakCounts holds the largest numbers of connections and of open requests at one time.
+type peakCounts struct {
 	mu                    sync.Mutex
 	connections, requests int
 }
 
-// startWatched starts a server of which peak is taken at each step of a connection.
-func startWatched(t *testing.T, maxConnections int) (*Server, fakeEngine, string, *peak) {
+// startCounting starts a server and counts its connections and requests at each state change of a connection.
+func startCounting(t *testing.T, maxConnections int) (*Server, fakeEngine, string, *peakCounts) {
 	t.Helper()
-	l, most := listen(t), &peak{}
+	l, peak := listen(t), &peakCounts{}
 	server, fake := serve(t, l, maxConnections, func(server *Server) {
 		observeStates(server, func(net.Conn, http.ConnState) {
-			most.mu.Lock()
-			defer most.mu.Unlock()
-			most.connections, most.requests = max(most.connections, server.limiter.count()), max(most.requests, server.open())
+			peak.mu.Lock()
+			defer peak.mu.Unlock()
+			peak.connections, peak.requests = max(peak.connections, server.limiter.connCount()), max(peak.requests, server.openCount())
 		})
 	})
-	return server, fake, l.Addr().String(), most
+	return server, fake, l.Addr().String(), peak
 }
 
-// check fails if more connections stood, or requests were open, than may, or more goroutines are left than serve them:
-// two for each, and some for the test, beside those that were there before.
-func (most *peak) check(t *testing.T, server *Server, connections, before int) {
+// check fails the test if there were more connections or open requests than the given number. It also fails the test if
+// requests stay open, or if more goroutines stay than before: two for each connection and ten for the test are allowed.
+func (p *peakCounts) check(t *testing.T, server *Server, connections, goroutines int) {
 	t.Helper()
-	most.mu.Lock()
-	if most.connections > connections || most.requests > connections {
-		t.Errorf("%d connections, %d requests; want %d at most", most.connections, most.requests, connections)
+	p.mu.Lock()
+	if p.connections > connections || p.requests > connections {
+		t.Errorf("got %d connections, %d requests; want at most %d", p.connections, p.requests, connections)
 	}
-	most.mu.Unlock()
-	waitFor(t, "the end of all requests", func() bool { return server.open() == 0 })
-	waitFor(t, "the end of goroutines", func() bool { return runtime.NumGoroutine() <= before+2*connections+10 })
+	p.mu.Unlock()
+	waitFor(t, "all requests have ended", func() bool { return server.openCount() == 0 })
+	waitFor(t, "goroutines have ended", func() bool { return runtime.NumGoroutine() <= goroutines+2*connections+10 })
 }
 
-// ask sends a request and checks that its response comes in time.
-func (conn *client) ask() {
-	conn.t.Helper()
+// exchangeInTime sends a request and checks that its response arrives within responseTimeout.
+func (c *client) exchangeInTime() {
+	c.t.Helper()
 	began := time.Now()
-	conn.send("GET /read/other", "X-Time-Left: 1\r\n", "")
-	if conn.wantResponse(); time.Since(began) > responseDue {
-		conn.t.Errorf("responded to after %v", time.Since(began))
+	c.send("GET /read/other", "X-Time-Left: 1\r\n", "")
+	if c.readFailedOrRejected(); time.Since(began) > responseTimeout {
+		c.t.Errorf("got a response after %v, want at most %v", time.Since(began), responseTimeout)
 	}
 }
 
-// Guards against a flood of connections beyond the limit that takes descriptors and memory without bound, shuts other
-// clients out, or is left without responses. While the engine is slow, all beyond the limit are rejected meanwhile.
-func TestConnectionFlood(t *testing.T) {
+// Guards against connections beyond the limit that use file descriptors and memory without bound, block other clients, or
+// get no responses. While the engine does not respond, the requests beyond the limit are rejected.
+func TestConnectionFloodIsBounded(t *testing.T) {
 	const limit, flood = 16, 100
 	for name, test := range map[string]struct{ silent, slow bool }{
-		"silent":                           {true, false},
-		"asking":                           {false, false},
-		"asking, while the engine is slow": {false, true},
+		"no requests":           {true, false},
+		"requests":              {false, false},
+		"requests, slow engine": {false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			before := runtime.NumGoroutine()
-			server, fake, address, most := startWatched(t, limit)
+			server, fake, address, peak := startCounting(t, limit)
 			if !test.slow {
-				respondToRequests(t, fake, failed)
+				respondToRequests(t, fake, failedResult)
 			}
-			var asking sync.WaitGroup
+			var clients sync.WaitGroup
 			var responded atomic.Int64
 			for range flood {
 				conn := dial(t, address)
 				if !test.silent {
 					conn.send("GET /read/flood", "X-Time-Left: 2\r\n", "")
-					asking.Go(func() { conn.wantResponse(); responded.Add(1) })
+					clients.Go(func() { conn.readFailedOrRejected(); responded.Add(1) })
 				}
 			}
 			if test.slow {
-				waitFor(t, "the responses that need no engine", func() bool {
+				waitFor(t, "all other requests are rejected", func() bool {
 					return len(fake.requests)+int(responded.Load()) == flood
 				})
-				respondToRequests(t, fake, failed)
+				respondToRequests(t, fake, failedResult)
 			}
 			for range 3 {
-				dial(t, address).ask()
+				dial(t, address).exchangeInTime()
 			}
-			asking.Wait()
-			most.check(t, server, limit+limit/8+1, before)
+			clients.Wait()
+			peak.check(t, server, limit+limit/8+1, before)
 		})
 	}
 }
 
-// Guards against hundreds of requests on one connection that hold up other clients, are kept in memory, or are lost.
-func TestRequestFlood(t *testing.T) {
+// Guards against hundreds of requests on one connection that delay other clients, accumulate in memory, or are lost.
+func TestRequestFloodIsBounded(t *testing.T) {
 	const flood = 500
-	for name, batch := range map[string]int{"one after the other": 1, "pipelined": flood} {
+	for name, batch := range map[string]int{"sequential": 1, "pipelined": flood} {
 		t.Run(name, func(t *testing.T) {
 			before := runtime.NumGoroutine()
-			server, fake, address, most := startWatched(t, 16)
-			respondToRequests(t, fake, failed)
+			server, fake, address, peak := startCounting(t, 16)
+			respondToRequests(t, fake, failedResult)
 			conn, other, done := dial(t, address), dial(t, address), make(chan bool, 1)
 			go func() {
 				for range flood / batch {
@@ -111,64 +111,64 @@
 						conn.send("GET /read/flood", "X-Time-Left: 2\r\n", "")
 					}
 					for range batch {
-						conn.wantResponse()
+						conn.readFailedOrRejected()
 					}
 				}
 				done <- true
 			}()
 			for len(done) == 0 {
-				other.ask()
+				other.exchangeInTime()
 			}
-			most.check(t, server, 2, before)
+			peak.check(t, server, 2, before)
 		})
 	}
 }
 
-// Guards against a time limit that each byte starts anew: a client that sends a byte every few ms is cut off as early
-// as a silent one, and its request never reaches the engine.
-func TestTrickle(t *testing.T) {
-	for name, begin := range map[string]string{"the head": "", "the body": "POST /pay/1 HTTP/1.1\r\nHost: app.svc\r\n" +
+// Guards against a read timeout that each byte restarts. A client that sends a byte every 5 ms is disconnected as early as
+// one that sends nothing, and its request never reaches the engine.
+func TestTrickledRequestIsCutOff(t *testing.T) {
+	for name, prefix := range map[string]string{"headers": "", "body": "POST /pay/1 HTTP/1.1\r\nHost: app.svc\r\n" +
 		"X-Time-Left: 2\r\nX-Correlation-Id: slow\r\nContent-Length: 2000\r\n\r\n"} {
-		for kind, kept := range map[string]bool{"a first request": false, "a second request": true} {
+		for kind, idle := range map[string]bool{"first request": false, "second request": true} {
 			t.Run(name+" of "+kind, func(t *testing.T) {
 				t.Parallel()
 				server, fake, address := start(t, 10)
 				conn := dial(t, address)
-				if kept {
-					conn.keep(server)
+				if idle {
+					conn.makeIdle(server)
 				}
 				began, ended := time.Now(), make(chan error, 1)
 				go func() {
 					_, err := conn.r.ReadByte()
 					ended <- err
 				}()
-				conn.write(begin)
+				conn.write(prefix)
 				for i := 0; len(ended) == 0; i++ {
 					conn.write(("GET /read/1 HTTP/1.1\r\nX-Filler: " + strings.Repeat("x", 2000))[i : i+1])
 					time.Sleep(5 * time.Millisecond)
 				}
 				if err, took := <-ended, time.Since(began); err == nil || took > 2*readTimeout {
-					t.Errorf("%v after %v, want a close after %v", err, took, readTimeout)
+					t.Errorf("got error %v after %v, want a close after %v", err, took, readTimeout)
 				}
 				if len(fake.requests) != 0 {
-					t.Error("it reached the engine")
+					t.Error("the request reached the engine")
 				}
 			})
 		}
 	}
 }
 
-// Guards against a client that reads its responses a byte at a time, and so holds up who writes them: others are served
-// meanwhile, and no response is cut off.
-func TestSlowReader(t *testing.T) {
-	const requests = 8 // with responses that don't fit into the buffers of both sides
+// Guards against a client that reads its responses byte by byte and blocks the writing goroutine. Other clients are served
+// meanwhile, and no response is truncated.
+func TestSlowReaderDoesNotBlockOthers(t *testing.T) {
+	const requests = 8 // their responses exceed the socket buffers of both sides
 	l := listen(t)
 	server, fake := serve(t, l, 10, func(server *Server) {
 		observeStates(server, func(connection net.Conn, _ http.ConnState) {
-			_ = connection.(*sockopt.Conn).SetWriteBuffer(4 << 10) // fails on a connection that has ended only
+			_ = connection.(*sockopt.Conn).SetWriteBuffer(4 << 10) // fails only on a closed connection
 		})
 	})
-	respondToRequests(t, fake, succeeded(maxBody))
+	respondToRequests(t, fake, succeededResult(maxBodyBytes))
 	conn, other := dial(t, l.Addr().String()), dial(t, l.Addr().String())
 	if err := conn.Conn.(*net.TCPConn).SetReadBuffer(32 << 10); err != nil {
 		t.Fatal(err)
@@ -183,16 +183,17 @@
 		}
 		if i%10 == 0 {
 			other.send("GET /read/other", "X-Time-Left: 1\r\n", "")
-			if response, body := other.readResponse(); response.StatusCode != http.StatusOK || len(body) != maxBody {
-				t.Errorf("another client: status %d, %d bytes", response.StatusCode, len(body))
+			if response, body := other.readResponse(); response.StatusCode != http.StatusOK || len(body) != maxBodyBytes {
+				t.Errorf("other client: got status %d, %d bytes; want 200, %d", response.StatusCode, len(body), maxBodyBytes)
 			}
 		}
 	}
-	waitFor(t, "the other client's rest", func() bool { return server.limiter.resting() == 1 }) // and none of the slow one
+	// The connection of the slow client is not idle.
+	waitFor(t, "connection of the other client is idle", func() bool { return server.limiter.idleCount() == 1 })
 	conn.r.Reset(io.MultiReader(strings.NewReader(string(read)), conn.Conn))
 	for range requests {
-		if response, body := conn.readResponse(); response.StatusCode != http.StatusOK || len(body) != maxBody {
-			t.Errorf("status %d, %d bytes", response.StatusCode, len(body))
+		if response, body := conn.readResponse(); response.StatusCode != http.StatusOK || len(body) != maxBodyBytes {
+			t.Errorf("got status %d, %d bytes; want 200, %d", response.StatusCode, len(body), maxBodyBytes)
 		}
 	}
 }
--- a/internal/ingress/lifecycle_test.go
+++ b/internal/ingress/lifecycle_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A server's state only moves on: what is entered stays reached, and nothing leads back.
-func TestLifecycle(t *testing.T) {
+// States are only entered in their order: a state that was reached stays reached.
+func TestLifecycleOnlyAdvances(t *testing.T) {
 	all := []state{serving, draining, closing, closed}
 	for _, test := range []struct {
 		name    string
@@ -19,7 +19,7 @@
 		{"drained twice", []state{draining, draining}, draining},
 		{"in order", []state{draining, closing, closed}, closed},
 		{"back to serving", []state{draining, serving}, draining},
-		{"drained once more at the end", []state{draining, closing, closed, draining, closing}, closed},
+		{"drained after closed", []state{draining, closing, closed, draining, closing}, closed},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var lifecycle lifecycle
@@ -28,15 +28,15 @@
 			}
 			for _, at := range all {
 				if want := slices.Index(all, at) <= slices.Index(all, test.want); lifecycle.reached(at) != want {
-					t.Errorf("state %d reached: %v, want %v", at, !want, want)
+					t.Errorf("state %d reached: got %v, want %v", at, !want, want)
 				}
 			}
 		})
 	}
 }
 
-// Drain takes a server through its states: draining for the grace period, closing while a request is open, closed then.
-func TestDrainStates(t *testing.T) {
+// Drain enters draining for the grace period, closing while a request is open, and then closed.
+func TestDrainPassesThroughStates(t *testing.T) {
 	server, fake, address := start(t, 10)
 	conn := dial(t, address)
 	conn.send("GET /read/1", "X-Time-Left: 2\r\n", "")
@@ -54,11 +54,11 @@
 	if server.state.reached(closed) {
 		t.Error("closed with a request open")
 	}
-	request.Respond(failed())
-	if last := conn.wantResponse(); !last {
-		t.Error("the response doesn't close its connection")
+	request.Respond(failedResult())
+	if last := conn.readFailedOrRejected(); !last {
+		t.Error("the response does not close its connection")
 	}
 	if err := <-drained; err != nil || !server.state.reached(closed) {
-		t.Errorf("ended with %v, closed %v", err, server.state.reached(closed))
+		t.Errorf("Drain: got error %v, closed %v; want none, true", err, server.state.reached(closed))
 	}
 }
--- a/internal/ingress/limits.go
+++ b/internal/ingress/limits.go
@@ -12,42 +12,43 @@
 	"ottershed/internal/sockopt"
 )
 
-// connLimiter is the listener of http.Server; it counts the connections of clients. http.Server owns and closes them,
-// the limiter closes only those that carry no request: when they are too many, first those that never carried one, then
-// the longest idle one; at the end of the server all of them.
+// connLimiter is the listener of http.Server and limits the number of client connections. http.Server owns the
+// connections and closes them. The limiter closes only connections that carry no request: beyond the limit first the
+// oldest unused one, then the longest idle one; while the server is closing all of them. Its methods are safe for
+// concurrent use.
 type connLimiter struct {
 	listener       net.Listener
 	listenerClosed chan struct{}
-	closeListener  func() error // closes the listener at the first call, each call returns the result of that
-	state          *lifecycle   // of the server; closing is entered under the lock
+	closeListener  func() error // closes the listener once; each call returns the result of the first
+	state          *lifecycle   // of the server; the state closing is entered under mu
 
-	maxConnections int // beyond it requests are rejected and their connections closed
+	maxConnections int // beyond this number requests are rejected and their connections closed
 	log            logrus.FieldLogger
 
-	mu        sync.Mutex
-	slotFreed *sync.Cond // a connection has ended, or the server is closing
-	conns     connTable
-	exhausted bool // as last logged
+	mu         sync.Mutex
+	slotFreed  *sync.Cond // signals that a connection has ended or the server is closing
+	conns      connTable
+	fullLogged bool // a warning was logged; reset at half the limit
 }
 
-// connTable holds the connections that stand, and those without a request in the order in which they are evicted.
+// connTable holds the open connections, and lists those without a request in the order of eviction.
 type connTable struct {
-	positions map[net.Conn]position // the end of a connection removes it
-	unused    *list.List            // of *sockopt.Conn that have carried nothing, the oldest first
-	idle      *list.List            // of *sockopt.Conn that have, the longest idle first
+	entries map[net.Conn]connEntry // removed when the connection ends
+	unused  *list.List             // of *sockopt.Conn that have not yet carried a request, oldest first
+	idle    *list.List             // of *sockopt.Conn between requests, longest idle first
 }
 
-// position is where a connection stands; zero while it carries a request.
-type position struct {
+// connEntry is the place of a connection in one of the lists. It is zero while the connection carries a request.
+type connEntry struct {
 	list    *list.List
 	element *list.Element
-	since   time.Time
+	since   time.Time // when the connection was added to the list
 }
 
 func newConnLimiter(maxConnections int, state *lifecycle, log logrus.FieldLogger) *connLimiter {
 	limiter := &connLimiter{
 		listenerClosed: make(chan struct{}), state: state, maxConnections: maxConnections, log: log,
-		conns: connTable{map[net.Conn]position{}, list.New(), list.New()},
+		conns: connTable{map[net.Conn]connEntry{}, list.New(), list.New()},
 	}
 	limiter.closeListener = sync.OnceValue(func() error {
 		defer close(limiter.listenerClosed)
@@ -57,7 +58,7 @@
 	return limiter
 }
 
-// Accept accepts a connection, in the system's order.
+// Accept waits until the limit allows another connection, and returns the next one of the accept queue.
 func (l *connLimiter) Accept() (net.Conn, error) {
 	l.waitForSlot()
 	raw, err := l.acceptNext()
@@ -68,18 +69,19 @@
 	if err != nil {
 		return nil, err
 	}
-	// http.Server says so a moment later; a server that drains in between would end without a response to what it carries.
+	// http.Server reports StateNew only after Accept has returned. A server that drains in between would not count the
+	// connection, and would end without a response to its request.
 	l.track(conn, http.StateNew)
 	return conn, nil
 }
 
-// waitForSlot waits while more than an eighth beyond the limit stand and none can be evicted; what waits in the
-// system's queue meanwhile is not lost. Hundreds of connections that carry nothing would shut other clients out until
-// their time is over.
+// waitForSlot waits while the limit is exceeded by more than an eighth and no connection can be evicted. Connections wait
+// in the accept queue meanwhile and are not lost. Without the eviction, hundreds of connections without a request would
+// block other clients until readTimeout ends them.
 func (l *connLimiter) waitForSlot() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for len(l.conns.positions) > l.maxConnections+l.maxConnections/8 && !l.state.reached(closing) {
+	for len(l.conns.entries) > l.maxConnections+l.maxConnections/8 && !l.state.reached(closing) {
 		if l.conns.evictOne() {
 			continue
 		}
@@ -89,7 +91,7 @@
 	}
 }
 
-// track follows what http.Server does with a connection.
+// track records a state change of a connection that http.Server reports, and evicts a connection beyond the limit.
 func (l *connLimiter) track(conn net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,73 +100,74 @@
 	case http.StateNew:
 		l.conns.insert(conn, l.conns.unused)
 	case http.StateActive:
-		l.conns.positions[conn] = position{}
+		l.conns.entries[conn] = connEntry{}
 	case http.StateIdle:
 		conn.(*sockopt.Conn).MarkResponded()
 		l.conns.insert(conn, l.conns.idle)
 	case http.StateHijacked, http.StateClosed:
 		l.slotFreed.Signal()
 	}
-	l.exhausted = l.exhausted && len(l.conns.positions) > l.maxConnections/2
-	if len(l.conns.positions) > l.maxConnections {
+	l.fullLogged = l.fullLogged && len(l.conns.entries) > l.maxConnections/2
+	if len(l.conns.entries) > l.maxConnections {
 		l.conns.evictOne()
 	}
 }
 
-// full tells whether a request must be rejected for want of descriptors or memory. Connections that never carried one
-// don't count: they are evicted.
+// full reports whether a request must be rejected because the connection limit, which bounds file descriptors and memory,
+// is exceeded. Unused connections do not count, since they can be evicted.
 func (l *connLimiter) full() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	standing := len(l.conns.positions)
-	if standing-l.conns.unused.Len() <= l.maxConnections {
+	open := len(l.conns.entries)
+	if open-l.conns.unused.Len() <= l.maxConnections {
 		return false
 	}
-	if !l.exhausted {
-		l.log.WithField("held", standing).Warn("no descriptor left for clients")
+	if !l.fullLogged {
+		l.log.WithField("held", open).Warn("no descriptor left for clients")
 	}
-	l.exhausted = true
+	l.fullLogged = true
 	return true
 }
 
-// closeQuiet closes the connections that carry no request, but for new ones, and tells how many are left.
-func (l *connLimiter) closeQuiet() int {
+// closeUnusedAndIdle closes the connections that carry no request, except unused ones within newConnectionGrace. It
+// returns the number of connections left.
+func (l *connLimiter) closeUnusedAndIdle() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for conn, at := range l.conns.positions {
-		if l.conns.isQuiet(at) && conn.(*sockopt.Conn).CloseIfIdle() {
+	for conn, entry := range l.conns.entries {
+		if l.conns.isClosable(entry) && conn.(*sockopt.Conn).CloseIfIdle() {
 			l.conns.remove(conn)
 		}
 	}
-	return len(l.conns.positions)
+	return len(l.conns.entries)
 }
 
 func (t *connTable) insert(conn net.Conn, into *list.List) {
-	t.positions[conn] = position{into, into.PushBack(conn), time.Now()}
+	t.entries[conn] = connEntry{into, into.PushBack(conn), time.Now()}
 }
 
 func (t *connTable) remove(conn net.Conn) {
-	if at := t.positions[conn]; at.list != nil {
-		at.list.Remove(at.element)
+	if entry := t.entries[conn]; entry.list != nil {
+		entry.list.Remove(entry.element)
 	}
-	delete(t.positions, conn)
+	delete(t.entries, conn)
 }
 
-// isQuiet tells whether a connection carries no request and its grace is over.
-func (t *connTable) isQuiet(at position) bool {
-	return at.list == t.idle || at.list == t.unused && time.Since(at.since) >= newConnectionGrace
+// isClosable reports whether a connection is idle, or unused with its grace period over.
+func (t *connTable) isClosable(entry connEntry) bool {
+	return entry.list == t.idle || entry.list == t.unused && time.Since(entry.since) >= newConnectionGrace
 }
 
-// evictOne closes one connection that carries no request and tells whether there was one.
+// evictOne closes one connection that carries no request, and reports whether there was one.
 func (t *connTable) evictOne() bool { return t.evictFrom(t.unused) || t.evictFrom(t.idle) }
 
-// evictFrom closes the first connection of a list that can be closed. Its descriptor is free then, though http.Server
-// has not seen its end yet.
-func (t *connTable) evictFrom(from *list.List) bool {
-	for at := from.Front(); at != nil; at = at.Next() {
-		conn := at.Value.(*sockopt.Conn)
-		if !t.isQuiet(t.positions[conn]) {
-			return false // nor are those behind it, which are younger
+// evictFrom closes the first connection of a list that can be closed, and reports whether there was one. That frees the
+// file descriptor at once, although http.Server notices the end of the connection later.
+func (t *connTable) evictFrom(conns *list.List) bool {
+	for element := conns.Front(); element != nil; element = element.Next() {
+		conn := element.Value.(*sockopt.Conn)
+		if !t.isClosable(t.entries[conn]) {
+			return false // the following connections are newer, so none of them is closable
 		}
 		if conn.CloseIfIdle() {
 			t.remove(conn)
--- a/internal/ingress/parse.go
+++ b/internal/ingress/parse.go
@@ -10,27 +10,28 @@
 	"ottershed/decision"
 )
 
-// Bounds on what a client sends. A higher value takes more memory for each connection.
+// Limits on requests. Higher values need more memory for each connection.
 const (
-	maxBody          = 64 << 10 // bytes
-	maxHead          = 8 << 10  // bytes
+	maxBodyBytes     = 64 << 10 // bytes
+	maxHeaderBytes   = 8 << 10  // bytes
 	maxCorrelationID = 128      // bytes
 )
 
 // Headers of clients.
 const (
 	headerCorrelationID  = "X-Correlation-Id"
-	headerTimeLeft       = "X-Time-Left" // seconds
+	headerTimeLeft       = "X-Time-Left" // seconds until the client gives up
 	headerTenant         = "X-Account"
 	headerIdempotencyKey = "Idempotency-Key"
-	headerRetried        = "X-Repeat"
-	headerResumed        = "X-Resume"
+	headerRetried        = "X-Repeat" // "1": the client retries a request
+	headerResumed        = "X-Resume" // "1": the client repeats a request whose instance has disappeared
 )
 
-// singleHeaders may stand in a request once at most: an endpoint may go by another one of two than this server.
+// singleHeaders lists the headers that a request may have only once: of two values, an endpoint might use another one
+// than this server.
 var singleHeaders = []struct {
 	name     string
-	repeated refusalError
+	repeated requestError
 }{
 	{headerCorrelationID, errRepeatedCorrelationID},
 	{headerTimeLeft, errRepeatedTimeLeft},
@@ -40,15 +41,15 @@
 
 // requestParser checks requests against the settings.
 type requestParser struct {
-	classes        map[string]*decision.RequestClass // by the first part of the path
-	tenants        map[decision.TenantID]bool        // empty: every tenant is served
-	longestTimeout decision.Millis                   // of a client; longer ones are cut, those beyond twice refused
+	classes        map[string]*decision.RequestClass // by the first segment of the path
+	tenants        map[decision.TenantID]bool        // empty: all tenants are accepted
+	longestTimeout decision.Millis                   // longer times are reduced to it, those above twice as long are errors
 }
 
-// parsedRequest is what the head of a request says.
+// parsedRequest holds the values from the headers and request line.
 type parsedRequest struct {
 	class         *decision.RequestClass
-	remaining     decision.Millis // until the client gives up, more than 0
+	remaining     decision.Millis // time until the client gives up; above 0
 	tenant        decision.TenantID
 	correlationID string
 }
@@ -68,7 +69,7 @@
 	return parser
 }
 
-// parse checks the head of a request; the error is a refusalError, the first one that applies.
+// parse checks the request line and headers. The error is a requestError, the first one that applies.
 func (p *requestParser) parse(r *http.Request) (parsedRequest, error) {
 	if err := checkFraming(r); err != nil {
 		return parsedRequest{}, err
@@ -82,7 +83,7 @@
 	}
 	id := r.Header.Get(headerCorrelationID)
 	if id == "" || len(id) > maxCorrelationID {
-		return parsedRequest{}, errCorrelationID
+		return parsedRequest{}, errInvalidCorrelationID
 	}
 	tenant := decision.TenantID(r.Header.Get(headerTenant))
 	if len(p.tenants) > 0 && !p.tenants[tenant] {
@@ -93,15 +94,15 @@
 		return parsedRequest{}, err
 	}
 	if class.Idempotency == decision.IdempotentWithKey && r.Header.Get(headerIdempotencyKey) == "" {
-		return parsedRequest{}, errNoIdempotencyKey
+		return parsedRequest{}, errMissingIdempotencyKey
 	}
 	return parsedRequest{class, remaining, tenant, id}, nil
 }
 
-// checkFraming finds what makes two readers of a request see different ones, and bodies that are too long.
+// checkFraming rejects requests that two servers may parse differently, and bodies that are too long.
 //
-// With both a transfer coding and a length, which net/http drops unseen, the body may hide another request. Clients
-// send none of the codings, so none is taken.
+// If a request has a Transfer-Encoding and a Content-Length, which net/http then drops, its body may hide another request
+// (request smuggling). Clients do not use Transfer-Encoding, so no coding is accepted.
 func checkFraming(r *http.Request) error {
 	for _, header := range singleHeaders {
 		if len(r.Header[header.name]) > 1 {
@@ -109,15 +110,15 @@
 		}
 	}
 	if len(r.TransferEncoding) > 0 {
-		return errTransferCoding
+		return errTransferEncoding
 	}
-	if r.ContentLength > maxBody {
+	if r.ContentLength > maxBodyBytes {
 		return errBodyTooLong
 	}
 	return nil
 }
 
-// class finds the class of a request by the first part of its path, as the client wrote it.
+// class returns the request class by the first segment of the path. The path is not unescaped before.
 func (p *requestParser) class(uri string) (*decision.RequestClass, error) {
 	if !strings.HasPrefix(uri, "/") {
 		return nil, errUnknownClass
@@ -131,43 +132,44 @@
 	return class, nil
 }
 
-// checkMethod wants a GET without a body of idempotent classes, and a POST of the others.
+// checkMethod requires a GET without a body for idempotent classes, and a POST for the others.
 func checkMethod(r *http.Request, class *decision.RequestClass) error {
 	if class.Idempotency != decision.Idempotent {
 		if r.Method != http.MethodPost {
-			return errWantsPOST
+			return errMethodNotPOST
 		}
 		return nil
 	}
 	if r.Method != http.MethodGet {
-		return errWantsGET
+		return errMethodNotGET
 	}
 	if r.ContentLength != 0 {
-		return errBodyOfGET
+		return errGETWithBody
 	}
 	return nil
 }
 
-// remaining reads the time that is left until the client gives up.
+// remaining parses the time in seconds until the client gives up, and returns it in milliseconds.
 func (p *requestParser) remaining(text string) (decision.Millis, error) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	remaining := seconds * 1000
 	if err != nil || math.IsNaN(remaining) || remaining <= 0 || remaining > 2*p.longestTimeout {
-		return 0, errTimeLeft
+		return 0, errInvalidTimeLeft
 	}
 	return min(remaining, p.longestTimeout), nil
 }
 
-// stickyKey is the subject of a request: the first "key" of the query, empty where there is none. A request whose key
-// is not read would go back to the baseline where keys stay with the build that has responded to them.
+// stickyKey returns the first "key" parameter of the query, unescaped if its escapes are valid, or an empty key. With
+// sticky keys, a request goes to the build that has responded to its key. A request whose key was not found could go
+// back to the baseline.
 func stickyKey(query string) decision.Key {
 	for pair := range strings.SplitSeq(query, "&") {
 		name, text, _ := strings.Cut(pair, "=")
 		if name != "key" {
 			continue
 		}
-		if plain, err := url.QueryUnescape(text); err == nil {
-			text = plain
+		if unescaped, err := url.QueryUnescape(text); err == nil {
+			text = unescaped
 		}
 		return decision.Key(text)
 	}
--- a/internal/ingress/parse_test.go
+++ b/internal/ingress/parse_test.go
@@ -10,8 +10,8 @@
 	"ottershed/decision"
 )
 
-// Each refusal of the parser is the error of a request that has this fault alone, and the first of two faults counts.
-func TestParse(t *testing.T) {
+// Each error of the parser is returned for a request with this fault only. Of two faults, the first check counts.
+func TestParseReturnsFirstError(t *testing.T) {
 	parser := newRequestParser(decision.Settings{Classes: []decision.RequestClass{
 		{Name: "read", Idempotency: decision.Idempotent},
 		{Name: "mark", Idempotency: decision.IdempotentWithKey},
@@ -27,29 +27,29 @@
 		change      func(*http.Request)
 		want        error
 	}{
-		"a GET":       {"GET", "/read/1?key=a", func(*http.Request) {}, nil},
-		"a POST":      {"POST", "/mark/1", func(r *http.Request) { r.ContentLength = maxBody }, nil},
-		"two ids":     {"GET", "/read/1", add(headerCorrelationID, "d"), errRepeatedCorrelationID},
-		"two times":   {"GET", "/read/1", add(headerTimeLeft, "1"), errRepeatedTimeLeft},
-		"two tenants": {"GET", "/read/1", add(headerTenant, "acme"), errRepeatedTenant},
-		"two keys":    {"POST", "/mark/1", add(headerIdempotencyKey, "l"), errRepeatedIdempotencyKey},
-		"a transfer coding": {"POST", "/mark/1", func(r *http.Request) {
+		"valid GET":      {"GET", "/read/1?key=a", func(*http.Request) {}, nil},
+		"valid POST":     {"POST", "/mark/1", func(r *http.Request) { r.ContentLength = maxBodyBytes }, nil},
+		"two ids":        {"GET", "/read/1", add(headerCorrelationID, "d"), errRepeatedCorrelationID},
+		"two times left": {"GET", "/read/1", add(headerTimeLeft, "1"), errRepeatedTimeLeft},
+		"two tenants":    {"GET", "/read/1", add(headerTenant, "acme"), errRepeatedTenant},
+		"two keys":       {"POST", "/mark/1", add(headerIdempotencyKey, "l"), errRepeatedIdempotencyKey},
+		"transfer encoding": {"POST", "/mark/1", func(r *http.Request) {
 			r.TransferEncoding = []string{"chunked"}
-		}, errTransferCoding},
-		"a long body":          {"POST", "/mark/1", func(r *http.Request) { r.ContentLength = maxBody + 1 }, errBodyTooLong},
-		"another class":        {"GET", "/other/1", func(*http.Request) {}, errUnknownClass},
-		"no path":              {"GET", "read", func(*http.Request) {}, errUnknownClass},
-		"a GET with key":       {"GET", "/mark/1", func(*http.Request) {}, errWantsPOST},
-		"a POST of a read":     {"POST", "/read/1", func(*http.Request) {}, errWantsGET},
-		"a GET with a body":    {"GET", "/read/1", func(r *http.Request) { r.ContentLength = 1 }, errBodyOfGET},
-		"no id":                {"GET", "/read/1", set(headerCorrelationID, ""), errCorrelationID},
-		"a long id":            {"GET", "/read/1", set(headerCorrelationID, strings.Repeat("i", 129)), errCorrelationID},
-		"another tenant":       {"GET", "/read/1", set(headerTenant, "b"), errUnknownTenant},
-		"no time":              {"GET", "/read/1", set(headerTimeLeft, ""), errTimeLeft},
-		"no key":               {"POST", "/mark/1", set(headerIdempotencyKey, ""), errNoIdempotencyKey},
-		"no time, wrong class": {"GET", "/other/1", set(headerTimeLeft, ""), errUnknownClass},
-		"two ids, long body": {"POST", "/mark/1", func(r *http.Request) {
-			r.ContentLength = maxBody + 1
+		}, errTransferEncoding},
+		"body too long":               {"POST", "/mark/1", func(r *http.Request) { r.ContentLength = maxBodyBytes + 1 }, errBodyTooLong},
+		"unknown class":               {"GET", "/other/1", func(*http.Request) {}, errUnknownClass},
+		"no path":                     {"GET", "read", func(*http.Request) {}, errUnknownClass},
+		"GET of a POST class":         {"GET", "/mark/1", func(*http.Request) {}, errMethodNotPOST},
+		"POST of a GET class":         {"POST", "/read/1", func(*http.Request) {}, errMethodNotGET},
+		"GET with a body":             {"GET", "/read/1", func(r *http.Request) { r.ContentLength = 1 }, errGETWithBody},
+		"no id":                       {"GET", "/read/1", set(headerCorrelationID, ""), errInvalidCorrelationID},
+		"id too long":                 {"GET", "/read/1", set(headerCorrelationID, strings.Repeat("i", 129)), errInvalidCorrelationID},
+		"unknown tenant":              {"GET", "/read/1", set(headerTenant, "b"), errUnknownTenant},
+		"no time left":                {"GET", "/read/1", set(headerTimeLeft, ""), errInvalidTimeLeft},
+		"no key":                      {"POST", "/mark/1", set(headerIdempotencyKey, ""), errMissingIdempotencyKey},
+		"no time left, unknown class": {"GET", "/other/1", set(headerTimeLeft, ""), errUnknownClass},
+		"two ids, body too long": {"POST", "/mark/1", func(r *http.Request) {
+			r.ContentLength = maxBodyBytes + 1
 			r.Header.Add(headerCorrelationID, "d")
 		}, errRepeatedCorrelationID},
 	} {
@@ -63,21 +63,21 @@
 			test.change(r)
 			parsed, err := parser.parse(r)
 			if !errors.Is(err, test.want) {
-				t.Errorf("error %v, want %v", err, test.want)
+				t.Errorf("got error %v, want %v", err, test.want)
 			}
 			if err == nil && (parsed.remaining != 2000 || parsed.correlationID != "c" || parsed.tenant != "acme") {
-				t.Errorf("parsed as %+v", parsed)
+				t.Errorf("got %+v, want 2000 ms, id c, tenant acme", parsed)
 			}
 		})
 	}
 }
 
-// Every refusal has a text, and a status code of an error.
-func TestRefusals(t *testing.T) {
-	for i := range refusalCount {
-		refusal := refusalError(i)
-		if refusal.Error() == "" || refusal.status() < 400 || refusal.status() > 599 {
-			t.Errorf("refusal %d: status %d, text %q", i, refusal.status(), refusal.Error())
+// Every requestError has a text and a status code of 400 to 599.
+func TestRequestErrorsHaveStatusAndText(t *testing.T) {
+	for i := range requestErrorCount {
+		failure := requestError(i)
+		if failure.Error() == "" || failure.status() < 400 || failure.status() > 599 {
+			t.Errorf("requestError %d: got status %d, text %q", i, failure.status(), failure.Error())
 		}
 	}
 }
--- a/internal/ingress/response.go
+++ b/internal/ingress/response.go
@@ -11,25 +11,25 @@
 	"ottershed/internal/engine"
 )
 
-// refuse responds with an error and closes the connection. The status code is that of a refusalError; an error that
-// names none is a malformed request.
-func refuse(w http.ResponseWriter, err error) {
+// respondError responds with the text of an error and closes the connection. The status code is that of a requestError,
+// and 400 for any other error.
+func respondError(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
-	if refusal, ok := errors.AsType[refusalError](err); ok {
-		status = refusal.status()
+	if failure, ok := errors.AsType[requestError](err); ok {
+		status = failure.status()
 	}
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Error(), status)
 }
 
-// setRetryAfter says when the client should come back, in seconds; nothing where there is no advice.
+// setRetryAfter sets Retry-After, in seconds with three decimals. It sets no header if after is 0.
 func setRetryAfter(header http.Header, after decision.Millis) {
 	if after > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(after/1000, 'f', 3, 64))
 	}
 }
 
-// newResponse is the HTTP response for a final result.
+// newResponse returns the HTTP response for a final result of the engine.
 func newResponse(r *http.Request, result engine.Result) *http.Response {
 	res := &http.Response{
 		Request: r, StatusCode: http.StatusInternalServerError, Proto: "HTTP/1.1", ProtoMajor: 1,
@@ -44,7 +44,7 @@
 	case engine.Rejected:
 		res.StatusCode = http.StatusServiceUnavailable
 		setRetryAfter(res.Header, result.RetryAfter)
-	case engine.Failed: // the status above
+	case engine.Failed: // status 500, set above
 	}
 	res.Header.Set("Content-Length", strconv.Itoa(len(body)))
 	res.ContentLength = int64(len(body))
--- a/internal/ingress/handover.go
+++ b/internal/ingress/serve.go
@@ -13,25 +13,27 @@
 	"ottershed/internal/engine"
 )
 
-// handoverKey finds the handover of a request in its context.
-type handoverKey struct{}
+// pendingRequestKey is the context key of a pendingRequest.
+type pendingRequestKey struct{}
 
-// handover takes a checked request through the reverse proxy to RoundTrip, and its id back.
-type handover struct {
+// pendingRequest carries a parsed request in its context through the reverse proxy, to RoundTrip and finishResponse.
+type pendingRequest struct {
 	request   *engine.ClientRequest
-	releaseID func() // may be called more than once
+	releaseID func() // releases the correlation id; later calls have no effect
 }
 
-func handoverOf(r *http.Request) *handover { return r.Context().Value(handoverKey{}).(*handover) }
+func pendingRequestOf(r *http.Request) *pendingRequest {
+	return r.Context().Value(pendingRequestKey{}).(*pendingRequest)
+}
 
-// openIDs holds the correlation ids of the requests that are open: for an endpoint two requests with one id are copies
-// of each other, so the second one is refused.
+// openIDs holds the correlation ids of open requests. Endpoints take two requests with the same id for copies of one, so
+// a second request with the id of an open one gets errCorrelationIDInUse.
 type openIDs struct {
 	mu  sync.Mutex
-	ids map[string]bool // the end of a request's handler removes its id
+	ids map[string]bool // release removes an id
 }
 
-// claim takes an id and tells whether no open request has it.
+// claim adds an id and reports whether it was free.
 func (o *openIDs) claim(id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -40,27 +42,29 @@
 	return free
 }
 
+// release removes an id.
 func (o *openIDs) release(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.ids, id)
 }
 
-// serveRequest checks a request and reads it to its end before the engine hears of it, and passes it to next.
+// serveRequest checks a request, reads its whole body and passes it to next, the reverse proxy. The engine receives only
+// complete requests.
 func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, next http.Handler) {
 	receivedAt := s.clock.Now()
 	parsed, err := s.parser.parse(r)
-	if err == nil && s.maybeRunBefore(r, parsed) {
+	if err == nil && s.mayHaveRun(r, parsed) {
 		setRetryAfter(w.Header(), s.retryAfter)
 		err = errMayHaveRun
 	}
 	if err != nil {
-		refuse(w, err)
+		respondError(w, err)
 		return
 	}
 	body := readBody(w, r, clock.Duration(parsed.remaining))
 	if !s.openIDs.claim(parsed.correlationID) {
-		refuse(w, errCorrelationIDInUse)
+		respondError(w, errCorrelationIDInUse)
 		return
 	}
 	release := sync.OnceFunc(func() { s.openIDs.release(parsed.correlationID) })
@@ -71,34 +75,35 @@
 		Request: &engine.Request{Method: r.Method, URI: r.RequestURI, Host: r.Host, Body: body},
 	}
 	r.Body = http.NoBody
-	ctx := context.WithValue(r.Context(), handoverKey{}, &handover{request, release})
+	ctx := context.WithValue(r.Context(), pendingRequestKey{}, &pendingRequest{request, release})
 	next.ServeHTTP(w, r.WithContext(ctx))
 }
 
-// maybeRunBefore tells whether a client sends a request once more that an instance which has gone may have run. Another
-// instance never sends such a request to an endpoint; its client is told at once.
-func (s *Server) maybeRunBefore(r *http.Request, parsed parsedRequest) bool {
+// mayHaveRun reports whether a request is a resumed one that an endpoint may already have run for an instance that has
+// disappeared. Such a request is not sent to an endpoint again; the client gets errMayHaveRun at once.
+func (s *Server) mayHaveRun(r *http.Request, parsed parsedRequest) bool {
 	return s.decideResume != nil && r.Header.Get(headerResumed) == "1" &&
 		s.decideResume(parsed.class) == lease.ResumeReject
 }
 
-// readBody reads a body to its end. One that is not complete within the time for reading, or within the request's own
-// time where that is shorter, ends its connection.
+// readBody reads the whole body of a request. It aborts the connection if the body is not complete within readTimeout,
+// or within the remaining time of the request if that is shorter.
 func readBody(w http.ResponseWriter, r *http.Request, remaining time.Duration) []byte {
 	if r.ContentLength <= 0 {
 		return nil
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(min(readTimeout, remaining))) // fails on a connection that has ended only
+	_ = control.SetReadDeadline(time.Now().Add(min(readTimeout, remaining))) // fails only on a closed connection
 	body := make([]byte, r.ContentLength)
 	if _, err := io.ReadFull(r.Body, body); err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	_ = control.SetReadDeadline(time.Time{}) // the same
+	_ = control.SetReadDeadline(time.Time{}) // fails only on a closed connection
 	return body
 }
 
-// rewrite keeps method, path, query and headers as they came, but for the headers that concern one connection only.
+// rewrite copies method, path, query and headers unchanged, without the headers that apply to the client's connection
+// only.
 func rewrite(r *httputil.ProxyRequest) {
 	r.Out.URL.Scheme = "http"
 	r.Out.URL.Host = r.In.Host
@@ -108,19 +113,20 @@
 	}
 }
 
-// RoundTrip hands a request to the engine and waits for its final result.
+// RoundTrip passes a request to the engine, waits for its final result and returns that as a response. It is the
+// transport of the reverse proxy. The error is that of the context if the client has disconnected.
 func (s *Server) RoundTrip(r *http.Request) (*http.Response, error) {
 	if s.rejectsRequests() {
 		res := newResponse(r, engine.Result{Kind: engine.Rejected, RetryAfter: s.retryAfter})
 		res.Close = true
 		return res, nil
 	}
-	request := handoverOf(r).request
+	request := pendingRequestOf(r).request
 	request.Request.Fields = r.Header
 	results := make(chan engine.Result, 1)
 	request.Respond = func(result engine.Result) { results <- result }
 	s.engine.ReceiveRequest(request)
-	// The engine ends each request in time; should it fail to, the client gets its final response all the same.
+	// The engine returns a result for each request in time. If it fails to, the client still gets a final response.
 	overdue := time.NewTimer(clock.Duration(request.ReceivedAt + request.Remaining + s.responseSlack - s.clock.Now()))
 	defer overdue.Stop()
 	select {
@@ -135,8 +141,8 @@
 	}
 }
 
-// rejectsRequests tells whether requests are rejected without the engine. One that comes after accepting has ended, on
-// a connection that was still open, might get no response from an endpoint before the process is killed.
+// rejectsRequests reports whether requests are rejected without the engine. A closing server rejects requests that
+// arrive on open connections: the process might be killed before an endpoint has responded.
 func (s *Server) rejectsRequests() bool {
-	return s.notReady.Load() || s.limiter.acceptingEnded() || s.limiter.full()
+	return s.notReady.Load() || s.limiter.isClosing() || s.limiter.full()
 }
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -19,43 +19,44 @@
 	"ottershed/internal/settings"
 )
 
-// Times that a connection has.
+// Timeouts of a connection.
 const (
-	// responseDue is when a client that sends nothing readable must have an error or a close, from connecting on.
-	responseDue = 3 * time.Second
-	// readTimeout is the time for the head of a request, and again for its body.
-	readTimeout = responseDue / 3
-	// idleTimeout is how long a connection is kept that carries no request.
-	idleTimeout = 2 * responseDue
+	// responseTimeout is the time from connecting within which a client that sends no valid request must get an error
+	// response or a close.
+	responseTimeout = 3 * time.Second
+	// readTimeout is the time for reading the headers of a request, and again for its body.
+	readTimeout = responseTimeout / 3
+	// idleTimeout is how long a connection without a request is kept open.
+	idleTimeout = 2 * responseTimeout
 )
 
-// Engine is what requests are handed to.
+// Engine processes the requests that the server has checked and read.
 type Engine interface {
-	// ReceiveRequest takes a request; its Respond is called once at most.
+	// ReceiveRequest accepts a request. The engine calls its Respond at most once.
 	ReceiveRequest(*engine.ClientRequest)
-	// ClientDisconnected says that nobody waits for the result any more.
+	// ClientDisconnected notifies the engine that the result of a request is no longer needed.
 	ClientDisconnected(*engine.ClientRequest)
 }
 
-// Server is the HTTP server that clients connect to.
+// Server is the HTTP server for clients.
 type Server struct {
 	engine Engine
 	clock  *clock.Clock
 	parser requestParser
 
-	retryAfter    decision.Millis // advice to clients that are rejected here; 0: none
-	responseSlack decision.Millis // past a client's deadline, for the final response
-	drainTimeout  time.Duration   // from the end of accepting on, for the requests that are open then
+	retryAfter    decision.Millis // Retry-After of requests rejected without the engine; 0: none
+	responseSlack decision.Millis // time after a client's deadline within which the engine still responds
+	drainTimeout  time.Duration   // limit of the time for open requests after the server has stopped accepting
 	decideResume  func(*decision.RequestClass) lease.ResumeDecision
 
 	httpServer *http.Server
 	limiter    *connLimiter
 	state      lifecycle
-	notReady   atomic.Bool // from SetNotReady until SetReady
+	notReady   atomic.Bool // set by SetNotReady, cleared by SetReady
 	openIDs    openIDs
 }
 
-// New makes a server that keeps up to maxConnections connections of clients; [Server.Serve] starts it.
+// New returns a server that serves requests on up to maxConnections client connections. [Server.Serve] starts it.
 func New(
 	e Engine, c *clock.Clock, s decision.Settings, n settings.Network, maxConnections int, log logrus.FieldLogger,
 ) *Server {
@@ -67,13 +68,13 @@
 	}
 	server.limiter = newConnLimiter(maxConnections, &server.state, log)
 	server.httpServer = &http.Server{
-		Handler: server.handler(), ReadHeaderTimeout: readTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHead,
+		Handler: server.handler(), ReadHeaderTimeout: readTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: discardLog(), ConnState: server.limiter.track,
 	}
 	return server
 }
 
-// handler serves the readiness check on /up, and requests on every other path.
+// handler returns the handler of the server: the readiness check on /up, and client requests on all other paths.
 func (s *Server) handler() http.Handler {
 	proxy := &httputil.ReverseProxy{
 		Rewrite: rewrite, Transport: s, ModifyResponse: s.finishResponse, ErrorHandler: abortConnection,
@@ -88,23 +89,25 @@
 	})
 }
 
-// discardLog is for faults of clients, which are not logged.
+// discardLog returns a logger that writes nothing. net/http logs errors that clients cause, such as malformed requests.
 func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
 
-// HandleResumed has requests with the header X-Resume, which clients send once more after an instance has gone, refused
-// where decide says so; before Serve. Without it they are served as others are.
+// HandleResumed sets the decision on requests with the header X-Resume, which clients repeat after an instance has
+// disappeared. A request for whose class decide returns lease.ResumeReject is answered with an error. Without a decision,
+// such requests are served like all others. It must be called before Serve.
 func (s *Server) HandleResumed(decide func(*decision.RequestClass) lease.ResumeDecision) {
 	s.decideResume = decide
 }
 
-// SetNotReady has requests rejected, and /up respond 503, until SetReady; before Serve. The instance's list of
-// endpoints may be older than the watch events that count from its start on.
+// SetNotReady makes the server reject requests, and respond 503 on /up, until SetReady. It must be called before Serve.
+// An instance uses it until it has received the endpoint list: a list from its configuration may miss changes that
+// happened before its watch began.
 func (s *Server) SetNotReady() { s.notReady.Store(true) }
 
-// SetReady ends SetNotReady.
+// SetReady reverts SetNotReady. It may be called from any goroutine.
 func (s *Server) SetReady() { s.notReady.Store(false) }
 
-// serveReadiness tells the layer in front whether this instance takes requests.
+// serveReadiness responds to the load balancer in front with 200 if this instance accepts requests, and 503 otherwise.
 func (s *Server) serveReadiness(w http.ResponseWriter) {
 	if s.state.reached(draining) || s.notReady.Load() {
 		w.Header().Set("Connection", "close")
@@ -112,23 +115,23 @@
 	}
 }
 
-// finishResponse runs before a response is written. It has the connection closed afterwards while the server drains or
-// has too many, and releases the id: the last byte of a long response is out before its handler ends, and from then on
-// the client may use the id again.
+// finishResponse runs before a response is written. It announces the close of the connection if the server drains or has
+// rejected the request itself. It also releases the correlation id: the last byte of a long response is sent before its
+// handler ends, and the client may reuse the id once it has read that byte.
 func (s *Server) finishResponse(res *http.Response) error {
 	if s.state.reached(draining) || res.Close {
 		res.Header.Set("Connection", "close")
 	}
-	handoverOf(res.Request).releaseID()
+	pendingRequestOf(res.Request).releaseID()
 	return nil
 }
 
-// abortConnection ends the connection of a client that has disconnected.
+// abortConnection is the error handler of the reverse proxy. It closes the connection of a client that has disconnected.
 func abortConnection(http.ResponseWriter, *http.Request, error) { panic(http.ErrAbortHandler) }
 
-// Serve accepts connections until Drain.
+// Serve accepts connections and serves requests until Drain. It returns nil after Drain, also if Drain was called before.
 func (s *Server) Serve(listener net.Listener) error {
-	if !s.limiter.listen(listener) { // drained before it began
+	if !s.limiter.setListener(listener) { // Drain was called before
 		return listener.Close()
 	}
 	err := s.httpServer.Serve(s.limiter)
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -21,17 +21,16 @@
 	"ottershed/internal/sockopt"
 )
 
-// fakeEngine takes requests in place of the engine.
+// fakeEngine stands in for the engine and passes its calls to the test.
 type fakeEngine struct {
 	requests, disconnected chan *engine.ClientRequest
 }
 
-func (server fakeEngine) ReceiveRequest(request *engine.ClientRequest) { server.requests <- request }
+func (f fakeEngine) ReceiveRequest(request *engine.ClientRequest) { f.requests <- request }
 
-func (server fakeEngine) ClientDisconnected(request *engine.ClientRequest) {
-	server.disconnected <- request
-}
+func (f fakeEngine) ClientDisconnected(request *engine.ClientRequest) { f.disconnected <- request }
 
+// start starts a server on loopback and returns its address.
 func start(t *testing.T, maxConnections int) (*Server, fakeEngine, string) {
 	t.Helper()
 	l := listen(t)
@@ -48,10 +47,10 @@
 	return l.(*net.TCPListener)
 }
 
-// testNetwork has the times of the servers under test.
+// testNetwork holds the timeouts of the servers under test.
 var testNetwork = settings.Network{LongestTimeout: 2000, ResponseSlack: 20}
 
-// serve starts a server on l, prepared by the test.
+// serve starts a server on l. It calls prepare, which may be nil, before Serve.
 func serve(t *testing.T, l net.Listener, maxConnections int, prepare func(*Server)) (*Server, fakeEngine) {
 	t.Helper()
 	log := logrus.New()
@@ -68,7 +67,7 @@
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(l) }()
 	t.Cleanup(func() {
-		_ = server.httpServer.Close() // a test may have closed it
+		_ = server.httpServer.Close() // the test may have closed it
 		if err := <-served; err != nil {
 			t.Error(err)
 		}
@@ -76,7 +75,7 @@
 	return server, fake
 }
 
-// client is one connection.
+// client is one client connection.
 type client struct {
 	t *testing.T
 	net.Conn
@@ -89,14 +88,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = c.Close() }) // a test may have closed it
+	t.Cleanup(func() { _ = c.Close() }) // the test may have closed it
 	if err := c.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	return &client{t, c, bufio.NewReader(c)}
 }
 
-// send sends a request, with an id of its own if it has none.
+// send sends a request. It adds a new correlation id if the headers have none.
 func (c *client) send(line, headers, body string) {
 	if !strings.Contains(headers, "X-Correlation-Id") {
 		headers += fmt.Sprintf("X-Correlation-Id: c%d\r\n", ids.Add(1))
@@ -104,28 +103,29 @@
 	c.write(fmt.Sprintf("%s HTTP/1.1\r\nHost: app.svc\r\n%s\r\n%s", line, headers, body))
 }
 
-// write sends bytes. Where the server has closed the connection by then, that shows in what the client reads.
+// write sends bytes. It ignores errors: if the server has closed the connection, the next read fails.
 func (c *client) write(text string) { _, _ = io.WriteString(c.Conn, text) }
 
-// end closes the connection.
-func (c *client) end() {
+// closeConn closes the connection.
+func (c *client) closeConn() {
 	c.t.Helper()
 	if err := c.Close(); err != nil {
 		c.t.Error(err)
 	}
 }
 
-// readUntil sets the time by which reading ends.
-func (c *client) readUntil(at time.Time) {
+// setReadDeadline sets the read deadline of the connection.
+func (c *client) setReadDeadline(deadline time.Time) {
 	c.t.Helper()
-	if err := c.SetReadDeadline(at); err != nil {
+	if err := c.SetReadDeadline(deadline); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
+// ids counts the correlation ids of send.
 var ids atomic.Int64
 
-// readResponse reads a response; the status is 0 if the connection ends.
+// readResponse reads a response and its body. The status code is 0 if the connection ends without a response.
 func (c *client) readResponse() (*http.Response, string) {
 	res, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -138,59 +138,59 @@
 	return res, string(body)
 }
 
-func TestMalformedRequests(t *testing.T) {
-	long := strings.Repeat("x", maxBody+1)
+func TestMalformedRequestsGetErrorStatus(t *testing.T) {
+	long := strings.Repeat("x", maxBodyBytes+1)
 	for name, test := range map[string]struct {
 		line, headers, body string
 		status              int // 0: the connection is closed
 	}{
-		"no time":             {"GET /read/1", "", "", 400},
-		"time is a word":      {"GET /read/1", "X-Time-Left: soon\r\n", "", 400},
-		"time is no number":   {"GET /read/1", "X-Time-Left: NaN\r\n", "", 400},
-		"time is up":          {"GET /read/1", "X-Time-Left: 0\r\n", "", 400},
-		"time below":          {"GET /read/1", "X-Time-Left: -1\r\n", "", 400},
-		"time absurd":         {"GET /read/1", "X-Time-Left: 1e9\r\n", "", 400},
-		"request class":       {"GET /other/1", "X-Time-Left: 1\r\n", "", 404},
-		"no request class":    {"GET //read", "X-Time-Left: 1\r\n", "", 404},
-		"POST, idempotent":    {"POST /read/1", "X-Time-Left: 1\r\nContent-Length: 0\r\n", "", 405},
-		"GET, not idempotent": {"GET /pay/1", "X-Time-Left: 1\r\n", "", 405},
-		"no key":              {"POST /mark/1", "X-Time-Left: 1\r\nContent-Length: 0\r\n", "", 400},
-		"too long":            {"POST /pay/1", fmt.Sprintf("X-Time-Left: 1\r\nContent-Length: %d\r\n", len(long)), long, 413},
-		"too long by 60 MB":   {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 60000000\r\n", "", 413},
-		"length negative":     {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: -5\r\n", "", 400},
-		"length huge":         {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 99999999999999999999\r\n", "", 400},
-		"two lengths":         {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 4\r\nContent-Length: 5\r\n", "five5", 400},
-		"chunked":             {"POST /pay/1", "X-Time-Left: 1\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n", 411},
-		"a hidden request": {
+		"no time left":          {"GET /read/1", "", "", 400},
+		"time left is a word":   {"GET /read/1", "X-Time-Left: soon\r\n", "", 400},
+		"time left is NaN":      {"GET /read/1", "X-Time-Left: NaN\r\n", "", 400},
+		"time left is 0":        {"GET /read/1", "X-Time-Left: 0\r\n", "", 400},
+		"time left is negative": {"GET /read/1", "X-Time-Left: -1\r\n", "", 400},
+		"time left is 1e9":      {"GET /read/1", "X-Time-Left: 1e9\r\n", "", 400},
+		"unknown request class": {"GET /other/1", "X-Time-Left: 1\r\n", "", 404},
+		"no request class":      {"GET //read", "X-Time-Left: 1\r\n", "", 404},
+		"POST of a GET class":   {"POST /read/1", "X-Time-Left: 1\r\nContent-Length: 0\r\n", "", 405},
+		"GET of a POST class":   {"GET /pay/1", "X-Time-Left: 1\r\n", "", 405},
+		"no idempotency key":    {"POST /mark/1", "X-Time-Left: 1\r\nContent-Length: 0\r\n", "", 400},
+		"body too long":         {"POST /pay/1", fmt.Sprintf("X-Time-Left: 1\r\nContent-Length: %d\r\n", len(long)), long, 413},
+		"body of 60 MB":         {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 60000000\r\n", "", 413},
+		"negative length":       {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: -5\r\n", "", 400},
+		"length overflows":      {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 99999999999999999999\r\n", "", 400},
+		"two lengths":           {"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 4\r\nContent-Length: 5\r\n", "five5", 400},
+		"chunked":               {"POST /pay/1", "X-Time-Left: 1\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n", 411},
+		"smuggled request": {
 			"POST /pay/1", "X-Time-Left: 1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n",
 			"0\r\n\r\nGET /read/1 HTTP/1.1\r\nHost: a\r\nX-Time-Left: 1\r\nX-Correlation-Id: hidden\r\n\r\n", 411,
 		},
-		"GET with a body": {"GET /read/1", "X-Time-Left: 1\r\nContent-Length: 2\r\n", "hi", 400},
-		"no id":           {"GET /read/1", "X-Time-Left: 1\r\nX-Correlation-Id:\r\n", "", 400},
-		"two ids":         {"GET /read/1", "X-Time-Left: 1\r\nX-Correlation-Id: a\r\nX-Correlation-Id: b\r\n", "", 400},
-		"id too long":     {"GET /read/1", "X-Time-Left: 1\r\nX-Correlation-Id: " + long[:200] + "\r\n", "", 400},
-		"another host":    {"GET http://other/read/1", "X-Time-Left: 1\r\n", "", 404},
-		"odd letters":     {"GET /%72ead/1", "X-Time-Left: 1\r\n", "", 404},
-		"no such tenant":  {"GET /read/1", "X-Time-Left: 1\r\nX-Account: new\r\n", "", 400},
-		"endless head":    {"GET /read/1", "X-Filler: " + long + "\r\n", "", 431},
-		"cut off":         {"POST /pay/1", "X-Time-Left: 0.05\r\nContent-Length: 5\r\n", "four", 0},
-		"no HTTP":         {"what", "", "", 400},
+		"GET with a body":       {"GET /read/1", "X-Time-Left: 1\r\nContent-Length: 2\r\n", "hi", 400},
+		"no id":                 {"GET /read/1", "X-Time-Left: 1\r\nX-Correlation-Id:\r\n", "", 400},
+		"two ids":               {"GET /read/1", "X-Time-Left: 1\r\nX-Correlation-Id: a\r\nX-Correlation-Id: b\r\n", "", 400},
+		"id too long":           {"GET /read/1", "X-Time-Left: 1\r\nX-Correlation-Id: " + long[:200] + "\r\n", "", 400},
+		"other host":            {"GET http://other/read/1", "X-Time-Left: 1\r\n", "", 404},
+		"escaped request class": {"GET /%72ead/1", "X-Time-Left: 1\r\n", "", 404},
+		"unknown tenant":        {"GET /read/1", "X-Time-Left: 1\r\nX-Account: new\r\n", "", 400},
+		"headers too long":      {"GET /read/1", "X-Filler: " + long + "\r\n", "", 431},
+		"incomplete body":       {"POST /pay/1", "X-Time-Left: 0.05\r\nContent-Length: 5\r\n", "four", 0},
+		"not HTTP":              {"what", "", "", 400},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, fake, address := start(t, 10)
 			c := dial(t, address)
 			c.send(test.line, test.headers, test.body)
 			if res, _ := c.readResponse(); res.StatusCode != test.status {
-				t.Errorf("status %d, want %d", res.StatusCode, test.status)
+				t.Errorf("got status %d, want %d", res.StatusCode, test.status)
 			}
 			if len(fake.requests) != 0 {
-				t.Error("it reached the engine")
+				t.Error("the request reached the engine")
 			}
 		})
 	}
 }
 
-func TestResponses(t *testing.T) {
+func TestResultsBecomeResponses(t *testing.T) {
 	response := &engine.Response{
 		Body: []byte("hi"), Fields: map[string][]string{"Content-Type": {"text/odd"}, "Connection": {"x"}},
 	}
@@ -217,21 +217,21 @@
 				got := fmt.Sprint(request.Class, request.Tenant, request.Remaining, request.Retried, raw.Method, raw.URI, raw.Host,
 					raw.Fields["X-Correlation-Id"], raw.Fields["Idempotency-Key"], string(raw.Body))
 				if want := "markacme500 truePOST/mark/a%2fb?q=1;2app.svc[c1] [k]body"; got != want {
-					t.Errorf("request %s, want %s", got, want)
+					t.Errorf("got request %s, want %s", got, want)
 				}
 				request.Respond(test.result)
 				res, body := c.readResponse()
 				if res.StatusCode != test.status || res.Header.Get("Retry-After") != test.retry || body != test.body || res.Close ||
 					res.Header.Get("Content-Type") != test.content {
-					t.Errorf("status %d, headers %v, body %q", res.StatusCode, res.Header, body)
+					t.Errorf("got status %d, headers %v, body %q; want %+v", res.StatusCode, res.Header, body, test)
 				}
 			}
 		})
 	}
 }
 
-// What a request is about passes to the engine, and stays in the request as it came.
-func TestKey(t *testing.T) {
+// The first "key" parameter of the query becomes the sticky key. The URI is passed on unchanged.
+func TestQueryKeyBecomesStickyKey(t *testing.T) {
 	_, fake, address := start(t, 10)
 	c := dial(t, address)
 	for uri, want := range map[string]decision.Key{
@@ -241,15 +241,15 @@
 		c.send("GET "+uri, "X-Time-Left: 0.5\r\nX-Correlation-Id: c1\r\n", "")
 		request := <-fake.requests
 		if request.Key != want || request.Request.URI != uri {
-			t.Errorf("%s: key %q, want %q; passed on as %s", uri, request.Key, want, request.Request.URI)
+			t.Errorf("%s: got key %q, URI %s; want key %q, the URI unchanged", uri, request.Key, request.Request.URI, want)
 		}
 		request.Respond(engine.Result{Kind: engine.Rejected})
 		c.readResponse()
 	}
 }
 
-// An id is refused while a request with it is open, and free again then.
-func TestOpenID(t *testing.T) {
+// A request with the correlation id of an open one gets a 409. The id is free once the open request has ended.
+func TestCorrelationIDOfOpenRequestGetsConflict(t *testing.T) {
 	server, fake, address := start(t, 10)
 	clients := []*client{dial(t, address), dial(t, address), dial(t, address)}
 	for i, status := range []int{0, 409, 200} {
@@ -260,32 +260,33 @@
 			<-fake.requests
 			continue
 		case 200:
-			(<-fake.requests).Respond(succeeded(0)())
+			(<-fake.requests).Respond(succeededResult(0)())
 		}
 		if res, _ := c.readResponse(); res.StatusCode != status {
-			t.Errorf("status %d, want %d", res.StatusCode, status)
+			t.Errorf("got status %d, want %d", res.StatusCode, status)
 		}
 		if status == 409 {
-			clients[0].end()
+			clients[0].closeConn()
 			<-fake.disconnected
-			for server.open() > 0 {
+			for server.openCount() > 0 {
 				time.Sleep(time.Millisecond)
 			}
 		}
 	}
 }
 
-func (server *Server) open() int {
-	server.openIDs.mu.Lock()
-	defer server.openIDs.mu.Unlock()
-	return len(server.openIDs.ids)
+// openCount returns the number of open requests.
+func (s *Server) openCount() int {
+	s.openIDs.mu.Lock()
+	defer s.openIDs.mu.Unlock()
+	return len(s.openIDs.ids)
 }
 
-// Silence, half a head and half a body end in a close long before one is due.
-func TestSlowClients(t *testing.T) {
+// Connections without a complete request are closed within responseTimeout.
+func TestIncompleteRequestIsClosed(t *testing.T) {
 	for name, sent := range map[string]string{
-		"nothing": "", "half a line": "GET /re", "half a head": "GET /read/1 HTTP/1.1\r\nHost: a\r\n",
-		"half a body": "POST /pay/1 HTTP/1.1\r\nHost: a\r\nX-Time-Left: 2\r\nX-Correlation-Id: half\r\n" +
+		"no byte": "", "part of the request line": "GET /re", "part of the headers": "GET /read/1 HTTP/1.1\r\nHost: a\r\n",
+		"part of the body": "POST /pay/1 HTTP/1.1\r\nHost: a\r\nX-Time-Left: 2\r\nX-Correlation-Id: half\r\n" +
 			"Content-Length: 5\r\n\r\nfour",
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -293,33 +294,33 @@
 			_, fake, address := start(t, 10)
 			c := dial(t, address)
 			c.write(sent)
-			c.readUntil(time.Now().Add(responseDue))
+			c.setReadDeadline(time.Now().Add(responseTimeout))
 			if _, err := io.ReadAll(c); err != nil || len(fake.requests) > 0 {
-				t.Errorf("%v, %d requests", err, len(fake.requests))
+				t.Errorf("got error %v, %d requests; want a close and no request", err, len(fake.requests))
 			}
 		})
 	}
 }
 
-// A request that the engine leaves without a result gets a response here, and is taken back from the engine.
-func TestOverdue(t *testing.T) {
+// A request without a result from the engine gets a 500 after its deadline, and the engine is notified.
+func TestOverdueRequestGets500(t *testing.T) {
 	_, fake, address := start(t, 10)
 	c := dial(t, address)
 	c.send("GET /read/1", "X-Time-Left: 0.02\r\n", "")
 	request := <-fake.requests
 	if res, _ := c.readResponse(); res.StatusCode != 500 || <-fake.disconnected != request {
-		t.Errorf("status %d", res.StatusCode)
+		t.Errorf("got status %d, want 500", res.StatusCode)
 	}
 }
 
-func TestClientDisconnected(t *testing.T) {
+func TestClientDisconnectReachesEngine(t *testing.T) {
 	for name, disconnect := range map[string]func(*client){
-		"closes": (*client).end,
+		"closes": (*client).closeConn,
 		"resets": func(c *client) {
 			if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
 				c.t.Error(err)
 			}
-			c.end()
+			c.closeConn()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -328,24 +329,24 @@
 			c.send("GET /read/1", "X-Time-Left: 1\r\n", "")
 			request := <-fake.requests
 			if disconnect(c); <-fake.disconnected != request {
-				t.Error("another request is gone")
+				t.Error("ClientDisconnected was called with another request")
 			}
 		})
 	}
 }
 
-// A server that drains says so, accepts requests for the grace period, closes connections after their responses, and
-// ends once every request has its response.
-func TestDrain(t *testing.T) {
+// A draining server responds 503 on /up, serves requests for the grace period, closes connections after their responses,
+// and ends when every request has its response.
+func TestDrainServesGracePeriodThenEnds(t *testing.T) {
 	server, fake, address := start(t, 10)
 	readiness := func(c *client) int {
 		c.send("GET /up", "", "")
 		res, _ := c.readResponse()
 		return res.StatusCode
 	}
-	watcher, idle, busy := dial(t, address), dial(t, address), dial(t, address)
-	if readiness(watcher) != 200 || readiness(idle) != 200 {
-		t.Error("not up")
+	checked, idle, busy := dial(t, address), dial(t, address), dial(t, address)
+	if readiness(checked) != 200 || readiness(idle) != 200 {
+		t.Error("/up: got another status than 200 before Drain")
 	}
 	busy.send("GET /read/1", "X-Time-Left: 1\r\n", "")
 	first := <-fake.requests
@@ -354,79 +355,79 @@
 	for !server.state.reached(draining) {
 		time.Sleep(time.Millisecond)
 	}
-	if status := readiness(watcher); status != 503 {
-		t.Errorf("up says %d", status)
+	if status := readiness(checked); status != 503 {
+		t.Errorf("/up: got status %d, want 503", status)
 	}
 	late := dial(t, address)
 	late.send("GET /read/2", "X-Time-Left: 1\r\n", "")
 	for i, request := range []*engine.ClientRequest{first, <-fake.requests} {
 		select {
 		case err := <-drained:
-			t.Errorf("ended with a request open: %v", err)
+			t.Errorf("Drain returned %v with a request open", err)
 		default:
 		}
 		request.Respond(engine.Result{Kind: engine.Failed})
 		if res, _ := []*client{busy, late}[i].readResponse(); res.StatusCode != 500 || !res.Close {
-			t.Errorf("status %d, closes %v", res.StatusCode, res.Close)
+			t.Errorf("got status %d, close %v; want 500, true", res.StatusCode, res.Close)
 		}
 	}
 	if err := <-drained; err != nil {
 		t.Error(err)
 	}
 	if _, err := net.Dial("tcp", address); err == nil {
-		t.Error("still accepts")
+		t.Error("accepts connections after Drain")
 	}
 }
 
-// While hundreds connect and say nothing, usual clients keep their connections, and new ones are served.
-func TestSilentClients(t *testing.T) {
+// While hundreds of clients connect and send nothing, the connections of other clients stay open and new ones are served.
+func TestSilentClientsDoNotBlockOthers(t *testing.T) {
 	server, fake, address := start(t, 16)
-	ask := func(c *client) {
+	exchange := func(c *client) {
 		t.Helper()
 		c.send("GET /read/1", "X-Time-Left: 1\r\n", "")
 		select {
 		case request := <-fake.requests:
 			request.Respond(engine.Result{Kind: engine.Failed})
-		case <-time.After(responseDue):
-			t.Fatal("no request came")
+		case <-time.After(responseTimeout):
+			t.Fatal("the engine received no request")
 		}
 		if res, _ := c.readResponse(); res.StatusCode != 500 {
-			t.Errorf("status %d", res.StatusCode)
+			t.Errorf("got status %d, want 500", res.StatusCode)
 		}
 	}
 	for range 10 {
 		dial(t, address)
 	}
-	for server.limiter.count() < 10 {
+	for server.limiter.connCount() < 10 {
 		time.Sleep(time.Millisecond)
 	}
-	time.Sleep(newConnectionGrace) // they are past their grace period
-	usual := []*client{dial(t, address), dial(t, address), dial(t, address), dial(t, address)}
-	for _, c := range usual {
-		ask(c)
+	time.Sleep(newConnectionGrace) // their grace period is over
+	active := []*client{dial(t, address), dial(t, address), dial(t, address), dial(t, address)}
+	for _, c := range active {
+		exchange(c)
 	}
 	for range 10 {
 		dial(t, address)
 	}
-	for _, c := range append(usual, dial(t, address)) {
-		ask(c)
+	for _, c := range append(active, dial(t, address)) {
+		exchange(c)
 	}
 	for range 100 {
 		dial(t, address)
 	}
 	began := time.Now()
-	if ask(dial(t, address)); time.Since(began) > readTimeout {
-		t.Errorf("served after %v", time.Since(began))
+	if exchange(dial(t, address)); time.Since(began) > readTimeout {
+		t.Errorf("got a response after %v, want at most %v", time.Since(began), readTimeout)
 	}
 }
 
-// With too many connections the longest idle one is closed, and requests beyond are rejected.
-func TestFull(t *testing.T) {
+// Beyond the limit the longest idle connection is closed. If none is idle, requests are rejected.
+func TestBeyondLimitIdleIsEvictedOrRequestRejected(t *testing.T) {
 	server, fake, address := start(t, 2)
 	clients := []*client{dial(t, address), dial(t, address)}
-	for i, c := range clients { // one after the other: a client has its response before its connection counts as idle
+	for i, c := range clients { // in sequence: a connection becomes idle only after the client has the response
 		c.send("GET /up", "", "")
-		for c.readResponse(); server.limiter.resting() <= i; {
+		for c.readResponse(); server.limiter.idleCount() <= i; {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -434,51 +435,53 @@
 	clients[2].send("GET /read/1", "X-Time-Left: 1\r\n", "")
 	request := <-fake.requests
 	if res, _ := clients[0].readResponse(); res.StatusCode != 0 {
-		t.Error("the longest idle one is still there")
+		t.Error("the longest idle connection is still open")
 	}
 	clients[1].send("GET /read/2", "X-Time-Left: 1\r\n", "")
-	h2 := <-fake.requests
+	second := <-fake.requests
 	over := dial(t, address)
-	for server.limiter.count() < 3 {
+	for server.limiter.connCount() < 3 {
 		time.Sleep(time.Millisecond)
 	}
 	over.send("GET /read/3", "X-Time-Left: 1\r\n", "")
 	if res, _ := over.readResponse(); res.StatusCode != 503 || !res.Close || res.Header.Get("Retry-After") != "0.500" {
-		t.Errorf("beyond: status %d, %v", res.StatusCode, res.Header)
+		t.Errorf("beyond the limit: got status %d, %v; want 503 with Retry-After 0.500 and close", res.StatusCode, res.Header)
 	}
-	for _, request := range []*engine.ClientRequest{request, h2} {
+	for _, request := range []*engine.ClientRequest{request, second} {
 		request.Respond(engine.Result{Kind: engine.Rejected})
 	}
 	for _, c := range clients[1:] {
 		if res, _ := c.readResponse(); res.StatusCode != 503 {
-			t.Errorf("status %d", res.StatusCode)
+			t.Errorf("got status %d, want 503", res.StatusCode)
 		}
-		c.end()
+		c.closeConn()
 	}
-	for server.limiter.count() > 0 {
+	for server.limiter.connCount() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if server.limiter.conns.idle.Len() != 0 {
-		t.Error("idle connections are left")
+		t.Error("closed connections are still listed as idle")
 	}
 }
 
-func (l *connLimiter) resting() int {
+// idleCount returns the number of idle connections.
+func (l *connLimiter) idleCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.conns.idle.Len()
 }
 
-func (l *connLimiter) count() int {
+// connCount returns the number of connections.
+func (l *connLimiter) connCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.conns.positions)
+	return len(l.conns.entries)
 }
 
-// slow is a listener whose end http.Server sees late.
-type slow struct{ net.Listener }
+// slowListener is a listener whose Accept returns errors 50 ms late.
+type slowListener struct{ net.Listener }
 
-func (s slow) Accept() (net.Conn, error) {
+func (s slowListener) Accept() (net.Conn, error) {
 	c, err := s.Listener.Accept()
 	if err != nil {
 		time.Sleep(50 * time.Millisecond)
@@ -486,9 +489,8 @@
 	return c, err
 }
 
-// A server that has nothing left to respond to drains without an error, however late http.Server sees that the listener
-// is closed.
-func TestDrainAtOnce(t *testing.T) {
+// Drain without open requests returns no error, also if http.Server notices late that the listener is closed.
+func TestDrainWithoutOpenRequests(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -497,10 +499,10 @@
 	log.SetOutput(io.Discard)
 	server := New(fakeEngine{}, clock.New(), decision.Settings{}, testNetwork, 10, log)
 	served := make(chan error, 1)
-	go func() { served <- server.Serve(slow{l}) }()
+	go func() { served <- server.Serve(slowListener{l}) }()
 	c := dial(t, l.Addr().String())
 	c.send("GET /up", "Connection: close\r\n", "")
-	for c.readResponse(); server.limiter.closeQuiet() > 0; {
+	for c.readResponse(); server.limiter.closeUnusedAndIdle() > 0; {
 		time.Sleep(time.Millisecond)
 	}
 	if err := server.Drain(0); err != nil {
@@ -511,40 +513,40 @@
 	}
 }
 
-// gated is a listener that accepts only when the test lets it.
-type gated struct {
+// gatedListener is a listener whose Accept waits until the test sends on accept or closes it.
+type gatedListener struct {
 	*net.TCPListener
-	let chan struct{}
+	accept chan struct{}
 }
 
-func (l gated) Accept() (net.Conn, error) {
-	<-l.let
+func (l gatedListener) Accept() (net.Conn, error) {
+	<-l.accept
 	return l.TCPListener.Accept()
 }
 
-// drain has the server drain at once, and waits until it accepts nothing more or has begun to.
+// drain calls Drain without a grace period and waits until the server is closing. The channel receives the result.
 func drain(server *Server) chan error {
 	drained := make(chan error, 1)
 	go func() { drained <- server.Drain(0) }()
-	for !server.limiter.acceptingEnded() {
+	for !server.limiter.isClosing() {
 		time.Sleep(time.Millisecond)
 	}
 	return drained
 }
 
-// A request on a connection that still waits in the system's queue when the server ends accepting gets its response.
-func TestDrainWithQueue(t *testing.T) {
-	l := gated{listen(t), make(chan struct{})}
+// A request on a connection that is still in the accept queue when the server starts closing gets its response.
+func TestDrainRespondsToQueuedConnections(t *testing.T) {
+	l := gatedListener{listen(t), make(chan struct{})}
 	server, _ := serve(t, l, 10, nil)
 	clients := []*client{dial(t, l.Addr().String()), dial(t, l.Addr().String()), dial(t, l.Addr().String())}
 	for _, c := range clients {
 		c.send("GET /read/1", "X-Time-Left: 1\r\n", "")
 	}
 	drained := drain(server)
-	close(l.let)
+	close(l.accept)
 	for _, c := range clients {
 		if res, _ := c.readResponse(); res.StatusCode != 503 || !res.Close || res.Header.Get("Retry-After") == "" {
-			t.Errorf("status %d, closes %v", res.StatusCode, res.Close)
+			t.Errorf("got status %d, close %v; want 503 with Retry-After, true", res.StatusCode, res.Close)
 		}
 	}
 	if err := <-drained; err != nil {
@@ -552,78 +554,78 @@
 	}
 }
 
-// A server doesn't end between accepting a connection and http.Server's count of it.
-func TestDrainBeforeCounted(t *testing.T) {
-	came, let := make(chan struct{}), make(chan struct{})
+// A draining server waits for a connection that was accepted but is not yet known to http.Server.
+func TestDrainCountsAcceptedConnection(t *testing.T) {
+	accepted, release := make(chan struct{}), make(chan struct{})
 	l := listen(t)
 	server, _ := serve(t, l, 10, func(server *Server) {
 		server.httpServer.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
-			// http.Server's last step before it counts the connection
-			close(came)
-			<-let
+			// http.Server calls this just before it tracks the connection.
+			close(accepted)
+			<-release
 			return ctx
 		}
 	})
 	c := dial(t, l.Addr().String())
 	c.send("GET /read/1", "X-Time-Left: 1\r\n", "")
-	<-came
+	<-accepted
 	drained := drain(server)
-	if n := server.limiter.count(); n != 1 {
-		t.Errorf("%d connections counted, want the one that was accepted", n)
+	if n := server.limiter.connCount(); n != 1 {
+		t.Errorf("got %d connections, want 1", n)
 	}
-	close(let)
+	close(release)
 	if res, _ := c.readResponse(); res.StatusCode != 503 {
-		t.Errorf("status %d", res.StatusCode)
+		t.Errorf("got status %d, want 503", res.StatusCode)
 	}
 	if err := <-drained; err != nil {
 		t.Error(err)
 	}
 }
 
-// What comes while the server is closing: a request whose head was read in part is rejected at once; a new connection
-// has its grace period; a request with a long deadline gets its response.
-func TestDrainHalfway(t *testing.T) {
+// While the server is closing, a request of which a part was read is rejected at once, a new connection has its grace
+// period, and an open request with a long deadline gets its response.
+func TestDrainWithPartialNewAndOpenRequests(t *testing.T) {
 	l := listen(t)
 	server, fake := serve(t, l, 10, nil)
-	half, long := dial(t, l.Addr().String()), dial(t, l.Addr().String())
-	long.send("GET /read/1", "X-Time-Left: 2\r\n", "")
+	partial, open := dial(t, l.Addr().String()), dial(t, l.Addr().String())
+	open.send("GET /read/1", "X-Time-Left: 2\r\n", "")
 	request := <-fake.requests
-	half.write("GET /read/1 HTTP/1.1\r\nX-Time-Le")
-	for server.limiter.requestPending() < 2 {
+	partial.write("GET /read/1 HTTP/1.1\r\nX-Time-Le")
+	for server.limiter.pendingCount() < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	new := dial(t, l.Addr().String())
-	for server.limiter.count() < 3 {
+	unused := dial(t, l.Addr().String())
+	for server.limiter.connCount() < 3 {
 		time.Sleep(time.Millisecond)
 	}
 	drained := drain(server)
-	new.send("GET /read/1", "X-Time-Left: 1\r\n", "")
-	half.write("ft: 1\r\nHost: h\r\nX-Correlation-Id: half\r\n\r\n")
-	for name, c := range map[string]*client{"half a request": half, "a new connection": new} {
+	unused.send("GET /read/1", "X-Time-Left: 1\r\n", "")
+	partial.write("ft: 1\r\nHost: h\r\nX-Correlation-Id: half\r\n\r\n")
+	for name, c := range map[string]*client{"partial request": partial, "new connection": unused} {
 		if res, _ := c.readResponse(); res.StatusCode != 503 || !res.Close {
-			t.Errorf("%s: status %d, closes %v", name, res.StatusCode, res.Close)
+			t.Errorf("%s: got status %d, close %v; want 503, true", name, res.StatusCode, res.Close)
 		}
 	}
 	select {
 	case err := <-drained:
-		t.Errorf("ended with a request open: %v", err)
+		t.Errorf("Drain returned %v with a request open", err)
 	default:
 	}
 	request.Respond(engine.Result{Response: &engine.Response{Fields: map[string][]string{}, Body: []byte("hi")}})
-	if res, body := long.readResponse(); res.StatusCode != 200 || body != "hi" {
-		t.Errorf("the long request: status %d, %q", res.StatusCode, body)
+	if res, body := open.readResponse(); res.StatusCode != 200 || body != "hi" {
+		t.Errorf("open request: got status %d, body %q; want 200, hi", res.StatusCode, body)
 	}
 	if err := <-drained; err != nil {
 		t.Error(err)
 	}
 }
 
-// A new connection on which nothing has come has its grace period, also when the server drains.
-func TestMoment(t *testing.T) {
+// A connection without a byte is not closed before newConnectionGrace, also by a closing server.
+func TestUnusedConnectionHasGracePeriod(t *testing.T) {
 	l := listen(t)
 	server, _ := serve(t, l, 10, nil)
 	dial(t, l.Addr().String())
-	for server.limiter.count() < 1 {
+	for server.limiter.connCount() < 1 {
 		time.Sleep(time.Millisecond)
 	}
 	for _, test := range []struct {
@@ -631,22 +633,22 @@
 		left int
 	}{{-time.Hour, 1}, {newConnectionGrace, 0}} {
 		server.limiter.mu.Lock()
-		for c, p := range server.limiter.conns.positions {
-			p.since = time.Now().Add(-test.age)
-			server.limiter.conns.positions[c] = p
+		for conn, entry := range server.limiter.conns.entries {
+			entry.since = time.Now().Add(-test.age)
+			server.limiter.conns.entries[conn] = entry
 		}
 		server.limiter.mu.Unlock()
-		if n := server.limiter.closeQuiet(); n != test.left {
-			t.Errorf("%v after it came: %d left, want %d", test.age, n, test.left)
+		if n := server.limiter.closeUnusedAndIdle(); n != test.left {
+			t.Errorf("connection of age %v: got %d left, want %d", test.age, n, test.left)
 		}
 	}
 }
 
-// requestPending is how many connections carry a request without a response.
-func (l *connLimiter) requestPending() (n int) {
+// pendingCount returns the number of connections that carry a request without a response.
+func (l *connLimiter) pendingCount() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for c := range l.conns.positions {
+	for c := range l.conns.entries {
 		if c.(*sockopt.Conn).RequestPending() {
 			n++
 		}
@@ -654,8 +656,8 @@
 	return n
 }
 
-// A server that is drained before it serves ends in good order and takes nothing.
-func TestDrainBeforeServing(t *testing.T) {
+// Serve returns nil after Drain was called first, and closes the listener.
+func TestDrainBeforeServe(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	server := New(fakeEngine{}, clock.New(), decision.Settings{}, testNetwork, 10, log)
@@ -667,31 +669,31 @@
 		t.Error(err)
 	}
 	if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
-		_ = c.Close() // the test has failed
-		t.Error("accepts")
+		_ = c.Close() // the test has already failed
+		t.Error("accepts connections after Drain")
 	}
 }
 
-// Until it is ready a server responds 503 on /up and rejects requests with Retry-After; none reaches the engine.
-func TestNotReady(t *testing.T) {
+// Before SetReady a server responds 503 on /up and rejects requests with Retry-After. None of them reaches the engine.
+func TestNotReadyRejectsRequests(t *testing.T) {
 	l := listen(t)
 	server, fake := serve(t, l, 10, (*Server).SetNotReady)
-	ask := func(line string) *http.Response {
+	exchange := func(line string) *http.Response {
 		c := dial(t, l.Addr().String())
 		c.send(line, "X-Time-Left: 1\r\n", "")
 		res, _ := c.readResponse()
 		return res
 	}
-	if res := ask("GET /up"); res.StatusCode != 503 {
-		t.Errorf("up says %d", res.StatusCode)
+	if res := exchange("GET /up"); res.StatusCode != 503 {
+		t.Errorf("/up: got status %d, want 503", res.StatusCode)
 	}
-	if res := ask("GET /read/1"); res.StatusCode != 503 || res.Header.Get("Retry-After") != "0.500" {
-		t.Errorf("a request: %d, %v", res.StatusCode, res.Header)
+	if res := exchange("GET /read/1"); res.StatusCode != 503 || res.Header.Get("Retry-After") != "0.500" {
+		t.Errorf("request: got status %d, %v; want 503 with Retry-After 0.500", res.StatusCode, res.Header)
 	}
 	if server.SetReady(); len(fake.requests) != 0 {
 		t.Error("a request reached the engine")
 	}
-	if res := ask("GET /up"); res.StatusCode != 200 {
-		t.Errorf("ready, up says %d", res.StatusCode)
+	if res := exchange("GET /up"); res.StatusCode != 200 {
+		t.Errorf("/up after SetReady: got status %d, want 200", res.StatusCode)
 	}
 }
