--- a/internal/ingress/limits.go
+++ b/internal/ingress/limits.go
@@ -85,9 +85,10 @@
 		if l.conns.evictOne() {
 			continue
 		}
-		again := time.AfterFunc(newConnectionGrace, l.slotFreed.Broadcast)
+		// No state change signals the end of an unused connection's grace period.
+		wake := time.AfterFunc(newConnectionGrace, l.slotFreed.Broadcast)
 		l.slotFreed.Wait()
-		again.Stop()
+		wake.Stop()
 	}
 }
 
@@ -142,10 +143,12 @@
 	return len(l.conns.entries)
 }
 
-func (t *connTable) insert(conn net.Conn, into *list.List) {
-	t.entries[conn] = connEntry{into, into.PushBack(conn), time.Now()}
+// insert adds a connection at the end of a list.
+func (t *connTable) insert(conn net.Conn, conns *list.List) {
+	t.entries[conn] = connEntry{conns, conns.PushBack(conn), time.Now()}
 }
 
+// remove removes a connection from the table and its list.
 func (t *connTable) remove(conn net.Conn) {
 	if entry := t.entries[conn]; entry.list != nil {
 		entry.list.Remove(entry.element)
--- a/internal/ingress/parse.go
+++ b/internal/ingress/parse.go
@@ -12,9 +12,9 @@
 
 // Limits on requests. Higher values need more memory for each connection.
 const (
-	maxBodyBytes     = 64 << 10 // bytes
-	maxHeaderBytes   = 8 << 10  // bytes
-	maxCorrelationID = 128      // bytes
+	maxBodyBytes     = 64 << 10
+	maxHeaderBytes   = 8 << 10
+	maxCorrelationID = 128 // bytes
 )
 
 // Headers of clients.
--- a/internal/ingress/response.go
+++ b/internal/ingress/response.go
@@ -22,7 +22,7 @@
 	http.Error(w, err.Error(), status)
 }
 
-// setRetryAfter sets Retry-After, in seconds with three decimals. It sets no header if after is 0.
+// setRetryAfter sets Retry-After, in seconds with three decimals. It sets no header if after is not positive.
 func setRetryAfter(header http.Header, after decision.Millis) {
 	if after > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(after/1000, 'f', 3, 64))
--- a/internal/ingress/serve.go
+++ b/internal/ingress/serve.go
@@ -22,6 +22,7 @@
 	releaseID func() // releases the correlation id; later calls have no effect
 }
 
+// pendingRequestOf returns the pendingRequest of a request that serveRequest has passed on.
 func pendingRequestOf(r *http.Request) *pendingRequest {
 	return r.Context().Value(pendingRequestKey{}).(*pendingRequest)
 }
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -93,8 +93,8 @@
 func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
 
 // HandleResumed sets the decision on requests with the header X-Resume, which clients repeat after an instance has
-// disappeared. A request for whose class decide returns lease.ResumeReject is answered with an error. Without a decision,
-// such requests are served like all others. It must be called before Serve.
+// disappeared. If decide returns lease.ResumeReject for the class of such a request, the response is an error with
+// Retry-After. By default these requests are served like all others. It must be called before Serve.
 func (s *Server) HandleResumed(decide func(*decision.RequestClass) lease.ResumeDecision) {
 	s.decideResume = decide
 }
