--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -127,7 +127,7 @@
 		}
 	}
 	for address, want := range map[string]string{
-		"10.0.0.1:80": "an address of loopback", "127.0.0.1:0": "ip:port", "host:80": "ip:port",
+		"10.0.0.1:80": "a loopback address", "127.0.0.1:0": "ip:port", "host:80": "ip:port",
 	} {
 		var rejected *AddressError
 		if err := Check(address); !errors.As(err, &rejected) || *rejected != (AddressError{want, address}) {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -119,7 +119,7 @@
 		return &AddressError{Want: "ip:port", Address: address}
 	}
 	if !parsed.Addr().IsLoopback() {
-		return &AddressError{Want: "an address of loopback", Address: address}
+		return &AddressError{Want: "a loopback address", Address: address}
 	}
 	return nil
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -37,7 +37,7 @@
 		"a number":        {`"3s"`, "3", "line 7: membership.bear-pause"},
 		"no time":         {`"3s"`, `"soon"`, "membership.bear-pause: want a time like 4s"},
 		"too short":       {`"9s"`, `"3.1s"`, "membership.detect-within: want at least"},
-		"admin to all":    {"127.0.0.1:8081", "0.0.0.0:8081", "admin.listen: want an address of loopback"},
+		"admin to all":    {"127.0.0.1:8081", "0.0.0.0:8081", "admin.listen: want a loopback address"},
 		"admin elsewhere": {"127.0.0.1:8081", "localhost", "admin.listen: want ip:port"},
 		"no key there":    {`"key"`, `"no-key"`, "membership.key-file: "},
 		"key too short":   {`"key"`, `"short"`, "membership.key-file: want a key of 16 bytes"},
