--- a/cmd/testbed/days.go
+++ b/cmd/testbed/days.go
@@ -46,12 +46,12 @@
 	if err != nil {
 		return err
 	}
-	if err := day.Table(os.Stdout, cmd.Int("step")); err != nil {
+	if err := day.WriteTable(os.Stdout, cmd.Int("step")); err != nil {
 		return err
 	}
 	if cmd.Bool("lines") {
 		fmt.Println()
-		if err := day.Lines(os.Stdout); err != nil {
+		if err := day.WriteOtherLines(os.Stdout); err != nil {
 			return err
 		}
 	}
@@ -59,7 +59,7 @@
 		report(fmt.Sprintf("%d lines could not be read and are left out", day.Skipped))
 	}
 	if path := cmd.String("chart"); path != "" {
-		return day.Chart(path, cmd.StringSlice("columns"))
+		return day.WriteChart(path, cmd.StringSlice("columns"))
 	}
 	return nil
 }
--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -85,7 +85,7 @@
 ) error {
 	requests := load.New(cluster, clients, seed)
 	requests.Start(ctx)
-	err := play(ctx, cluster, script)
+	err := runScript(ctx, cluster, script)
 	result := requests.Stop()
 	if clients > 0 {
 		fmt.Printf("hits: %+v\n", result)
@@ -96,7 +96,7 @@
 	return err
 }
 
-func play(ctx context.Context, cluster *fleet.Fleet, script faultinject.Script) error {
+func runScript(ctx context.Context, cluster *fleet.Fleet, script faultinject.Script) error {
 	if len(script) == 0 {
 		<-ctx.Done()
 		return nil
--- a/cmd/testbed/members.go
+++ b/cmd/testbed/members.go
@@ -50,7 +50,7 @@
 }
 
 func measureMembers(ctx context.Context, cmd *cli.Command) error {
-	fmt.Print(experiment.MembersHead())
+	fmt.Print(experiment.MembershipTableHeader())
 	processes, err := measureProcesses(ctx, cmd)
 	if err != nil {
 		return err
@@ -63,23 +63,23 @@
 	if path == "" {
 		return nil
 	}
-	lines := detectionLines(append(processes, simulated...))
+	lines := detectionSeries(append(processes, simulated...))
 	return chart.Distribution(path, "from a kill until another declares it dead", "seconds", lines)
 }
 
 // measureProcesses measures and prints the clusters of processes.
-func measureProcesses(ctx context.Context, cmd *cli.Command) (results []*experiment.MembersResult, err error) {
+func measureProcesses(ctx context.Context, cmd *cli.Command) (results []*experiment.MembershipResult, err error) {
 	for _, size := range cmd.IntSlice("processes") {
 		if size <= 0 {
 			continue
 		}
 		err := withFleet(cmd, size, func(set fleet.Settings) error {
 			rounds, loss, watch := cmd.Int("rounds"), cmd.Float("loss"), cmd.Duration("watch")
-			result, err := experiment.MeasureProcesses(ctx, set, rounds, loss, watch, report)
+			result, err := experiment.MeasureProcessMembership(ctx, set, rounds, loss, watch, report)
 			if err != nil {
 				return err
 			}
-			fmt.Print(result.Row())
+			fmt.Print(result.TableRow())
 			results = append(results, result)
 			return nil
 		})
@@ -91,7 +91,7 @@
 }
 
 // measureSimulated measures and prints the simulated clusters.
-func measureSimulated(cmd *cli.Command) (results []*experiment.MembersResult, err error) {
+func measureSimulated(cmd *cli.Command) (results []*experiment.MembershipResult, err error) {
 	watch := min(millis(cmd.Duration("watch")), maxSimulatedWatch)
 	for _, size := range cmd.IntSlice("simulated") {
 		if size <= 0 {
@@ -99,7 +99,7 @@
 		}
 		for _, loss := range append([]float64{0}, cmd.FloatSlice("simulated-loss")...) {
 			report(fmt.Sprintf("%d simulated, loss %.0f%%", size, 100*loss))
-			result, err := experiment.MeasureSimulated(sim.Settings{
+			result, err := experiment.MeasureSimulatedMembership(sim.Settings{
 				Members: size, Seeds: seedCount, Seed: cmd.Uint64("seed"), Loss: loss, Delay: simulatedDelay,
 				ToleratedPause:   millis(cmd.Duration("bear-pause")),
 				DetectionTimeout: millis(cmd.Duration("detect-within")),
@@ -108,7 +108,7 @@
 			if err != nil {
 				return nil, err
 			}
-			fmt.Print(result.Row())
+			fmt.Print(result.TableRow())
 			results = append(results, result)
 		}
 	}
@@ -117,22 +117,22 @@
 
 func millis(d time.Duration) experiment.Millis { return float64(d) / float64(time.Millisecond) }
 
-// detectionLines are the curves of the chart, in seconds.
-func detectionLines(results []*experiment.MembersResult) []chart.Line {
-	lines := make([]chart.Line, 0, len(results))
+// detectionSeries are the curves of the chart, in seconds.
+func detectionSeries(results []*experiment.MembershipResult) []chart.Series {
+	lines := make([]chart.Series, 0, len(results))
 	for _, result := range results {
-		seconds := make([]float64, len(result.Each))
-		for i, ms := range result.Each {
+		seconds := make([]float64, len(result.DetectionTimes))
+		for i, ms := range result.DetectionTimes {
 			seconds[i] = ms / 1000
 		}
-		name := fmt.Sprintf("%d %s, loss %.0f%%", result.Members, result.Kind, 100*lossOfDeaths(result))
-		lines = append(lines, chart.Line{Name: name, Figures: seconds})
+		name := fmt.Sprintf("%d %s, loss %.0f%%", result.Members, result.Kind, 100*detectionLoss(result))
+		lines = append(lines, chart.Series{Name: name, Values: seconds})
 	}
 	return lines
 }
 
-// lossOfDeaths is the loss under which deaths were measured: among processes there was none.
-func lossOfDeaths(result *experiment.MembersResult) float64 {
+// detectionLoss is the loss under which deaths were measured: among processes there was none.
+func detectionLoss(result *experiment.MembershipResult) float64 {
 	if result.Kind == "processes" {
 		return 0
 	}
--- a/cmd/testbed/policy.go
+++ b/cmd/testbed/policy.go
@@ -30,7 +30,7 @@
 
 func measurePolicy(ctx context.Context, cmd *cli.Command) error {
 	var results []*experiment.PolicyResult
-	var lines []chart.Line
+	var lines []chart.Series
 	for _, size := range cmd.IntSlice("processes") {
 		err := withFleet(cmd, size, func(set fleet.Settings) error {
 			result, err := experiment.MeasurePolicy(ctx, set, cmd.Int("versions"), cmd.Int("rounds"), report)
@@ -38,7 +38,7 @@
 				return err
 			}
 			results = append(results, result)
-			lines = append(lines, chart.Line{Name: fmt.Sprintf("%d marshals", size), Figures: result.Each})
+			lines = append(lines, chart.Series{Name: fmt.Sprintf("%d marshals", size), Values: result.ApplyTimes})
 			return nil
 		})
 		if err != nil {
--- a/cmd/testbed/takeover.go
+++ b/cmd/testbed/takeover.go
@@ -55,6 +55,6 @@
 		}
 		name := fmt.Sprintf("lease %v, detect-within %v", set.LeaseTTL, set.DetectionTimeout)
 		return chart.Distribution(path, "from an owner's death until another goes on", "milliseconds",
-			[]chart.Line{{Name: name, Figures: result.Each}})
+			[]chart.Series{{Name: name, Values: result.MergeTimes}})
 	})
 }
--- a/internal/conventions/conventions_test.go
+++ b/internal/conventions/conventions_test.go
@@ -19,24 +19,24 @@
 
 // sourceFile is one parsed file of the module.
 type sourceFile struct {
-	dir    string // of its package, below the root
-	path   string
-	syntax *ast.File
+	packageDir string // of its package, below the root
+	path       string
+	syntax     *ast.File
 }
 
 // Identifiers hold no withdrawn word but those in the list of exceptions, and that list holds no name that is not in use.
 func TestWithdrawnWords(t *testing.T) {
 	fileSet := token.NewFileSet()
-	withdrawn := lineSet(t, "testdata/withdrawn.txt")
-	allowed := lineSet(t, "testdata/allowed.txt")
+	withdrawn := readLineSet(t, "testdata/withdrawn.txt")
+	allowed := readLineSet(t, "testdata/allowed.txt")
 	used := map[string]bool{}
-	for _, file := range sources(t, fileSet) {
-		for _, name := range declared(file.syntax) {
-			word := withdrawnPart(name.Name, withdrawn)
+	for _, file := range parseSources(t, fileSet) {
+		for _, name := range declaredIdentifiers(file.syntax) {
+			word := withdrawnWord(name.Name, withdrawn)
 			if word == "" {
 				continue
 			}
-			key := file.dir + " " + name.Name
+			key := file.packageDir + " " + name.Name
 			used[key] = true
 			if !allowed[key] {
 				t.Errorf("%s: identifier %s uses the withdrawn word %q", fileSet.Position(name.Pos()), name.Name, word)
@@ -54,11 +54,11 @@
 func TestDocComments(t *testing.T) {
 	fileSet := token.NewFileSet()
 	documented := map[string]bool{}
-	for _, file := range sources(t, fileSet) {
+	for _, file := range parseSources(t, fileSet) {
 		if strings.HasSuffix(file.path, "_test.go") {
 			continue
 		}
-		documented[file.dir] = documented[file.dir] || file.syntax.Doc != nil
+		documented[file.packageDir] = documented[file.packageDir] || file.syntax.Doc != nil
 		for _, name := range undocumented(file.syntax) {
 			t.Errorf("%s: exported %s has no doc comment", fileSet.Position(name.Pos()), name.Name)
 		}
@@ -70,8 +70,8 @@
 	}
 }
 
-// sources parses all Go files of the module.
-func sources(t *testing.T, fileSet *token.FileSet) []sourceFile {
+// parseSources parses all Go files of the module.
+func parseSources(t *testing.T, fileSet *token.FileSet) []sourceFile {
 	t.Helper()
 	var files []sourceFile
 	err := filepath.WalkDir(moduleRoot, func(path string, entry fs.DirEntry, err error) error {
@@ -104,8 +104,8 @@
 	return files
 }
 
-// declared lists the identifiers that a file declares.
-func declared(file *ast.File) []*ast.Ident {
+// declaredIdentifiers lists the identifiers that a file declares.
+func declaredIdentifiers(file *ast.File) []*ast.Ident {
 	var names []*ast.Ident
 	defines := func(operator token.Token, expressions ...ast.Expr) {
 		if operator != token.DEFINE {
@@ -137,23 +137,23 @@
 	return names
 }
 
-// goMethods are methods whose names Go's own interfaces ask for.
-var goMethods = []string{"MarshalText", "UnmarshalText", "MarshalJSON", "UnmarshalJSON"}
+// interfaceMethods are methods whose names Go's own interfaces ask for.
+var interfaceMethods = []string{"MarshalText", "UnmarshalText", "MarshalJSON", "UnmarshalJSON"}
 
 // wellKnownMethods say by their names what they do.
 var wellKnownMethods = []string{"Error", "String", "Unwrap"}
 
-var wordBorders = []*regexp.Regexp{
+var wordBoundaries = []*regexp.Regexp{
 	regexp.MustCompile(`([a-z0-9])([A-Z])`),
 	regexp.MustCompile(`([A-Z]+)([A-Z][a-z])`),
 }
 
-// withdrawnPart returns the first withdrawn word that an identifier is made of, or "".
-func withdrawnPart(name string, withdrawn map[string]bool) string {
-	if slices.Contains(goMethods, name) {
+// withdrawnWord returns the first withdrawn word that an identifier is made of, or "".
+func withdrawnWord(name string, withdrawn map[string]bool) string {
+	if slices.Contains(interfaceMethods, name) {
 		return ""
 	}
-	for _, border := range wordBorders {
+	for _, border := range wordBoundaries {
 		name = border.ReplaceAllString(name, "${1}_$2")
 	}
 	for part := range strings.SplitSeq(strings.ToLower(name), "_") {
@@ -229,8 +229,8 @@
 	}
 }
 
-// lineSet reads the lines of a file, without comments and without what stands behind a colon.
-func lineSet(t *testing.T, path string) map[string]bool {
+// readLineSet reads the lines of a file, without comments and without what stands behind a colon.
+func readLineSet(t *testing.T, path string) map[string]bool {
 	t.Helper()
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/golden/text.go
+++ b/internal/golden/text.go
@@ -24,11 +24,11 @@
 	if bytes.Equal(stored, observed) {
 		return nil
 	}
-	return fmt.Errorf("%s: %s", path, difference(string(stored), string(observed)))
+	return fmt.Errorf("%s: %s", path, firstDifference(string(stored), string(observed)))
 }
 
-// difference describes the first line in which two texts differ.
-func difference(stored, observed string) string {
+// firstDifference describes the first line in which two texts differ.
+func firstDifference(stored, observed string) string {
 	want, got := strings.SplitAfter(stored, "\n"), strings.SplitAfter(observed, "\n")
 	for i := range max(len(want), len(got)) {
 		if w, g := lineAt(want, i), lineAt(got, i); w != g {
--- a/internal/testbed/chart/chart.go
+++ b/internal/testbed/chart/chart.go
@@ -1,5 +1,5 @@
-// Package chart draws figures as curves into SVG or PNG files: how they are distributed (Distribution), or how they
-// change (TimeSeries).
+// Package chart draws numeric series to SVG or PNG files, as a cumulative distribution (Distribution) or over time
+// (TimeSeries).
 package chart
 
 import (
@@ -12,16 +12,16 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Line is one curve of a chart.
-type Line struct {
-	Name    string    // in the legend
-	Figures []float64 // Distribution sorts a copy of them; TimeSeries draws them in their order
+// Series is one curve of a chart.
+type Series struct {
+	Name   string    // label in the legend
+	Values []float64 // Distribution sorts a copy; TimeSeries draws them in order
 }
 
-// maxPoints bounds the points of a distribution's curve, and with them the size of the file.
+// maxPoints bounds the points per distribution curve, and thereby the file size.
 const maxPoints = 200
 
-// Sizes of the drawings.
+// Sizes of the charts.
 const (
 	distributionWidth  = 18 * vg.Centimeter
 	distributionHeight = 10 * vg.Centimeter
@@ -29,29 +29,29 @@
 	timeSeriesHeight   = 12 * vg.Centimeter
 )
 
-// Distribution draws for each line the share of its figures that is no larger than each figure. The ending of path,
-// .svg or .png, chooses the format.
-func Distribution(path, title, unit string, lines []Line) error {
+// Distribution draws the empirical cumulative distribution of each series. The extension of path, .svg or .png, sets the
+// format.
+func Distribution(path, title, xLabel string, series []Series) error {
 	drawing := plot.New()
 	drawing.Title.Text = title
-	drawing.X.Label.Text, drawing.Y.Label.Text = unit, "share"
+	drawing.X.Label.Text, drawing.Y.Label.Text = xLabel, "share"
 	drawing.Legend.Top, drawing.Legend.Left = true, true
 	drawing.X.Min = 0
 	drawing.Y.Min, drawing.Y.Max = 0, 1
-	curves := make([]any, 0, 2*len(lines))
-	for _, line := range lines {
-		curves = append(curves, line.Name, shares(line.Figures))
+	curves := make([]any, 0, 2*len(series))
+	for _, curve := range series {
+		curves = append(curves, curve.Name, cumulativeShares(curve.Values))
 	}
 	return save(drawing, curves, distributionWidth, distributionHeight, path)
 }
 
-// shares are the points of a distribution's curve.
-func shares(figures []float64) plotter.XYs {
+// cumulativeShares returns the points of a cumulative distribution: each value and the share of values up to it.
+func cumulativeShares(values []float64) plotter.XYs {
 	points := plotter.XYs{}
-	if len(figures) == 0 {
+	if len(values) == 0 {
 		return points
 	}
-	sorted := slices.Sorted(slices.Values(figures))
+	sorted := slices.Sorted(slices.Values(values))
 	step := max(1, len(sorted)/maxPoints)
 	for i := 0; i < len(sorted); i += step {
 		points = append(points, plotter.XY{X: sorted[i], Y: float64(i+1) / float64(len(sorted))})
@@ -59,32 +59,32 @@
 	return append(points, plotter.XY{X: sorted[len(sorted)-1], Y: 1})
 }
 
-// TimeSeries draws each line's figures in their order, one a unit of the horizontal axis. The ending of path, .svg or
-// .png, chooses the format.
-func TimeSeries(path, title, along, unit string, lines []Line) error {
+// TimeSeries draws the values of each series in order, at one unit of the horizontal axis each. The extension of path,
+// .svg or .png, sets the format.
+func TimeSeries(path, title, xLabel, yLabel string, series []Series) error {
 	drawing := plot.New()
 	drawing.Title.Text = title
-	drawing.X.Label.Text, drawing.Y.Label.Text = along, unit
+	drawing.X.Label.Text, drawing.Y.Label.Text = xLabel, yLabel
 	drawing.Legend.Top = true
 	drawing.Y.Min = 0
-	curves := make([]any, 0, 2*len(lines))
-	for _, line := range lines {
-		points := make(plotter.XYs, len(line.Figures))
-		for i, figure := range line.Figures {
-			points[i] = plotter.XY{X: float64(i), Y: figure}
+	curves := make([]any, 0, 2*len(series))
+	for _, curve := range series {
+		points := make(plotter.XYs, len(curve.Values))
+		for i, value := range curve.Values {
+			points[i] = plotter.XY{X: float64(i), Y: value}
 		}
-		curves = append(curves, line.Name, points)
+		curves = append(curves, curve.Name, points)
 	}
 	return save(drawing, curves, timeSeriesWidth, timeSeriesHeight, path)
 }
 
-// save adds curves, each a name and its points, and writes the file.
+// save adds the curves, given as alternating names and points, and writes the file.
 func save(drawing *plot.Plot, curves []any, width, height vg.Length, path string) error {
 	if err := plotutil.AddLines(drawing, curves...); err != nil {
-		return fmt.Errorf("chart: %w", err)
+		return fmt.Errorf("chart: add curves: %w", err)
 	}
 	if err := drawing.Save(width, height, path); err != nil {
-		return fmt.Errorf("chart: %w", err)
+		return fmt.Errorf("chart: write file: %w", err)
 	}
 	return nil
 }
--- a/internal/testbed/days/day.go
+++ b/internal/testbed/days/day.go
@@ -1,18 +1,18 @@
-// Package days reads the logs of all balancers of a cluster over a day of operation and joins them second by second:
-// what the cluster did in each second, and the state that it was in at its end.
+// Package days reads the logs of all balancers of a cluster and aggregates them per second of a day: the work that the
+// cluster did in each second and its state at the end of that second.
 //
-// Read takes a directory with one .log file an instance, as `balancer serve --summary 1s` writes them. A line may
-// start with a number: the second of the day by the clock of whoever ran the cluster. Without it, seconds count from
-// the first line of the whole day by the lines' own times, which is right only where all instances read one clock.
+// Read takes a directory with one .log file per instance, as `balancer serve --summary 1s` writes them. A line may
+// start with a number: the second of the day on the clock of the test driver. If any log has a line without that number,
+// seconds are counted by the lines' own timestamps from the first such line, which requires that all instances share one
+// clock.
 //
 //	day, err := days.Read("logs")
-//	err = day.Table(os.Stdout, 5) // a row for five seconds
+//	err = day.WriteTable(os.Stdout, 5) // one row per five seconds
 //
-// Files: day.go (a day and how summaries become seconds), logline.go (one log file and its lines), report.go (table,
-// other lines, chart).
+// Files: day.go (aggregation of summaries), logline.go (parsing of one log file), report.go (table, other lines, chart).
 //
-// The names of columns are the fields of the balancer's summary line; operators search for them, so they stay as they
-// are.
+// Column names are the field names of the balancer's summary line. They must not change, because operators search for
+// them.
 package days
 
 import (
@@ -24,48 +24,48 @@
 	"slices"
 )
 
-// Columns of a day, by the fields of a summary line.
+// Fields of a summary line, which are also the columns of a day.
 var (
-	// flows count what was done since an instance started.
-	flows = []string{
+	// counterFields count events since the instance started.
+	counterFields = []string{
 		"taken", "forwarded", "delivered", "missed", "bounced", "errored", "gone", "cancelled", "full",
 		"unreachable", "broken", "timedout", "failed", "opened", "refused", "probes", "lists", "votes",
 	}
-	// levels are the state at the time of the line.
-	levels = []string{"held", "nodes", "cold", "away", "out", "waiting"}
-	// trial is the state of the newest build's trial at the time of the line.
-	trial = []string{"build", "stage", "verdict"}
+	// gaugeFields hold the state at the time of the line.
+	gaugeFields = []string{"held", "nodes", "cold", "away", "out", "waiting"}
+	// trialFields hold the state of the newest build's trial at the time of the line.
+	trialFields = []string{"build", "stage", "verdict"}
 )
 
 const (
-	maxSeconds = 1 << 17 // of a day; a line that claims to be later is skipped
+	maxSeconds = 1 << 17 // length limit of a day; later lines are skipped
 
-	verdictCount    = 4 // verdicts of a summary line: 0 none, 1 advance, 2 hold, 3 rollback
+	verdictCount    = 4 // summary line values: 0 none, 1 advance, 2 hold, 3 rollback
 	verdictAdvance  = 1
 	verdictRollback = 3
 )
 
-// Second is what all instances did in one second of a day, and their state at its end.
+// Second holds the work that all instances did in one second of a day and their state at its end.
 type Second struct {
-	Instances int                // that wrote a summary
-	Flow      map[string]float64 // done in this second, all instances together, by the names of flows
-	Level     map[string]float64 // mean of an instance, by the names of levels
-	Build     int                // the newest that any instance knows
-	Stage     int                // the highest that any instance knows of that build
-	Verdicts  [verdictCount]int  // instances by their verdict on that build: none, advance, hold, rollback
-	Starts    int                // instances that began to serve
-	Lines     map[string]int     // other lines of level info and above, by their text without its figures
+	Instances  int                // instances with a summary in this second
+	Counts     map[string]float64 // events in this second, summed over instances, by counterFields name
+	Gauges     map[string]float64 // mean over instances, by gaugeFields name
+	Build      int                // newest build that any instance reports
+	Stage      int                // highest stage that any instance reports for that build
+	Verdicts   [verdictCount]int  // instances by their verdict on that build, indexed by verdict
+	Starts     int                // instances that logged the start of serving
+	OtherLines map[string]int     // counts of other lines of level info and above, by text with numbers masked
 }
 
-// Day is what a cluster did, second by second.
+// Day holds the activity of a cluster, second by second.
 type Day struct {
 	Instances int
-	Skipped   int // lines that could not be read
+	Skipped   int // lines that could not be parsed or lie outside the day
 	Seconds   []Second
 }
 
-// Read reads all files of dir with the ending .log. A line that can't be read is counted and skipped; a directory
-// without a single summary is an error.
+// Read reads all .log files of dir. Lines that cannot be parsed are counted in Day.Skipped. It returns an error if dir
+// has no .log file or no summary line.
 func Read(dir string) (*Day, error) {
 	files, err := logFiles(dir)
 	if err != nil {
@@ -76,62 +76,62 @@
 	for _, name := range files {
 		log, err := readLog(name)
 		if err != nil {
-			return nil, fmt.Errorf("day: %s: %w", filepath.Base(name), err)
+			return nil, fmt.Errorf("read log %s: %w", filepath.Base(name), err)
 		}
 		day.Skipped += log.skipped
 		logs = append(logs, log)
 	}
-	placeByTime(logs)
+	alignByTimestamp(logs)
 	summaries := 0
 	for _, log := range logs {
-		count, err := day.add(log.lines)
+		count, err := day.addLines(log.lines)
 		if err != nil {
 			return nil, err
 		}
 		summaries += count
 	}
 	if summaries == 0 {
-		return nil, fmt.Errorf("day: no summary in %s: balancers write them with serve --summary 1s", dir)
+		return nil, fmt.Errorf("no summary line in %s: run the balancers with serve --summary 1s", dir)
 	}
-	day.averageLevels()
+	day.averageGauges()
 	return day, nil
 }
 
-// logFiles are the paths of a day's logs, sorted.
+// logFiles returns the sorted paths of the .log files of dir.
 func logFiles(dir string) ([]string, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
-		return nil, fmt.Errorf("day: %w", err)
+		return nil, fmt.Errorf("list log files: %w", err)
 	}
 	if _, err := os.Stat(dir); errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("day: no folder %s", dir)
+		return nil, fmt.Errorf("log directory %s does not exist", dir)
 	}
 	if len(files) == 0 {
-		return nil, fmt.Errorf("day: no .log file in %s", dir)
+		return nil, fmt.Errorf("no .log file in %s", dir)
 	}
 	slices.Sort(files)
 	return files, nil
 }
 
-// instanceLog is what is known of one instance while its log is read from start to end.
+// instanceLog holds the state of reading one instance's log from start to end.
 type instanceLog struct {
-	day       *Day
-	last      map[string]float64 // figures of the newest summary
-	lastAt    float64            // its time in seconds
-	unsettled int                // the second whose state the newest summary gives; -1: none
-	summaries int
+	day           *Day
+	last          map[string]float64 // values of the newest summary
+	lastAt        float64            // time of the newest summary, in seconds
+	pendingSecond int                // second whose gauges the newest summary gives; -1 if none
+	summaries     int
 }
 
-// add adds one instance's lines to the day and returns how many summaries they hold.
-func (d *Day) add(lines []logLine) (summaries int, err error) {
-	log := instanceLog{day: d, unsettled: -1}
-	defer log.settle()
+// addLines adds one instance's lines to the day and returns the number of summaries among them.
+func (d *Day) addLines(lines []logLine) (summaries int, err error) {
+	log := instanceLog{day: d, pendingSecond: -1}
+	defer log.recordPending()
 	for _, line := range lines {
 		if line.at < 0 || line.at >= maxSeconds {
 			d.Skipped++
 			continue
 		}
-		second := d.second(line.at)
+		second := d.secondAt(line.at)
 		switch message := line.fields["msg"]; message {
 		case "serving":
 			second.Starts++
@@ -142,67 +142,67 @@
 			}
 		default:
 			if line.fields["level"] != "debug" {
-				second.Lines[withoutFigures(message)]++
+				second.OtherLines[maskNumbers(message)]++
 			}
 		}
 	}
 	return log.summaries, nil
 }
 
-// restart begins the counts of a new process.
+// restart resets the counters at the start of a new process.
 func (l *instanceLog) restart(at float64) {
-	l.settle()
-	l.unsettled = -1
+	l.recordPending()
+	l.pendingSecond = -1
 	l.last, l.lastAt = map[string]float64{}, at
 }
 
-// summary records what was done since the summary before. The state of a second is that of the last summary in it, so
-// it is recorded only when the next second's first summary comes.
+// summary records the events since the previous summary. The gauges of a second come from its last summary, so they are
+// recorded only when a summary of a later second arrives.
 func (l *instanceLog) summary(line logLine) error {
-	figures, err := line.figures()
+	values, err := line.summaryValues()
 	if err != nil {
-		return fmt.Errorf("day: summary at %.3f s: %w", line.at, err)
+		return fmt.Errorf("parse summary at %.3f s: %w", line.at, err)
 	}
 	l.summaries++
-	l.day.recordFlows(l.last, figures, l.lastAt, line.at)
-	if l.unsettled != int(line.at) {
-		l.settle()
+	l.day.recordCounts(l.last, values, l.lastAt, line.at)
+	if l.pendingSecond != int(line.at) {
+		l.recordPending()
 	}
-	l.last, l.lastAt, l.unsettled = figures, line.at, int(line.at)
+	l.last, l.lastAt, l.pendingSecond = values, line.at, int(line.at)
 	return nil
 }
 
-// settle records the instance's state at the end of a second.
-func (l *instanceLog) settle() {
-	if l.unsettled >= 0 {
-		l.day.recordLevels(l.unsettled, l.last)
+// recordPending records the gauges of the second that the newest summary belongs to.
+func (l *instanceLog) recordPending() {
+	if l.pendingSecond >= 0 {
+		l.day.recordGauges(l.pendingSecond, l.last)
 	}
 }
 
-// recordFlows spreads what was done between two summaries evenly over the seconds between them. A count that has fallen
-// has started again from 0 in another process.
-func (d *Day) recordFlows(last, now map[string]float64, from, until float64) {
-	for _, key := range flows {
-		done := now[key] - last[key]
+// recordCounts distributes the events between two summaries evenly over the seconds between them. A counter that has
+// decreased belongs to a new process and has started again from 0.
+func (d *Day) recordCounts(last, now map[string]float64, from, until float64) {
+	for _, key := range counterFields {
+		count := now[key] - last[key]
 		if last[key] > now[key] {
-			done = now[key]
+			count = now[key]
 		}
-		if done != 0 {
-			d.spread(key, done, from, until)
+		if count != 0 {
+			d.distribute(key, count, from, until)
 		}
 	}
 }
 
-// spread adds a flow to the seconds of a span, each by its part of the span.
-func (d *Day) spread(key string, done, from, until float64) {
+// distribute adds a count to the seconds of a time span, in proportion to the overlap with each second.
+func (d *Day) distribute(key string, count, from, until float64) {
 	span := until - from
 	for at := from; ; {
 		end := min(float64(int(at)+1), until)
-		part := 1.0
+		fraction := 1.0
 		if span > 0 {
-			part = (end - at) / span
+			fraction = (end - at) / span
 		}
-		d.second(at).Flow[key] += done * part
+		d.secondAt(at).Counts[key] += count * fraction
 		at = end
 		if at >= until {
 			return
@@ -210,12 +210,12 @@
 	}
 }
 
-// recordLevels adds an instance's state to a second.
-func (d *Day) recordLevels(second int, now map[string]float64) {
+// recordGauges adds an instance's state to a second.
+func (d *Day) recordGauges(second int, now map[string]float64) {
 	s := &d.Seconds[second]
 	s.Instances++
-	for _, key := range levels {
-		s.Level[key] += now[key]
+	for _, key := range gaugeFields {
+		s.Gauges[key] += now[key]
 	}
 	build, stage := int(now["build"]), int(now["stage"])
 	if build > s.Build {
@@ -229,21 +229,21 @@
 	}
 }
 
-// averageLevels turns the sums that recordLevels collected into means of an instance.
-func (d *Day) averageLevels() {
+// averageGauges turns the sums that recordGauges collected into means over instances.
+func (d *Day) averageGauges() {
 	for i := range d.Seconds {
 		s := &d.Seconds[i]
-		for key := range s.Level {
-			s.Level[key] /= float64(max(1, s.Instances))
+		for key := range s.Gauges {
+			s.Gauges[key] /= float64(max(1, s.Instances))
 		}
 	}
 }
 
-// second is the one that a time in seconds falls in; the day grows to hold it.
-func (d *Day) second(at float64) *Second {
+// secondAt returns the entry for a time in seconds and extends the day to include that time.
+func (d *Day) secondAt(at float64) *Second {
 	for len(d.Seconds) <= int(at) {
 		d.Seconds = append(d.Seconds, Second{
-			Flow: map[string]float64{}, Level: map[string]float64{}, Lines: map[string]int{},
+			Counts: map[string]float64{}, Gauges: map[string]float64{}, OtherLines: map[string]int{},
 		})
 	}
 	return &d.Seconds[int(at)]
--- a/internal/testbed/days/logline.go
+++ b/internal/testbed/days/logline.go
@@ -14,17 +14,17 @@
 
 const maxLogLineBytes = 1 << 20
 
-// logLine is one line of a log.
+// logLine is one parsed line of a log.
 type logLine struct {
-	at     float64 // in seconds of the day; below 0: the line does not start with it
+	at     float64 // seconds of the day; negative if the line does not start with a number
 	fields map[string]string
 }
 
-// logFile is one instance's log.
+// logFile holds one instance's log.
 type logFile struct {
-	lines   []logLine
-	skipped int       // lines that could not be read
-	begun   time.Time // of the first line that does not start with its second; zero: all lines do
+	lines     []logLine
+	skipped   int       // lines that could not be parsed
+	firstTime time.Time // timestamp of the first line without a second; zero if there is none
 }
 
 func readLog(name string) (logFile, error) {
@@ -33,7 +33,7 @@
 	if err != nil {
 		return log, err
 	}
-	defer func() { _ = file.Close() }() // nothing was written
+	defer func() { _ = file.Close() }() // the file was only read
 	in := bufio.NewScanner(file)
 	in.Buffer(nil, maxLogLineBytes)
 	for in.Scan() {
@@ -42,15 +42,15 @@
 			log.skipped++
 			continue
 		}
-		if line.at < 0 && log.begun.IsZero() {
-			log.begun, _ = line.time() // a later line may have a time that can be read
+		if line.at < 0 && log.firstTime.IsZero() {
+			log.firstTime, _ = line.timestamp() // on an error the next line without a second is tried
 		}
 		log.lines = append(log.lines, line)
 	}
 	return log, in.Err()
 }
 
-// parseLine splits a line into its second, where it starts with one, and its fields.
+// parseLine splits a line into its optional leading second and its fields.
 func parseLine(text string) (logLine, bool) {
 	line := logLine{at: -1, fields: map[string]string{}}
 	if before, rest, ok := strings.Cut(text, " "); ok {
@@ -67,28 +67,30 @@
 	return line, decoder.Err() == nil && line.fields["msg"] != ""
 }
 
-func (l logLine) time() (time.Time, error) { return time.Parse(time.RFC3339Nano, l.fields["time"]) }
+func (l logLine) timestamp() (time.Time, error) {
+	return time.Parse(time.RFC3339Nano, l.fields["time"])
+}
 
-// figures are the numbers of a summary line.
-func (l logLine) figures() (map[string]float64, error) {
-	figures := map[string]float64{}
-	for _, key := range slices.Concat(flows, levels, trial) {
+// summaryValues returns the numeric fields of a summary line.
+func (l logLine) summaryValues() (map[string]float64, error) {
+	values := map[string]float64{}
+	for _, key := range slices.Concat(counterFields, gaugeFields, trialFields) {
 		v, err := strconv.ParseFloat(l.fields[key], 64)
 		if err != nil {
-			return nil, fmt.Errorf("%s: want a number, got %q", key, l.fields[key])
+			return nil, fmt.Errorf("field %s: want a number, got %q", key, l.fields[key])
 		}
-		figures[key] = v
+		values[key] = v
 	}
-	return figures, nil
+	return values, nil
 }
 
-// placeByTime counts the seconds of all lines from the day's first line by the lines' own times, if any log has a
-// line that does not start with its second.
-func placeByTime(logs []logFile) {
+// alignByTimestamp sets the second of every line by its timestamp, relative to the earliest line without a second. It
+// does nothing if all lines start with their second.
+func alignByTimestamp(logs []logFile) {
 	var first time.Time
 	for _, log := range logs {
-		if !log.begun.IsZero() && (first.IsZero() || log.begun.Before(first)) {
-			first = log.begun
+		if !log.firstTime.IsZero() && (first.IsZero() || log.firstTime.Before(first)) {
+			first = log.firstTime
 		}
 	}
 	if first.IsZero() {
@@ -96,15 +98,15 @@
 	}
 	for _, log := range logs {
 		for i := range log.lines {
-			if at, err := log.lines[i].time(); err == nil {
+			if at, err := log.lines[i].timestamp(); err == nil {
 				log.lines[i].at = at.Sub(first).Seconds()
 			}
 		}
 	}
 }
 
-// withoutFigures replaces each number of a text by #, so that lines that differ only by numbers count as one.
-func withoutFigures(text string) string {
+// maskNumbers replaces each number in text by #, so that lines that differ only in numbers are counted together.
+func maskNumbers(text string) string {
 	var b strings.Builder
 	inNumber := false
 	for _, r := range text {
--- a/internal/testbed/days/report.go
+++ b/internal/testbed/days/report.go
@@ -10,12 +10,12 @@
 	"ottershed/internal/testbed/chart"
 )
 
-// Table writes the day in Markdown, a row for every step seconds: flows as the mean of a second of all instances
-// together, levels as the mean of an instance at the end.
-func (d *Day) Table(out io.Writer, step int) error {
+// WriteTable writes the day as a Markdown table with one row per step seconds. Counters are rates per second, summed over
+// all instances. Gauges are means over instances at the end of the row.
+func (d *Day) WriteTable(out io.Writer, step int) error {
 	step = max(1, step)
-	head := slices.Concat([]string{"second", "marshals", "starts", "build", "on", "back"}, flows, levels)
-	_, err := fmt.Fprintf(out, "| %s |\n|%s\n", strings.Join(head, " | "), strings.Repeat(" ---: |", len(head)))
+	header := slices.Concat([]string{"second", "marshals", "starts", "build", "on", "back"}, counterFields, gaugeFields)
+	_, err := fmt.Fprintf(out, "| %s |\n|%s\n", strings.Join(header, " | "), strings.Repeat(" ---: |", len(header)))
 	if err != nil {
 		return err
 	}
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// tableRow is the row of some seconds, which start at from. Its state is that of the last second with a summary.
+// tableRow returns the row of seconds, of which the first is number from. Gauges come from the last second with a summary.
 func tableRow(from int, seconds []Second) []string {
 	end := &seconds[len(seconds)-1]
 	starts, instances := 0, 0
@@ -43,28 +43,28 @@
 		strconv.Itoa(from), strconv.Itoa(instances), strconv.Itoa(starts), fmt.Sprintf("%d/%d", end.Build, end.Stage),
 		strconv.Itoa(end.Verdicts[verdictAdvance]), strconv.Itoa(end.Verdicts[verdictRollback]),
 	}
-	for _, key := range flows {
+	for _, key := range counterFields {
 		sum := 0.0
 		for _, s := range seconds {
-			sum += s.Flow[key]
+			sum += s.Counts[key]
 		}
 		row = append(row, strconv.FormatFloat(sum/float64(len(seconds)), 'f', 0, 64))
 	}
-	for _, key := range levels {
-		row = append(row, strconv.FormatFloat(end.Level[key], 'f', 1, 64))
+	for _, key := range gaugeFields {
+		row = append(row, strconv.FormatFloat(end.Gauges[key], 'f', 1, 64))
 	}
 	return row
 }
 
-// occurrence is when and how often lines of one text were logged.
+// occurrence records when and how often lines with one text were logged.
 type occurrence struct {
 	text        string
-	first, last int // seconds
-	times       int
+	first, last int // seconds of the day
+	count       int
 }
 
-// Lines writes the other lines of the logs in Markdown: first and last second, number and text.
-func (d *Day) Lines(out io.Writer) error {
+// WriteOtherLines writes the other log lines as a Markdown table: first second, last second, count and text.
+func (d *Day) WriteOtherLines(out io.Writer) error {
 	all := d.occurrences()
 	if len(all) > 0 {
 		if _, err := fmt.Fprint(out, "| first | last | times | line |\n| ---: | ---: | ---: | --- |\n"); err != nil {
@@ -73,25 +73,25 @@
 	}
 	for _, o := range all {
 		text := strings.ReplaceAll(o.text, "|", "\\|")
-		if _, err := fmt.Fprintf(out, "| %d | %d | %d | %s |\n", o.first, o.last, o.times, text); err != nil {
+		if _, err := fmt.Fprintf(out, "| %d | %d | %d | %s |\n", o.first, o.last, o.count, text); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// occurrences are the other lines by their first second, then by their text.
+// occurrences returns the other lines, sorted by first second and then by text.
 func (d *Day) occurrences() []*occurrence {
 	byText := map[string]*occurrence{}
 	var all []*occurrence
 	for second, s := range d.Seconds {
-		for text, times := range s.Lines {
+		for text, times := range s.OtherLines {
 			if byText[text] == nil {
 				byText[text] = &occurrence{text: text, first: second}
 				all = append(all, byText[text])
 			}
 			byText[text].last = second
-			byText[text].times += times
+			byText[text].count += times
 		}
 	}
 	slices.SortFunc(all, func(a, b *occurrence) int {
@@ -103,25 +103,25 @@
 	return all
 }
 
-// Chart draws columns over the seconds of the day into a file; the ending of path, .svg or .png, chooses the format.
-func (d *Day) Chart(path string, columns []string) error {
-	lines := make([]chart.Line, 0, len(columns))
+// WriteChart draws columns over the seconds of the day to a file. The extension of path, .svg or .png, sets the format.
+func (d *Day) WriteChart(path string, columns []string) error {
+	curves := make([]chart.Series, 0, len(columns))
 	for _, key := range columns {
-		var figure func(Second) float64
+		var value func(Second) float64
 		switch {
-		case slices.Contains(flows, key):
-			figure = func(s Second) float64 { return s.Flow[key] }
-		case slices.Contains(levels, key):
-			figure = func(s Second) float64 { return s.Level[key] }
+		case slices.Contains(counterFields, key):
+			value = func(s Second) float64 { return s.Counts[key] }
+		case slices.Contains(gaugeFields, key):
+			value = func(s Second) float64 { return s.Gauges[key] }
 		default:
-			return fmt.Errorf("chart: no column %q; there are %s", key, strings.Join(slices.Concat(flows, levels), ", "))
+			return fmt.Errorf("chart: unknown column %q, want one of %s", key, strings.Join(slices.Concat(counterFields, gaugeFields), ", "))
 		}
-		line := chart.Line{Name: key}
+		curve := chart.Series{Name: key}
 		for _, s := range d.Seconds {
-			line.Figures = append(line.Figures, figure(s))
+			curve.Values = append(curve.Values, value(s))
 		}
-		lines = append(lines, line)
+		curves = append(curves, curve)
 	}
 	return chart.TimeSeries(path, fmt.Sprintf("%d marshals", d.Instances), "second of the day",
-		"a second, over the fleet; or the mean of a marshal", lines)
+		"a second, over the fleet; or the mean of a marshal", curves)
 }
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -1,11 +1,11 @@
 // Package experiment measures fleets of real balancers on loopback, and failure detectors alone in simulated time.
-// Each experiment is a function that starts what it needs, injects faults and returns a result, and each result has a
-// table in Markdown: membership (MeasureProcesses, MeasureSimulated, MembersHead), policy (MeasurePolicy,
-// PolicyTable) and takeover (MeasureTakeover, TakeoverTable).
+// Each experiment is a function that starts the processes or the simulation, injects faults and returns a result. Each
+// kind of result has a Markdown table: membership (MeasureProcessMembership, MeasureSimulatedMembership,
+// MembershipTableHeader), policy (MeasurePolicy, PolicyTable) and takeover (MeasureTakeover, TakeoverTable).
 //
-// Experiments on processes take minutes; they call a Progress at each step.
+// Experiments on processes take minutes; they call a Progress function at each step.
 //
-// Files: experiment.go (what the experiments share), membership.go and simulated.go, policy.go, takeover.go.
+// Files: experiment.go (shared code), membership.go and simulated.go, policy.go, takeover.go.
 package experiment
 
 import (
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// Progress is called with a description of the step that begins. It may be nil.
+// Progress is called with a description of each step when the step begins. It may be nil.
 type Progress func(step string)
 
 func (p Progress) report(format string, args ...any) {
@@ -25,33 +25,33 @@
 	}
 }
 
-// Millis is a time or a span in milliseconds.
+// Millis is a point in time or a duration in milliseconds.
 type Millis = float64
 
 func millis(d time.Duration) Millis { return float64(d) / float64(time.Millisecond) }
 
-// Spread is the median, the 95th percentile and the largest of some figures.
-type Spread struct{ Median, P95, Max float64 }
+// Quantiles holds the median, the 95th percentile and the maximum of a set of values.
+type Quantiles struct{ Median, P95, Max float64 }
 
-// SpreadOf sorts the figures in place. Without figures all of the spread is NaN.
-func SpreadOf(figures []float64) Spread {
-	if len(figures) == 0 {
-		return Spread{math.NaN(), math.NaN(), math.NaN()}
+// QuantilesOf returns the quantiles of values, which it sorts in place. They are NaN if values is empty.
+func QuantilesOf(values []float64) Quantiles {
+	if len(values) == 0 {
+		return Quantiles{math.NaN(), math.NaN(), math.NaN()}
 	}
-	slices.Sort(figures)
-	at := func(q float64) float64 { return figures[min(len(figures)-1, int(q*float64(len(figures))))] }
-	return Spread{at(0.5), at(0.95), figures[len(figures)-1]}
+	slices.Sort(values)
+	at := func(q float64) float64 { return values[min(len(values)-1, int(q*float64(len(values))))] }
+	return Quantiles{at(0.5), at(0.95), values[len(values)-1]}
 }
 
-// spreadOfCopy leaves the figures in their order.
-func spreadOfCopy(figures []float64) Spread { return SpreadOf(slices.Clone(figures)) }
+// quantilesOfCopy returns the quantiles of values and keeps the order of values.
+func quantilesOfCopy(values []float64) Quantiles { return QuantilesOf(slices.Clone(values)) }
 
-// wait waits for a span, or returns the error of ctx where that ends first.
-func wait(ctx context.Context, span time.Duration) error {
+// wait waits for a duration, or returns the error of ctx if ctx ends first.
+func wait(ctx context.Context, duration time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(span):
+	case <-time.After(duration):
 		return nil
 	}
 }
--- a/internal/testbed/experiment/membership.go
+++ b/internal/testbed/experiment/membership.go
@@ -14,111 +14,111 @@
 )
 
 const (
-	rateSpan    = 10 * time.Second // over which the cost of membership is measured
-	agreeFactor = 6                // detection timeouts that a fleet has to agree again after a change
+	ratePeriod             = 10 * time.Second // duration of the measurement of packet rates
+	agreementTimeoutFactor = 6                // time limit for agreement after a change, in detection timeouts
 )
 
-// MembersResult is what an experiment on membership measured; times in milliseconds, rates of one member.
-type MembersResult struct {
-	Kind       string // "processes" or "simulated"
-	Members    int
-	Loss       float64   // share of packets lost: of processes, while FalseDead was counted; simulated, all the time
-	Deaths     int       // kills that were measured
-	First      Spread    // from a kill until the first member declared it
-	All        Spread    // from a kill until the last member declared it
-	Each       []float64 // from a kill until each member declared it
-	Undeclared int       // views in which a killed member was not dead in time
-	FalseDead  int       // views in which a running member was declared dead
-	Watched    Millis    // member time over which FalseDead was counted: members x milliseconds
-	BytesOut   float64   // a second
-	PacketsOut float64   // a second
-	Bound      Millis    // the detection timeout
-	Took       time.Duration
+// MembershipResult holds the measurements of a membership experiment. Rates are per member.
+type MembershipResult struct {
+	Kind              string // "processes" or "simulated"
+	Members           int
+	Loss              float64   // share of packets lost: for processes while FalseDeaths was counted, in simulations throughout
+	Deaths            int       // measured kills
+	FirstDetection    Quantiles // time from a kill to the first declaration of the death, in milliseconds
+	FullDetection     Quantiles // time from a kill to the last declaration of the death, in milliseconds
+	DetectionTimes    []float64 // time from a kill to each member's declaration, in milliseconds
+	Undetected        int       // pairs of an observer and a killed member that the observer did not declare dead in time
+	FalseDeaths       int       // declarations of a running member as dead
+	WatchedMemberTime Millis    // member time over which FalseDeaths was counted: members x milliseconds
+	BytesPerSecond    float64   // sent by one member
+	PacketsPerSecond  float64   // sent by one member
+	DetectionTimeout  Millis
+	Elapsed           time.Duration
 }
 
-// processesRun is a membership experiment on processes while it runs.
-type processesRun struct {
-	fleet            *fleet.Fleet
-	detectionTimeout time.Duration
-	result           *MembersResult
-	first, all       []float64 // by kill
+// processRun holds the state of a running membership experiment on processes.
+type processRun struct {
+	fleet                           *fleet.Fleet
+	detectionTimeout                time.Duration
+	result                          *MembershipResult
+	firstDetections, fullDetections []float64 // one per kill
 }
 
-// MeasureProcesses starts a fleet of processes, kills one in each round and starts it again, and then watches the fleet
-// under a share of lost packets for false deaths.
-func MeasureProcesses(
+// MeasureProcessMembership starts a fleet of processes, kills and restarts one instance per round, and then counts false
+// deaths over watch while a share of all packets is lost.
+func MeasureProcessMembership(
 	ctx context.Context, set fleet.Settings, rounds int, loss float64, watch time.Duration, progress Progress,
-) (*MembersResult, error) {
+) (*MembershipResult, error) {
 	began := time.Now()
 	cluster, err := fleet.Start(set)
 	if err != nil {
 		return nil, err
 	}
 	defer cluster.Close()
-	run := &processesRun{
+	run := &processRun{
 		fleet: cluster, detectionTimeout: set.DetectionTimeout,
-		result: &MembersResult{
-			Kind: "processes", Members: set.Instances, Loss: loss, Bound: Millis(set.DetectionTimeout.Milliseconds()),
+		result: &MembershipResult{
+			Kind: "processes", Members: set.Instances, Loss: loss, DetectionTimeout: Millis(set.DetectionTimeout.Milliseconds()),
 		},
 	}
-	if err := run.agree(ctx); err != nil {
+	if err := run.awaitAgreement(ctx); err != nil {
 		return nil, err
 	}
-	progress.report("%d processes: rates over %v", set.Instances, rateSpan)
+	progress.report("%d processes: rates over %v", set.Instances, ratePeriod)
 	if err := run.measureRates(ctx); err != nil {
 		return nil, err
 	}
 	for round := range rounds {
 		progress.report("%d processes: kill %d of %d", set.Instances, round+1, rounds)
-		if err := run.killOne(ctx, round); err != nil {
+		if err := run.measureKill(ctx, round); err != nil {
 			return nil, fmt.Errorf("round %d: %w", round, err)
 		}
 	}
-	run.result.First, run.result.All = SpreadOf(run.first), SpreadOf(run.all)
+	run.result.FirstDetection, run.result.FullDetection = QuantilesOf(run.firstDetections), QuantilesOf(run.fullDetections)
 	progress.report("%d processes: false deaths over %v", set.Instances, watch)
-	if err := run.watchUnderLoss(ctx, loss, watch); err != nil {
+	if err := run.countFalseDeaths(ctx, loss, watch); err != nil {
 		return nil, err
 	}
-	run.result.Took = time.Since(began)
+	run.result.Elapsed = time.Since(began)
 	return run.result, nil
 }
 
-// agree waits until all running instances have the same view.
-func (r *processesRun) agree(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, agreeFactor*r.detectionTimeout)
+// awaitAgreement waits until all running instances have the same view.
+func (r *processRun) awaitAgreement(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, agreementTimeoutFactor*r.detectionTimeout)
 	defer cancel()
 	return poll.Until(ctx, func() error { return r.fleet.Agree(ctx) })
 }
 
-// killOne kills an instance, records when each other one declared it dead, and starts it again.
-func (r *processesRun) killOne(ctx context.Context, round int) error {
+// measureKill kills an instance, records when each other instance declared it dead, and restarts it.
+func (r *processRun) measureKill(ctx context.Context, round int) error {
 	victim := (round*7 + 1) % len(r.fleet.Names())
 	killed := Millis(time.Now().UnixMicro()) / 1000
 	if err := r.fleet.Process(victim).Kill(); err != nil {
 		return err
 	}
-	if err := r.agree(ctx); err != nil {
+	if err := r.awaitAgreement(ctx); err != nil {
 		return err
 	}
-	took, err := r.declaredAfter(ctx, victim, killed)
+	took, err := r.detectionTimes(ctx, victim, killed)
 	if err != nil {
 		return err
 	}
 	r.result.Deaths++
-	r.first = append(r.first, slices.Min(took))
-	r.all = append(r.all, slices.Max(took))
-	r.result.Each = append(r.result.Each, took...)
+	r.firstDetections = append(r.firstDetections, slices.Min(took))
+	r.fullDetections = append(r.fullDetections, slices.Max(took))
+	r.result.DetectionTimes = append(r.result.DetectionTimes, took...)
 	if err := r.fleet.Process(victim).Start(); err != nil {
 		return err
 	}
-	if err := r.agree(ctx); err != nil {
-		return fmt.Errorf("started again: %w", err)
+	if err := r.awaitAgreement(ctx); err != nil {
+		return fmt.Errorf("restart of %s: %w", r.fleet.Names()[victim], err)
 	}
 	return nil
 }
 
-// declaredAfter is how long after its death each other instance declared a victim dead.
-func (r *processesRun) declaredAfter(ctx context.Context, victim int, killed Millis) ([]float64, error) {
+// detectionTimes returns the time from a kill to each other instance's declaration of the death.
+func (r *processRun) detectionTimes(ctx context.Context, victim int, killed Millis) ([]float64, error) {
 	var took []float64
 	for i := range r.fleet.Names() {
 		if i == victim {
@@ -128,54 +128,54 @@
 		if err != nil {
 			return nil, err
 		}
-		member, _ := members.Get(membership.Name(r.fleet.Names()[victim])) // all have agreed on it
+		member, _ := members.Get(membership.Name(r.fleet.Names()[victim])) // known to all instances after awaitAgreement
 		took = append(took, member.Since-killed)
 	}
 	return took, nil
 }
 
-// watchUnderLoss counts the deaths that are declared while none dies.
-func (r *processesRun) watchUnderLoss(ctx context.Context, loss float64, watch time.Duration) error {
-	before := r.declarations()
+// countFalseDeaths counts death declarations under packet loss while all instances run.
+func (r *processRun) countFalseDeaths(ctx context.Context, loss float64, watch time.Duration) error {
+	before := r.countDeathDeclarations()
 	r.fleet.Rules.SetDefault(faultinject.Rule{Drop: loss})
 	if err := wait(ctx, watch); err != nil {
 		return err
 	}
-	r.result.FalseDead = r.declarations() - before
-	r.result.Watched = Millis(r.result.Members) * Millis(watch.Milliseconds())
+	r.result.FalseDeaths = r.countDeathDeclarations() - before
+	r.result.WatchedMemberTime = Millis(r.result.Members) * Millis(watch.Milliseconds())
 	return nil
 }
 
-// declarations counts the log lines that declare a member dead.
-func (r *processesRun) declarations() (lines int) {
+// countDeathDeclarations returns the number of log lines that declare a member dead.
+func (r *processRun) countDeathDeclarations() (lines int) {
 	for i := range r.fleet.Names() {
 		lines += strings.Count(r.fleet.Process(i).Output(), "state=dead was=suspect")
 	}
 	return lines
 }
 
-// measureRates measures the bytes and packets that a member sends in a second.
-func (r *processesRun) measureRates(ctx context.Context) error {
-	bytesBefore, packetsBefore, err := r.sent(ctx)
+// measureRates measures the bytes and packets that one member sends per second.
+func (r *processRun) measureRates(ctx context.Context) error {
+	bytesBefore, packetsBefore, err := r.sentTotals(ctx)
 	if err != nil {
 		return err
 	}
 	began := time.Now()
-	if err := wait(ctx, rateSpan); err != nil {
+	if err := wait(ctx, ratePeriod); err != nil {
 		return err
 	}
-	bytesAfter, packetsAfter, err := r.sent(ctx)
+	bytesAfter, packetsAfter, err := r.sentTotals(ctx)
 	if err != nil {
 		return err
 	}
 	memberSeconds := time.Since(began).Seconds() * float64(len(r.fleet.Names()))
-	r.result.BytesOut = (bytesAfter - bytesBefore) / memberSeconds
-	r.result.PacketsOut = (packetsAfter - packetsBefore) / memberSeconds
+	r.result.BytesPerSecond = (bytesAfter - bytesBefore) / memberSeconds
+	r.result.PacketsPerSecond = (packetsAfter - packetsBefore) / memberSeconds
 	return nil
 }
 
-// sent is what all members have sent so far.
-func (r *processesRun) sent(ctx context.Context) (bytes, packets float64, err error) {
+// sentTotals returns the bytes and packets that all members have sent so far.
+func (r *processRun) sentTotals(ctx context.Context) (bytes, packets float64, err error) {
 	for i := range r.fleet.Names() {
 		members, err := r.fleet.Members(ctx, i)
 		if err != nil {
@@ -187,8 +187,8 @@
 	return bytes, packets, nil
 }
 
-// MembersHead begins a table of results, of which each is a Row.
-func MembersHead() string {
+// MembershipTableHeader returns the header of a Markdown table, whose rows are those of MembershipResult.TableRow.
+func MembershipTableHeader() string {
 	var b strings.Builder
 	b.WriteString("| members | | loss | deaths | first other, median (most) | all others, median (most) | " +
 		"bound | not declared | false deaths | watched, member hours | bytes/s out | packets/s out |\n")
@@ -196,10 +196,10 @@
 	return b.String()
 }
 
-// Row is the result's line of the table.
-func (r *MembersResult) Row() string {
+// TableRow returns the result as a row of the Markdown table.
+func (r *MembershipResult) TableRow() string {
 	return fmt.Sprintf(
 		"| %d | %s | %.0f%% | %d | %.1f s (%.1f) | %.1f s (%.1f) | %.0f s | %d | %d | %.1f | %.0f | %.1f |\n",
-		r.Members, r.Kind, 100*r.Loss, r.Deaths, r.First.Median/1000, r.First.Max/1000, r.All.Median/1000, r.All.Max/1000,
-		r.Bound/1000, r.Undeclared, r.FalseDead, r.Watched/3.6e6, r.BytesOut, r.PacketsOut)
+		r.Members, r.Kind, 100*r.Loss, r.Deaths, r.FirstDetection.Median/1000, r.FirstDetection.Max/1000, r.FullDetection.Median/1000, r.FullDetection.Max/1000,
+		r.DetectionTimeout/1000, r.Undetected, r.FalseDeaths, r.WatchedMemberTime/3.6e6, r.BytesPerSecond, r.PacketsPerSecond)
 }
--- a/internal/testbed/experiment/policy.go
+++ b/internal/testbed/experiment/policy.go
@@ -17,40 +17,40 @@
 	"ottershed/internal/testbed/poll"
 )
 
-// settleTimeout is how long all instances may take to run a version.
-const settleTimeout = time.Minute
+// applyTimeout bounds the time until all instances run a version.
+const applyTimeout = time.Minute
 
-// PolicyResult is what an experiment on policy measured; times in milliseconds.
+// PolicyResult holds the measurements of a policy experiment. Times are in milliseconds.
 type PolicyResult struct {
-	Instances int
-	Versions  int       // that were proposed one after another
-	Committed Spread    // from a proposal until its proposer was notified of the commit
-	Applied   Spread    // from a proposal until the last instance ran it
-	Each      []float64 // Applied of each version
-	Stored    float64   // bytes a version at one instance, with its share of the log
-	File      int64     // bytes of a store's file at the end
-	Restart   Spread    // from an instance's start until it has caught up
-	NewLeader Spread    // from a leader's death until a proposal is committed
+	Instances       int
+	Versions        int       // number of proposals, made one after another
+	CommitTime      Quantiles // from a proposal to the commit notification at the proposer
+	ApplyTime       Quantiles // from a proposal until the last instance ran it
+	ApplyTimes      []float64 // one ApplyTime per version
+	BytesPerVersion float64   // stored by one instance, including its share of the log
+	StoreFileBytes  int64     // size of one instance's store file at the end
+	CatchUpTime     Quantiles // from the start of an instance until it has caught up
+	FailoverTime    Quantiles // from the death of a leader to the commit of the next proposal
 }
 
-// Log lines by which the experiment learns when an instance runs a version or has caught up after a start.
+// Log lines that show when an instance runs a version, and when it has caught up after a start.
 var (
 	appliedLine  = regexp.MustCompile(`time="([^"]+)".* msg="policy applied".* version=(\d+) `)
 	caughtUpLine = regexp.MustCompile(`time="([^"]+)".* msg="policy caught up"`)
 )
 
-// policyRun is a policy experiment while it runs.
+// policyRun holds the state of a running policy experiment.
 type policyRun struct {
 	fleet    *fleet.Fleet
 	result   *PolicyResult
-	versions policy.Version // committed so far
-	proposed []time.Time    // by version; that of version 0 is unused
-	// By proposal, restart and killed leader:
-	committed, restarts, newLeaders []float64
+	versions policy.Version // newest committed version
+	proposed []time.Time    // proposal times, indexed by version; index 0 is unused
+	// Measurements per proposal, per restart and per killed leader, in milliseconds.
+	commitTimes, catchUpTimes, failoverTimes []float64
 }
 
-// MeasurePolicy starts a fleet in which all instances keep the log, and proposes versions one after another. Then, in
-// each round, it kills an instance and starts it again, and kills the leader.
+// MeasurePolicy starts a fleet in which all instances are voters of the log, and proposes versions one after another.
+// Each of the following rounds kills and restarts one instance, and then kills the leader.
 func MeasurePolicy(
 	ctx context.Context, set fleet.Settings, versions, rounds int, progress Progress,
 ) (*PolicyResult, error) {
@@ -64,7 +64,7 @@
 		fleet: cluster, result: &PolicyResult{Instances: set.Instances, Versions: versions},
 		proposed: make([]time.Time, versions+1),
 	}
-	if err := run.settle(ctx); err != nil {
+	if err := run.awaitApplied(ctx); err != nil {
 		return nil, err
 	}
 	progress.report("%d instances: %d versions", set.Instances, versions)
@@ -81,13 +81,13 @@
 			return nil, err
 		}
 	}
-	run.result.Restart, run.result.NewLeader = SpreadOf(run.restarts), SpreadOf(run.newLeaders)
+	run.result.CatchUpTime, run.result.FailoverTime = QuantilesOf(run.catchUpTimes), QuantilesOf(run.failoverTimes)
 	return run.result, nil
 }
 
-// settle waits until all instances run the newest version.
-func (r *policyRun) settle(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+// awaitApplied waits until all instances run the newest version.
+func (r *policyRun) awaitApplied(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	return poll.Until(ctx, func() error {
 		for i := range r.fleet.Names() {
@@ -99,7 +99,7 @@
 	})
 }
 
-// proposeAll proposes the versions and records their times and what they take to store.
+// proposeAll proposes versions and records their commit and apply times and the storage that they take.
 func (r *policyRun) proposeAll(ctx context.Context, versions int) error {
 	before, err := r.storedBytes(ctx)
 	if err != nil {
@@ -110,14 +110,14 @@
 			return err
 		}
 	}
-	r.result.Each = r.appliedAfter()
-	r.result.Committed, r.result.Applied = SpreadOf(r.committed), spreadOfCopy(r.result.Each)
+	r.result.ApplyTimes = r.applyTimes()
+	r.result.CommitTime, r.result.ApplyTime = QuantilesOf(r.commitTimes), quantilesOfCopy(r.result.ApplyTimes)
 	after, err := r.storedBytes(ctx)
 	if err != nil {
 		return err
 	}
-	r.result.Stored = float64(after-before) / float64(versions)
-	r.result.File, err = fileBytes(filepath.Join(r.fleet.Store(0), "store.db"))
+	r.result.BytesPerVersion = float64(after-before) / float64(versions)
+	r.result.StoreFileBytes, err = fileBytes(filepath.Join(r.fleet.Store(0), "store.db"))
 	return err
 }
 
@@ -129,12 +129,12 @@
 	if _, err := r.fleet.Propose(ctx, version%r.result.Instances, text, ""); err != nil {
 		return err
 	}
-	r.committed = append(r.committed, millis(time.Since(r.proposed[version])))
+	r.commitTimes = append(r.commitTimes, millis(time.Since(r.proposed[version])))
 	r.versions++
-	return r.settle(ctx)
+	return r.awaitApplied(ctx)
 }
 
-// storedBytes is the size of what the first instance has stored.
+// storedBytes returns the stored size that the first instance reports.
 func (r *policyRun) storedBytes(ctx context.Context) (int64, error) {
 	status, err := r.fleet.PolicyStatus(ctx, 0)
 	if err != nil {
@@ -143,7 +143,7 @@
 	return status.StoredBytes, nil
 }
 
-// fileBytes is a file's size, 0 where it does not exist.
+// fileBytes returns the size of a file, 0 if the file does not exist.
 func fileBytes(path string) (int64, error) {
 	info, err := os.Stat(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -155,11 +155,11 @@
 	return info.Size(), nil
 }
 
-// appliedAfter is for each version the time from its proposal until the last instance ran it, by the instances' logs.
-func (r *policyRun) appliedAfter() []float64 {
+// applyTimes returns for each version the time from its proposal until the last instance ran it, according to the logs.
+func (r *policyRun) applyTimes() []float64 {
 	last := make([]time.Time, len(r.proposed))
 	for i := range r.fleet.Names() {
-		for version, at := range appliedAt(r.fleet.Process(i).Output()) {
+		for version, at := range parseApplyTimes(r.fleet.Process(i).Output()) {
 			if int(version) < len(last) && at.After(last[version]) {
 				last[version] = at
 			}
@@ -172,8 +172,8 @@
 	return took
 }
 
-// appliedAt is when an instance ran each version, by its log. Lines that can't be read are left out.
-func appliedAt(log string) map[policy.Version]time.Time {
+// parseApplyTimes returns when an instance ran each version, according to its log. Malformed lines are skipped.
+func parseApplyTimes(log string) map[policy.Version]time.Time {
 	applied := map[policy.Version]time.Time{}
 	for line := range strings.Lines(log) {
 		match := appliedLine.FindStringSubmatch(line)
@@ -193,7 +193,7 @@
 	return applied
 }
 
-// restart kills an instance, starts it again and records how long it took to catch up.
+// restart kills and restarts an instance and records the time until it has caught up.
 func (r *policyRun) restart(ctx context.Context, i int) error {
 	process := r.fleet.Process(i)
 	if err := process.Kill(); err != nil {
@@ -204,30 +204,30 @@
 	if err := process.Start(); err != nil {
 		return err
 	}
-	if err := r.settle(ctx); err != nil {
+	if err := r.awaitApplied(ctx); err != nil {
 		return err
 	}
 	lines := caughtUpLine.FindAllStringSubmatch(process.Output(), -1)
 	if len(lines) <= before {
-		return fmt.Errorf("%s has not logged that it caught up", process.Name)
+		return fmt.Errorf("restart of %s: no \"policy caught up\" line in its log", process.Name)
 	}
 	at, err := time.Parse(time.RFC3339Nano, lines[len(lines)-1][1])
 	if err != nil {
 		return err
 	}
-	r.restarts = append(r.restarts, millis(at.Sub(began)))
+	r.catchUpTimes = append(r.catchUpTimes, millis(at.Sub(began)))
 	return nil
 }
 
-// killLeader kills the leader that an instance knows, and records how long the next proposal took to be committed.
+// killLeader kills the leader that instance asked reports, and records the time to the commit of the next proposal.
 func (r *policyRun) killLeader(ctx context.Context, asked int) error {
 	status, err := r.fleet.PolicyStatus(ctx, asked)
 	if err != nil {
 		return err
 	}
-	leader, err := fleet.Number(status.Log.Leader)
+	leader, err := fleet.InstanceNumber(status.Log.Leader)
 	if err != nil {
-		return fmt.Errorf("leader %q: %w", status.Log.Leader, err)
+		return fmt.Errorf("leader name %q: %w", status.Log.Leader, err)
 	}
 	if err := r.fleet.Process(leader).Kill(); err != nil {
 		return err
@@ -237,15 +237,15 @@
 	if _, err := r.fleet.Propose(ctx, proposer, `{"note":"after the leader's death"}`, ""); err != nil {
 		return err
 	}
-	r.newLeaders = append(r.newLeaders, millis(time.Since(began)))
+	r.failoverTimes = append(r.failoverTimes, millis(time.Since(began)))
 	r.versions++
 	if err := r.fleet.Process(leader).Start(); err != nil {
 		return err
 	}
-	return r.settle(ctx)
+	return r.awaitApplied(ctx)
 }
 
-// PolicyTable writes results as a table.
+// PolicyTable returns results as a Markdown table.
 func PolicyTable(results []*PolicyResult) string {
 	var b strings.Builder
 	b.WriteString("| marshals | versions | committed, median (most) | run by all, median (most) | " +
@@ -255,8 +255,8 @@
 	for _, r := range results {
 		fmt.Fprintf(&b,
 			"| %d | %d | %.0f ms (%.0f) | %.0f ms (%.0f) | %.0f | %d KiB | %.0f ms (%.0f) | %.0f ms (%.0f) |\n",
-			r.Instances, r.Versions, r.Committed.Median, r.Committed.Max, r.Applied.Median, r.Applied.Max, r.Stored, r.File>>10,
-			r.Restart.Median, r.Restart.Max, r.NewLeader.Median, r.NewLeader.Max)
+			r.Instances, r.Versions, r.CommitTime.Median, r.CommitTime.Max, r.ApplyTime.Median, r.ApplyTime.Max, r.BytesPerVersion, r.StoreFileBytes>>10,
+			r.CatchUpTime.Median, r.CatchUpTime.Max, r.FailoverTime.Median, r.FailoverTime.Max)
 	}
 	return b.String()
 }
--- a/internal/testbed/experiment/simulated.go
+++ b/internal/testbed/experiment/simulated.go
@@ -7,39 +7,39 @@
 	"ottershed/internal/cluster/membership/sim"
 )
 
-// maxSimulatedTimes bounds MembersResult.Each of a simulated experiment.
-const maxSimulatedTimes = 1 << 20
+// maxDetectionTimes bounds the length of MembershipResult.DetectionTimes in a simulated experiment.
+const maxDetectionTimes = 1 << 20
 
-// simulatedRun records what simulated detectors observe.
+// simulatedRun records the observations of simulated failure detectors.
 type simulatedRun struct {
-	fleet       *sim.Fleet
-	result      *MembersResult
-	victims     map[membership.Name]int // to their number
-	killed      Millis                  // when all victims were killed
-	first, last []float64               // time until the first and the last member declared it, by victim
-	declared    []int                   // members that declared it, by victim
+	fleet                           *sim.Fleet
+	result                          *MembershipResult
+	victims                         map[membership.Name]int // index of each killed member
+	killed                          Millis                  // time of the kills, which are simultaneous
+	firstDetections, fullDetections []float64               // time to the first and to the last declaration, by victim
+	declared                        []int                   // number of declarations, by victim
 }
 
-// MeasureSimulated measures detectors alone in simulated time: all know each other from the start, some are killed at
-// once, and all are watched for a span (in simulated milliseconds). Packets are lost all the time at the rate of the
-// settings.
-func MeasureSimulated(set sim.Settings, kills int, watch Millis) (*MembersResult, error) {
+// MeasureSimulatedMembership measures failure detectors in simulated time. All members know each other from the start,
+// kills members are killed at the same time, and the others are observed. Packet rates are measured over watch, in
+// simulated milliseconds, before the kills. Packets are lost at the rate of the settings all the time.
+func MeasureSimulatedMembership(set sim.Settings, kills int, watch Millis) (*MembershipResult, error) {
 	began := time.Now()
 	set.Prejoined = true
 	cluster, err := sim.New(set)
 	if err != nil {
 		return nil, err
 	}
-	result := &MembersResult{Kind: "simulated", Members: set.Members, Loss: set.Loss, Bound: set.DetectionTimeout}
-	cluster.Run(set.DetectionTimeout / 2) // until the first probes are over
+	result := &MembershipResult{Kind: "simulated", Members: set.Members, Loss: set.Loss, DetectionTimeout: set.DetectionTimeout}
+	cluster.Run(set.DetectionTimeout / 2) // until the first probes have ended
 	bytes, packets := cluster.Bytes, cluster.Packets
 	cluster.Run(watch)
 	memberSeconds := watch / 1000 * Millis(set.Members)
-	result.BytesOut = float64(cluster.Bytes-bytes) / memberSeconds
-	result.PacketsOut = float64(cluster.Packets-packets) / memberSeconds
+	result.BytesPerSecond = float64(cluster.Bytes-bytes) / memberSeconds
+	result.PacketsPerSecond = float64(cluster.Packets-packets) / memberSeconds
 	run := &simulatedRun{
 		fleet: cluster, result: result, victims: map[membership.Name]int{}, killed: cluster.Now(),
-		first: make([]float64, kills), last: make([]float64, kills), declared: make([]int, kills),
+		firstDetections: make([]float64, kills), fullDetections: make([]float64, kills), declared: make([]int, kills),
 	}
 	cluster.OnChange = run.observe
 	for i := range kills {
@@ -48,22 +48,22 @@
 		cluster.Kill(victim)
 	}
 	cluster.Run(2 * set.DetectionTimeout)
-	result.Deaths, result.First, result.All = kills, SpreadOf(run.first), SpreadOf(run.last)
+	result.Deaths, result.FirstDetection, result.FullDetection = kills, QuantilesOf(run.firstDetections), QuantilesOf(run.fullDetections)
 	for _, declared := range run.declared {
-		result.Undeclared += set.Members - kills - declared
+		result.Undetected += set.Members - kills - declared
 	}
-	result.Watched = (watch + 2*set.DetectionTimeout) * Millis(set.Members)
-	result.Took = time.Since(began)
+	result.WatchedMemberTime = (watch + 2*set.DetectionTimeout) * Millis(set.Members)
+	result.Elapsed = time.Since(began)
 	return result, nil
 }
 
-// observe counts a member's change of another member's state, where it declares a death.
+// observe records the declaration of a death. It ignores other state changes.
 func (r *simulatedRun) observe(change sim.Observation) {
 	if change.State != membership.Dead || change.New {
 		return
 	}
 	if change.Running {
-		r.result.FalseDead++
+		r.result.FalseDeaths++
 		return
 	}
 	victim, known := r.victims[change.Name]
@@ -73,10 +73,10 @@
 	took := r.fleet.Now() - r.killed
 	r.declared[victim]++
 	if r.declared[victim] == 1 {
-		r.first[victim] = took
+		r.firstDetections[victim] = took
 	}
-	r.last[victim] = took
-	if len(r.result.Each) < maxSimulatedTimes {
-		r.result.Each = append(r.result.Each, took)
+	r.fullDetections[victim] = took
+	if len(r.result.DetectionTimes) < maxDetectionTimes {
+		r.result.DetectionTimes = append(r.result.DetectionTimes, took)
 	}
 }
--- a/internal/testbed/faultinject/packets.go
+++ b/internal/testbed/faultinject/packets.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	maxDelayed     = 1 << 14 // packets that are delayed at once; further ones are lost
+	maxDelayed     = 1 << 14 // limit of packets in delay; further packets are lost
 	maxPacketBytes = 1 << 16
 )
 
-// ErrNotLoopback is an address of a relay's target that is not on loopback.
+// ErrNotLoopback reports a relay target outside loopback.
 var ErrNotLoopback = errors.New("not on loopback")
 
-// loopbackAddress parses the address of a relay's target.
-func loopbackAddress(address string) (netip.AddrPort, error) {
+// parseLoopbackAddress parses the address of a relay target. The error wraps ErrNotLoopback if it is not on loopback.
+func parseLoopbackAddress(address string) (netip.AddrPort, error) {
 	target, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return target, err
@@ -31,15 +31,15 @@
 	return target, nil
 }
 
-// Packets relays UDP. Each process receives at an address of its own, while the others send to the address of its
-// relay. A sender is known by the address that it sends from, which has to be the one that it receives at.
-type Packets struct {
+// PacketRelays relays UDP. Each process receives at its own address, and the other processes send to the address of its
+// relay. A sender is identified by its source address, so a process must send from the address at which it receives.
+type PacketRelays struct {
 	rules   *Rules
 	delayed atomic.Int64
 	running sync.WaitGroup
 
 	mu     sync.Mutex
-	names  map[netip.AddrPort]string // of the processes, by where they receive
+	names  map[netip.AddrPort]string // process names by receive address
 	relays []*packetRelay
 }
 
@@ -50,21 +50,21 @@
 	conn   *net.UDPConn
 }
 
-// NewPackets makes relays under these rules.
-func NewPackets(rules *Rules) *Packets {
-	return &Packets{rules: rules, names: map[netip.AddrPort]string{}}
+// NewPacketRelays returns a set of relays that apply rules.
+func NewPacketRelays(rules *Rules) *PacketRelays {
+	return &PacketRelays{rules: rules, names: map[netip.AddrPort]string{}}
 }
 
-// AddRelay puts a relay in front of a process that receives at an address, and returns the address that others are to
-// send to.
-func (p *Packets) AddRelay(name, address string) (string, error) {
-	target, err := loopbackAddress(address)
+// AddRelay starts a relay in front of the process that receives at address. It returns the address to which other
+// processes must send.
+func (p *PacketRelays) AddRelay(name, address string) (string, error) {
+	target, err := parseLoopbackAddress(address)
 	if err != nil {
-		return "", fmt.Errorf("relay to %s: %w", name, err)
+		return "", fmt.Errorf("add relay to %s: %w", name, err)
 	}
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.AddrPortFrom(target.Addr(), 0)))
 	if err != nil {
-		return "", fmt.Errorf("relay to %s: %w", name, err)
+		return "", fmt.Errorf("add relay to %s: %w", name, err)
 	}
 	relay := &packetRelay{name: name, target: target, conn: conn}
 	p.mu.Lock()
@@ -75,8 +75,8 @@
 	return conn.LocalAddr().String(), nil
 }
 
-// run relays the packets to one process. A sender that is not known has the name "".
-func (p *Packets) run(relay *packetRelay) {
+// run relays packets to one process until the relay is closed. An unknown sender has the empty name.
+func (p *PacketRelays) run(relay *packetRelay) {
 	buffer := make([]byte, maxPacketBytes)
 	for {
 		n, from, err := relay.conn.ReadFromUDPAddrPort(buffer)
@@ -84,19 +84,19 @@
 			return
 		}
 		if err != nil {
-			continue // an earlier packet found no process at the target
+			continue // an earlier packet reached a closed port at the target
 		}
 		p.mu.Lock()
 		sender := p.names[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
 		p.mu.Unlock()
-		p.deliver(relay, buffer[:n], p.rules.Next(Link{sender, relay.name}))
+		p.deliver(relay, buffer[:n], p.rules.NextDelivery(Link{sender, relay.name}))
 	}
 }
 
-// deliver sends the copies of a packet, at once or after their delay.
-func (p *Packets) deliver(relay *packetRelay, packet []byte, fate Fate) {
-	for range fate.Copies {
-		if fate.Delay <= 0 {
+// deliver sends the copies of a packet, immediately or after the delay.
+func (p *PacketRelays) deliver(relay *packetRelay, packet []byte, delivery Delivery) {
+	for range delivery.Copies {
+		if delivery.Delay <= 0 {
 			relay.send(packet)
 			continue
 		}
@@ -105,7 +105,7 @@
 			continue
 		}
 		delayed := slices.Clone(packet)
-		time.AfterFunc(fate.Delay, func() {
+		time.AfterFunc(delivery.Delay, func() {
 			defer p.delayed.Add(-1)
 			relay.send(delayed)
 		})
@@ -113,14 +113,14 @@
 }
 
 func (r *packetRelay) send(packet []byte) {
-	_, _ = r.conn.WriteToUDPAddrPort(packet, r.target) // a packet that can't be sent is lost, as UDP allows
+	_, _ = r.conn.WriteToUDPAddrPort(packet, r.target) // a packet that cannot be sent is lost, as UDP allows
 }
 
-// Close ends all relays.
-func (p *Packets) Close() {
+// Close stops all relays and waits for their goroutines.
+func (p *PacketRelays) Close() {
 	p.mu.Lock()
 	for _, relay := range p.relays {
-		_ = relay.conn.Close() // nothing is left to do for a socket that fails to close
+		_ = relay.conn.Close() // a failed close leaves nothing to clean up
 	}
 	p.mu.Unlock()
 	p.running.Wait()
--- a/internal/testbed/faultinject/parse.go
+++ b/internal/testbed/faultinject/parse.go
@@ -11,10 +11,10 @@
 	"unicode/utf8"
 )
 
-// SyntaxError is a mistake in a script and where it is.
+// SyntaxError reports a syntax error in a script and its position.
 type SyntaxError struct {
-	Line   int // from 1
-	Column int // of the word that is wrong, in characters from 1; after the last word where one is missing
+	Line   int // counted from 1
+	Column int // of the wrong word, in characters from 1; if a word is missing, the column after the last word
 	Err    error
 }
 
@@ -24,18 +24,18 @@
 
 func (e *SyntaxError) Unwrap() error { return e.Err }
 
-// word is a word of a script and its place, as in SyntaxError.
+// word is a word of a script and its position, as in SyntaxError.
 type word struct {
 	text         string
 	line, column int
 }
 
-// errorf is a mistake at the word.
+// errorf returns a SyntaxError at the position of the word.
 func (w word) errorf(format string, args ...any) error {
 	return &SyntaxError{Line: w.line, Column: w.column, Err: fmt.Errorf(format, args...)}
 }
 
-// ParseScript reads a script in the language that the package's description states. Its errors are *SyntaxError.
+// ParseScript parses a script in the syntax that the package comment defines. Its errors are of type *SyntaxError.
 func ParseScript(text string) (Script, error) {
 	var script Script
 	number := 0
@@ -56,7 +56,7 @@
 	return script, nil
 }
 
-// splitWords splits a line at its spaces; end is the place after the last word.
+// splitWords splits a line at white space. end is the position after the last word.
 func splitWords(line string, number int) (words []word, end word) {
 	rest := line
 	column := 1
@@ -77,43 +77,43 @@
 	}
 }
 
-// parseStep reads the words of one line, of which there is at least one.
+// parseStep parses the words of one line, which must not be empty.
 func parseStep(words []word, end word) (Step, error) {
 	var step Step
 	at, err := time.ParseDuration(words[0].text)
 	if err != nil || at < 0 {
-		return step, words[0].errorf("want a time first, got %q", words[0].text)
+		return step, words[0].errorf("want a non-negative time, got %q", words[0].text)
 	}
 	if len(words) < 3 {
-		return step, end.errorf("want a time, what to do, and to whom")
+		return step, end.errorf("incomplete step: want a time, an action and its arguments")
 	}
 	step.At, step.Verb = at, Verb(words[1].text)
 	arguments := words[2:]
-	parse, want := grammar(step.Verb, arguments)
+	parse, want := argumentsFor(step.Verb, arguments)
 	if parse == nil {
-		return step, words[1].errorf("nothing is called %q", step.Verb)
+		return step, words[1].errorf("unknown action %q", step.Verb)
 	}
 	if len(arguments) > want {
-		return step, arguments[want].errorf("%s takes %d words, got %d", step.Verb, want, len(arguments))
+		return step, arguments[want].errorf("action %s wants %d arguments, got %d", step.Verb, want, len(arguments))
 	}
 	if len(arguments) < want {
-		return step, end.errorf("%s takes %d words, got %d", step.Verb, want, len(arguments))
+		return step, end.errorf("action %s wants %d arguments, got %d", step.Verb, want, len(arguments))
 	}
 	err = parse(&step, arguments)
 	return step, err
 }
 
-// argumentParser reads the words after a verb into a step.
+// argumentParser parses the words after a verb into a step.
 type argumentParser func(*Step, []word) error
 
-// grammar is how many words a verb takes, and how they are read; nil where there is no such verb.
-func grammar(verb Verb, arguments []word) (parse argumentParser, words int) {
+// argumentsFor returns the parser for the arguments of a verb and their number. The parser is nil for an unknown verb.
+func argumentsFor(verb Verb, arguments []word) (parse argumentParser, words int) {
 	switch verb {
 	case Cut:
 		return parseLink, 3
 	case Heal:
 		if arguments[0].text == "all" {
-			return parseNothing, 1
+			return parseNoArguments, 1
 		}
 		return parseLink, 3
 	case Loss:
@@ -126,7 +126,7 @@
 	return nil, 0
 }
 
-func parseNothing(*Step, []word) error { return nil }
+func parseNoArguments(*Step, []word) error { return nil }
 
 func parseTarget(step *Step, arguments []word) error {
 	step.Target = arguments[0].text
@@ -136,7 +136,7 @@
 func parseLink(step *Step, arguments []word) error {
 	arrow := arguments[1]
 	if arrow.text != ">" && arrow.text != "-" {
-		return arrow.errorf("want > or - between two names, got %q", arrow.text)
+		return arrow.errorf("want > or - between two process names, got %q", arrow.text)
 	}
 	step.Target, step.Both, step.Peer = arguments[0].text, arrow.text == "-", arguments[2].text
 	return nil
@@ -145,19 +145,19 @@
 func parseLoss(step *Step, arguments []word) error {
 	percent, err := strconv.ParseFloat(strings.TrimSuffix(arguments[0].text, "%"), 64)
 	if err != nil || percent < 0 || percent > 100 {
-		return arguments[0].errorf("want a share like 20%%, got %q", arguments[0].text)
+		return arguments[0].errorf("want a share from 0%% to 100%%, got %q", arguments[0].text)
 	}
 	step.Share = percent / 100
 	return nil
 }
 
 func parseDelay(step *Step, arguments []word) error {
-	for i, to := range []*time.Duration{&step.Delay, &step.Jitter} {
-		span, err := time.ParseDuration(arguments[i].text)
+	for i, field := range []*time.Duration{&step.Delay, &step.Jitter} {
+		duration, err := time.ParseDuration(arguments[i].text)
 		if err != nil {
-			return arguments[i].errorf("want two times: %w", err)
+			return arguments[i].errorf("action delay wants two times: %w", err)
 		}
-		*to = span
+		*field = duration
 	}
 	return nil
 }
--- a/internal/testbed/faultinject/play.go
+++ b/internal/testbed/faultinject/play.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// ErrUnknownProcess is a step for a process that the environment does not have.
-var ErrUnknownProcess = errors.New("no such process")
+// ErrUnknownProcess reports a step for a process that the environment does not have.
+var ErrUnknownProcess = errors.New("unknown process")
 
-// Environment is what scripts are played on.
+// Environment holds the rules and processes that scripts act on.
 type Environment struct {
 	Rules     *Rules
 	Processes map[string]*Process
-	OnStep    func(Step) // called after each step; may be nil
+	OnStep    func(Step) // called after each successful step; may be nil
 }
 
-// Play carries out a script in real time, from now on. It ends with the first step that fails, or with ctx.
+// Play runs a script in real time, starting now. It returns the error of the first step that fails, or that of ctx.
 func (e *Environment) Play(ctx context.Context, script Script) error {
 	began := time.Now()
 	for _, step := range script {
-		wait := time.NewTimer(time.Until(began.Add(step.At)))
+		timer := time.NewTimer(time.Until(began.Add(step.At)))
 		select {
 		case <-ctx.Done():
-			wait.Stop()
+			timer.Stop()
 			return ctx.Err()
-		case <-wait.C:
+		case <-timer.C:
 		}
 		if err := e.apply(step); err != nil {
-			return fmt.Errorf("%v: %w", step, err)
+			return fmt.Errorf("step %q: %w", step, err)
 		}
 		if e.OnStep != nil {
 			e.OnStep(step)
@@ -67,7 +67,7 @@
 	return process.Restart(0)
 }
 
-// applyToLinks cuts or heals a link, or heals everything.
+// applyToLinks cuts or heals one link, or heals all links.
 func (e *Environment) applyToLinks(step Step) {
 	if step.Target == "" {
 		e.Rules.Heal()
--- a/internal/testbed/faultinject/process.go
+++ b/internal/testbed/faultinject/process.go
@@ -11,37 +11,37 @@
 	"time"
 )
 
-// Errors of what is asked of a process at the wrong time.
+// Errors of operations that do not fit the state of the process.
 var (
-	ErrRunning    = errors.New("the process runs already")
-	ErrNotRunning = errors.New("the process does not run")
-	ErrTimeout    = errors.New("the process has not ended in time")
+	ErrRunning    = errors.New("process is already running")
+	ErrNotRunning = errors.New("process is not running")
+	ErrTimeout    = errors.New("process has not exited in time")
 )
 
-// Process is a program that faults are injected into. It is stopped or running, and a running one may be stalled:
+// Process runs a program that faults are injected into. It is stopped or running, and a running process may be stalled:
 //
 //	stopped -> running: Start, Restart
-//	running -> stopped: Kill, Terminate, its own end
+//	running -> stopped: Kill, Terminate, exit of the program
 //	running -> stalled: Stall
 //	stalled -> running: Resume
 //	stalled -> stopped: Kill
 //
-// The fields are set before the first start.
+// The exported fields must be set before the first start.
 type Process struct {
-	Name string   // in errors and scripts
-	Path string   // of the program
-	Args []string // without the program's name
-	Env  []string // added to the environment of this process
-	Log  string   // path of the file that the output of all runs is appended to
+	Name string   // used in errors and scripts
+	Path string   // path of the program
+	Args []string // arguments without the program name
+	Env  []string // added to the environment of the calling process
+	Log  string   // path of the file to which the output of all runs is appended
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	exited chan struct{} // closed at the end of the newest run; nil before the first
-	err    error         // of the end of the newest run
-	runs   int
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	exited     chan struct{} // closed when the newest run exits; nil before the first start
+	exitErr    error         // exit error of the newest run
+	startCount int
 }
 
-// Start starts the process.
+// Start starts the process. It returns ErrRunning if the process is running.
 func (p *Process) Start() error {
 	if err := p.start(); err != nil {
 		return fmt.Errorf("start %s: %w", p.Name, err)
@@ -59,33 +59,33 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = out.Close() }() // the started process has a descriptor of its own
+	defer func() { _ = out.Close() }() // the child has its own descriptor
 	cmd := exec.Command(p.Path, p.Args...)
 	cmd.Env = append(os.Environ(), p.Env...)
 	cmd.Stdout, cmd.Stderr = out, out
-	cmd.SysProcAttr = dieWithParent()
+	cmd.SysProcAttr = parentDeathSignal()
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	exited := make(chan struct{})
 	p.cmd, p.exited = cmd, exited
-	p.runs++
+	p.startCount++
 	go p.wait(cmd, exited)
 	return nil
 }
 
-// wait records the end of a run.
+// wait waits for the exit of a run and records its error.
 func (p *Process) wait(cmd *exec.Cmd, exited chan<- struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
 	if p.cmd == cmd {
-		p.err = err
+		p.exitErr = err
 	}
 	p.mu.Unlock()
 	close(exited)
 }
 
-// running tells whether the process runs. The caller has the lock.
+// running reports whether the process is running. The caller must hold p.mu.
 func (p *Process) running() bool {
 	if p.exited == nil {
 		return false
@@ -98,21 +98,21 @@
 	}
 }
 
-// Running tells whether the process has been started and has not ended.
+// Running reports whether the process has been started and has not exited.
 func (p *Process) Running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.running()
 }
 
-// Runs is how often the process was started.
-func (p *Process) Runs() int {
+// StartCount returns the number of times the process was started.
+func (p *Process) StartCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.runs
+	return p.startCount
 }
 
-// PID is the process's id, 0 where it does not run.
+// PID returns the process ID, or 0 if the process is not running.
 func (p *Process) PID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -122,38 +122,38 @@
 	return p.cmd.Process.Pid
 }
 
-// signal sends a signal and returns a channel that is closed at the end of the run.
+// signal sends a signal and returns a channel that is closed when the run exits.
 func (p *Process) signal(s syscall.Signal) (<-chan struct{}, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.running() {
-		return nil, fmt.Errorf("%s: %v: %w", p.Name, s, ErrNotRunning)
+		return nil, fmt.Errorf("send signal %q to %s: %w", s, p.Name, ErrNotRunning)
 	}
 	if err := p.cmd.Process.Signal(s); err != nil {
-		return nil, fmt.Errorf("%s: %v: %w", p.Name, s, err)
+		return nil, fmt.Errorf("send signal %q to %s: %w", s, p.Name, err)
 	}
 	return p.exited, nil
 }
 
-// Stall stops the process's execution.
+// Stall suspends the process with SIGSTOP.
 func (p *Process) Stall() error {
 	_, err := p.signal(syscall.SIGSTOP)
 	return err
 }
 
-// Resume lets a stalled process continue.
+// Resume continues a stalled process with SIGCONT.
 func (p *Process) Resume() error {
 	_, err := p.signal(syscall.SIGCONT)
 	return err
 }
 
-// HangUp makes the process read its configuration again.
+// HangUp sends SIGHUP, on which a balancer reloads its configuration.
 func (p *Process) HangUp() error {
 	_, err := p.signal(syscall.SIGHUP)
 	return err
 }
 
-// Kill ends the process at once, stalled or not, and waits for its end.
+// Kill sends SIGKILL, which also ends a stalled process, and waits for the exit.
 func (p *Process) Kill() error {
 	exited, err := p.signal(syscall.SIGKILL)
 	if err != nil {
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// Terminate asks the process to end and waits for that. The error is that of its exit code, or ErrTimeout where ctx
-// ends first.
+// Terminate sends SIGTERM and waits for the exit. It returns an error for a nonzero exit code, or ErrTimeout if ctx ends
+// first.
 func (p *Process) Terminate(ctx context.Context) error {
 	exited, err := p.signal(syscall.SIGTERM)
 	if err != nil {
@@ -173,30 +173,30 @@
 	select {
 	case <-exited:
 	case <-ctx.Done():
-		return fmt.Errorf("%s: %w", p.Name, ErrTimeout)
+		return fmt.Errorf("terminate %s: %w", p.Name, ErrTimeout)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.err != nil {
-		return fmt.Errorf("%s: %w", p.Name, p.err)
+	if p.exitErr != nil {
+		return fmt.Errorf("terminate %s: %w", p.Name, p.exitErr)
 	}
 	return nil
 }
 
-// Restart kills the process where it runs, waits for a span and starts it.
-func (p *Process) Restart(after time.Duration) error {
+// Restart kills the process if it is running, waits for a delay and starts it.
+func (p *Process) Restart(delay time.Duration) error {
 	if p.Running() {
 		if err := p.Kill(); err != nil {
 			return err
 		}
 	}
-	if after > 0 {
-		time.Sleep(after)
+	if delay > 0 {
+		time.Sleep(delay)
 	}
 	return p.Start()
 }
 
-// Output is what all runs have written so far, or the text of the error where the log can't be read.
+// Output returns the output of all runs so far, or the error text if the log cannot be read.
 func (p *Process) Output() string {
 	raw, err := os.ReadFile(p.Log)
 	if err != nil {
--- a/internal/testbed/faultinject/process_linux.go
+++ b/internal/testbed/faultinject/process_linux.go
@@ -2,5 +2,7 @@
 
 import "syscall"
 
-// dieWithParent makes the kernel kill a process when the one that started it ends, however that ends.
-func dieWithParent() *syscall.SysProcAttr { return &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} }
+// parentDeathSignal makes the kernel kill a process when its parent ends, even if the parent is killed.
+func parentDeathSignal() *syscall.SysProcAttr {
+	return &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+}
--- a/internal/testbed/faultinject/process_other.go
+++ b/internal/testbed/faultinject/process_other.go
@@ -4,5 +4,6 @@
 
 import "syscall"
 
-// dieWithParent is not available here: a process outlives the one that started it where that ends without killing it.
-func dieWithParent() *syscall.SysProcAttr { return nil }
+// parentDeathSignal returns nil, because only Linux supports Pdeathsig: on other systems a process outlives a parent that
+// ends without killing it.
+func parentDeathSignal() *syscall.SysProcAttr { return nil }
--- a/internal/testbed/faultinject/rules.go
+++ b/internal/testbed/faultinject/rules.go
@@ -8,25 +8,25 @@
 	"ottershed/internal/stats"
 )
 
-// Link is one direction between two processes, by their names.
+// Link is one direction between two processes, identified by their names.
 type Link struct{ From, To string }
 
-// Rule is what happens to the packets of a link. The zero value lets all pass at once.
+// Rule defines the delivery of packets on a link. The zero value delivers all packets without delay.
 type Rule struct {
-	Cut       bool          // nothing passes
+	Cut       bool          // no packet is delivered
 	Drop      float64       // share of packets that are lost, 0 to 1
 	Duplicate float64       // share of packets that arrive twice, 0 to 1
-	Delay     time.Duration // of each packet
-	Jitter    time.Duration // largest random addition to Delay; with it, packets may overtake each other
+	Delay     time.Duration // added to each packet
+	Jitter    time.Duration // maximum random addition to Delay; it may reorder packets
 }
 
-// Fate is what becomes of one packet.
-type Fate struct {
-	Copies int // 0: lost
+// Delivery is the outcome for one packet.
+type Delivery struct {
+	Copies int // 0 if the packet is lost
 	Delay  time.Duration
 }
 
-// Rules hold the rule of each link. They are safe for concurrent use.
+// Rules holds the rule of each link. It is safe for concurrent use.
 type Rules struct {
 	seed uint64
 
@@ -36,16 +36,16 @@
 }
 
 type linkState struct {
-	rule   *Rule // nil: the default rule
+	rule   *Rule // nil: the default rule applies
 	cut    bool
 	random stats.Random
 }
 
-// NewRules makes rules under which everything passes. The seed decides the fates of packets under later rules.
+// NewRules returns rules under which all packets are delivered. seed determines the deliveries under later rules.
 func NewRules(seed uint64) *Rules { return &Rules{seed: seed, links: map[Link]*linkState{}} }
 
-// state is a link's state, made at its first use. The caller has the lock.
-func (r *Rules) state(l Link) *linkState {
+// stateFor returns the state of a link and creates it at the first use. The caller must hold r.mu.
+func (r *Rules) stateFor(l Link) *linkState {
 	state := r.links[l]
 	if state == nil {
 		name := crc32.ChecksumIEEE([]byte(l.From + "\x00" + l.To))
@@ -55,25 +55,25 @@
 	return state
 }
 
-// SetDefault sets the rule of links that have none of their own.
+// SetDefault sets the rule of links without their own rule.
 func (r *Rules) SetDefault(rule Rule) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.defaultRule = rule
 }
 
-// Set gives a link a rule of its own.
+// Set sets the rule of one link.
 func (r *Rules) Set(l Link, rule Rule) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.state(l).rule = &rule
+	r.stateFor(l).rule = &rule
 }
 
-// Cut lets nothing pass on a link (on), or lets packets pass again by the link's rule.
+// Cut blocks a link if on is true, and otherwise unblocks the link, which keeps its rule.
 func (r *Rules) Cut(l Link, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.state(l).cut = on
+	r.stateFor(l).cut = on
 }
 
 // Heal removes all rules and cuts.
@@ -86,11 +86,11 @@
 	}
 }
 
-// RuleFor is the rule that holds for a link now.
+// RuleFor returns the current rule of a link, including a cut.
 func (r *Rules) RuleFor(l Link) Rule {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.effectiveRule(r.state(l))
+	return r.effectiveRule(r.stateFor(l))
 }
 
 func (r *Rules) effectiveRule(state *linkState) Rule {
@@ -102,21 +102,21 @@
 	return rule
 }
 
-// Next draws the fate of a link's next packet.
-func (r *Rules) Next(l Link) Fate {
+// NextDelivery draws the delivery of the next packet on a link.
+func (r *Rules) NextDelivery(l Link) Delivery {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	state := r.state(l)
+	state := r.stateFor(l)
 	rule := r.effectiveRule(state)
-	// All three are drawn for each packet, whatever the rule: otherwise a packet's fate would depend on the rules
-	// that held for the packets before it.
+	// All three numbers are drawn for each packet, independent of the rule. Otherwise the delivery of a packet would
+	// depend on the rules for earlier packets.
 	loss, duplicate, jitter := state.random.Next(), state.random.Next(), state.random.Next()
 	if rule.Cut || loss < rule.Drop {
-		return Fate{}
+		return Delivery{}
 	}
-	fate := Fate{Copies: 1, Delay: rule.Delay + time.Duration(jitter*float64(rule.Jitter))}
+	delivery := Delivery{Copies: 1, Delay: rule.Delay + time.Duration(jitter*float64(rule.Jitter))}
 	if duplicate < rule.Duplicate {
-		fate.Copies = 2
+		delivery.Copies = 2
 	}
-	return fate
+	return delivery
 }
--- a/internal/testbed/faultinject/rules_test.go
+++ b/internal/testbed/faultinject/rules_test.go
@@ -6,58 +6,57 @@
 	"time"
 )
 
-// fatesOf draws the fates of 400 packets of the link a > b, the second half of them under a rule. With other, packets
-// of the opposite link are drawn in between.
-func fatesOf(seed uint64, other bool) (fates []Fate) {
+// drawDeliveries draws the deliveries of 400 packets on the link a > b, of which the last 200 follow a rule. If other is
+// set, a packet on the opposite link is drawn before each of them.
+func drawDeliveries(seed uint64, other bool) (deliveries []Delivery) {
 	rules := NewRules(seed)
 	for i := range 400 {
 		if other {
-			rules.Next(Link{"b", "a"})
+			rules.NextDelivery(Link{"b", "a"})
 		}
 		if i == 200 {
 			rules.SetDefault(Rule{Drop: 0.2, Duplicate: 0.1, Delay: time.Millisecond, Jitter: time.Millisecond})
 		}
-		fates = append(fates, rules.Next(Link{"a", "b"}))
+		deliveries = append(deliveries, rules.NextDelivery(Link{"a", "b"}))
 	}
-	return fates
+	return deliveries
 }
 
-// The same seed gives each packet of a link the same fate, whatever passes on other links and whatever rule held
-// before.
+// The same seed gives each packet of a link the same delivery, independent of traffic on other links and of earlier rules.
 func TestRules(t *testing.T) {
-	one, two, three := fatesOf(1, false), fatesOf(1, true), fatesOf(2, false)
+	one, two, three := drawDeliveries(1, false), drawDeliveries(1, true), drawDeliveries(2, false)
 	if fmt.Sprint(one) != fmt.Sprint(two) || fmt.Sprint(one) == fmt.Sprint(three) {
-		t.Error("fates do not follow from the seed alone")
+		t.Error("deliveries depend on other links, or not on the seed")
 	}
 	lost, twice := 0, 0
-	for _, fate := range one[200:] {
-		switch fate.Copies {
+	for _, delivery := range one[200:] {
+		switch delivery.Copies {
 		case 0:
 			lost++
 		case 2:
 			twice++
 		}
-		if fate.Copies > 0 && (fate.Delay < time.Millisecond || fate.Delay > 2*time.Millisecond) {
-			t.Errorf("%+v", fate)
+		if delivery.Copies > 0 && (delivery.Delay < time.Millisecond || delivery.Delay > 2*time.Millisecond) {
+			t.Errorf("got delivery %+v, want a delay of 1ms to 2ms", delivery)
 		}
 	}
 	if lost < 20 || lost > 60 || twice < 5 || twice > 40 {
-		t.Errorf("%d of 200 lost, %d twice", lost, twice)
+		t.Errorf("of 200 packets %d were lost and %d duplicated, want 20 to 60 and 5 to 40", lost, twice)
 	}
-	t.Run("of a link", checkRulesOfLinks)
+	t.Run("per link", checkPerLinkRules)
 }
 
-// checkRulesOfLinks checks that a rule and a cut hold for their link alone, until they are healed.
-func checkRulesOfLinks(t *testing.T) {
+// checkPerLinkRules checks that a rule and a cut affect only their own link, until Heal removes them.
+func checkPerLinkRules(t *testing.T) {
 	rules := NewRules(1)
 	rules.Cut(Link{"a", "b"}, true)
 	rules.Set(Link{"b", "a"}, Rule{Delay: time.Second})
-	if rules.Next(Link{"a", "b"}).Copies != 0 || rules.Next(Link{"b", "a"}).Delay != time.Second ||
-		rules.Next(Link{"a", "c"}).Copies != 1 {
-		t.Error("a rule is not that of its link")
+	if rules.NextDelivery(Link{"a", "b"}).Copies != 0 || rules.NextDelivery(Link{"b", "a"}).Delay != time.Second ||
+		rules.NextDelivery(Link{"a", "c"}).Copies != 1 {
+		t.Error("a rule or a cut does not affect exactly its own link")
 	}
 	rules.Heal()
-	if rules.Next(Link{"a", "b"}).Copies != 1 || rules.Next(Link{"b", "a"}).Delay != 0 {
-		t.Error("not healed")
+	if rules.NextDelivery(Link{"a", "b"}).Copies != 1 || rules.NextDelivery(Link{"b", "a"}).Delay != 0 {
+		t.Error("after Heal: a cut or a delay is still in force")
 	}
 }
--- a/internal/testbed/faultinject/script.go
+++ b/internal/testbed/faultinject/script.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// Verb is what a step does.
+// Verb is the action of a step.
 type Verb string
 
-// Verbs of a script; the package's description has their grammar.
+// Verbs of a script. The package comment defines their grammar.
 const (
-	Cut     Verb = "cut"     // let nothing pass on a link
-	Heal    Verb = "heal"    // lift a link's cut, or all cuts, losses and delays
+	Cut     Verb = "cut"     // block a link
+	Heal    Verb = "heal"    // unblock a link, or lift all cuts, losses and delays
 	Loss    Verb = "loss"    // lose a share of all packets
 	Delay   Verb = "delay"   // delay all packets
-	Stall   Verb = "stall"   // stop a process's execution
-	Resume  Verb = "resume"  // let a stalled process continue
-	Kill    Verb = "kill"    // end a process at once
+	Stall   Verb = "stall"   // suspend a process
+	Resume  Verb = "resume"  // resume a suspended process
+	Kill    Verb = "kill"    // kill a process
 	Start   Verb = "start"   // start a process
 	Restart Verb = "restart" // kill a process and start it
 )
 
-// Step is one fault, or the end of one.
+// Step is one action of a script: a fault or its end.
 type Step struct {
-	At     time.Duration // since the script's start
+	At     time.Duration // since the start of the script
 	Verb   Verb
-	Target string        // the process, or the link's first one; empty for Heal: everything
-	Peer   string        // the link's second process
-	Both   bool          // the link in both directions
-	Share  float64       // of Loss, 0 to 1
-	Delay  time.Duration // of Delay
-	Jitter time.Duration // of Delay: largest random addition
+	Target string        // the process, or the first process of the link; empty for Heal of all links
+	Peer   string        // the second process of the link
+	Both   bool          // both directions of the link
+	Share  float64       // for Loss: share of packets lost, 0 to 1
+	Delay  time.Duration // for Delay
+	Jitter time.Duration // for Delay: maximum random addition
 }
 
-// String writes a step as ParseScript reads it.
+// String formats a step in the syntax of ParseScript.
 func (s Step) String() string {
 	text := fmt.Sprintf("%v %s", s.At, s.Verb)
 	switch s.Verb {
@@ -55,10 +55,10 @@
 	return text + " " + s.Target
 }
 
-// Script is steps in the order of their times.
+// Script is a sequence of steps, ordered by time.
 type Script []Step
 
-// String writes a script as ParseScript reads it.
+// String formats a script in the syntax of ParseScript.
 func (s Script) String() string {
 	lines := make([]string, len(s))
 	for i, step := range s {
--- a/internal/testbed/faultinject/script_test.go
+++ b/internal/testbed/faultinject/script_test.go
@@ -23,15 +23,15 @@
 10s heal all`
 	s, err := ParseScript(text)
 	if err != nil || len(s) != 11 || s[0].Verb != Cut || !s[2].Both || s[3].Share != 0.2 {
-		t.Fatalf("%v, %v", s, err)
+		t.Fatalf("got script %v, error %v", s, err)
 	}
 	if again, err := ParseScript(s.String()); err != nil || again.String() != s.String() {
-		t.Errorf("%v\n%v", again, err)
+		t.Errorf("parse of the formatted script: got %v, error %v, want the same script", again, err)
 	}
 }
 
-// A mistake is reported with its line and column.
-func TestScriptMistakes(t *testing.T) {
+// A syntax error is reported with its line and column.
+func TestScriptSyntaxErrors(t *testing.T) {
 	for text, column := range map[string]int{
 		"soon stall n1":      1,
 		"1s":                 3,
@@ -54,48 +54,48 @@
 	} {
 		_, err := ParseScript("# first\n" + text)
 		if err == nil || !strings.Contains(err.Error(), "line 2") {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got error %v, want one in line 2", text, err)
 		}
 		if syntax, ok := errors.AsType[*SyntaxError](err); !ok || syntax.Line != 2 || syntax.Column != column ||
 			!strings.Contains(err.Error(), fmt.Sprintf("column %d:", column)) {
-			t.Errorf("%q: %v, want column %d", text, err, column)
+			t.Errorf("%q: got error %v, want one in line 2, column %d", text, err, column)
 		}
 	}
 }
 
-// A drawn script ends healed, with all processes running, and is drawn alike from the same seed.
+// A random script ends with all faults healed and all processes running, and the same seed gives the same script.
 func TestRandom(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	for seed := range uint64(50) {
 		script := Random(seed, names, time.Minute, 40, 2)
 		if script.String() != Random(seed, names, time.Minute, 40, 2).String() {
-			t.Fatal("not drawn alike")
+			t.Fatalf("seed %d: two scripts differ", seed)
 		}
 		if again, err := ParseScript(script.String()); err != nil || again.String() != script.String() {
-			t.Fatalf("seed %d: %v\n%v", seed, err, script)
+			t.Fatalf("seed %d: parse of the formatted script: got %v, error %v, want\n%v", seed, again, err, script)
 		}
 		down := map[string]Verb{}
 		for _, step := range script {
 			switch back, isDown := down[step.Target]; step.Verb {
 			case Stall, Kill:
 				if down[step.Target] = step.Verb; isDown || len(down) > 2 {
-					t.Errorf("seed %d: %v while down: %v", seed, step, down)
+					t.Errorf("seed %d: step %v although these are down: %v", seed, step, down)
 				}
 			case Resume, Start:
 				if !isDown || (back == Stall) != (step.Verb == Resume) {
-					t.Errorf("seed %d: %v after %q", seed, step, back)
+					t.Errorf("seed %d: step %v for a process that needs %q", seed, step, back)
 				}
 				delete(down, step.Target)
 			}
 		}
-		if len(down) > 0 || script[len(script)-1-countDown(script)].Verb != Heal {
-			t.Errorf("seed %d: left %v", seed, down)
+		if len(down) > 0 || script[len(script)-1-stepsAfterLastHeal(script)].Verb != Heal {
+			t.Errorf("seed %d: the script ends without a final heal, or with these down: %v", seed, down)
 		}
 	}
 }
 
-// countDown is how many steps follow the last heal.
-func countDown(s Script) (n int) {
+// stepsAfterLastHeal returns the number of steps after the last Heal step.
+func stepsAfterLastHeal(s Script) (n int) {
 	for i := len(s) - 1; s[i].Verb != Heal; i-- {
 		n++
 	}
--- a/internal/testbed/faultinject/streams.go
+++ b/internal/testbed/faultinject/streams.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	cutPollInterval = 5 * time.Millisecond   // between checks whether a cut link is healed
-	retransmitDelay = 200 * time.Millisecond // until TCP sends a lost segment again
-	chunkBytes      = 16 << 10               // that have one fate
+	cutPollInterval = 5 * time.Millisecond   // interval of checks whether a cut link is healed
+	retransmitDelay = 200 * time.Millisecond // delay of a lost chunk, like a TCP retransmission
+	chunkBytes      = 16 << 10               // size of a chunk, which is the unit of loss and delay
 )
 
-// Streams relays TCP, with a relay for each pair of processes and direction of opening, by which the two ends of a
-// connection are known. Each direction of a connection follows the rule of its own link. A cut link keeps what was sent
-// until it is healed, as in a network that drops packets: neither side learns of the cut. A lost chunk arrives late.
-type Streams struct {
+// StreamRelays relays TCP. It has one relay for each ordered pair of a connecting and a listening process, so that the
+// relay identifies both ends of a connection. Each direction of a connection follows the rule of its own link. A cut link
+// holds data until it is healed, as in a network that drops packets: neither side is notified of the cut. A lost chunk
+// arrives late.
+type StreamRelays struct {
 	rules   *Rules
 	running sync.WaitGroup
 	closed  chan struct{}
@@ -27,21 +28,21 @@
 	conns     map[net.Conn]bool
 }
 
-// NewStreams makes relays under these rules.
-func NewStreams(rules *Rules) *Streams {
-	return &Streams{rules: rules, conns: map[net.Conn]bool{}, closed: make(chan struct{})}
+// NewStreamRelays returns a set of relays that apply rules.
+func NewStreamRelays(rules *Rules) *StreamRelays {
+	return &StreamRelays{rules: rules, conns: map[net.Conn]bool{}, closed: make(chan struct{})}
 }
 
-// AddRelay puts a relay between one process and another, which listens at an address, and returns the address that the
-// first process is to connect to.
-func (s *Streams) AddRelay(opener, listener, address string) (string, error) {
-	target, err := loopbackAddress(address)
+// AddRelay starts a relay from one process, opener, to another, listener, which listens at address. It returns the address
+// to which opener must connect.
+func (s *StreamRelays) AddRelay(opener, listener, address string) (string, error) {
+	target, err := parseLoopbackAddress(address)
 	if err != nil {
-		return "", fmt.Errorf("relay to %s: %w", listener, err)
+		return "", fmt.Errorf("add relay to %s: %w", listener, err)
 	}
 	relay, err := net.Listen("tcp", netip.AddrPortFrom(target.Addr(), 0).String())
 	if err != nil {
-		return "", fmt.Errorf("relay to %s: %w", listener, err)
+		return "", fmt.Errorf("add relay to %s: %w", listener, err)
 	}
 	s.mu.Lock()
 	s.listeners = append(s.listeners, relay)
@@ -50,7 +51,7 @@
 	return relay.Addr().String(), nil
 }
 
-func (s *Streams) accept(relay net.Listener, link Link, target string) {
+func (s *StreamRelays) accept(relay net.Listener, link Link, target string) {
 	for {
 		conn, err := relay.Accept()
 		if err != nil {
@@ -60,13 +61,13 @@
 	}
 }
 
-// relay connects a connection to the target and copies both directions until they end.
-func (s *Streams) relay(opened net.Conn, link Link, target string) {
+// relay connects an accepted connection to the target and copies both directions until they end.
+func (s *StreamRelays) relay(opened net.Conn, link Link, target string) {
 	if !s.track(opened) {
 		return
 	}
 	defer s.untrack(opened)
-	if !s.awaitPassable(link) {
+	if !s.waitWhileCut(link) {
 		return
 	}
 	out, err := net.Dial("tcp", target)
@@ -81,8 +82,8 @@
 	both.Wait()
 }
 
-// awaitPassable waits until a link is not cut; false where the relays are closed before.
-func (s *Streams) awaitPassable(link Link) bool {
+// waitWhileCut waits until a link is not cut. It returns false if the relays are closed first.
+func (s *StreamRelays) waitWhileCut(link Link) bool {
 	for s.rules.RuleFor(link).Cut {
 		if !s.sleep(cutPollInterval) {
 			return false
@@ -91,9 +92,9 @@
 	return true
 }
 
-// sleep waits for a span; false where the relays are closed before.
-func (s *Streams) sleep(span time.Duration) bool {
-	timer := time.NewTimer(span)
+// sleep waits for a duration. It returns false if the relays are closed first.
+func (s *StreamRelays) sleep(duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-s.closed:
@@ -103,16 +104,16 @@
 	}
 }
 
-// copy passes on one direction and its end.
-func (s *Streams) copy(dst, src net.Conn, link Link) {
+// copy copies one direction of a connection, including the end of the stream.
+func (s *StreamRelays) copy(dst, src net.Conn, link Link) {
 	buffer := make([]byte, chunkBytes)
 	for {
 		n, err := src.Read(buffer)
-		if !s.awaitPassable(link) {
+		if !s.waitWhileCut(link) {
 			return
 		}
 		if n > 0 {
-			if !s.delay(link) {
+			if !s.waitForDelivery(link) {
 				return
 			}
 			if _, werr := dst.Write(buffer[:n]); werr != nil {
@@ -127,39 +128,39 @@
 	}
 }
 
-// delay waits as long as a chunk takes by its link's rule; false where the relays are closed before.
-func (s *Streams) delay(link Link) bool {
-	fate := s.rules.Next(link)
-	if fate.Copies == 0 {
-		fate.Delay += retransmitDelay
+// waitForDelivery waits for the delay of a chunk under its link's rule. It returns false if the relays are closed first.
+func (s *StreamRelays) waitForDelivery(link Link) bool {
+	delivery := s.rules.NextDelivery(link)
+	if delivery.Copies == 0 {
+		delivery.Delay += retransmitDelay
 	}
-	if fate.Delay > 0 && !s.sleep(fate.Delay) {
+	if delivery.Delay > 0 && !s.sleep(delivery.Delay) {
 		return false
 	}
-	return s.awaitPassable(link)
+	return s.waitWhileCut(link)
 }
 
 func closeWrite(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.CloseWrite() // it fails only where the connection has ended
+		_ = tcp.CloseWrite() // fails only if the connection has ended
 	}
 }
 
-// reset ends a connection as if the other side had disappeared.
+// reset closes a connection with a TCP reset, as if the other side had disappeared.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // it fails only where the connection has ended
+		_ = tcp.SetLinger(0) // fails only if the connection has ended
 	}
-	_ = conn.Close() // likewise
+	_ = conn.Close() // fails only if the connection has ended
 }
 
-// track keeps a connection for Close; false where the relays are closed already, and then so is the connection.
-func (s *Streams) track(conn net.Conn) bool {
+// track registers a connection for Close. If the relays are closed already, it closes the connection and returns false.
+func (s *StreamRelays) track(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
 	case <-s.closed:
-		_ = conn.Close() // nothing was sent on it
+		_ = conn.Close() // no data was sent on it
 		return false
 	default:
 	}
@@ -167,22 +168,22 @@
 	return true
 }
 
-func (s *Streams) untrack(conn net.Conn) {
+func (s *StreamRelays) untrack(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
 	_ = conn.Close() // both directions have ended
 }
 
-// Close ends all relays and their connections.
-func (s *Streams) Close() {
+// Close stops all relays, closes their connections and waits for their goroutines.
+func (s *StreamRelays) Close() {
 	s.mu.Lock()
 	close(s.closed)
 	for _, listener := range s.listeners {
-		_ = listener.Close() // nothing is left to do for a socket that fails to close
+		_ = listener.Close() // a failed close leaves nothing to clean up
 	}
 	for conn := range s.conns {
-		_ = conn.Close() // likewise
+		_ = conn.Close() // a failed close leaves nothing to clean up
 	}
 	s.mu.Unlock()
 	s.running.Wait()
--- a/internal/testbed/fleet/faults.go
+++ b/internal/testbed/fleet/faults.go
@@ -30,9 +30,9 @@
 
 // Times of KillAtRandom.
 const (
-	minKillInterval    = 100 * time.Millisecond
-	killIntervalMillis = 250 // drawn and added
-	maxRestMillis      = 400 // that an instance is down, but for the quarter that is down for long
+	minKillInterval        = 100 * time.Millisecond
+	maxKillJitterMillis    = 250 // drawn and added
+	maxShortDowntimeMillis = 400 // that an instance is down, but for the quarter that is down for long
 )
 
 // KillAtRandom kills instances and starts them again, three of four soon and the fourth only after long, which should
@@ -45,13 +45,13 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(minKillInterval + time.Duration(random.IntN(killIntervalMillis))*time.Millisecond):
+		case <-time.After(minKillInterval + time.Duration(random.IntN(maxKillJitterMillis))*time.Millisecond):
 		}
-		if err := f.startDue(startAt); err != nil {
+		if err := f.restartDue(startAt); err != nil {
 			return err
 		}
 		victim := random.IntN(len(f.names))
-		rest := time.Duration(random.IntN(maxRestMillis)) * time.Millisecond
+		rest := time.Duration(random.IntN(maxShortDowntimeMillis)) * time.Millisecond
 		if random.IntN(4) == 0 {
 			rest = long
 		}
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// startDue starts the instances whose time has come, in the order of their numbers.
-func (f *Fleet) startDue(startAt map[int]time.Time) error {
+// restartDue starts the instances whose time has come, in the order of their numbers.
+func (f *Fleet) restartDue(startAt map[int]time.Time) error {
 	for i := range f.names {
 		at, isDown := startAt[i]
 		if !isDown || !time.Now().After(at) {
--- a/internal/testbed/fleet/files.go
+++ b/internal/testbed/fleet/files.go
@@ -81,7 +81,7 @@
 	var seeds strings.Builder
 	for s := range f.names {
 		if f.settings.Seeds == 0 || s < f.settings.Seeds {
-			fmt.Fprintf(&seeds, "[[membership.seeds]]\nname = %q\naddress = %q\n", f.names[s], f.relays[s])
+			fmt.Fprintf(&seeds, "[[membership.seeds]]\nname = %q\naddress = %q\n", f.names[s], f.relayAddresses[s])
 		}
 	}
 	policy, err := f.policySection(i, key)
@@ -90,7 +90,7 @@
 	}
 	return fmt.Sprintf("[admin]\nlisten = %q\n\n[membership]\nenabled = true\ncluster = \"lab\"\n"+
 		"bind = %q\nadvertise = %q\n%sbear-pause = %q\ndetect-within = %q\n%s\n%s",
-		f.Admin(i), f.address(i, memberPort), f.relays[i], key,
+		f.Admin(i), f.address(i, memberPort), f.relayAddresses[i], key,
 		f.settings.ToleratedPause.String(), f.settings.DetectionTimeout.String(), seeds.String(), policy), nil
 }
 
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -35,21 +35,21 @@
 	policyPort  = 7947
 )
 
-// started numbers the fleets of this process. Each has a network of its own in 127.0.0.0/8 with fixed ports, so that
+// fleetCount numbers the fleets of this process. Each has a network of its own in 127.0.0.0/8 with fixed ports, so that
 // no port is asked of the kernel that another process could take in the meantime.
-var started atomic.Int64
+var fleetCount atomic.Int64
 
 // Fleet is several balancers on loopback, each with an address of its own and a relay for its membership packets.
 type Fleet struct {
 	Rules *faultinject.Rules // of the links between instances
 
-	settings  Settings
-	packets   *faultinject.Packets
-	streams   *faultinject.Streams
-	names     []string
-	hosts     []netip.Addr
-	relays    []string // where others reach an instance's membership
-	processes map[string]*faultinject.Process
+	settings       Settings
+	packets        *faultinject.PacketRelays
+	streams        *faultinject.StreamRelays
+	names          []string
+	addresses      []netip.Addr
+	relayAddresses []string // where others reach an instance's membership
+	processes      map[string]*faultinject.Process
 }
 
 // New writes the files of a fleet and sets up its relays; Start starts its processes.
@@ -59,7 +59,7 @@
 	}
 	rules := faultinject.NewRules(set.Seed)
 	f := &Fleet{
-		Rules: rules, settings: set, packets: faultinject.NewPackets(rules), streams: faultinject.NewStreams(rules),
+		Rules: rules, settings: set, packets: faultinject.NewPacketRelays(rules), streams: faultinject.NewStreamRelays(rules),
 		processes: map[string]*faultinject.Process{},
 	}
 	if err := f.prepare(); err != nil {
@@ -71,16 +71,16 @@
 
 // prepare sets up all relays and then writes all files, which name the relays.
 func (f *Fleet) prepare() error {
-	network := byte(started.Add(1))
+	network := byte(fleetCount.Add(1))
 	ofProcess := byte(10 + os.Getpid()%200)
 	for i := range f.settings.Instances {
 		f.names = append(f.names, fmt.Sprintf("n%d", i))
-		f.hosts = append(f.hosts, netip.AddrFrom4([4]byte{127, ofProcess, network, byte(i + 1)}))
+		f.addresses = append(f.addresses, netip.AddrFrom4([4]byte{127, ofProcess, network, byte(i + 1)}))
 		relay, err := f.packets.AddRelay(f.names[i], f.address(i, memberPort))
 		if err != nil {
 			return err
 		}
-		f.relays = append(f.relays, relay)
+		f.relayAddresses = append(f.relayAddresses, relay)
 	}
 	for i := range f.settings.Instances {
 		if err := f.writeFiles(i); err != nil {
@@ -126,7 +126,7 @@
 }
 
 func (f *Fleet) address(i, port int) string {
-	return netip.AddrPortFrom(f.hosts[i], uint16(port)).String()
+	return netip.AddrPortFrom(f.addresses[i], uint16(port)).String()
 }
 
 // Platform is the stand-ins that the fleet works with.
@@ -145,7 +145,7 @@
 func (f *Fleet) Listen(i int) string { return f.address(i, requestPort) }
 
 // RelayAddress is where others reach an instance's membership.
-func (f *Fleet) RelayAddress(i int) string { return f.relays[i] }
+func (f *Fleet) RelayAddress(i int) string { return f.relayAddresses[i] }
 
 // File is the path of an instance's file of a kind: json and toml (configuration), log, store.
 func (f *Fleet) File(i int, kind string) string {
--- a/internal/testbed/fleet/lease.go
+++ b/internal/testbed/fleet/lease.go
@@ -54,7 +54,7 @@
 		return err
 	}
 	for _, lease := range leases {
-		holder, err := Number(lease.Holder)
+		holder, err := InstanceNumber(lease.Holder)
 		if err != nil || lease.Expired || !f.Process(holder).Running() {
 			return fmt.Errorf("%+v has no running holder", lease)
 		}
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// Number is the number of the instance of a name.
-func Number(name string) (int, error) { return strconv.Atoi(strings.TrimPrefix(name, "n")) }
+// InstanceNumber is the number of the instance of a name.
+func InstanceNumber(name string) (int, error) { return strconv.Atoi(strings.TrimPrefix(name, "n")) }
 
 // Grants counts by fencing token how often it was granted, by the instances' logs.
 func (f *Fleet) Grants() map[string]int {
--- a/internal/testbed/load/clients.go
+++ b/internal/testbed/load/clients.go
@@ -26,8 +26,8 @@
 	maxIdleConnections = 64                 // that clients keep to each balancer
 )
 
-// ErrWrongResponse is a response that belongs to another request.
-var ErrWrongResponse = errors.New("response to another request")
+// ErrMismatchedResponse is a response that belongs to another request.
+var ErrMismatchedResponse = errors.New("response to another request")
 
 // Clients send requests over connections that they keep.
 type Clients struct {
@@ -84,7 +84,7 @@
 		return response, nil
 	}
 	if ran != requestID {
-		return response, fmt.Errorf("request %s: %w: %s", requestID, ErrWrongResponse, ran)
+		return response, fmt.Errorf("request %s: %w: %s", requestID, ErrMismatchedResponse, ran)
 	}
 	response.Endpoint = endpoint
 	return response, nil
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -18,15 +18,15 @@
 const RequestLatency = 30 * time.Millisecond
 
 const (
-	resumeTimeout   = 5 * time.Second      // for which a client looks for a balancer that takes its request
-	resumeInterval  = 5 * time.Millisecond // between two balancers that it tries
-	maxThinkMillis  = 20                   // between two requests of a client, drawn
-	oneInIsSendText = 3                    // one request in so many is non-idempotent
+	resumeTimeout      = 5 * time.Second      // for which a client looks for a balancer that takes its request
+	resumeInterval     = 5 * time.Millisecond // between two balancers that it tries
+	maxThinkTimeMillis = 20                   // between two requests of a client, drawn
+	sendTextOneIn      = 3                    // one request in so many is non-idempotent
 )
 
-// Load is clients that each send one request after another to the balancers of a fleet, and resume a request at another
+// Generator is clients that each send one request after another to the balancers of a fleet, and resume a request at another
 // balancer where the first one was lost with it.
-type Load struct {
+type Generator struct {
 	fleet   *fleet.Fleet
 	clients int
 	seed    uint64
@@ -56,20 +56,20 @@
 }
 
 // New makes a load of so many clients; the seed decides what they send.
-func New(f *fleet.Fleet, clients int, seed uint64) *Load {
-	return &Load{fleet: f, clients: clients, seed: seed}
+func New(f *fleet.Fleet, clients int, seed uint64) *Generator {
+	return &Generator{fleet: f, clients: clients, seed: seed}
 }
 
 // Start starts the clients.
-func (l *Load) Start(ctx context.Context) {
+func (l *Generator) Start(ctx context.Context) {
 	ctx, l.cancel = context.WithCancel(ctx)
 	for client := range l.clients {
-		l.running.Go(func() { l.run(ctx, client) })
+		l.running.Go(func() { l.runClient(ctx, client) })
 	}
 }
 
 // Stop ends the clients, each after the request that it is sending, and returns the counts.
-func (l *Load) Stop() Result {
+func (l *Generator) Stop() Result {
 	l.cancel()
 	l.running.Wait()
 	l.mu.Lock()
@@ -77,23 +77,23 @@
 	return l.result
 }
 
-// run is one client.
-func (l *Load) run(ctx context.Context, client int) {
+// runClient is one client.
+func (l *Generator) runClient(ctx context.Context, client int) {
 	random := rand.New(rand.NewPCG(l.seed, uint64(client)+1))
 	clients := NewClients()
 	defer clients.Close()
 	for n := 0; ctx.Err() == nil; n++ {
 		class := ClassRead
-		if random.IntN(oneInIsSendText) == 0 {
+		if random.IntN(sendTextOneIn) == 0 {
 			class = ClassSendText
 		}
 		l.sendUntilDone(clients, random.IntN(len(l.fleet.Names())), class, fmt.Sprintf("c%d-%d", client, n))
-		time.Sleep(time.Duration(random.IntN(maxThinkMillis)) * time.Millisecond)
+		time.Sleep(time.Duration(random.IntN(maxThinkTimeMillis)) * time.Millisecond)
 	}
 }
 
 // sendUntilDone sends one request, first to an instance and then to those after it, until one responds.
-func (l *Load) sendUntilDone(clients *Clients, instance int, class, id string) {
+func (l *Generator) sendUntilDone(clients *Clients, instance int, class, id string) {
 	// The request's context is not the load's: a request that the end of the load cuts off would count as lost.
 	ctx, cancel := context.WithTimeout(context.Background(), resumeTimeout)
 	defer cancel()
@@ -104,7 +104,7 @@
 		case err == nil:
 			l.record(response.Status, class, resumed)
 			return
-		case errors.Is(err, ErrWrongResponse):
+		case errors.Is(err, ErrMismatchedResponse):
 			l.count(func(r *Result) { r.Wrong++ })
 			return
 		case ctx.Err() != nil:
@@ -112,14 +112,14 @@
 			return
 		}
 		// A request that came to a balancer may be at an endpoint; one whose connection failed has not begun.
-		resumed = resumed || !neverConnected(err)
+		resumed = resumed || !isDialError(err)
 		instance = (instance + 1) % len(l.fleet.Names())
 		time.Sleep(resumeInterval)
 	}
 }
 
 // count counts a request and how it ended.
-func (l *Load) count(add func(*Result)) {
+func (l *Generator) count(add func(*Result)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.result.Requests++
@@ -127,7 +127,7 @@
 }
 
 // record counts a request that has a response.
-func (l *Load) record(status int, class string, resumed bool) {
+func (l *Generator) record(status int, class string, resumed bool) {
 	l.count(func(r *Result) {
 		if resumed {
 			r.Resumed++
@@ -146,8 +146,8 @@
 	})
 }
 
-// neverConnected tells whether a request failed because its connection did not come up.
-func neverConnected(err error) bool {
+// isDialError tells whether a request failed because its connection did not come up.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/internal/testbed/platform/controller.go
+++ b/internal/testbed/platform/controller.go
@@ -13,32 +13,32 @@
 
 const (
 	pingInterval    = time.Second // of a follower's connection; also the time that a write to it may take
-	maxBallots      = 1 << 16     // that are kept; later ones are answered but not recorded
+	maxVotes        = 1 << 16     // that are kept; later ones are answered but not recorded
 	maxMessageBytes = 8 << 10
 
-	codeRejected = -32602 // of every JSON-RPC error that the controller answers with
+	codeInvalidParams = -32602 // of every JSON-RPC error that the controller answers with
 )
 
-// opinions that a ballot may hold.
-var opinions = []string{"none", "on", "hold", "back"}
+// validVerdicts that a ballot may hold.
+var validVerdicts = []string{"none", "on", "hold", "back"}
 
 // Stage is where the newest build stands in its rollout, as the controller notifies it.
 type Stage struct {
 	Image    int     `json:"image"`    // the build
-	Ring     int     `json:"ring"`     // the stage, from 0
+	Number   int     `json:"ring"`     // the stage, from 0
 	Progress string  `json:"progress"` // such as "testing" or "live"
 	Ceiling  float64 `json:"ceiling"`  // exposure limit: the share of requests that may go to the build, 0 to 1
-	Lag      float64 `json:"lag_ms"`   // since the build entered the stage; set when a message is sent
+	AgeMS    float64 `json:"lag_ms"`   // since the build entered the stage; set when a message is sent
 }
 
-// Ballot is a vote as the controller received it.
-type Ballot struct {
-	At      time.Time
-	From    string // the connection's address
-	Image   int    `json:"image"`
-	Ring    int    `json:"ring"`
-	Opinion string `json:"opinion"`
-	Fences  []struct {
+// Vote is a vote as the controller received it.
+type Vote struct {
+	At            time.Time
+	RemoteAddress string // the connection's address
+	Build         int    `json:"image"`
+	Stage         int    `json:"ring"`
+	Verdict       string `json:"opinion"`
+	Fences        []struct {
 		Work  string `json:"work"`
 		Token uint64 `json:"token"`
 	} `json:"fences"`
@@ -52,12 +52,12 @@
 	listener net.Listener
 	closing  chan struct{}
 
-	mu        sync.Mutex
-	stage     Stage
-	since     time.Time // when the stage was set
-	followers map[net.Conn]bool
-	ballots   []Ballot
-	tokens    map[string]uint64 // the highest seen, by lease
+	mu           sync.Mutex
+	stage        Stage
+	stageSetAt   time.Time // when the stage was set
+	followers    map[net.Conn]bool
+	votes        []Vote
+	newestTokens map[string]uint64 // the highest seen, by lease
 }
 
 func newController() (*Controller, error) {
@@ -67,7 +67,7 @@
 	}
 	ctl := &Controller{
 		listener: listener, closing: make(chan struct{}), stage: Stage{Image: 1, Progress: "live", Ceiling: 1},
-		since: time.Now(), followers: map[net.Conn]bool{}, tokens: map[string]uint64{},
+		stageSetAt: time.Now(), followers: map[net.Conn]bool{}, newestTokens: map[string]uint64{},
 	}
 	go ctl.accept()
 	go ctl.pingFollowers()
@@ -88,17 +88,17 @@
 }
 
 // Ballots are the votes that were received, in order.
-func (ctl *Controller) Ballots() []Ballot {
+func (ctl *Controller) Ballots() []Vote {
 	ctl.mu.Lock()
 	defer ctl.mu.Unlock()
-	return slices.Clone(ctl.ballots)
+	return slices.Clone(ctl.votes)
 }
 
 // SetStage changes the stage and notifies all followers.
 func (ctl *Controller) SetStage(s Stage) {
 	ctl.mu.Lock()
 	defer ctl.mu.Unlock()
-	ctl.stage, ctl.since = s, time.Now()
+	ctl.stage, ctl.stageSetAt = s, time.Now()
 	for conn := range ctl.followers {
 		ctl.notify(conn, "stage", ctl.currentStage())
 	}
@@ -107,7 +107,7 @@
 // currentStage is the stage with its present lag. The caller has the lock.
 func (ctl *Controller) currentStage() Stage {
 	stage := ctl.stage
-	stage.Lag = float64(time.Since(ctl.since)) / float64(time.Millisecond)
+	stage.AgeMS = float64(time.Since(ctl.stageSetAt)) / float64(time.Millisecond)
 	return stage
 }
 
@@ -168,7 +168,7 @@
 
 // serve answers the messages of one connection until it ends or a line is no JSON object.
 func (ctl *Controller) serve(conn net.Conn) {
-	defer ctl.drop(conn)
+	defer ctl.disconnect(conn)
 	lines := bufio.NewScanner(conn)
 	lines.Buffer(nil, maxMessageBytes)
 	for lines.Scan() {
@@ -180,7 +180,7 @@
 	}
 }
 
-func (ctl *Controller) drop(conn net.Conn) {
+func (ctl *Controller) disconnect(conn net.Conn) {
 	ctl.mu.Lock()
 	delete(ctl.followers, conn)
 	ctl.mu.Unlock()
@@ -199,36 +199,36 @@
 		ctl.notify(conn, "stage", ctl.currentStage())
 		return
 	case "castBallot":
-		fault := ctl.castBallot(conn, req.Params)
+		fault := ctl.recordVote(conn, req.Params)
 		if fault == "" {
 			response["result"] = ctl.currentStage()
 		} else {
-			response["error"] = rejection(fault)
+			response["error"] = rpcError(fault)
 		}
 	default:
-		response["error"] = rejection("ValidationError")
+		response["error"] = rpcError("ValidationError")
 	}
 	ctl.writeLine(conn, response)
 }
 
-func rejection(fault string) map[string]any {
-	return map[string]any{"code": codeRejected, "message": fault}
+func rpcError(fault string) map[string]any {
+	return map[string]any{"code": codeInvalidParams, "message": fault}
 }
 
-// castBallot records a vote and returns why it does not count, empty where it does. The caller has the lock.
-func (ctl *Controller) castBallot(conn net.Conn, params json.RawMessage) (fault string) {
-	var ballot Ballot
-	if json.Unmarshal(params, &ballot) != nil || !slices.Contains(opinions, ballot.Opinion) {
+// recordVote records a vote and returns why it does not count, empty where it does. The caller has the lock.
+func (ctl *Controller) recordVote(conn net.Conn, params json.RawMessage) (fault string) {
+	var ballot Vote
+	if json.Unmarshal(params, &ballot) != nil || !slices.Contains(validVerdicts, ballot.Verdict) {
 		return "ValidationError"
 	}
-	ballot.At, ballot.From = time.Now(), conn.RemoteAddr().String()
+	ballot.At, ballot.RemoteAddress = time.Now(), conn.RemoteAddr().String()
 	for _, fence := range ballot.Fences {
-		ballot.Fenced = ballot.Fenced || fence.Token < ctl.tokens[fence.Work]
-		ctl.tokens[fence.Work] = max(ctl.tokens[fence.Work], fence.Token)
+		ballot.Fenced = ballot.Fenced || fence.Token < ctl.newestTokens[fence.Work]
+		ctl.newestTokens[fence.Work] = max(ctl.newestTokens[fence.Work], fence.Token)
 	}
-	ballot.Counted = !ballot.Fenced && ballot.Image == ctl.stage.Image && ballot.Ring == ctl.stage.Ring
-	if len(ctl.ballots) < maxBallots {
-		ctl.ballots = append(ctl.ballots, ballot)
+	ballot.Counted = !ballot.Fenced && ballot.Build == ctl.stage.Image && ballot.Stage == ctl.stage.Number
+	if len(ctl.votes) < maxVotes {
+		ctl.votes = append(ctl.votes, ballot)
 	}
 	if !ballot.Counted {
 		return "ConditionFailed"
--- a/internal/testbed/platform/discovery.go
+++ b/internal/testbed/platform/discovery.go
@@ -18,8 +18,8 @@
 	Type    string  `json:"type"`
 	Status  string  `json:"status"`
 	Weight  float64 `json:"weight"`
-	Since   int     `json:"since_ms"`
-	Image   int     `json:"image_id"`
+	SinceMS int     `json:"since_ms"`
+	Build   int     `json:"image_id"`
 }
 
 // endpointList is the discovery agent's response.
@@ -35,7 +35,7 @@
 	if r.URL.Query().Get("since") != "" && !p.awaitChange(r) {
 		return
 	}
-	_ = json.NewEncoder(w).Encode(p.list()) // a balancer that has left needs no response
+	_ = json.NewEncoder(w).Encode(p.endpointList()) // a balancer that has left needs no response
 }
 
 // awaitChange waits for a list newer than the watch knows; false where the watcher has left or the platform closes.
@@ -63,14 +63,14 @@
 	}
 }
 
-func (p *Platform) list() endpointList {
+func (p *Platform) endpointList() endpointList {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := endpointList{Index: p.index, Snapshot: true}
 	for _, endpoint := range p.endpoints {
 		list.Endpoints = append(list.Endpoints, listedEndpoint{
 			Name: endpoint.Name, Address: endpoint.address, Zone: "z", Type: "k", Status: "Ready",
-			Weight: 1, Image: endpoint.Build,
+			Weight: 1, Build: endpoint.Build,
 		})
 	}
 	return list
--- a/internal/testbed/platform/platform.go
+++ b/internal/testbed/platform/platform.go
@@ -26,7 +26,7 @@
 // Platform is the stand-ins that all balancers of a cluster share.
 type Platform struct {
 	endpoints        []*Endpoint
-	agent            *http.Server
+	discoveryServer  *http.Server
 	discoveryAddress string
 	controller       *Controller
 	closing          chan struct{}
@@ -57,7 +57,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /discovery/hosts", p.serveHosts)
 	var err error
-	p.agent, p.discoveryAddress, err = serveOnLoopback(mux)
+	p.discoveryServer, p.discoveryAddress, err = serveOnLoopback(mux)
 	if err != nil {
 		return err
 	}
@@ -87,8 +87,8 @@
 	for _, endpoint := range p.endpoints {
 		_ = endpoint.server.Close() // nothing is left to do for a listener that fails to close
 	}
-	if p.agent != nil {
-		_ = p.agent.Close() // likewise
+	if p.discoveryServer != nil {
+		_ = p.discoveryServer.Close() // likewise
 	}
 	if p.controller != nil {
 		p.controller.close()
--- a/internal/testbed/poll/poll.go
+++ b/internal/testbed/poll/poll.go
@@ -1,4 +1,4 @@
-// Package poll waits for conditions that nothing notifies of.
+// Package poll waits for conditions by checking them repeatedly.
 package poll
 
 import (
@@ -10,8 +10,8 @@
 // interval is the time between two checks.
 const interval = 10 * time.Millisecond
 
-// Until calls check until it returns nil. Where ctx ends first it returns the last error of check joined with that of
-// ctx.
+// Until calls check every interval until check returns nil. If ctx ends first, Until returns the last error of check
+// joined with the error of ctx.
 func Until(ctx context.Context, check func() error) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
