--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -2,7 +2,7 @@
 // files were written by an earlier version of the program: they stand for stored data and for messages of other
 // instances.
 //
-//	golden.go    fixtures: one encoded value each, compared in both directions (RoundTrip), without unset fields (Filled)
+//	golden.go    fixtures: one encoded value each, compared in both directions (RoundTrip), all fields set (Filled)
 //	text.go      texts of several sections, compared as a whole (Check); Quote and Section format them
 //
 // For an intended change of an encoding, `go test ./internal/cluster/lease -update` rewrites the files of one package.
--- a/internal/testbed/experiment/membership.go
+++ b/internal/testbed/experiment/membership.go
@@ -58,7 +58,8 @@
 	run := &processRun{
 		fleet: cluster, detectionTimeout: settings.DetectionTimeout,
 		result: &MembershipResult{
-			Kind: "processes", Members: settings.Instances, Loss: loss, DetectionTimeout: Millis(settings.DetectionTimeout.Milliseconds()),
+			Kind: "processes", Members: settings.Instances, Loss: loss,
+			DetectionTimeout: Millis(settings.DetectionTimeout.Milliseconds()),
 		},
 	}
 	if err := run.awaitAgreement(ctx); err != nil {
--- a/internal/testbed/fleet/lease.go
+++ b/internal/testbed/fleet/lease.go
@@ -25,8 +25,8 @@
 	return leases, err
 }
 
-// Responses returns the number of responses in the evidence on the candidate, summed over all running instances. Each
-// response is in the evidence of exactly one instance.
+// Responses returns the number of responses in the evidence on the candidate, summed over all running instances.
+// Each response is in the evidence of exactly one instance.
 func (f *Fleet) Responses(ctx context.Context) (responses int, err error) {
 	for i := range f.names {
 		if !f.Process(i).Running() {
