--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,6 +1,6 @@
 // Package golden compares the output of code under test with golden files in the testdata directory of its package. The
-// files were written by an earlier version of the program: they stand for stored data and for messages of other
-// instances.
+// files were written by an earlier version of the program: they stand for stored data and for messages that
+// instances exchange.
 //
 //	golden.go    fixtures: one encoded value each, compared in both directions (RoundTrip), all fields set (Filled)
 //	text.go      texts of several sections, compared as a whole (Check); Quote and Section format them
--- a/internal/testbed/fleet/settings.go
+++ b/internal/testbed/fleet/settings.go
@@ -16,7 +16,7 @@
 	Seed      uint64             // of the faults and of the random choices of the instances
 	Platform  *platform.Platform // shared by all instances
 
-	ToleratedPause   time.Duration // pause of a member that is not declared a death; larger values slow detection
+	ToleratedPause   time.Duration // longest pause that is not declared a death; larger values slow detection
 	DetectionTimeout time.Duration // time limit for the detection of a death; smaller values cost more probes
 	Seeds            int           // number of instances, from the first, that are membership seeds; 0: all
 	Key              string        // seals packets and streams of the cluster; empty: unsealed
