--- a/cmd/balancer/cluster_test.go
+++ b/cmd/balancer/cluster_test.go
@@ -12,7 +12,7 @@
 	"ottershed/internal/cluster/membership"
 	"ottershed/internal/testbed/faultinject"
 	"ottershed/internal/testbed/fleet"
-	standin "ottershed/internal/testbed/platform"
+	testplatform "ottershed/internal/testbed/platform"
 	"ottershed/internal/testbed/poll"
 )
 
@@ -30,7 +30,7 @@
 // startCluster starts instances as processes, and waits until each considers all others alive.
 func startCluster(t *testing.T, set fleet.Settings) (*fleet.Fleet, context.Context) {
 	t.Helper()
-	platform, err := standin.New(3)
+	platform, err := testplatform.New(3)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// A member that pauses for 3 s, less than the detection timeout, is suspected, and alive again once it resumes. No member
+// A member that pauses for 3 s, less than the tolerated pause, is suspected, and alive again once it resumes. No member
 // declares it dead.
 func TestPausedMemberIsSuspectedAndRecovers(t *testing.T) {
 	t.Parallel()
--- a/cmd/balancer/lease_cluster_test.go
+++ b/cmd/balancer/lease_cluster_test.go
@@ -21,7 +21,7 @@
 	"ottershed/internal/testbed/faultinject"
 	"ottershed/internal/testbed/fleet"
 	"ottershed/internal/testbed/load"
-	standin "ottershed/internal/testbed/platform"
+	testplatform "ottershed/internal/testbed/platform"
 	"ottershed/internal/testbed/poll"
 )
 
@@ -40,7 +40,7 @@
 		ToleratedPause: 500 * time.Millisecond, DetectionTimeout: 2500 * time.Millisecond, Clocks: clocks,
 	})
 	fleet.Platform().SetBuild(fleet.Platform().Endpoints()[0], 2)
-	fleet.Platform().Controller().SetStage(standin.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
+	fleet.Platform().Controller().SetStage(testplatform.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
 	await(t, ctx, 20*time.Second, func() error { return fleet.CheckHeld(ctx, 0, 5) })
 	return fleet, ctx
 }
--- a/cmd/balancer/policy_cluster_test.go
+++ b/cmd/balancer/policy_cluster_test.go
@@ -18,7 +18,7 @@
 	"ottershed/internal/testbed/faultinject"
 	"ottershed/internal/testbed/fleet"
 	"ottershed/internal/testbed/load"
-	standin "ottershed/internal/testbed/platform"
+	testplatform "ottershed/internal/testbed/platform"
 	"ottershed/internal/testbed/poll"
 )
 
@@ -158,7 +158,7 @@
 	platform := fleet.Platform()
 	candidate := platform.Endpoints()[0]
 	platform.SetBuild(candidate, 2)
-	platform.Controller().SetStage(standin.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
+	platform.Controller().SetStage(testplatform.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
 	clients := load.NewClients()
 	defer clients.Close()
 	requests := 0
