--- a/cmd/balancer/readiness.go
+++ b/cmd/balancer/readiness.go
@@ -12,8 +12,8 @@
 
 // requiresEndpointList reports whether the instance is ready only after discovery has sent a list. An instance is expected
 // to know discovery's list from its start, and the configuration's list may be older. It could still have an endpoint that
-// was announced as draining and must get no requests. If polls are charged for, the decision module decides when to poll,
-// and the instance does not wait.
+// was announced as draining and must get no requests. With PollEndpoints a poll costs the discovery service something, so
+// the decision module decides when to poll and the instance does not wait.
 func (i *instance) requiresEndpointList() bool { return !i.cfg.Settings.PollEndpoints }
 
 // awaitEndpointList makes the instance ready as soon as discovery has sent a list, at the latest at readyDeadline. The
--- a/cmd/balancer/summary.go
+++ b/cmd/balancer/summary.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	minSummaryInterval = 100 * time.Millisecond
-	finalStatsTimeout  = time.Second // limits how long the last summary line waits for the engine
+	minSummaryInterval  = 100 * time.Millisecond
+	finalSummaryTimeout = time.Second // limits how long the last summary line waits for the engine
 )
 
 // summaryLogger writes a log line with an instance's counters and gauges at each interval; interval 0: no lines. Counters
@@ -46,7 +46,7 @@
 // writeFinal writes the last summary line of an instance that stops.
 func (s summaryLogger) writeFinal() {
 	if s.interval > 0 {
-		ctx, cancel := context.WithTimeout(context.Background(), finalStatsTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), finalSummaryTimeout)
 		defer cancel()
 		s.write(ctx)
 	}
