--- a/cmd/balancer/cluster_test.go
+++ b/cmd/balancer/cluster_test.go
@@ -12,25 +12,25 @@
 	"ottershed/internal/cluster/membership"
 	"ottershed/internal/testbed/faultinject"
 	"ottershed/internal/testbed/fleet"
-	standin "ottershed/internal/testbed/platform"
+	testplatform "ottershed/internal/testbed/platform"
 	"ottershed/internal/testbed/poll"
 )
 
-// asProgram is the variable that has the test's own program be the balancer: tests start it as processes.
-const asProgram = "OTTERSHED_TEST_AS_PROGRAM"
+// runAsBalancer is the environment variable that makes the test binary run as the balancer. Tests start it as processes.
+const runAsBalancer = "OTTERSHED_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) == "1" {
+	if os.Getenv(runAsBalancer) == "1" {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// startCluster starts instances as processes, and waits until each is a member to all others.
+// startCluster starts instances as processes, and waits until each considers all others alive.
 func startCluster(t *testing.T, set fleet.Settings) (*fleet.Fleet, context.Context) {
 	t.Helper()
-	platform, err := standin.New(3)
+	platform, err := testplatform.New(3)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.Dir, set.Program, set.Env, set.Platform = t.TempDir(), program, []string{asProgram + "=1"}, platform
+	set.Dir, set.Program, set.Env, set.Platform = t.TempDir(), program, []string{runAsBalancer + "=1"}, platform
 	fleet, err := fleet.New(set)
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 	return fleet, ctx
 }
 
-// await fails the test where something does not come true in time.
+// await waits until ok returns nil, and fails the test with its last error if that takes too long.
 func await(t *testing.T, ctx context.Context, within time.Duration, ok func() error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(ctx, within)
@@ -74,8 +74,8 @@
 	}
 }
 
-// deathsDeclared returns the log lines of all instances that say that a member is dead.
-func deathsDeclared(f *fleet.Fleet) (lines []string) {
+// deathLogLines returns the log lines of all instances that declare a member dead.
+func deathLogLines(f *fleet.Fleet) (lines []string) {
 	for i, name := range f.Names() {
 		for line := range strings.Lines(f.Process(i).Output()) {
 			if strings.Contains(line, `msg="member changed"`) && strings.Contains(line, "state=dead") {
@@ -86,10 +86,10 @@
 	return lines
 }
 
-// checkAll returns the first error of a check at every instance but one.
-func checkAll(f *fleet.Fleet, but int, check func(i int) error) error {
+// checkOthers returns the first error of a check of all instances except one. An except of -1 checks all instances.
+func checkOthers(f *fleet.Fleet, except int, check func(i int) error) error {
 	for i := range f.Names() {
-		if i != but {
+		if i != except {
 			if err := check(i); err != nil {
 				return err
 			}
@@ -98,8 +98,9 @@
 	return nil
 }
 
-// A member that pauses for 3 s is suspected, and alive again once it resumes; nobody declares it dead.
-func TestMemberPauses(t *testing.T) {
+// A member that pauses for 3 s, less than the tolerated pause, is suspected, and alive again once it resumes. No member
+// declares it dead.
+func TestPausedMemberIsSuspectedAndRecovers(t *testing.T) {
 	t.Parallel()
 	fleet, ctx := startCluster(t, fleet.Settings{Instances: 5, Seed: 1})
 	before, err := fleet.Members(ctx, 0)
@@ -112,32 +113,32 @@
 		t.Fatal(err)
 	}
 	await(t, ctx, 2900*time.Millisecond, func() error { return fleet.Holds(ctx, 0, 2, membership.Suspect) })
-	time.Sleep(time.Until(paused.Add(3 * time.Second))) // the length of the pause is what is tested
+	time.Sleep(time.Until(paused.Add(3 * time.Second))) // the test is about a pause of this length
 	if err := fleet.Process(2).Resume(); err != nil {
 		t.Fatal(err)
 	}
 	await(t, ctx, 5*time.Second, func() error {
-		return checkAll(fleet, -1, func(i int) error { return fleet.Holds(ctx, i, 2, membership.Alive) })
+		return checkOthers(fleet, -1, func(i int) error { return fleet.Holds(ctx, i, 2, membership.Alive) })
 	})
 	after, err := fleet.Members(ctx, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if is, _ := after.Get("n2"); is.Incarnation <= was.Incarnation || is.Run != was.Run {
-		t.Errorf("it denied nothing: %+v, and before %+v", is, was)
+		t.Errorf("got %+v, want the same run with a higher incarnation than %+v, since it refuted the suspicion", is, was)
 	}
-	if lines := deathsDeclared(fleet); len(lines) > 0 {
+	if lines := deathLogLines(fleet); len(lines) > 0 {
 		t.Errorf("declared dead: %s", lines)
 	}
 }
 
-// With a fifth of all packets lost, no running member is declared dead over a minute.
-func TestPacketsLost(t *testing.T) {
+// With 20 % packet loss, no running member is declared dead within a minute.
+func TestPacketLossDeclaresNoRunningMemberDead(t *testing.T) {
 	t.Parallel()
 	fleet, ctx := startCluster(t, fleet.Settings{Instances: 5, Seed: 2})
 	fleet.Rules.SetDefault(faultinject.Rule{Drop: 0.2})
-	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(time.Second) { // the minute is what is tested
-		if lines := deathsDeclared(fleet); len(lines) > 0 {
+	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(time.Second) { // the test is about this minute
+		if lines := deathLogLines(fleet); len(lines) > 0 {
 			t.Fatalf("declared dead: %s", lines)
 		}
 	}
@@ -145,13 +146,13 @@
 	await(t, ctx, 10*time.Second, func() error { return fleet.Agree(ctx) })
 }
 
-// A member that receives nothing from another does not declare that one dead, nor does any other member.
-func TestOneSidedCut(t *testing.T) {
+// A member that receives no packets from another member does not declare that member dead, and neither does any other.
+func TestOneWayPartitionDeclaresNobodyDead(t *testing.T) {
 	t.Parallel()
 	fleet, ctx := startCluster(t, fleet.Settings{Instances: 5, Seed: 3})
 	fleet.Rules.Cut(faultinject.Link{From: "n0", To: "n1"}, true) // n1 receives nothing from n0
-	time.Sleep(20 * time.Second)                                  // more than twice the detection timeout; nothing is to happen meanwhile
-	if lines := deathsDeclared(fleet); len(lines) > 0 {
+	time.Sleep(20 * time.Second)                                  // more than twice the detection timeout
+	if lines := deathLogLines(fleet); len(lines) > 0 {
 		t.Errorf("declared dead: %s", lines)
 	}
 	for i := range fleet.Names() {
@@ -163,9 +164,9 @@
 	await(t, ctx, 10*time.Second, func() error { return fleet.Agree(ctx) })
 }
 
-// A member that is killed is declared dead by all within the detection timeout, and once restarted is alive with a higher
-// incarnation. One that is asked to leave is known to have left at once.
-func TestKilledAndRestarted(t *testing.T) {
+// All members declare a killed member dead within the detection timeout. After its restart it is alive with a higher
+// incarnation. A member that is terminated is known to have left at once.
+func TestKilledMemberIsDeclaredDeadAndRejoins(t *testing.T) {
 	t.Parallel()
 	fleet, ctx := startCluster(t, fleet.Settings{Instances: 5, Seed: 4, Key: "a key of the fleet's own"})
 	before, err := fleet.Members(ctx, 0)
@@ -177,7 +178,7 @@
 		t.Fatal(err)
 	}
 	await(t, ctx, 9*time.Second, func() error {
-		return checkAll(fleet, 3, func(i int) error { return fleet.Holds(ctx, i, 3, membership.Dead) })
+		return checkOthers(fleet, 3, func(i int) error { return fleet.Holds(ctx, i, 3, membership.Dead) })
 	})
 	if err := fleet.Process(3).Start(); err != nil {
 		t.Fatal(err)
@@ -188,18 +189,18 @@
 		t.Fatal(err)
 	}
 	if is, _ := after.Get("n3"); is.Incarnation <= was.Incarnation || is.Run == was.Run {
-		t.Errorf("after its restart %+v, and before %+v", is, was)
+		t.Errorf("after the restart: got %+v, want another run with a higher incarnation than %+v", is, was)
 	}
 	if err := fleet.Process(4).Terminate(ctx); err != nil {
 		t.Error(err)
 	}
 	await(t, ctx, 2*time.Second, func() error {
-		return checkAll(fleet, 4, func(i int) error { return fleet.Holds(ctx, i, 4, membership.Left) })
+		return checkOthers(fleet, 4, func(i int) error { return fleet.Holds(ctx, i, 4, membership.Left) })
 	})
 }
 
-// Five instances under faults drawn from a seed: afterwards all views are the same.
-func TestRandomFaults(t *testing.T) {
+// After random faults all five instances have the same view of the cluster.
+func TestViewsAgreeAfterRandomFaults(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{5, 6} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -215,16 +216,17 @@
 	}
 }
 
-// Packets from strangers to the membership's port do no harm and do not end the instance.
-func TestStrangersAtTheMembersPort(t *testing.T) {
+// Malformed and wrongly signed packets to the membership port are counted as rejected, and change neither the view nor the
+// instance.
+func TestForeignPacketsAreRejected(t *testing.T) {
 	t.Parallel()
 	fleet, ctx := startCluster(t, fleet.Settings{Instances: 2, Seed: 7, Key: "a key of the fleet's own"})
-	stranger := membership.Codec{Cluster: "lab", Key: []byte("another key, as long as it is")}
-	lie := &membership.Packet{
+	otherKey := membership.Codec{Cluster: "lab", Key: []byte("another key, as long as it is")}
+	falsePacket := &membership.Packet{
 		Kind: membership.Gossip, From: "n9", Address: "127.0.0.1:1", Incarnation: 1,
 		Updates: []membership.Update{{Name: "n1", Address: "127.0.0.1:1", State: membership.Dead, Incarnation: 1 << 61}},
 	}
-	raw, err := stranger.Encode(lie)
+	raw, err := otherKey.Encode(falsePacket)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -239,10 +241,10 @@
 			return err
 		}
 		if m.Counters.Rejected < 5 {
-			return fmt.Errorf("%d packets refused", m.Counters.Rejected)
+			return fmt.Errorf("%d packets rejected, want 5", m.Counters.Rejected)
 		}
 		if len(m.Members) != 2 {
-			t.Errorf("members: %+v", m.Members)
+			t.Errorf("got members %+v, want 2", m.Members)
 		}
 		return nil
 	})
@@ -257,7 +259,7 @@
 		return err
 	}
 	if _, err := c.Write(packet); err != nil {
-		_ = c.Close() // the write's error says more
+		_ = c.Close() // the error of Write is the one that matters
 		return err
 	}
 	return c.Close()
--- a/cmd/balancer/process_test.go
+++ b/cmd/balancer/process_test.go
@@ -14,27 +14,27 @@
 	"ottershed/internal/logging"
 )
 
-// server is an instance that runs in the test's own process.
-type server struct {
-	log    syncBuffer
+// testServer is an instance that runs in the test process.
+type testServer struct {
+	log    lockedBuffer
 	stop   chan os.Signal
 	hup    chan os.Signal
-	reread chan error // what came of reading the file at each SIGHUP
-	ended  chan error // what run returned
+	reread chan error // result of reading the file at each SIGHUP
+	ended  chan error // result of run
 }
 
-// startServer runs an instance that knows no SIGHUP.
-func startServer(t *testing.T, cfg *config.Config) *server {
+// startServer starts an instance without reloads.
+func startServer(t *testing.T, cfg *config.Config) *testServer {
 	t.Helper()
-	s := &server{stop: make(chan os.Signal, 1), ended: make(chan error, 1)}
+	s := &testServer{stop: make(chan os.Signal, 1), ended: make(chan error, 1)}
 	go func() { s.ended <- run(t.Context(), cfg, logging.New(&s.log, logrus.InfoLevel), s.stop, nil, nil, 0) }()
 	return s
 }
 
-// startReloadingServer runs an instance that reads the file again at SIGHUP.
-func startReloadingServer(t *testing.T, cfg *config.Config, path string) *server {
+// startReloadingServer starts an instance that reloads the file at path at SIGHUP.
+func startReloadingServer(t *testing.T, cfg *config.Config, path string) *testServer {
 	t.Helper()
-	s := &server{stop: make(chan os.Signal, 1), hup: make(chan os.Signal), reread: make(chan error), ended: make(chan error, 1)}
+	s := &testServer{stop: make(chan os.Signal, 1), hup: make(chan os.Signal), reread: make(chan error), ended: make(chan error, 1)}
 	reread := func() (*config.Config, error) {
 		next, err := config.Reread(path, noEnvironment)
 		s.reread <- err
@@ -46,32 +46,32 @@
 	return s
 }
 
-// reload sends SIGHUP, and returns what came of reading the file.
-func (s *server) reload() error {
+// reload sends SIGHUP, and returns the error of reading the file.
+func (s *testServer) reload() error {
 	s.hup <- syscall.SIGHUP
 	return <-s.reread
 }
 
-// process is the balancer as a process of its own.
-type process struct {
+// balancerProcess is the balancer as a separate process.
+type balancerProcess struct {
 	command *exec.Cmd
-	log     syncBuffer
-	done    chan struct{} // closed as the process has ended
-	err     error         // what Wait returned, once done is closed
+	log     lockedBuffer
+	done    chan struct{} // closed when the process has ended
+	err     error         // result of Wait, set before done is closed
 }
 
-// startProcess runs the serve command with this configuration file.
-func startProcess(t *testing.T, path string) *process {
+// startProcess runs the command serve with the configuration file at path.
+func startProcess(t *testing.T, path string) *balancerProcess {
 	t.Helper()
 	return startCommand(t, exec.Command(testProgram(t), "serve", "--config", path))
 }
 
-// startCommand runs a command that becomes the balancer, with these variables more in its environment. It is killed at the
-// end of the test at the latest.
-func startCommand(t *testing.T, command *exec.Cmd, variables ...string) *process {
+// startCommand starts a command that runs the test binary as the balancer, with additional environment variables. The end
+// of the test kills the process.
+func startCommand(t *testing.T, command *exec.Cmd, variables ...string) *balancerProcess {
 	t.Helper()
-	p := &process{command: command, done: make(chan struct{})}
-	command.Env = append(append(os.Environ(), asProgram+"=1"), variables...)
+	p := &balancerProcess{command: command, done: make(chan struct{})}
+	command.Env = append(append(os.Environ(), runAsBalancer+"=1"), variables...)
 	command.Stderr = &p.log
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
@@ -81,13 +81,13 @@
 		p.err = command.Wait()
 	}()
 	t.Cleanup(func() {
-		_ = command.Process.Kill() // most have ended
+		_ = command.Process.Kill() // fails if the process has ended already
 		<-p.done
 	})
 	return p
 }
 
-// testProgram is the path of the test's own program, which TestMain has be the balancer.
+// testProgram returns the path of the test binary, which TestMain can run as the balancer.
 func testProgram(t *testing.T) string {
 	t.Helper()
 	program, err := os.Executable()
@@ -97,36 +97,36 @@
 	return program
 }
 
-func (p *process) signal(t *testing.T, s os.Signal) {
+func (p *balancerProcess) signal(t *testing.T, s os.Signal) {
 	t.Helper()
 	if err := p.command.Process.Signal(s); err != nil {
-		t.Errorf("%v: %v\n%s", s, err, p.log.String())
+		t.Errorf("send signal %v: %v\n%s", s, err, p.log.String())
 	}
 }
 
 // terminate sends SIGTERM, and fails the test unless the process ends with exit code 0.
-func (p *process) terminate(t *testing.T) {
+func (p *balancerProcess) terminate(t *testing.T) {
 	t.Helper()
 	p.signal(t, syscall.SIGTERM)
 	<-p.done
 	if p.err != nil {
-		t.Errorf("ended with %v\n%s", p.err, p.log.String())
+		t.Errorf("process ended with %v, want exit code 0\n%s", p.err, p.log.String())
 	}
 }
 
-// syncBuffer is a log that a test reads while an instance writes.
-type syncBuffer struct {
+// lockedBuffer is a buffer that a test can read while an instance writes its log to it.
+type lockedBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
 }
 
-func (s *syncBuffer) Write(p []byte) (int, error) {
+func (s *lockedBuffer) Write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buffer.Write(p)
 }
 
-func (s *syncBuffer) String() string {
+func (s *lockedBuffer) String() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buffer.String()
