--- a/cmd/balancer/admin_golden_test.go
+++ b/cmd/balancer/admin_golden_test.go
@@ -44,7 +44,7 @@
 		Self: "a", At: 1764700000123.5, Health: 3, SupersededBy: "127.0.0.9:7009", Rejected: 2,
 		Members: []membership.Member{{
 			Name: "c", Address: "127.0.0.3:7003", State: membership.Suspect, Incarnation: 1764700000123,
-			Run: 0xfedcba9876543210, Since: 1764700000001.25, Accuser: "a",
+			Run: 0xfedcba9876543210, StateSince: 1764700000001.25, Accuser: "a",
 		}},
 	}
 	return membersResponse{view, gossip.Counters{PacketsIn: 1, PacketsOut: 2, BytesIn: 3, BytesOut: 4, Rejected: 5, DroppedChanges: 6}}
--- a/cmd/balancer/commands_golden_test.go
+++ b/cmd/balancer/commands_golden_test.go
@@ -30,7 +30,7 @@
 	membersFixture = membersResponse{&membership.View{
 		Self: "n0", At: 1.5, Health: 2, SupersededBy: "127.0.0.1:1", Rejected: 3,
 		Members: []membership.Member{
-			{Name: "n0", Address: "127.0.0.1:7946", State: membership.Alive, Incarnation: 5, Run: 1 << 63, Since: 6.5, Accuser: "n1"},
+			{Name: "n0", Address: "127.0.0.1:7946", State: membership.Alive, Incarnation: 5, Run: 1 << 63, StateSince: 6.5, Accuser: "n1"},
 			{Name: "n1", Address: "127.0.0.2:7946", State: membership.Suspect},
 			{Name: "n2", State: membership.Dead},
 			{Name: "n3", State: membership.Left},
--- a/cmd/balancer/readiness.go
+++ b/cmd/balancer/readiness.go
@@ -24,7 +24,7 @@
 	select {
 	case <-ctx.Done():
 		return
-	case <-i.watcher.Received():
+	case <-i.watcher.FirstListReceived():
 	case <-timeout.C:
 		i.log.Warn("no endpoint list received since the start, using the configured list")
 	}
--- a/decision/action.go
+++ b/decision/action.go
@@ -1,7 +1,6 @@
 package decision
 
-// Action is an output of the balancer, for the caller to carry out. The types in this file are the kinds of
-// actions.
+// Action is an output of the balancer, such as StartAttempt or Vote, for the caller to carry out.
 type Action interface{ action() }
 
 // StartAttempt sends a request to an endpoint.
@@ -36,8 +35,8 @@
 // StartHealthCheck starts a health check of an endpoint. A HealthCheckEnded follows.
 type StartHealthCheck struct{ Endpoint EndpointID }
 
-// CloseIdle closes the idle connections to an endpoint.
-type CloseIdle struct{ Endpoint EndpointID }
+// CloseIdleConnections closes the idle connections to an endpoint.
+type CloseIdleConnections struct{ Endpoint EndpointID }
 
 // SendToPeer sends a message to one other instance, or to all. The balancer never emits this action.
 type SendToPeer struct {
@@ -53,8 +52,8 @@
 // after each PollRejected. An EndpointsChanged follows. On is always true.
 type WatchEndpoints struct{ On bool }
 
-// ResolveEndpoints requests a full snapshot of the endpoint list. The balancer never emits this action.
-type ResolveEndpoints struct{}
+// RequestSnapshot requests a full snapshot of the endpoint list. The balancer never emits this action.
+type RequestSnapshot struct{}
 
 // Vote casts this instance's vote on a stage. A StageUpdate with IsVoteResult follows.
 type Vote struct {
@@ -63,15 +62,15 @@
 	Verdict Verdict
 }
 
-func (StartAttempt) action()     {}
-func (Reject) action()           {}
-func (Fail) action()             {}
-func (Cancel) action()           {}
-func (WakeAt) action()           {}
-func (StartHealthCheck) action() {}
-func (CloseIdle) action()        {}
-func (SendToPeer) action()       {}
-func (Log) action()              {}
-func (WatchEndpoints) action()   {}
-func (ResolveEndpoints) action() {}
-func (Vote) action()             {}
+func (StartAttempt) action()         {}
+func (Reject) action()               {}
+func (Fail) action()                 {}
+func (Cancel) action()               {}
+func (WakeAt) action()               {}
+func (StartHealthCheck) action()     {}
+func (CloseIdleConnections) action() {}
+func (SendToPeer) action()           {}
+func (Log) action()                  {}
+func (WatchEndpoints) action()       {}
+func (RequestSnapshot) action()      {}
+func (Vote) action()                 {}
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -22,8 +22,7 @@
 // response.
 const initialLatencyShare = 0.25
 
-// Balancer is the decision module of one instance. The types of the fields from classes on are declared in the
-// files that are named there.
+// Balancer is the decision module of one instance.
 type Balancer struct {
 	settings     Settings
 	random       stats.Random
@@ -32,6 +31,7 @@
 	started      bool     // the first event has been received
 	actions      []Action // emitted for the current event
 
+	// The files in which the types of these fields are declared:
 	classes    classTable         // classes.go
 	endpoints  endpointTable      // endpoints.go
 	polling    pollSchedule       // polling.go
@@ -67,7 +67,7 @@
 	}
 	balancer.tickInterval = max(min(balancer.tickInterval, longestObjective), settings.ClockGranularity, 1)
 	balancer.applySettings(settings)
-	balancer.routing.lastPlacement = balancer.random.Next()
+	balancer.routing.lastPlacement = balancer.random.Float64()
 	balancer.load = newLoadLimiter(balancer.classes, longestObjective*initialLatencyShare)
 	return balancer
 }
@@ -106,7 +106,7 @@
 		b.handleStageUpdate(event)
 	case SettingsChanged:
 		b.applySettings(event.Settings)
-	case EvidenceAcquired:
+	case EvidenceAdded:
 		b.acquireEvidence(event.Evidence)
 	case EvidenceRevoked:
 		b.revokeEvidence()
--- a/decision/concurrency_test.go
+++ b/decision/concurrency_test.go
@@ -16,7 +16,7 @@
 			tenant := TenantID("xy"[i%2 : i%2+1])
 			sim.lastID++
 			class := sim.balancer.classes.ordered[i%3].Name
-			sim.handle(RequestReceived{Request: sim.lastID, Class: class, Tenant: tenant, TTL: 1000})
+			sim.handle(RequestReceived{Request: sim.lastID, Class: class, Tenant: tenant, Remaining: 1000})
 			sim.advance(20)
 			if after := 20.0; sim.attemptedAt(sim.lastID, 0) != "" {
 				if test.slow[tenant] {
--- a/decision/controllercounts.go
+++ b/decision/controllercounts.go
@@ -28,7 +28,7 @@
 	}
 	controller := b.classes.controller
 	size := min(groupSize, event.Count)
-	failed := float64(size) * counts.Bad / counts.Total()
+	failed := float64(size) * counts.Failures / counts.Total()
 	for i := range size {
 		value := stats.Exponential(i) * event.Mean
 		if float64(i)+0.5 < failed {
@@ -45,8 +45,8 @@
 func (b *Balancer) estimateErrors(event ControllerCounts) stats.Count {
 	own := b.trial.unsuccessful
 	return stats.Count{
-		Good: float64(event.Count - event.Failed),
-		Bad:  float64(event.Failed) * max(0, own.Bad-1) / (own.Total() + errorSharePrior),
+		Successes: float64(event.Count - event.Failed),
+		Failures:  float64(event.Failed) * max(0, own.Failures-1) / (own.Total() + errorSharePrior),
 	}
 }
 
--- a/decision/crosszone.go
+++ b/decision/crosszone.go
@@ -40,7 +40,7 @@
 	if b.crossZone.share <= 0 || len(b.routing.eligible[otherZone]) == 0 {
 		return false
 	}
-	return b.random.Next() < b.crossZone.share
+	return b.random.Float64() < b.crossZone.share
 }
 
 // updateCrossZoneShare moves the cross-zone share towards its target. The target is in proportion to the gain.
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -73,7 +73,7 @@
 // the earlier endpoint, so that observations from before do not apply to it.
 func (b *Balancer) applyEndpoint(entry Endpoint) {
 	ep := b.endpoints.byID[entry.ID]
-	if ep != nil && (entry.State == Removed || ep.Started != entry.Started || ep.Build != entry.Build) {
+	if ep != nil && (entry.State == Removed || ep.StartedAt != entry.StartedAt || ep.Build != entry.Build) {
 		b.dropEndpoint(ep)
 		ep = nil
 	}
@@ -88,10 +88,10 @@
 // newEndpoint adds an endpoint without observations to the table.
 func (b *Balancer) newEndpoint(entry Endpoint) *endpoint {
 	ep := &endpoint{
-		warmingSince:     entry.Started,
+		warmingSince:     entry.StartedAt,
 		latency:          b.load.meanLatency,
 		concurrencyLimit: 1,
-		slowStartCredit:  b.random.Next(),
+		slowStartCredit:  b.random.Float64(),
 		outcomes:         make([]stats.Count, len(b.classes.withOverall)),
 		machineTypeRatio: cmp.Or(b.endpoints.machineTypes[entry.MachineType], &stats.Mean{}),
 	}
--- a/decision/event.go
+++ b/decision/event.go
@@ -1,13 +1,13 @@
 package decision
 
-// Event is an input of the balancer. The types in this file are the kinds of events.
+// Event is an input of the balancer, such as RequestReceived or TimerFired.
 type Event interface{ event() }
 
 // Endpoint is an entry in the endpoint list.
 type Endpoint struct {
 	ID          EndpointID
 	Cell        Cell
-	Started     Millis // start time of the process; 0: unknown, long ago
+	StartedAt   Millis // start time of the process; 0: unknown, long ago
 	Zone        Zone
 	Build       Build
 	MachineType MachineType
@@ -36,13 +36,13 @@
 // RequestReceived delivers a client's request. The request stays open until the balancer has emitted its final
 // response, or its client has disconnected, and all its attempts have ended.
 type RequestReceived struct {
-	Request RequestID
-	Class   ClassName
-	Tenant  TenantID
-	Key     Key
-	TTL     Millis // time from now after which the client stops waiting
-	Hint    Millis // the client's estimate of the service time; 0: none
-	Retried bool   // the client has sent the request before
+	Request              RequestID
+	Class                ClassName
+	Tenant               TenantID
+	Key                  Key
+	Remaining            Millis // time from now after which the client stops waiting
+	EstimatedServiceTime Millis // the client's estimate of the service time; 0: none
+	Retried              bool   // the client has sent the request before
 }
 
 // ResponseStarted reports that an endpoint has begun to stream its response.
@@ -116,9 +116,9 @@
 // clock granularity keep their values from the start.
 type SettingsChanged struct{ Settings Settings }
 
-// EvidenceAcquired delivers the evidence of an instance that has terminated. The balancer adds that evidence
+// EvidenceAdded delivers the evidence of an instance that has terminated. The balancer adds that evidence
 // to its own.
-type EvidenceAcquired struct{ Evidence }
+type EvidenceAdded struct{ Evidence }
 
 // EvidenceRevoked reports that another instance has taken over this instance's evidence. The balancer discards
 // its evidence on the newest build and its vote.
@@ -136,5 +136,5 @@
 func (ControllerCounts) event()   {}
 func (ResponseFlagged) event()    {}
 func (SettingsChanged) event()    {}
-func (EvidenceAcquired) event()   {}
+func (EvidenceAdded) event()      {}
 func (EvidenceRevoked) event()    {}
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -61,13 +61,13 @@
 				Endpoint:  ep.ID,
 				Build:     ep.Build,
 				Class:     class.Name,
-				Succeeded: outcomes.Good,
-				Failed:    outcomes.Bad,
+				Succeeded: outcomes.Successes,
+				Failed:    outcomes.Failures,
 			})
 		}
 	}
 	if removed := class.removedEndpoints; removed.Total() > 0 {
-		counts = append(counts, EndpointCount{Class: class.Name, Succeeded: removed.Good, Failed: removed.Bad})
+		counts = append(counts, EndpointCount{Class: class.Name, Succeeded: removed.Successes, Failed: removed.Failures})
 	}
 	return counts
 }
@@ -114,7 +114,7 @@
 	if class == nil {
 		return
 	}
-	outcomes := stats.Count{Good: count.Succeeded, Bad: count.Failed}
+	outcomes := stats.Count{Successes: count.Succeeded, Failures: count.Failed}
 	ep := b.endpoints.byID[count.Endpoint]
 	switch {
 	case ep != nil && ep.Build == count.Build:
--- a/decision/evidence_test.go
+++ b/decision/evidence_test.go
@@ -29,7 +29,7 @@
 		}{{"for another build", func(e *Evidence) { e.Build++ }, false}, {"as recorded", func(*Evidence) {}, true}} {
 			other := evidence
 			test.change(&other)
-			successor.handle(EvidenceAcquired{other})
+			successor.handle(EvidenceAdded{other})
 			successor.advance(successor.balancer.settings.VoteTTL)
 			if rollback := strings.Contains(successor.votes(), "3"); rollback != test.want {
 				t.Errorf("%s, %s: got votes %q, want a vote to roll back: %v", name, test.name, successor.votes(), test.want)
--- a/decision/exposure_test.go
+++ b/decision/exposure_test.go
@@ -48,7 +48,7 @@
 	for i := range 300 {
 		sim.now += []Millis{0, 0, 3, 40, 0, 7}[i%6]
 		sim.lastID++
-		events := []Event{RequestReceived{Request: sim.lastID, Class: "read", TTL: 1000}, TimerFired{}}
+		events := []Event{RequestReceived{Request: sim.lastID, Class: "read", Remaining: 1000}, TimerFired{}}
 		requests = append(requests, sim.now)
 		for _, event := range events[:1+i%2] {
 			for _, action := range sim.handle(event) {
--- a/decision/failures.go
+++ b/decision/failures.go
@@ -63,7 +63,7 @@
 		switch {
 		case ep.Build < b.trial.update.Build:
 			counts.baseline.Add(outcomes, 1)
-			worstBaseline = max(worstBaseline, (outcomes.Bad-1)/max(outcomes.Total(), 1))
+			worstBaseline = max(worstBaseline, (outcomes.Failures-1)/max(outcomes.Total(), 1))
 		case ep.Build == b.trial.update.Build:
 			counts.candidateEndpoints++
 			if outcomes.Total() > 0 {
@@ -71,14 +71,14 @@
 			}
 		}
 	}
-	worstFirst := func(a, b stats.Count) int { return cmp.Compare(b.Bad*a.Total(), a.Bad*b.Total()) }
+	worstFirst := func(a, b stats.Count) int { return cmp.Compare(b.Failures*a.Total(), a.Failures*b.Total()) }
 	slices.SortFunc(perEndpoint, worstFirst)
 	maxExcluded := (len(perEndpoint) + worstEndpointDivisor - 1) / worstEndpointDivisor
 	for i, outcomes := range perEndpoint {
 		counts.candidateAll.Add(outcomes, 1)
 		counts.candidateOutcomes += outcomes.Total()
-		keepOnlyEndpoint := counts.candidateEndpoints == 1 && 2*worstBaseline*outcomes.Total() < outcomes.Bad
-		if outcomes.Bad < minFailures || i >= maxExcluded || keepOnlyEndpoint {
+		keepOnlyEndpoint := counts.candidateEndpoints == 1 && 2*worstBaseline*outcomes.Total() < outcomes.Failures
+		if outcomes.Failures < minFailures || i >= maxExcluded || keepOnlyEndpoint {
 			counts.candidate.Add(outcomes, 1)
 		}
 	}
@@ -89,8 +89,8 @@
 // AdvanceQuorum is so high that an instance may vote to advance without any outcomes of its own.
 func (b *Balancer) suspectsFailures(counts failureCounts) bool {
 	all, baseline := counts.candidateAll, counts.baseline
-	return b.thresholds.outcomesWithoutGroups == 0 && all.Bad >= 1 &&
-		all.Bad*baseline.Total() > suspectedFailureRatio*(baseline.Bad+1)*all.Total()
+	return b.thresholds.outcomesWithoutGroups == 0 && all.Failures >= 1 &&
+		all.Failures*baseline.Total() > suspectedFailureRatio*(baseline.Failures+1)*all.Total()
 }
 
 // ownStrength returns the strength of the evidence from the instance's own outcomes. From singleFailureQuorum on
@@ -99,11 +99,11 @@
 func (b *Balancer) ownStrength(counts failureCounts) float64 {
 	required := minFailures - math.Floor(min(1, float64(b.settings.RollbackQuorum)/singleFailureQuorum))
 	baseline, candidate := counts.baseline, counts.candidate
-	if candidate.Bad < required || candidate.Bad*baseline.Total() <= baseline.Bad*candidate.Total() {
+	if candidate.Failures < required || candidate.Failures*baseline.Total() <= baseline.Failures*candidate.Total() {
 		return 0
 	}
 	statistic := stats.KruskalWallisCounts(baseline, candidate)
-	return statistic / b.thresholds.statistic * min(1, candidate.Bad/minFailures)
+	return statistic / b.thresholds.statistic * min(1, candidate.Failures/minFailures)
 }
 
 // reportedStrength returns the strength of the evidence from the controller's counts. The counts of each build
@@ -111,7 +111,7 @@
 // them.
 func reportedStrength(class *classState, counts failureCounts) float64 {
 	baseline, candidate := class.reported[baselineSide], class.reported[candidateSide]
-	if candidate.Bad < minReportedFailures || candidate.Bad <= baseline.Bad {
+	if candidate.Failures < minReportedFailures || candidate.Failures <= baseline.Failures {
 		return 0
 	}
 	endpoints := counts.candidateEndpoints
--- a/decision/failures_test.go
+++ b/decision/failures_test.go
@@ -24,10 +24,10 @@
 			list = append(list, newEndpoint(EndpointID(fmt.Sprint("a", i)), 8))
 		}
 		sim.replaceEndpoints(append(list, newEndpoint("a9", 7))...)
-		sim.balancer.endpoints.byID["a9"].outcomes[0].Good = 90
+		sim.balancer.endpoints.byID["a9"].outcomes[0].Successes = 90
 		for i, bad := range test.bad {
 			outcomes := &sim.balancer.endpoints.byID[list[i].ID].outcomes[0]
-			outcomes.Good, outcomes.Bad = 30-bad, bad
+			outcomes.Successes, outcomes.Failures = 30-bad, bad
 		}
 		for _, removed := range []bool{false, true} { // the baseline's endpoint was removed
 			if removed {
@@ -56,7 +56,7 @@
 		}
 		sim.replaceEndpoints(list...)
 		for id, bad := range map[EndpointID]float64{"a1": test.baseline, "b1": 0, "a2": 25} {
-			sim.balancer.endpoints.byID[id].outcomes[0] = stats.Count{Good: 30 - bad, Bad: bad}
+			sim.balancer.endpoints.byID[id].outcomes[0] = stats.Count{Successes: 30 - bad, Failures: bad}
 		}
 		if found := sim.balancer.failureEvidence(); (found.strength >= 1) != test.proof {
 			t.Errorf("%v baseline failures, %d other endpoints: got strength %v, want proof %v", test.baseline, test.others,
@@ -85,10 +85,10 @@
 		}
 		sim.replaceEndpoints(endpoints...)
 		overall := sim.balancer.classes.overall
-		sim.balancer.endpoints.byID["b9"].outcomes[overall.index].Good = 20
+		sim.balancer.endpoints.byID["b9"].outcomes[overall.index].Successes = 20
 		for i, bad := range test.bad {
 			candidate := sim.balancer.endpoints.byID[endpoints[i+1].ID]
-			candidate.outcomes[overall.index] = stats.Count{Good: test.each - bad, Bad: bad}
+			candidate.outcomes[overall.index] = stats.Count{Successes: test.each - bad, Failures: bad}
 		}
 		if found := sim.balancer.failureEvidence(); (found.strength >= 1) != test.proof {
 			t.Errorf("failures %v of %v outcomes each: got strength %v, want proof %v", test.bad, test.each,
--- a/decision/fleet_test.go
+++ b/decision/fleet_test.go
@@ -216,10 +216,10 @@
 		}
 	}
 	speed := 1.0
-	if age := f.now - endpoint.Started; endpoint.Started > 0 && age < 2700 {
+	if age := f.now - endpoint.StartedAt; endpoint.StartedAt > 0 && age < 2700 {
 		speed = 0.35 + 0.65*age/2700
 	}
-	duration := math.Log(1-f.random.Next()) * meanWork * endpoint.slowdown / speed
+	duration := math.Log(1-f.random.Float64()) * meanWork * endpoint.slowdown / speed
 	endpoint.cores[free] = max(f.now, endpoint.cores[free]) - duration
 	return endpoint.cores[free]
 }
@@ -248,9 +248,9 @@
 		f.lastID++
 		f.requests[f.lastID] = &clientRequest{at: f.now, deadline: f.now + clientTimeout}
 		f.results["received"]++
-		instance := int(f.random.Next() * float64(len(f.balancers)))
-		f.deliver(instance, RequestReceived{Request: f.lastID, Class: "read", TTL: clientTimeout})
-		f.scheduleAt(f.now-math.Log(1-f.random.Next())*1000/perSecond, arrive)
+		instance := int(f.random.Float64() * float64(len(f.balancers)))
+		f.deliver(instance, RequestReceived{Request: f.lastID, Class: "read", Remaining: clientTimeout})
+		f.scheduleAt(f.now-math.Log(1-f.random.Float64())*1000/perSecond, arrive)
 	}
 	f.scheduleAt(f.now, arrive)
 }
@@ -276,8 +276,8 @@
 	fleet.deliverAll(EndpointsChanged{Kind: Delta, Endpoints: removed})
 	fleet.run(fleet.now + 3000)
 	for _, endpoint := range list[:30] {
-		endpoint.Started = fleet.now
-		fleet.endpoints[endpoint.ID].unreachable, fleet.endpoints[endpoint.ID].Started = false, fleet.now
+		endpoint.StartedAt = fleet.now
+		fleet.endpoints[endpoint.ID].unreachable, fleet.endpoints[endpoint.ID].StartedAt = false, fleet.now
 		restarted = append(restarted, endpoint)
 	}
 	fleet.deliverAll(EndpointsChanged{Kind: Delta, Endpoints: restarted})
@@ -316,7 +316,7 @@
 	fleet.deliverAll(StageUpdate{Build: 8, Phase: InTrial, Stage: 1, ExposureCap: 0.84})
 	warming := fleet.addEndpoints(31, 8)
 	for i := range warming {
-		warming[i].Started, fleet.endpoints[warming[i].ID].Started = fleet.now, fleet.now
+		warming[i].StartedAt, fleet.endpoints[warming[i].ID].StartedAt = fleet.now, fleet.now
 		list[i].State = Draining
 	}
 	fleet.deliverAll(EndpointsChanged{Kind: Delta, Endpoints: append(warming, list[:36]...)})
@@ -361,7 +361,7 @@
 		t.Run(name, func(t *testing.T) {
 			const timeout, within = 2000, 10000
 			fleet := newFleet(t, test.instances, nil, func(s *Settings) {
-				s.PollEndpoints, s.PollWithin = true, within
+				s.PollEndpoints, s.MaxPollInterval = true, within
 			})
 			free, calls, start := fleet.now, 0, fleet.now // free: when the service is idle
 			watching := map[int]Millis{}
--- a/decision/fleetslowdown_test.go
+++ b/decision/fleetslowdown_test.go
@@ -67,7 +67,7 @@
 		}
 		for i := range test.first + test.repeated {
 			sim.handle(RequestReceived{
-				Request: RequestID(i + 1), Class: "read", TTL: 1000, Retried: i >= test.first,
+				Request: RequestID(i + 1), Class: "read", Remaining: 1000, Retried: i >= test.first,
 			})
 		}
 		for range groupSize {
--- a/decision/golden_test.go
+++ b/decision/golden_test.go
@@ -176,7 +176,7 @@
 	case decision.StartHealthCheck:
 		e.text("probe")
 		e.text(string(action.Endpoint))
-	case decision.CloseIdle:
+	case decision.CloseIdleConnections:
 		e.text("close idle")
 		e.text(string(action.Endpoint))
 	case decision.SendToPeer:
@@ -189,7 +189,7 @@
 	case decision.WatchEndpoints:
 		e.text("watch")
 		e.boolean(action.On)
-	case decision.ResolveEndpoints:
+	case decision.RequestSnapshot:
 		e.text("lookup")
 	case decision.Vote:
 		e.text("vote")
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -56,7 +56,7 @@
 func (b *Balancer) eject(ep *endpoint) {
 	ep.ejections++
 	mean := b.classes.overall.LatencyObjective * baseEjectionShare * math.Exp2(float64(ep.ejections))
-	duration := mean * (ejectionJitter + b.random.Next())
+	duration := mean * (ejectionJitter + b.random.Float64())
 	ep.ejectedUntil = b.now + min(b.settings.SlowStartWindow, duration)
 }
 
@@ -124,7 +124,7 @@
 	if event.Outcome == Unreachable && event.After < b.load.baseLatency*immediateRefusalShare {
 		b.outliers.refusedShare += refusedWeight
 	} else if ep.inFlight == 0 && b.outliers.refusedShare > closeIdleRefusedShare {
-		b.emit(CloseIdle{Endpoint: ep.ID})
+		b.emit(CloseIdleConnections{Endpoint: ep.ID})
 	}
 }
 
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -42,7 +42,7 @@
 		}
 		closed := 0
 		for _, a := range sim.actions {
-			if _, ok := a.(CloseIdle); ok {
+			if _, ok := a.(CloseIdleConnections); ok {
 				closed++
 			}
 		}
--- a/decision/polling.go
+++ b/decision/polling.go
@@ -3,9 +3,9 @@
 import "math"
 
 const (
-	firstPollShare          = 0.25 // share of PollWithin within which the first poll is sent
-	pollWaitShare           = 0.25 // share of PollWithin: upper bound for the assumed time of a poll in the queue
-	minPollBackoffFactor    = 0.15 // applied twice to PollWithin: minimum backoff
+	firstPollShare          = 0.25 // share of MaxPollInterval within which the first poll is sent
+	pollWaitShare           = 0.25 // share of MaxPollInterval: upper bound for the assumed time of a poll in the queue
+	minPollBackoffFactor    = 0.15 // applied twice to MaxPollInterval: minimum backoff
 	pollSpreadHalfInstances = 20   // instances at which the first polls are spread over half of their range
 )
 
@@ -20,18 +20,18 @@
 // poll at the same time.
 func (b *Balancer) scheduleFirstPoll() {
 	spread := 1 - pollSpreadHalfInstances/(pollSpreadHalfInstances+float64(b.settings.Instances))
-	b.polling.nextAt = b.now + b.settings.PollWithin*firstPollShare*b.random.Next()*spread
+	b.polling.nextAt = b.now + b.settings.MaxPollInterval*firstPollShare*b.random.Float64()*spread
 }
 
 // pollRejected schedules the next poll by exponential backoff with jitter. The first backoff is at least the time
 // that the rejected poll waited in the queue: the service still processes polls that have timed out, and polls
 // repeated at once would keep the queue full.
 func (b *Balancer) pollRejected() {
-	pollWithin := b.settings.PollWithin
-	waited := min(b.now-b.polling.lastAt, pollWithin*pollWaitShare)
-	shortest := pollWithin * minPollBackoffFactor * minPollBackoffFactor
-	b.polling.backoff = min(2*max(b.polling.backoff, waited, shortest), pollWithin)
-	b.polling.nextAt = b.now + b.polling.backoff*(1+b.random.Next())/2
+	maxInterval := b.settings.MaxPollInterval
+	waited := min(b.now-b.polling.lastAt, maxInterval*pollWaitShare)
+	shortest := maxInterval * minPollBackoffFactor * minPollBackoffFactor
+	b.polling.backoff = min(2*max(b.polling.backoff, waited, shortest), maxInterval)
+	b.polling.nextAt = b.now + b.polling.backoff*(1+b.random.Float64())/2
 }
 
 // pollIfDue sends the next poll when it is due. Another poll follows only after a rejection.
--- a/decision/polling_test.go
+++ b/decision/polling_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// After each rejection, the wait for the next poll grows, with jitter, up to PollWithin.
+// After each rejection, the wait for the next poll grows, with jitter, up to MaxPollInterval.
 func TestRejectedPollsBackOff(t *testing.T) {
-	sim := start(t, StageUpdate{}, func(s *Settings) { s.PollEndpoints, s.PollWithin = true, 8000 })
+	sim := start(t, StageUpdate{}, func(s *Settings) { s.PollEndpoints, s.MaxPollInterval = true, 8000 })
 	var waits []Millis
 	sim.advance(8000) // the first poll has been sent
 	sim.handle(EndpointsChanged{Kind: Delta})
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -75,7 +75,7 @@
 		placement:  b.routing.lastPlacement,
 		tenantSlow: b.load.tenantShare(event.Tenant),
 		receivedAt: b.now,
-		deadline:   b.now + event.TTL,
+		deadline:   b.now + event.Remaining,
 		classState: b.classes.find(event.Class),
 	}
 	if b.settings.StickyKeys && req.key != 0 {
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -13,7 +13,7 @@
 	}{{"read", 1000, "reject"}, {"pay", 1000, "reject"}, {"mark", 30, "reject"}, {"unknown", 1000, "reject"}} {
 		sim := start(t, trialUpdate(0, 0), nil)
 		sim.replaceEndpoints()
-		sim.handle(RequestReceived{Request: 9, Class: ClassName(test.name), TTL: test.ttl})
+		sim.handle(RequestReceived{Request: 9, Class: ClassName(test.name), Remaining: test.ttl})
 		sim.advance(test.ttl)
 		sim.handle(ClientDisconnected{Request: 9})
 		sim.handle(AttemptEnded{Request: 9, Outcome: EndpointFailed})
--- a/decision/samples.go
+++ b/decision/samples.go
@@ -40,9 +40,9 @@
 	var outcome stats.Count
 	switch event.Outcome {
 	case Succeeded:
-		outcome.Good = 1
+		outcome.Successes = 1
 	case EndpointFailed:
-		outcome.Bad = 1
+		outcome.Failures = 1
 		value = math.Inf(1)
 	}
 	b.countUnsuccessful(outcome)
@@ -67,11 +67,11 @@
 	b.compareBeforeTrial(slowdown, value/target.machineTypeRatio.ValueOr(1), class.baselineLatencyAtOffer)
 }
 
-// countUnsuccessful updates the counts of unsuccessful attempts. outcome is Good for a success, Bad for an error
-// response and zero for any other outcome.
+// countUnsuccessful updates the counts of unsuccessful attempts. outcome counts a success or an error response,
+// and is zero for any other outcome.
 func (b *Balancer) countUnsuccessful(outcome stats.Count) {
 	counts := &b.trial.unsuccessful
-	counts.Add(stats.Count{Good: 1 - outcome.Total(), Bad: outcome.Bad}, 1)
+	counts.Add(stats.Count{Successes: 1 - outcome.Total(), Failures: outcome.Failures}, 1)
 	*counts = counts.ScaledTo(unsuccessfulSamples)
 }
 
@@ -83,6 +83,6 @@
 func (b *Balancer) handleFlag(event ResponseFlagged) {
 	ep, class := b.endpoints.byID[event.Endpoint], b.classes.byName[event.Class]
 	if ep != nil && class != nil {
-		b.classes.addOutcomes(ep, class, stats.Count{Bad: 1 / max(b.settings.FlagShare, minFlagShare)})
+		b.classes.addOutcomes(ep, class, stats.Count{Failures: 1 / max(b.settings.FlagShare, minFlagShare)})
 	}
 }
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -19,7 +19,7 @@
 	Classes          []RequestClass
 	Tenants          []TenantID
 	PollEndpoints    bool   // the endpoint list is polled through a queue instead of being pushed
-	PollWithin       Millis // maximum time until the next poll; with PollEndpoints
+	MaxPollInterval  Millis // maximum time until the next poll; with PollEndpoints
 
 	CrossZonePrice   float64 // cost of sending a request to another zone, as a share of its value, 0 to 1
 	HealthCheckPrice float64 // cost of a health check, as a share of the value of a request, 0 to 1
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -18,7 +18,7 @@
 			sim.respond("", 20)
 		}
 		warming := newEndpoint("a9", 7)
-		warming.Started = sim.now
+		warming.StartedAt = sim.now
 		list := []Endpoint{warming, newEndpoint("a1", 7), newEndpoint("b1", 7)}
 		if onlyWarming {
 			list = list[:1]
@@ -54,7 +54,7 @@
 			sim.respond("", 20)
 		}
 		warming := newEndpoint("a9", 7)
-		warming.Started, rate = sim.now, rate+sim.balancer.load.serviceRate
+		warming.StartedAt, rate = sim.now, rate+sim.balancer.load.serviceRate
 		sim.handle(EndpointsChanged{Kind: FullSnapshot, Endpoints: []Endpoint{warming}})
 		for range 10 {
 			sim.advance(sim.balancer.settings.OverloadWindow / 10)
--- a/decision/stream_test.go
+++ b/decision/stream_test.go
@@ -148,7 +148,7 @@
 	settings := decision.Settings{
 		Instances: 1 + random.IntN(8), Zone: "a", ClockGranularity: float64(1 + random.IntN(6)),
 		Tenants:       []decision.TenantID{"gold", "silver"},
-		PollEndpoints: flip(), PollWithin: 400 + 2000*random.Float64(),
+		PollEndpoints: flip(), MaxPollInterval: 400 + 2000*random.Float64(),
 		CancelAllowed: flip(), HedgingAllowed: flip(), HealthChecksAllowed: flip(),
 		MaxRetryAfter: 50 + 400*random.Float64(), MaxAttempts: 2 + random.IntN(4),
 		SlowStartFloor: 0.2 + 0.4*random.Float64(), OverloadFactor: 1.5 + 2*random.Float64(),
@@ -303,7 +303,7 @@
 func (s *simulation) shortObjectives() {
 	s.shortenTimes(20)
 	s.fleetSize, s.faultInterval, s.arrivalRate = 4, 300, 0.5
-	s.settings.PollWithin = 20
+	s.settings.MaxPollInterval = 20
 }
 
 // setLowTraffic makes the instance one of many, with a few requests per second.
@@ -410,7 +410,7 @@
 		s.scheduleAt(action.At, func() { s.handle(decision.TimerFired{Token: action.Token}) })
 	case decision.StartHealthCheck:
 		s.startHealthCheck(action.Endpoint)
-	case decision.WatchEndpoints, decision.ResolveEndpoints:
+	case decision.WatchEndpoints, decision.RequestSnapshot:
 		s.scheduleAt(s.now+5+200*s.random.Float64(), s.respondToPoll)
 	case decision.Vote:
 		s.scheduleAt(s.now+2+60*s.random.Float64(), func() { s.handleVote(action) })
@@ -437,7 +437,7 @@
 // drawRequest draws a request with a random class, tenant, key and time to live.
 func (s *simulation) drawRequest() decision.RequestReceived {
 	class := s.settings.Classes[s.random.IntN(len(s.settings.Classes))]
-	received := decision.RequestReceived{Class: class.Name, TTL: class.LatencyObjective * (0.5 + 3*s.random.Float64())}
+	received := decision.RequestReceived{Class: class.Name, Remaining: class.LatencyObjective * (0.5 + 3*s.random.Float64())}
 	received.Tenant = []decision.TenantID{"gold", "silver", "unknown"}[min(2, s.random.IntN(20)/9)]
 	if s.random.IntN(60) == 0 {
 		received.Class = "unheard-of"
@@ -446,20 +446,20 @@
 		received.Key = decision.Key(fmt.Sprint("key", s.random.IntN(40)))
 	}
 	if s.random.IntN(4) == 0 {
-		received.Hint = 10
+		received.EstimatedServiceTime = 10
 	}
 	return received
 }
 
-// receiveRequest passes a request to the instance. Its client disconnects at the end of the request's TTL, and in some
-// cases earlier.
+// receiveRequest passes a request to the instance. Its client disconnects when the request's Remaining time is over,
+// and in some cases earlier.
 func (s *simulation) receiveRequest(received decision.RequestReceived) {
 	s.lastID++
 	received.Request = s.lastID
 	r := &request{RequestReceived: received}
 	s.requests[r.Request] = r
 	s.handle(received)
-	waitTime := received.TTL
+	waitTime := received.Remaining
 	if s.random.IntN(25) == 0 {
 		waitTime *= s.random.Float64()
 	}
@@ -545,7 +545,7 @@
 	if server.MachineType == "old" {
 		after *= 1.6
 	}
-	if age := s.now - server.Started; server.Started > 0 && age < s.settings.SlowStartWindow {
+	if age := s.now - server.StartedAt; server.StartedAt > 0 && age < s.settings.SlowStartWindow {
 		after /= s.settings.SlowStartFloor + (1-s.settings.SlowStartFloor)*age/s.settings.SlowStartWindow
 	}
 	if s.isActive(s.fleetSlowdownAt) {
@@ -660,7 +660,7 @@
 	e := &endpoint{
 		slowdown: 1, runsBadCandidate: s.controller.bad && build == s.controller.build,
 		Endpoint: decision.Endpoint{
-			ID: decision.EndpointID(fmt.Sprintf("endpoint%02d", i)), Cell: decision.Cell(i % 3), Started: at, Build: build,
+			ID: decision.EndpointID(fmt.Sprintf("endpoint%02d", i)), Cell: decision.Cell(i % 3), StartedAt: at, Build: build,
 			Zone: decision.Zone("ab"[i%2 : i%2+1]), MachineType: []decision.MachineType{"new", "old"}[i%5/4],
 			Capacity: float64(1 + i%3),
 		},
@@ -676,7 +676,7 @@
 // restartEndpoint replaces an endpoint by a new one with the same ID.
 func (s *simulation) restartEndpoint(e *endpoint, build decision.Build) {
 	restarted := *e
-	restarted.Started, restarted.Build, restarted.State = s.now, build, decision.Serving
+	restarted.StartedAt, restarted.Build, restarted.State = s.now, build, decision.Serving
 	restarted.inFlight, restarted.slowdown, restarted.errorShare, restarted.silent, restarted.down = 0, 1, 0, false, false
 	if restarted.runsBadCandidate = s.controller.bad && build == s.controller.build; restarted.runsBadCandidate {
 		restarted.errorShare = s.candidateFailureShare
@@ -898,7 +898,7 @@
 		if evidence, inTrial := s.instance.Evidence(); inTrial {
 			s.evidence = evidence
 		}
-		s.handle(decision.EvidenceAcquired{Evidence: s.drawEvidence()})
+		s.handle(decision.EvidenceAdded{Evidence: s.drawEvidence()})
 	case 3:
 		s.evidence, _ = s.instance.Evidence()
 	}
--- a/decision/trial.go
+++ b/decision/trial.go
@@ -20,8 +20,8 @@
 	arrivalRate       float64 // smoothed rate of new requests, without those sent before, per ms
 	arrivalRateBefore float64 // arrivalRate when the build was offered
 
-	// unsuccessful counts the unsuccessful attempts of this instance, scaled to a total of at most 40. Bad counts
-	// those with an error response, Good all others.
+	// unsuccessful counts the unsuccessful attempts of this instance, scaled to a total of at most 40. Failures
+	// counts those with an error response, Successes all others.
 	unsuccessful stats.Count
 }
 
--- a/decision/verdict_test.go
+++ b/decision/verdict_test.go
@@ -22,7 +22,7 @@
 	} {
 		sim := start(t, trialUpdate(test.stage, 0.5), func(s *Settings) { s.Instances = 3 })
 		overall := sim.balancer.classes.overall
-		sim.balancer.endpoints.byID["a2"].outcomes[overall.index].Good = float64(test.outcomes)
+		sim.balancer.endpoints.byID["a2"].outcomes[overall.index].Successes = float64(test.outcomes)
 		overall.candidate.Partial = make([]float64, test.warm)
 		sim.balancer.now += noGroupsVoteDelay
 		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
@@ -145,8 +145,8 @@
 	} {
 		sim := start(t, trialUpdate(test.stage, 0.5), test.change)
 		overall := sim.balancer.classes.overall
-		sim.balancer.endpoints.byID["a1"].outcomes[overall.index] = stats.Count{Good: 30}
-		sim.balancer.endpoints.byID["a2"].outcomes[overall.index] = stats.Count{Good: test.good, Bad: test.bad}
+		sim.balancer.endpoints.byID["a1"].outcomes[overall.index] = stats.Count{Successes: 30}
+		sim.balancer.endpoints.byID["a2"].outcomes[overall.index] = stats.Count{Successes: test.good, Failures: test.bad}
 		overall.baselineAtStageStart = test.baseline
 		overall.candidate.Partial = test.candidate
 		sim.balancer.voting.vote.Verdict = VoteAdvance // cast earlier
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -23,7 +23,7 @@
 // after a random part of the retry wait.
 func (b *Balancer) handleVoteResult(result VoteResult) {
 	b.voting.accepted = result == VoteAccepted
-	wait := b.settings.VoteRetryWait * b.random.Next()
+	wait := b.settings.VoteRetryWait * b.random.Float64()
 	if b.voting.accepted {
 		wait = 0
 	}
--- a/decision/vote_test.go
+++ b/decision/vote_test.go
@@ -56,7 +56,7 @@
 	startedAt := sim.now
 	sim.handle(trialUpdate(0, 0.1))
 	for _, id := range []EndpointID{"a1", "a2"} {
-		sim.balancer.endpoints.byID[id].outcomes[sim.balancer.classes.overall.index] = stats.Count{Good: 30}
+		sim.balancer.endpoints.byID[id].outcomes[sim.balancer.classes.overall.index] = stats.Count{Successes: 30}
 	}
 	for sim.votes() == "" && sim.now < startedAt+10*noGroupsVoteDelay {
 		sim.advance(sim.balancer.tickInterval)
--- a/internal/cluster/failover/checkpoint.go
+++ b/internal/cluster/failover/checkpoint.go
@@ -82,7 +82,7 @@
 func (mgr *Manager) deliverEvidence(c *checkpoint) (responses int) {
 	mgr.own.addMerged(c.Merged...)
 	for i := range c.Evidence {
-		mgr.engine.AcquireEvidence(c.Evidence[i])
+		mgr.engine.AddEvidence(c.Evidence[i])
 		responses += countResponses(&c.Evidence[i])
 	}
 	return responses
--- a/internal/cluster/failover/manager.go
+++ b/internal/cluster/failover/manager.go
@@ -26,18 +26,18 @@
 type Engine interface {
 	// Evidence returns the module's evidence on the candidate, or false if no build is on trial.
 	Evidence(ctx context.Context) (decision.Evidence, bool)
-	// AcquireEvidence adds the evidence of another instance.
-	AcquireEvidence(decision.Evidence)
-	// RevokeEvidence drops the module's evidence because a successor has it.
-	RevokeEvidence()
+	// AddEvidence adds the evidence of another instance.
+	AddEvidence(decision.Evidence)
+	// DiscardEvidence discards the module's evidence because a successor has it.
+	DiscardEvidence()
 	// HandleEvent passes an event to the module.
 	HandleEvent(decision.Event)
 }
 
 // Controller is the rollout controller, which rejects a vote under an outdated fence.
 type Controller interface {
-	// VoteFenced sends a vote with the leases, and their tokens, that the vote's evidence comes from.
-	VoteFenced(v decision.Vote, fences []rollout.Fence)
+	// VoteWithFences sends a vote with the leases, and their tokens, that the vote's evidence comes from.
+	VoteWithFences(v decision.Vote, fences []rollout.Fence)
 }
 
 // Members provides the membership of the cluster and its changes.
--- a/internal/cluster/failover/manager_test.go
+++ b/internal/cluster/failover/manager_test.go
@@ -82,19 +82,19 @@
 	l.now += 1001
 }
 
-// fakeEngine has evidence with a number of responses, and adds the responses of acquired evidence.
+// fakeEngine has evidence with a number of responses, to which AddEvidence adds.
 type fakeEngine struct {
 	mu            sync.Mutex
 	responses     float64
 	handledEvents int // events handled
-	revocations   int // calls of RevokeEvidence
+	discards      int // calls of DiscardEvidence
 }
 
 func (e *fakeEngine) Evidence(context.Context) (decision.Evidence, bool) {
 	return evidenceWith(e.responseCount()), true
 }
 
-func (e *fakeEngine) AcquireEvidence(evidence decision.Evidence) {
+func (e *fakeEngine) AddEvidence(evidence decision.Evidence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, c := range evidence.Counts {
@@ -102,10 +102,10 @@
 	}
 }
 
-func (e *fakeEngine) RevokeEvidence() {
+func (e *fakeEngine) DiscardEvidence() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.revocations++
+	e.discards++
 }
 
 func (e *fakeEngine) HandleEvent(decision.Event) {
@@ -128,7 +128,7 @@
 // fakeCluster is a controller that ignores votes, and a membership in which b is alive and a is dead.
 type fakeCluster struct{}
 
-func (fakeCluster) VoteFenced(decision.Vote, []rollout.Fence) {}
+func (fakeCluster) VoteWithFences(decision.Vote, []rollout.Fence) {}
 
 func (fakeCluster) View() *membership.View {
 	return &membership.View{Self: "b", Members: []membership.Member{
--- a/internal/cluster/failover/propose.go
+++ b/internal/cluster/failover/propose.go
@@ -43,7 +43,7 @@
 		return nil, fmt.Errorf("work: %w", err)
 	}
 	if mgr.own.handleReply(command, sent, reply) {
-		mgr.engine.RevokeEvidence()
+		mgr.engine.DiscardEvidence()
 		mgr.logger.WithFields(logrus.Fields{
 			"work": mgr.own.current().ID, "token": uint64(command.Token), "refused": reply.Rejection,
 		}).Warn("lease lost")
--- a/internal/cluster/failover/renew_test.go
+++ b/internal/cluster/failover/renew_test.go
@@ -9,8 +9,8 @@
 )
 
 // Guards against evidence that stays with an instance after a successor has taken its lease over: the first rejected
-// renewal revokes the evidence, once, and drops the merged leases. Each renewal before has numbered its checkpoint.
-func TestLostRenewalRevokesEvidenceOnce(t *testing.T) {
+// renewal discards the evidence, once, and drops the merged leases. Each renewal before has numbered its checkpoint.
+func TestLostRenewalDiscardsEvidenceOnce(t *testing.T) {
 	log, engine := &fakeLog{machine: StateMachine{table: lease.NewTable()}}, &fakeEngine{responses: 3}
 	manager := newManager(log, engine, time.Second)
 	for range 4 { // acquires, and renews three times
@@ -29,8 +29,8 @@
 	for range 2 { // a renewal, rejected as stale, and an acquisition, rejected because another instance holds the lease
 		manager.renew(t.Context())
 	}
-	if engine.revocations != 1 {
-		t.Errorf("got evidence revoked %d times, want once", engine.revocations)
+	if engine.discards != 1 {
+		t.Errorf("got evidence discarded %d times, want once", engine.discards)
 	}
 	if allowed, fences := manager.own.mayVote(decision.VoteAdvance, manager.clock.Now()); allowed || len(fences) != 1 {
 		t.Errorf("after the loss: got vote allowed %v, fences %+v, want no vote and one fence", allowed, fences)
--- a/internal/cluster/failover/votes.go
+++ b/internal/cluster/failover/votes.go
@@ -10,5 +10,5 @@
 		mgr.engine.HandleEvent(decision.StageUpdate{IsVoteResult: true, VoteResult: decision.VoteFailed})
 		return
 	}
-	mgr.controller.VoteFenced(v, fences)
+	mgr.controller.VoteWithFences(v, fences)
 }
--- a/internal/cluster/gossip/changes.go
+++ b/internal/cluster/gossip/changes.go
@@ -61,7 +61,7 @@
 	switch {
 	case change.Name == view.Self && view.SupersededBy != "":
 		line.WithField("superseded_by", view.SupersededBy).Error("membership: superseded by a newer process with this name")
-	case change.New:
+	case change.NewMember:
 		line.Info("member found")
 	case change.State == membership.Suspect, change.State == membership.Dead:
 		line.Warn("member changed")
--- a/internal/cluster/membership/detector.go
+++ b/internal/cluster/membership/detector.go
@@ -168,12 +168,12 @@
 	d.phase = running
 	d.now = now
 	d.sync.joined = d.settings.Initial != nil
-	d.probing.next = now + d.timing.period*d.random.Next()
+	d.probing.next = now + d.timing.period*d.random.Float64()
 	d.sync.next = now
 	if d.sync.joined {
-		d.sync.next = now + d.timing.syncInterval*d.random.Next()
+		d.sync.next = now + d.timing.syncInterval*d.random.Float64()
 	}
-	d.nextSweep = now + d.timing.syncInterval*(1+d.random.Next())
+	d.nextSweep = now + d.timing.syncInterval*(1+d.random.Float64())
 	d.broadcasts.nextGossip = now
 	d.sync.packetsLeft = maxSyncPackets
 	d.updateTransmitLimit()
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -78,7 +78,7 @@
 func TestViewEncoding(t *testing.T) {
 	view := View{Self: "a", At: 1764700000123.5, Health: 3, SupersededBy: "127.0.0.9:7009", Rejected: 2, Members: []Member{{
 		Name: "c", Address: "127.0.0.3:7003", State: Suspect, Incarnation: 1764700000123, Run: 0xfedcba9876543210,
-		Since: 1764700000001.25, Accuser: "a",
+		StateSince: 1764700000001.25, Accuser: "a",
 	}}}
 	golden.RoundTrip(t, "view.json", view, json.Marshal, json.Unmarshal)
 }
--- a/internal/cluster/membership/packet.go
+++ b/internal/cluster/membership/packet.go
@@ -64,10 +64,10 @@
 
 // Change reports a member's new state, or a new process of the member.
 type Change struct {
-	At       Millis // Unix time
-	Previous State  // Dead for a member that was not known
-	New      bool   // the member was not known before
-	Member          // the member after the change
+	At        Millis // Unix time
+	Previous  State  // Dead for a member that was not known
+	NewMember bool   // the member was not known before
+	Member           // the member after the change
 }
 
 // Output lists the packets to send and the changes to report. It is valid until the next call of the detector.
--- a/internal/cluster/membership/sim/sim.go
+++ b/internal/cluster/membership/sim/sim.go
@@ -59,10 +59,10 @@
 	cuts      map[[2]int]bool // links that carry no packets, by sender and receiver
 	queue     eventQueue
 
-	OnChange func(Observation) // called for each change in a member's view; may be nil
-	Packets  int               // packets sent
-	Bytes    int               // bytes of the packets sent
-	Lost     int               // packets sent and not delivered
+	OnChange    func(Observation) // called for each change in a member's view; may be nil
+	PacketsSent int               // packets sent
+	BytesSent   int               // bytes of the packets sent
+	Lost        int               // packets sent and not delivered
 }
 
 // startUnix is the Unix time at which a simulation begins, in milliseconds.
@@ -216,10 +216,10 @@
 	if err != nil {
 		panic(err) // the codec is at fault: each packet of the detector can be encoded
 	}
-	f.Packets++
-	f.Bytes += len(raw)
+	f.PacketsSent++
+	f.BytesSent += len(raw)
 	to, known := f.byAddress[s.To]
-	if !known || f.cuts[[2]int{from, to}] || f.settings.Loss > 0 && f.random.Next() < f.settings.Loss {
+	if !known || f.cuts[[2]int{from, to}] || f.settings.Loss > 0 && f.random.Float64() < f.settings.Loss {
 		f.Lost++
 		return
 	}
@@ -227,7 +227,7 @@
 	if err != nil {
 		panic(err)
 	}
-	f.queue.push(event{due: f.now + f.settings.Delay*(0.1+0.9*f.random.Next()), member: to, packet: packet})
+	f.queue.push(event{due: f.now + f.settings.Delay*(0.1+0.9*f.random.Float64()), member: to, packet: packet})
 }
 
 // scheduleWake schedules a wake-up of a member unless an earlier one is scheduled.
--- a/internal/cluster/membership/sim/sim_test.go
+++ b/internal/cluster/membership/sim/sim_test.go
@@ -25,7 +25,7 @@
 func countFalseDeaths(f *Fleet) *int {
 	n := 0
 	f.OnChange = func(observed Observation) {
-		if observed.State == membership.Dead && observed.SubjectRunning && !observed.New {
+		if observed.State == membership.Dead && observed.SubjectRunning && !observed.NewMember {
 			n++
 		}
 	}
@@ -219,7 +219,7 @@
 		for seed := range uint64(25) {
 			simulated := fleet(t, Settings{Members: 5, RandomSeed: seed, Loss: 0.1})
 			for range 40 {
-				simulated.Run(200 + 1800*simulated.random.Next())
+				simulated.Run(200 + 1800*simulated.random.Float64())
 				randomFault(t, simulated)
 			}
 			heal(t, simulated)
@@ -228,9 +228,9 @@
 				t.Errorf("seed %d: %v", seed, err)
 			}
 			if repetition == 0 {
-				packets[seed] = simulated.Packets
-			} else if packets[seed] != simulated.Packets {
-				t.Errorf("seed %d: got %d packets, want %d as in the first run", seed, simulated.Packets, packets[seed])
+				packets[seed] = simulated.PacketsSent
+			} else if packets[seed] != simulated.PacketsSent {
+				t.Errorf("seed %d: got %d packets, want %d as in the first run", seed, simulated.PacketsSent, packets[seed])
 			}
 		}
 	}
@@ -240,10 +240,10 @@
 // fault does not apply to the member's state.
 func randomFault(t *testing.T, f *Fleet) {
 	t.Helper()
-	i := int(5 * f.random.Next())
-	j := int(5 * f.random.Next())
+	i := int(5 * f.random.Float64())
+	j := int(5 * f.random.Float64())
 	member := f.Member(i)
-	switch fault := int(6 * f.random.Next()); {
+	switch fault := int(6 * f.random.Float64()); {
 	case fault == 0 && member.Running:
 		f.Kill(i)
 	case fault == 1 && !member.Running:
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -58,7 +58,7 @@
 	d.startSuspicion(m, inc, accuser)
 	// A single accuser may have lost its connection in one direction. So other members probe the suspect themselves: all
 	// members of a small cluster, but only a few of a large cluster, so that the suspect is not flooded with pings.
-	if accuser != d.settings.Name && d.random.Next() < confirmingProbes/float64(d.table.present()) {
+	if accuser != d.settings.Name && d.random.Float64() < confirmingProbes/float64(d.table.present()) {
 		d.startProbe(m, true)
 	}
 }
--- a/internal/cluster/membership/sync.go
+++ b/internal/cluster/membership/sync.go
@@ -15,7 +15,7 @@
 // startSync sends digests: to the seeds until a member responds, then to one random member at a time. Anti-entropy
 // delivers updates that gossip did not, and merges the sides of a healed partition.
 func (d *Detector) startSync() {
-	d.sync.next = d.now + d.timing.syncInterval*(1+d.random.Next())/2
+	d.sync.next = d.now + d.timing.syncInterval*(1+d.random.Float64())/2
 	if !d.sync.joined {
 		d.sync.next = d.now + d.timing.period
 		d.contactSeeds()
@@ -50,7 +50,7 @@
 	if len(seeds) == 0 {
 		return
 	}
-	seed := seeds[int(d.random.Next()*float64(len(seeds)))]
+	seed := seeds[int(d.random.Float64()*float64(len(seeds)))]
 	if m := d.table.get(seed.Name); seed.Name != d.settings.Name && (m == nil || m.State >= Dead) {
 		d.sendTo(seed.Address, m, d.digest())
 	}
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -12,7 +12,7 @@
 	State       State       `json:"state"`
 	Incarnation Incarnation `json:"incarnation"`
 	Run         RunID       `json:"run,string"`
-	Since       Millis      `json:"since_ms"`     // Unix time at which the member entered its state
+	StateSince  Millis      `json:"since_ms"`     // Unix time at which the member entered its state
 	Accuser     Name        `json:"by,omitempty"` // the accuser of a member that is suspect or dead
 }
 
@@ -79,7 +79,7 @@
 func (m *member) snapshot() Member {
 	return Member{
 		Name: m.Name, Address: m.Address, State: m.State, Incarnation: m.Incarnation, Run: m.Run,
-		Since: m.since, Accuser: m.Accuser,
+		StateSince: m.since, Accuser: m.Accuser,
 	}
 }
 
@@ -93,5 +93,5 @@
 		m = d.table.writable(m.Name)
 		m.since = d.now
 	}
-	d.output.Changes = append(d.output.Changes, Change{At: d.now, Previous: previous, New: isNew, Member: m.snapshot()})
+	d.output.Changes = append(d.output.Changes, Change{At: d.now, Previous: previous, NewMember: isNew, Member: m.snapshot()})
 }
--- a/internal/cluster/membership/walk.go
+++ b/internal/cluster/membership/walk.go
@@ -9,8 +9,8 @@
 	slots := d.table.slots()
 	order := walk{slots: slots, remaining: slots}
 	if slots > 1 {
-		order.position = int(d.random.Next() * float64(slots))
-		order.stride = 1 + int(d.random.Next()*float64(slots-1))
+		order.position = int(d.random.Float64() * float64(slots))
+		order.stride = 1 + int(d.random.Float64()*float64(slots-1))
 		for gcd(order.stride, slots) != 1 {
 			order.stride = order.stride%(slots-1) + 1
 		}
--- a/internal/cluster/policysync/applier.go
+++ b/internal/cluster/policysync/applier.go
@@ -49,7 +49,7 @@
 
 // readStored returns the record of the applied version from the store, or nil if there is none.
 func (a *applier) readStored() (*policy.Record, error) {
-	raw, err := a.store.GetUser(appliedKey)
+	raw, err := a.store.UserValue(appliedKey)
 	if err != nil || raw == nil {
 		return nil, err
 	}
@@ -61,7 +61,7 @@
 	if err != nil {
 		return err
 	}
-	return a.store.PutUser(appliedKey, raw)
+	return a.store.SetUserValue(appliedKey, raw)
 }
 
 // markCaughtUp records that the process knows everything that was committed at some time after its start. It applies
--- a/internal/cluster/policysync/applier_test.go
+++ b/internal/cluster/policysync/applier_test.go
@@ -123,7 +123,7 @@
 	restarted.applier = newApplier(restarted.recordDecision, tested.store, tested.log)
 	restarted.applyStored()
 	restarted.expectDecisions(t, "1 false")
-	if err := tested.store.PutUser(appliedKey, []byte("corrupt record")); err != nil {
+	if err := tested.store.SetUserValue(appliedKey, []byte("corrupt record")); err != nil {
 		t.Fatal(err)
 	}
 	restarted.applier = newApplier(restarted.recordDecision, tested.store, tested.log)
--- a/internal/cluster/raftlog/golden_test.go
+++ b/internal/cluster/raftlog/golden_test.go
@@ -265,7 +265,7 @@
 	defer closeStore(t, store)
 	for _, err := range []error{
 		store.StoreLogs(goldenStoredEntries(t)), store.SetUint64([]byte("CurrentTerm"), 2),
-		store.Set([]byte("LastVoteCand"), []byte("a")), store.PutUser("policy", goldenUserValue(t)),
+		store.Set([]byte("LastVoteCand"), []byte("a")), store.SetUserValue("policy", goldenUserValue(t)),
 	} {
 		if err != nil {
 			t.Fatal(err)
@@ -352,7 +352,7 @@
 	}
 	term, termErr := store.GetUint64([]byte("CurrentTerm"))
 	vote, voteErr := store.Get([]byte("LastVoteCand"))
-	value, valueErr := store.GetUser("policy")
+	value, valueErr := store.UserValue("policy")
 	if err := errors.Join(termErr, voteErr, valueErr); err != nil || term != 2 || string(vote) != "a" ||
 		!bytes.Equal(value, goldenUserValue(t)) {
 		t.Errorf("got term %d, vote %q, user value %q, %v, want 2, \"a\", %q", term, vote, value, err, goldenUserValue(t))
--- a/internal/cluster/raftlog/store.go
+++ b/internal/cluster/raftlog/store.go
@@ -18,7 +18,7 @@
 var (
 	logsBucket   = []byte("logs")   // entries, by index
 	stableBucket = []byte("stable") // raft's term and vote
-	userBucket   = []byte("kept")   // values of PutUser
+	userBucket   = []byte("kept")   // values of SetUserValue
 	allBuckets   = [][]byte{logsBucket, stableBucket, userBucket}
 )
 
@@ -125,11 +125,13 @@
 	return value, err
 }
 
-// PutUser stores a value under a key of the store's user. User values are separate from those of raft.
-func (s *Store) PutUser(key string, value []byte) error { return s.put(userBucket, []byte(key), value) }
+// SetUserValue stores a value under a key of the store's user. User values are separate from those of raft.
+func (s *Store) SetUserValue(key string, value []byte) error {
+	return s.put(userBucket, []byte(key), value)
+}
 
-// GetUser returns a value stored by PutUser; nil if there is none.
-func (s *Store) GetUser(key string) ([]byte, error) {
+// UserValue returns a value stored by SetUserValue; nil if there is none.
+func (s *Store) UserValue(key string) ([]byte, error) {
 	v, err := s.get(userBucket, []byte(key))
 	if errors.Is(err, errNotFound) {
 		return nil, nil
@@ -212,13 +214,13 @@
 // Set stores a value of raft, see raft.StableStore.
 func (s *Store) Set(k, v []byte) error { return s.put(stableBucket, k, v) }
 
-// Get returns a value stored by Set. It returns errNotFound if there is none.
+// Get returns a value stored by Set. If there is none, the text of the error is "not found", as raft expects.
 func (s *Store) Get(k []byte) ([]byte, error) { return s.get(stableBucket, k) }
 
 // SetUint64 stores a number of raft, see raft.StableStore.
 func (s *Store) SetUint64(k []byte, v uint64) error { return s.Set(k, indexKey(v)) }
 
-// GetUint64 returns a number stored by SetUint64. It returns errNotFound if there is none.
+// GetUint64 returns a number stored by SetUint64. If there is none, the error is that of Get.
 func (s *Store) GetUint64(k []byte) (uint64, error) {
 	raw, err := s.Get(k)
 	if err != nil {
--- a/internal/cluster/raftlog/store_test.go
+++ b/internal/cluster/raftlog/store_test.go
@@ -30,7 +30,7 @@
 	for i := range uint64(10) {
 		logs = append(logs, &raft.Log{Index: i + 1, Term: 2, Type: raft.LogCommand, Data: []byte{byte(i)}})
 	}
-	if err := errors.Join(store.StoreLogs(logs), store.SetUint64([]byte("term"), 7), store.PutUser("k", []byte("v")),
+	if err := errors.Join(store.StoreLogs(logs), store.SetUint64([]byte("term"), 7), store.SetUserValue("k", []byte("v")),
 		store.DeleteRange(9, 10)); err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 	}
 	defer closeStore(t, store)
 	checkReopened(t, store)
-	if none, err := store.GetUser("other"); none != nil || err != nil {
+	if none, err := store.UserValue("other"); none != nil || err != nil {
 		t.Errorf("missing user value: got %q, %v, want none", none, err)
 	}
 }
@@ -54,7 +54,7 @@
 		t.Errorf("entries: got %d to %d, %v, want 1 to 8", first, last, err)
 	}
 	term, termErr := store.GetUint64([]byte("term"))
-	value, valueErr := store.GetUser("k")
+	value, valueErr := store.UserValue("k")
 	if err := errors.Join(termErr, valueErr); err != nil || term != 7 || string(value) != "v" {
 		t.Errorf("got term %d, user value %q, %v, want 7 and \"v\"", term, value, err)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -99,7 +99,7 @@
 		{"settings", fmt.Sprintf("%d marshals, zone %q, stages %v, caps %v", c.Settings.Instances, c.Settings.Zone,
 			c.Settings.StageShares, c.Settings.ExposureCaps)},
 		{"path groups", strings.Join(classes, ", ")},
-		{"longest client timeout", fmt.Sprintf("%g ms", c.Network.LongestTimeout)},
+		{"longest client timeout", fmt.Sprintf("%g ms", c.Network.MaxClientTimeout)},
 		{"connections to clients", c.Limits.Connections()},
 		{"connections to nodes", c.Limits.Connections()},
 		{"memory limit", fmt.Sprintf("%d MB", c.Limits.MemoryLimit()/bytesPerMiB)},
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -29,8 +29,8 @@
 	}{
 		{"pushed, with a drain grace", settings.Network{DrainGrace: 5000}, nil, 2},
 		{"pushed, without a drain grace", settings.Network{}, known, 2},
-		{"polled, no list known", settings.Network{PollEndpoints: true, PollWithin: 4000}, nil, 2},
-		{"polled, a list known", settings.Network{PollEndpoints: true, PollWithin: 4000}, known, 1},
+		{"polled, no list known", settings.Network{PollEndpoints: true, MaxPollInterval: 4000}, nil, 2},
+		{"polled, a list known", settings.Network{PollEndpoints: true, MaxPollInterval: 4000}, known, 1},
 	} {
 		heads := firstCalls(t, c.network, c.known, c.kinds)
 		observed.WriteString(golden.Section(c.title, strings.Join(heads, "")))
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -19,7 +19,7 @@
 //	from            event                                                  to
 //	(start)         polled list, a version is known                        awaitingResume
 //	(start)         otherwise                                              fetching
-//	fetching,       update, Resolve has requested a full snapshot          fetching
+//	fetching,       update, RequestSnapshot was called                     fetching
 //	watching        update                                                 watching
 //	                update, a newer watch has delivered                    superseded
 //	                pushed list, timeout                                   fetching
@@ -134,7 +134,7 @@
 	}
 	w.version = update.Version
 	select {
-	case <-w.resolve:
+	case <-w.snapshotRequests:
 		w.version = noVersion
 	default:
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -23,7 +23,7 @@
 	stallTimeout    = 200 * time.Millisecond // between two bytes of a response, which the agent has ready as a whole
 	retryDelay      = 50 * time.Millisecond  // after a failure; a watch continues only if the next call comes within 200 ms
 
-	queueFraction = 4                     // PollWithin divided by this is the minimum responseTimeout of a polled service
+	queueFraction = 4                     // MaxPollInterval divided by this is the minimum responseTimeout of a polled service
 	hedgeFraction = 4                     // the drain grace divided by this is the time between hedged calls
 	watchFraction = 2                     // the drain grace divided by this limits a watch of a pushed list; see newTiming
 	minGrace      = 50 * time.Millisecond // used if the drain grace is 0
@@ -62,7 +62,7 @@
 	if network.PollEndpoints {
 		// The service processes a queued call even after the caller has canceled it. If all instances canceled early, all
 		// of its work would be wasted.
-		limits.responseTimeout = max(limits.responseTimeout, clock.Duration(network.PollWithin)/queueFraction)
+		limits.responseTimeout = max(limits.responseTimeout, clock.Duration(network.MaxPollInterval)/queueFraction)
 		return limits
 	}
 	// A watch that was open when the agent failed may never get a response, and changes count as notified as soon as the
@@ -92,9 +92,9 @@
 
 // commands passes commands of other goroutines to the running watches.
 type commands struct {
-	resolve    chan struct{} // the next call must request a full snapshot; buffer of 1
-	resume     chan struct{} // the next call may be sent after a rejection; buffer of 1
-	newAddress chan string   // host:port
+	snapshotRequests chan struct{} // the next call must request a full snapshot; buffer of 1
+	resume           chan struct{} // the next call may be sent after a rejection; buffer of 1
+	newAddress       chan string   // host:port
 }
 
 // New creates a Watcher of the list at address (host:port). known is a list that is known already, nil for none. Only a
@@ -108,7 +108,7 @@
 		timing:   newTiming(network),
 		delivery: delivery{deliverEmpty: network.PollEndpoints, handle: handle, received: make(chan struct{})},
 		commands: commands{
-			resolve: make(chan struct{}, 1), resume: make(chan struct{}, 1), newAddress: make(chan string),
+			snapshotRequests: make(chan struct{}, 1), resume: make(chan struct{}, 1), newAddress: make(chan string),
 		},
 		address: address, knownVersion: noVersion, polls: network.PollEndpoints, decode: Decode, log: log,
 	}
@@ -118,14 +118,14 @@
 	return watcher
 }
 
-// Received returns a channel that is closed once the first list was passed to the handler.
-func (w *Watcher) Received() <-chan struct{} { return w.received }
+// FirstListReceived returns a channel that is closed once the first list was passed to the handler.
+func (w *Watcher) FirstListReceived() <-chan struct{} { return w.received }
 
 // Calls returns the number of calls sent since the start.
 func (w *Watcher) Calls() int64 { return w.calls.Load() }
 
-// Resolve makes the next call request a full snapshot.
-func (w *Watcher) Resolve() { signal(w.resolve) }
+// RequestSnapshot makes the next call request a full snapshot.
+func (w *Watcher) RequestSnapshot() { signal(w.snapshotRequests) }
 
 // ResumeWatch allows the next call to a polled service, which waits for it after a rejection, after a repeated failure
 // and at the start with a known list.
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -210,7 +210,7 @@
 		calls <- r.URL.RawQuery
 		return <-replies
 	})
-	watcher := New(address, &engine.EndpointUpdate{Version: 41}, settings.Network{PollEndpoints: true, PollWithin: 10000},
+	watcher := New(address, &engine.EndpointUpdate{Version: 41}, settings.Network{PollEndpoints: true, MaxPollInterval: 10000},
 		func(update engine.EndpointUpdate) { updates <- update }, discardLog())
 	watcher.watchTimeout, watcher.retryDelay = 50*time.Millisecond, time.Millisecond
 	if watcher.responseTimeout != 2500*time.Millisecond {
@@ -281,7 +281,7 @@
 	}), nil, settings.Network{DrainGrace: grace}, func(update engine.EndpointUpdate) { updates <- update }, discardLog())
 	runWatcher(t, watcher)
 	expectVersion(t, updates, 41, 10*time.Second)
-	<-watcher.Received()
+	<-watcher.FirstListReceived()
 	back := <-lost
 	expectVersion(t, updates, 42, 10*time.Second)
 	if took := time.Since(back); took > grace*time.Millisecond {
--- a/internal/discovery/wire.go
+++ b/internal/discovery/wire.go
@@ -78,7 +78,7 @@
 		return engine.Endpoint{}, EntryError{Name: entry.Name, Status: entry.Status}
 	}
 	return engine.Endpoint{Address: entry.Address, Endpoint: decision.Endpoint{
-		ID: decision.EndpointID(entry.Name), Cell: decision.Cell(entry.Cell), Started: entry.Started,
+		ID: decision.EndpointID(entry.Name), Cell: decision.Cell(entry.Cell), StartedAt: entry.Started,
 		Zone: decision.Zone(entry.Zone), Build: decision.Build(entry.Build),
 		MachineType: decision.MachineType(entry.MachineType), State: state, Capacity: entry.Capacity,
 	}}, nil
--- a/internal/discovery/wire_test.go
+++ b/internal/discovery/wire_test.go
@@ -28,7 +28,7 @@
 		t.Run(name, func(t *testing.T) {
 			got, err := Decode([]byte(test.text))
 			want := engine.Endpoint{Address: "10.1.0.18:8080", Endpoint: decision.Endpoint{
-				ID: "s-1", Cell: 3, Started: 7000, Zone: "a",
+				ID: "s-1", Cell: 3, StartedAt: 7000, Zone: "a",
 				Build: 41, MachineType: "m2", State: test.state, Capacity: 1.5,
 			}}
 			if err != nil || got.Kind != test.kind || len(got.Endpoints) != 1 || got.Endpoints[0] != want {
--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -24,12 +24,12 @@
 			c.cancelAttempt(action)
 		case decision.WakeAt:
 			heap.Push(&c.timers, timer{action.At, action.Token})
-		case decision.CloseIdle:
-			c.upstream.CloseIdle(action.Endpoint)
+		case decision.CloseIdleConnections:
+			c.upstream.CloseIdleConnections(action.Endpoint)
 		case decision.Vote:
 			c.castVote(action)
-		case decision.ResolveEndpoints:
-			c.discovery.Resolve()
+		case decision.RequestSnapshot:
+			c.discovery.RequestSnapshot()
 		case decision.WatchEndpoints:
 			c.discovery.ResumeWatch()
 		case decision.Log:
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -41,7 +41,7 @@
 	// Another start time or build means a new process, possibly at the same address. On an idle connection to the old
 	// process, the next attempt would be reset or never get a response.
 	previous := c.endpoints[endpoint.ID]
-	if previous.Address != endpoint.Address || previous.Started != endpoint.Started || previous.Build != endpoint.Build {
+	if previous.Address != endpoint.Address || previous.StartedAt != endpoint.StartedAt || previous.Build != endpoint.Build {
 		c.upstream.SetAddress(endpoint.ID, endpoint.Address)
 	}
 	c.endpoints[endpoint.ID] = endpoint
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -15,7 +15,7 @@
 	}{
 		"unchanged": {delta(newEndpoint("a", "a:1", decision.Serving)), "", 2},
 		"address":   {delta(newEndpoint("a", "a:2", decision.Serving)), "set address a a:2", 2},
-		"started":   {delta(Endpoint{decision.Endpoint{ID: "a", Started: 7}, "a:1"}), "set address a a:1", 2},
+		"started":   {delta(Endpoint{decision.Endpoint{ID: "a", StartedAt: 7}, "a:1"}), "set address a a:1", 2},
 		"build":     {delta(Endpoint{decision.Endpoint{ID: "a", Build: 7}, "a:1"}), "set address a a:1", 2},
 		"draining":  {delta(newEndpoint("a", "a:1", decision.Draining)), "set address a ", 2},
 		"two entries for one endpoint": {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -110,14 +110,14 @@
 	e.post(eventReceived{decision.SettingsChanged{Settings: s}})
 }
 
-// AcquireEvidence queues the evidence that this instance takes over from one that has left. It must be called once for
+// AddEvidence queues the evidence that this instance takes over from one that has left. It must be called once for
 // each takeover, because the module adds the evidence to its own.
-func (e *Engine) AcquireEvidence(evidence decision.Evidence) {
-	e.post(eventReceived{decision.EvidenceAcquired{Evidence: evidence}})
+func (e *Engine) AddEvidence(evidence decision.Evidence) {
+	e.post(eventReceived{decision.EvidenceAdded{Evidence: evidence}})
 }
 
-// RevokeEvidence reports that another instance has taken over the evidence of this one.
-func (e *Engine) RevokeEvidence() { e.post(eventReceived{decision.EvidenceRevoked{}}) }
+// DiscardEvidence makes the module discard its evidence, because another instance has taken it over.
+func (e *Engine) DiscardEvidence() { e.post(eventReceived{decision.EvidenceRevoked{}}) }
 
 // Evidence returns what the module has observed of the candidate. It returns false without a candidate, or if ctx ends
 // before the event loop replies.
--- a/internal/engine/events.go
+++ b/internal/engine/events.go
@@ -28,7 +28,7 @@
 		return "logic.StageNews"
 	case decision.SettingsChanged:
 		return "logic.SettingsChanged"
-	case decision.EvidenceAcquired:
+	case decision.EvidenceAdded:
 		return "logic.Adopted"
 	case decision.EvidenceRevoked:
 		return "logic.Disowned"
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -36,7 +36,7 @@
 		decision.PeerMessage{},
 		decision.StageUpdate{},
 		decision.SettingsChanged{},
-		decision.EvidenceAcquired{},
+		decision.EvidenceAdded{},
 		decision.EvidenceRevoked{},
 		decision.ControllerCounts{},
 		decision.ResponseFlagged{},
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -84,11 +84,11 @@
 func (h *harness) SetAddress(id decision.EndpointID, address string) {
 	h.record("set address %s %s", id, address)
 }
-func (h *harness) CancelUnsent(id decision.EndpointID) { h.record("cancel unsent %s", id) }
-func (h *harness) CloseIdle(id decision.EndpointID)    { h.record("close idle %s", id) }
-func (h *harness) Vote(v decision.Vote)                { h.record("vote %d %d %d", v.Build, v.Stage, v.Verdict) }
-func (h *harness) ResumeWatch()                        { h.record("resume watch") }
-func (h *harness) Resolve()                            { h.record("resolve") }
+func (h *harness) CancelUnsent(id decision.EndpointID)         { h.record("cancel unsent %s", id) }
+func (h *harness) CloseIdleConnections(id decision.EndpointID) { h.record("close idle %s", id) }
+func (h *harness) Vote(v decision.Vote)                        { h.record("vote %d %d %d", v.Build, v.Stage, v.Verdict) }
+func (h *harness) ResumeWatch()                                { h.record("resume watch") }
+func (h *harness) RequestSnapshot()                            { h.record("request snapshot") }
 
 // deliver passes a message to the core, and then the messages that the core posts. The module returns the actions for
 // the first event.
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -48,8 +48,8 @@
 	c.stats.counters.Requests++
 	c.requests.add(request, now+remaining)
 	c.dispatch(now, decision.RequestReceived{
-		Request: request.id, Class: request.Class, Tenant: request.Tenant, Key: request.Key, TTL: remaining,
-		Hint: request.Hint, Retried: request.Retried,
+		Request: request.id, Class: request.Class, Tenant: request.Tenant, Key: request.Key, Remaining: remaining,
+		EstimatedServiceTime: request.EstimatedServiceTime, Retried: request.Retried,
 	})
 }
 
@@ -75,11 +75,11 @@
 	index := len(open.attempts)
 	open.attempts = append(open.attempts, attempt{endpoint: start.Endpoint, startedAt: now})
 	open.inFlight++
-	onEnd := func(result AttemptResult) { c.post(attemptEnded{start.Request, index, result}) }
+	onResult := func(result AttemptResult) { c.post(attemptEnded{start.Request, index, result}) }
 	address := c.endpoints[start.Endpoint].Address
 	if address == "" || open.finished || now >= open.deadline {
 		open.attempts[index].cancel = func() {}
-		onEnd(AttemptResult{Outcome: decision.NotSent, EndedAt: now})
+		onResult(AttemptResult{Outcome: decision.NotSent, EndedAt: now})
 		return
 	}
 	deadline := open.deadline
@@ -88,7 +88,7 @@
 	}
 	open.attempts[index].cancel = c.upstream.StartAttempt(Attempt{
 		Endpoint: start.Endpoint, Address: address, Request: open.request.Request,
-		SendBy: start.SendBy, Deadline: deadline, OnEnd: onEnd,
+		SendBy: start.SendBy, Deadline: deadline, OnResult: onResult,
 	})
 }
 
--- a/internal/engine/requests_test.go
+++ b/internal/engine/requests_test.go
@@ -21,7 +21,7 @@
 		open     int
 	}{
 		"no action": {
-			received: decision.RequestReceived{Request: 1, Class: "read", Tenant: "t", TTL: 490},
+			received: decision.RequestReceived{Request: 1, Class: "read", Tenant: "t", Remaining: 490},
 			open:     1,
 		},
 		"attempt": {
@@ -74,12 +74,12 @@
 		},
 		"other actions": {actions{
 			decision.Vote{Build: 7, Stage: 2, Verdict: decision.VoteRollback},
-			decision.CloseIdle{Endpoint: "a"},
-			decision.ResolveEndpoints{},
+			decision.CloseIdleConnections{Endpoint: "a"},
+			decision.RequestSnapshot{},
 			decision.WatchEndpoints{On: true},
 			decision.SendToPeer{All: true},
 			decision.Log{Text: "x"},
-		}, "vote 7 2 3,close idle a,resolve,resume watch", "", nil, 1},
+		}, "vote 7 2 3,close idle a,request snapshot,resume watch", "", nil, 1},
 		"health check": {
 			actions:  actions{decision.StartHealthCheck{Endpoint: "a"}},
 			received: decision.HealthCheckEnded{Endpoint: "a", Outcome: decision.NotSent},
@@ -140,7 +140,7 @@
 			core.now = 1045
 			load := &decision.Load{Utilisation: 0.5}
 			test.end.Load = load
-			core.attempts[0].OnEnd(test.end)
+			core.attempts[0].OnResult(test.end)
 			msg := core.posted[0]
 			core.posted = nil
 			core.deliver(msg, test.actions...)
--- a/internal/engine/simulation_test.go
+++ b/internal/engine/simulation_test.go
@@ -53,7 +53,7 @@
 	if attempt.Request.Method == "POST" && executed {
 		s.mayHaveRun[attempt.Request] = true
 	}
-	attempt.OnEnd(AttemptResult{Outcome: outcome, EndedAt: s.now, Response: &Response{}})
+	attempt.OnResult(AttemptResult{Outcome: outcome, EndedAt: s.now, Response: &Response{}})
 }
 
 // endDueAttempts ends the attempts that are due; about a quarter of them fail.
--- a/internal/engine/stats_test.go
+++ b/internal/engine/stats_test.go
@@ -15,10 +15,10 @@
 // noUpstream is an Upstream that ignores every call.
 type noUpstream struct{}
 
-func (noUpstream) StartAttempt(Attempt) func()            { return func() {} }
-func (noUpstream) SetAddress(decision.EndpointID, string) {}
-func (noUpstream) CancelUnsent(decision.EndpointID)       {}
-func (noUpstream) CloseIdle(decision.EndpointID)          {}
+func (noUpstream) StartAttempt(Attempt) func()              { return func() {} }
+func (noUpstream) SetAddress(decision.EndpointID, string)   {}
+func (noUpstream) CancelUnsent(decision.EndpointID)         {}
+func (noUpstream) CloseIdleConnections(decision.EndpointID) {}
 
 // An engine's Stats contain the status of the decision module, and its Evidence is that of the module.
 func TestStatsAndEvidenceComeFromModule(t *testing.T) {
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -19,14 +19,14 @@
 
 // ClientRequest holds a client's request with the data that the decision module needs to route it.
 type ClientRequest struct {
-	Class      decision.ClassName
-	Tenant     decision.TenantID
-	Key        decision.Key    // sticky key; empty if there is none
-	Remaining  decision.Millis // time left at ReceivedAt until the client gives up
-	ReceivedAt decision.Millis // by the engine's clock
-	Hint       decision.Millis // client's estimate of the processing time; 0 if there is none
-	Retried    bool            // the client repeats an earlier request
-	Request    *Request
+	Class                decision.ClassName
+	Tenant               decision.TenantID
+	Key                  decision.Key    // sticky key; empty if there is none
+	Remaining            decision.Millis // time left at ReceivedAt until the client gives up
+	ReceivedAt           decision.Millis // by the engine's clock
+	EstimatedServiceTime decision.Millis // client's estimate of the processing time; 0 if there is none
+	Retried              bool            // the client repeats an earlier request
+	Request              *Request
 
 	// Respond receives the result. The event loop calls Respond at most once, and not after it has handled
 	// ClientDisconnected. Respond must not block.
@@ -60,8 +60,8 @@
 	SendBy   decision.Millis // time before which the request must be sent; 0 means Deadline
 	Deadline decision.Millis // time at which the attempt times out
 
-	// OnEnd receives the result. It is called exactly once, from any goroutine, after the connection was released.
-	OnEnd func(AttemptResult)
+	// OnResult receives the result. It is called exactly once, from any goroutine, after the connection was released.
+	OnResult func(AttemptResult)
 }
 
 // AttemptResult holds the outcome of an attempt.
@@ -94,8 +94,8 @@
 	SetAddress(id decision.EndpointID, address string)
 	// CancelUnsent ends those attempts to an endpoint that have not been sent yet.
 	CancelUnsent(id decision.EndpointID)
-	// CloseIdle closes the idle connections to an endpoint.
-	CloseIdle(id decision.EndpointID)
+	// CloseIdleConnections closes the idle connections to an endpoint.
+	CloseIdleConnections(id decision.EndpointID)
 }
 
 // Controller sends votes to the rollout controller. Vote must not block. The result of each vote arrives later as a
@@ -104,8 +104,8 @@
 
 // Discovery fetches the endpoint list. Its methods must not block.
 type Discovery interface {
-	// Resolve polls the endpoint list.
-	Resolve()
+	// RequestSnapshot requests a full snapshot of the endpoint list.
+	RequestSnapshot()
 	// ResumeWatch repeats a watch call that was rejected. A watch that was not rejected continues without it.
 	ResumeWatch()
 }
--- a/internal/ingress/benchmark_test.go
+++ b/internal/ingress/benchmark_test.go
@@ -29,7 +29,7 @@
 	server := New(immediateEngine{result}, clock.New(), decision.Settings{Classes: []decision.RequestClass{
 		{Name: "read", Idempotency: decision.Idempotent},
 		{Name: "mark", Idempotency: decision.IdempotentWithKey},
-	}}, settings.Network{LongestTimeout: 2000, ResponseSlack: 20}, 100, log)
+	}}, settings.Network{MaxClientTimeout: 2000, ResponseGracePeriod: 20}, 100, log)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/ingress/parse.go
+++ b/internal/ingress/parse.go
@@ -41,9 +41,9 @@
 
 // requestParser checks requests against the settings.
 type requestParser struct {
-	classes        map[string]*decision.RequestClass // by the first segment of the path
-	tenants        map[decision.TenantID]bool        // empty: all tenants are accepted
-	longestTimeout decision.Millis                   // longer times are reduced to it, those above twice as long are errors
+	classes          map[string]*decision.RequestClass // by the first segment of the path
+	tenants          map[decision.TenantID]bool        // empty: all tenants are accepted
+	maxClientTimeout decision.Millis                   // longer times are reduced to it, those above twice as long are errors
 }
 
 // parsedRequest holds the values from the headers and request line.
@@ -54,11 +54,11 @@
 	correlationID string
 }
 
-func newRequestParser(s decision.Settings, longestTimeout decision.Millis) requestParser {
+func newRequestParser(s decision.Settings, maxClientTimeout decision.Millis) requestParser {
 	parser := requestParser{
-		classes:        make(map[string]*decision.RequestClass, len(s.Classes)),
-		tenants:        make(map[decision.TenantID]bool, len(s.Tenants)),
-		longestTimeout: longestTimeout,
+		classes:          make(map[string]*decision.RequestClass, len(s.Classes)),
+		tenants:          make(map[decision.TenantID]bool, len(s.Tenants)),
+		maxClientTimeout: maxClientTimeout,
 	}
 	for _, id := range s.Tenants {
 		parser.tenants[id] = true
@@ -153,10 +153,10 @@
 func (p *requestParser) remaining(text string) (decision.Millis, error) {
 	seconds, err := strconv.ParseFloat(text, 64)
 	remaining := seconds * 1000
-	if err != nil || math.IsNaN(remaining) || remaining <= 0 || remaining > 2*p.longestTimeout {
+	if err != nil || math.IsNaN(remaining) || remaining <= 0 || remaining > 2*p.maxClientTimeout {
 		return 0, errInvalidTimeLeft
 	}
-	return min(remaining, p.longestTimeout), nil
+	return min(remaining, p.maxClientTimeout), nil
 }
 
 // stickyKey returns the first "key" parameter of the query, unescaped if its escapes are valid, or an empty key. With
--- a/internal/ingress/serve.go
+++ b/internal/ingress/serve.go
@@ -128,7 +128,7 @@
 	request.Respond = func(result engine.Result) { results <- result }
 	s.engine.ReceiveRequest(request)
 	// The engine returns a result for each request in time. If it fails to, the client still gets a final response.
-	overdue := time.NewTimer(clock.Duration(request.ReceivedAt + request.Remaining + s.responseSlack - s.clock.Now()))
+	overdue := time.NewTimer(clock.Duration(request.ReceivedAt + request.Remaining + s.responseGracePeriod - s.clock.Now()))
 	defer overdue.Stop()
 	select {
 	case result := <-results:
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -44,10 +44,10 @@
 	clock  *clock.Clock
 	parser requestParser
 
-	retryAfter    decision.Millis // Retry-After of requests rejected without the engine; 0: none
-	responseSlack decision.Millis // time after a client's deadline within which the engine still responds
-	drainTimeout  time.Duration   // limit of the time for open requests after the server has stopped accepting
-	decideResume  func(*decision.RequestClass) lease.ResumeDecision
+	retryAfter          decision.Millis // Retry-After of requests rejected without the engine; 0: none
+	responseGracePeriod decision.Millis // time after a client's deadline within which the engine still responds
+	drainTimeout        time.Duration   // limit of the time for open requests after the server has stopped accepting
+	decideResume        func(*decision.RequestClass) lease.ResumeDecision
 
 	httpServer *http.Server
 	limiter    *connLimiter
@@ -61,9 +61,9 @@
 	e Engine, c *clock.Clock, s decision.Settings, n settings.Network, maxConnections int, log logrus.FieldLogger,
 ) *Server {
 	server := &Server{
-		engine: e, clock: c, parser: newRequestParser(s, n.LongestTimeout),
-		retryAfter: s.MaxRetryAfter, responseSlack: n.ResponseSlack,
-		drainTimeout: clock.Duration(n.LongestTimeout + n.ResponseSlack),
+		engine: e, clock: c, parser: newRequestParser(s, n.MaxClientTimeout),
+		retryAfter: s.MaxRetryAfter, responseGracePeriod: n.ResponseGracePeriod,
+		drainTimeout: clock.Duration(n.MaxClientTimeout + n.ResponseGracePeriod),
 		openIDs:      openIDs{ids: map[string]bool{}},
 	}
 	server.limiter = newConnLimiter(maxConnections, &server.state, log)
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -48,7 +48,7 @@
 }
 
 // testNetwork holds the timeouts of the servers under test.
-var testNetwork = settings.Network{LongestTimeout: 2000, ResponseSlack: 20}
+var testNetwork = settings.Network{MaxClientTimeout: 2000, ResponseGracePeriod: 20}
 
 // serve starts a server on l. It calls prepare, which may be nil, before Serve.
 func serve(t *testing.T, l net.Listener, maxConnections int, prepare func(*Server)) (*Server, fakeEngine) {
--- a/internal/rollout/votes.go
+++ b/internal/rollout/votes.go
@@ -16,12 +16,12 @@
 	Token uint64 `json:"token"`
 }
 
-// Vote casts a vote without fences, as VoteFenced does.
-func (c *Client) Vote(vote decision.Vote) { c.VoteFenced(vote, nil) }
+// Vote casts a vote without fences, as VoteWithFences does.
+func (c *Client) Vote(vote decision.Vote) { c.VoteWithFences(vote, nil) }
 
-// VoteFenced casts a vote under the leases in fences, without blocking. Each vote gets one result, as a StageUpdate
+// VoteWithFences casts a vote under the leases in fences, without blocking. Each vote gets one result, as a StageUpdate
 // with IsVoteResult. The result is VoteFailed if the vote was not sent.
-func (c *Client) VoteFenced(vote decision.Vote, fences []Fence) {
+func (c *Client) VoteWithFences(vote decision.Vote, fences []Fence) {
 	go func() { // because a write may block
 		conn := c.active.get()
 		if conn == nil || !conn.sendVote(c.ids.next(), vote, fences) {
--- a/internal/rollout/wire_golden_test.go
+++ b/internal/rollout/wire_golden_test.go
@@ -38,7 +38,7 @@
 			[]Fence{{Lease: "trial/n0", Token: 9}, {Lease: "trial/n<1>", Token: 1 << 60}},
 		},
 	} {
-		client.VoteFenced(cast.vote, cast.fences)
+		client.VoteWithFences(cast.vote, cast.fences)
 		observed += golden.Section(cast.title, receiveText(t, calls))
 		receiveText(t, results)
 	}
--- a/internal/settings/decision.go
+++ b/internal/settings/decision.go
@@ -28,7 +28,7 @@
 		Zone:                decision.Zone(reader.text("zone")),
 		ClockGranularity:    reader.optionalNumber("granularity-ms"),
 		PollEndpoints:       reader.text("discovery") == "ask",
-		PollWithin:          reader.optionalNumber("rules.ask-within-ms"),
+		MaxPollInterval:     reader.optionalNumber("rules.ask-within-ms"),
 		CrossZonePrice:      reader.optionalNumber("charges.cross-zone"),
 		HealthCheckPrice:    reader.optionalNumber("charges.probe"),
 		HealthChecksAllowed: reader.flag("limits.probing"),
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -28,7 +28,7 @@
 // FieldError is returned for a setting that is missing, out of bounds or can't be changed.
 type FieldError struct {
 	Key    string // name of the setting, such as rules.cold-from
-	Reason string // one of the reasons above
+	Reason string // what is wrong with the setting
 }
 
 func (e FieldError) Error() string { return "settings." + e.Key + ": " + e.Reason }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -66,7 +66,7 @@
 
 func TestForNetwork(t *testing.T) {
 	got, err := ForNetwork(flattenNested(t))
-	want := Network{IdleAfter: 30000, ConnectTimeout: 250, ResponseSlack: 20, LongestTimeout: 2000}
+	want := Network{IdleTimeout: 30000, ConnectTimeout: 250, ResponseGracePeriod: 20, MaxClientTimeout: 2000}
 	if err != nil || got != want {
 		t.Errorf("got %+v, error %v, want %+v", got, err, want)
 	}
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -48,7 +48,7 @@
 		return "wake_me", []any{uint64(action.Token), millis(action.At)}
 	case decision.StartHealthCheck:
 		return "sound_out", []any{action.Endpoint}
-	case decision.CloseIdle:
+	case decision.CloseIdleConnections:
 		return "shut_idle", []any{action.Endpoint}
 	case decision.SendToPeer:
 		return "say", []any{recipient(action), textOrAbsent(hex.EncodeToString(action.Data))}
@@ -56,7 +56,7 @@
 		return "remark", []any{replaceSeparators(action.Text)}
 	case decision.WatchEndpoints:
 		return "observe", []any{boolDigit(action.On)}
-	case decision.ResolveEndpoints:
+	case decision.RequestSnapshot:
 		return "lookup", nil
 	case decision.Vote:
 		return "cast_vote", []any{int(action.Build), action.Stage, int(action.Verdict)}
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -88,7 +88,7 @@
 	d.remaining--
 	d.lists[d.current] = append(d.lists[d.current], decision.Endpoint{
 		Cell:        decision.Cell(f.integer(1)),
-		Started:     f.number(2),
+		StartedAt:   f.number(2),
 		Zone:        decision.Zone(f.text(3)),
 		Build:       decision.Build(f.number(4)),
 		MachineType: decision.MachineType(f.text(5)),
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -84,15 +84,15 @@
 
 func decodeRequest(f *fields) decision.Event {
 	request := decision.RequestReceived{
-		Request: f.request(),
-		Class:   f.class(3),
-		Tenant:  decision.TenantID(f.text(4)),
-		Key:     decision.Key(f.text(5)),
-		TTL:     f.number(6),
+		Request:   f.request(),
+		Class:     f.class(3),
+		Tenant:    decision.TenantID(f.text(4)),
+		Key:       decision.Key(f.text(5)),
+		Remaining: f.number(6),
 	}
 	bits := f.integer(8)
 	if hint := f.number(7); bits&hasHintBit != 0 {
-		request.Hint = hint
+		request.EstimatedServiceTime = hint
 	}
 	request.Retried = bits&retriedBit != 0
 	return request
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -86,13 +86,13 @@
 		decision.Cancel{Request: 7, Attempt: 2},
 		decision.WakeAt{Token: 1 << 63, At: 8912.25},
 		decision.StartHealthCheck{Endpoint: "10.0.0.1:80"},
-		decision.CloseIdle{Endpoint: "10.0.0.1:80"},
+		decision.CloseIdleConnections{Endpoint: "10.0.0.1:80"},
 		decision.SendToPeer{All: true, To: 2, Data: []byte{0, 0xff}},
 		decision.SendToPeer{To: 2, Data: []byte("hi")},
 		decision.Log{Text: "a\tb\nc\rd ä"},
 		decision.WatchEndpoints{On: true},
 		decision.WatchEndpoints{},
-		decision.ResolveEndpoints{},
+		decision.RequestSnapshot{},
 		decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteNone},
 		decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteAdvance},
 		decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteHold},
@@ -126,14 +126,14 @@
 		text := fmt.Sprintf("endpoints changed: kind %d, version %d", int(event.Kind), event.Version)
 		for _, entry := range event.Endpoints {
 			text += fmt.Sprintf("; endpoint %q cell %d started %g zone %q build %d machine type %q state %d capacity %g",
-				string(entry.ID), int(entry.Cell), entry.Started, string(entry.Zone), int(entry.Build),
+				string(entry.ID), int(entry.Cell), entry.StartedAt, string(entry.Zone), int(entry.Build),
 				string(entry.MachineType), int(entry.State), entry.Capacity)
 		}
 		return text
 	case decision.RequestReceived:
 		return fmt.Sprintf("request %d: class %q tenant %q key %q TTL %g hint %g retried %t",
 			uint64(event.Request), string(event.Class), string(event.Tenant),
-			string(event.Key), event.TTL, event.Hint, event.Retried)
+			string(event.Key), event.Remaining, event.EstimatedServiceTime, event.Retried)
 	case decision.ResponseStarted:
 		return fmt.Sprintf("response started: request %d attempt %d endpoint %q after %g", uint64(event.Request),
 			event.Attempt, string(event.Endpoint), event.After)
@@ -174,7 +174,7 @@
 func describeSettings(cfg *decision.Settings) string {
 	lines := []string{
 		fmt.Sprintf("instances %d zone %q granularity %g poll %t within %g", cfg.Instances,
-			string(cfg.Zone), cfg.ClockGranularity, cfg.PollEndpoints, cfg.PollWithin),
+			string(cfg.Zone), cfg.ClockGranularity, cfg.PollEndpoints, cfg.MaxPollInterval),
 		fmt.Sprintf("prices: cross-zone %g health check %g; allowed: cancel %t hedging %t health check %t",
 			cfg.CrossZonePrice, cfg.HealthCheckPrice, cfg.CancelAllowed, cfg.HedgingAllowed, cfg.HealthChecksAllowed),
 		fmt.Sprintf(
--- a/internal/simwire/lines_test.go
+++ b/internal/simwire/lines_test.go
@@ -16,10 +16,10 @@
 		want decision.Event
 	}{
 		{"req\t3\t7\tread\tacme\tk1\t480\t12.5\t3", decision.RequestReceived{
-			Request: 7, Class: "read", Tenant: "acme", Key: "k1", TTL: 480,
-			Hint: 12.5, Retried: true,
+			Request: 7, Class: "read", Tenant: "acme", Key: "k1", Remaining: 480,
+			EstimatedServiceTime: 12.5, Retried: true,
 		}},
-		{"req\t3\t7\tread\t-\t-\t480\t12.5\t0", decision.RequestReceived{Request: 7, Class: "read", TTL: 480}},
+		{"req\t3\t7\tread\t-\t-\t480\t12.5\t0", decision.RequestReceived{Request: 7, Class: "read", Remaining: 480}},
 		{"flowing\t3\t7\t1\tn1\t4.5", decision.ResponseStarted{Request: 7, Attempt: 1, Endpoint: "n1", After: 4.5}},
 		{"verdict\t3\t7\tcompleted\tn1\t1\t4.5\t1\t-", decision.AttemptEnded{
 			Request: 7, Outcome: decision.Succeeded, Endpoint: "n1",
@@ -63,7 +63,7 @@
 	}
 	got, err := decoder.DecodeLine("backends_changed\t3\tall\t5\t1")
 	want := decision.EndpointsChanged{Kind: decision.FullSnapshot, Version: 5, Endpoints: []decision.Endpoint{{
-		ID: "n1", Cell: 2, Started: 7000, Zone: "a",
+		ID: "n1", Cell: 2, StartedAt: 7000, Zone: "a",
 		Build: 42, MachineType: "k", State: decision.Draining, Capacity: 1.5,
 	}}}
 	if err != nil || fmt.Sprint(got.Event) != fmt.Sprint(want) {
@@ -102,12 +102,12 @@
 		{decision.Cancel{Request: 7, Attempt: 1}, "cancel\t3\t7\t1\n"},
 		{decision.WakeAt{Token: 9, At: 20.25}, "wake_me\t3\t9\t20.250\n"},
 		{decision.StartHealthCheck{Endpoint: "n1"}, "sound_out\t3\tn1\n"},
-		{decision.CloseIdle{Endpoint: "n1"}, "shut_idle\t3\tn1\n"},
+		{decision.CloseIdleConnections{Endpoint: "n1"}, "shut_idle\t3\tn1\n"},
 		{decision.SendToPeer{All: true, Data: []byte("hi")}, "say\t3\t*\t6869\n"},
 		{decision.SendToPeer{To: 2}, "say\t3\t2\t-\n"},
 		{decision.Log{Text: "a\tb\nc"}, "remark\t3\ta b c\n"},
 		{decision.WatchEndpoints{On: true}, "observe\t3\t1\n"},
-		{decision.ResolveEndpoints{}, "lookup\t3\n"},
+		{decision.RequestSnapshot{}, "lookup\t3\n"},
 		{decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteRollback}, "cast_vote\t3\t42\t1\t3\n"},
 	} {
 		if got := string(AppendAction(nil, 3, test.action)); got != test.want {
--- a/internal/stats/random.go
+++ b/internal/stats/random.go
@@ -21,8 +21,8 @@
 // differ in the same bits for every seed, so a number would predict the next one at all instances.
 type Random struct{ Seed, counter uint64 }
 
-// Next returns the next number, uniform from 0 to below 1.
-func (r *Random) Next() float64 {
+// Float64 returns the next number, uniform from 0 to below 1.
+func (r *Random) Float64() float64 {
 	r.counter++
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], r.Seed)
@@ -37,7 +37,7 @@
 	for _, w := range weights {
 		total += w
 	}
-	rest := r.Next() * total
+	rest := r.Float64() * total
 	for i, w := range weights {
 		rest -= w
 		if rest < 0 {
--- a/internal/stats/ranktest.go
+++ b/internal/stats/ranktest.go
@@ -34,14 +34,14 @@
 	return float64(len(all)-1) * between / within
 }
 
-// KruskalWallisCounts returns the same statistic for outcomes that are only good or bad. It is 0 if one of the groups
-// is empty, or if all outcomes of both groups are good or all are bad.
+// KruskalWallisCounts returns the same statistic for outcomes that are either successes or failures. It is 0 if one of
+// the groups is empty, or if all outcomes of both groups are successes or all are failures.
 func KruskalWallisCounts(a, b Count) float64 {
-	if a.Total() == 0 || b.Total() == 0 || a.Good+b.Good == 0 || a.Bad+b.Bad == 0 {
+	if a.Total() == 0 || b.Total() == 0 || a.Successes+b.Successes == 0 || a.Failures+b.Failures == 0 {
 		return 0
 	}
-	d := a.Bad*b.Good - b.Bad*a.Good
-	return (a.Total() + b.Total() - 1) * d * d / (a.Total() * b.Total() * (a.Good + b.Good) * (a.Bad + b.Bad))
+	d := a.Failures*b.Successes - b.Failures*a.Successes
+	return (a.Total() + b.Total() - 1) * d * d / (a.Total() * b.Total() * (a.Successes + b.Successes) * (a.Failures + b.Failures))
 }
 
 // CriticalValue returns the critical value of both statistics: the value that they exceed with the given probability,
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -33,7 +33,7 @@
 func TestRandomIsUniformAndIndependent(t *testing.T) {
 	random, sum, pairs := Random{Seed: 3}, 0.0, 0.0
 	for range 4000 {
-		a, b := random.Next(), random.Next()
+		a, b := random.Float64(), random.Float64()
 		sum += a + b
 		pairs += (a - 0.5) * (b - 0.5)
 	}
@@ -45,9 +45,9 @@
 		sameHalf := 0
 		for seed := range 2000 {
 			random := Random{Seed: uint64(seed+1) * 0x9e3779b97f4a7c15, counter: 70}
-			a, b := random.Next(), random.Next()
+			a, b := random.Float64(), random.Float64()
 			for range gap {
-				b = random.Next()
+				b = random.Float64()
 			}
 			if (a < 0.5) == (b < 0.5) {
 				sameHalf++
--- a/internal/stats/summary.go
+++ b/internal/stats/summary.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// Count holds the numbers of good and of bad outcomes. Weighted outcomes make the numbers fractional.
-type Count struct{ Good, Bad float64 }
+// Count holds the numbers of successes and of failures. Weighted outcomes make the numbers fractional.
+type Count struct{ Successes, Failures float64 }
 
 // Total returns the number of all outcomes.
-func (c Count) Total() float64 { return c.Good + c.Bad }
+func (c Count) Total() float64 { return c.Successes + c.Failures }
 
 // Add adds another count, multiplied by weight.
 func (c *Count) Add(other Count, weight float64) {
-	c.Good += weight * other.Good
-	c.Bad += weight * other.Bad
+	c.Successes += weight * other.Successes
+	c.Failures += weight * other.Failures
 }
 
 // ScaledTo returns the count scaled down to a total of at most n. A total below 1 is taken as 1.
 func (c Count) ScaledTo(n float64) Count {
 	factor := min(1, n/max(c.Total(), 1))
-	return Count{c.Good * factor, c.Bad * factor}
+	return Count{c.Successes * factor, c.Failures * factor}
 }
 
 // Median returns the median of the values. It panics if there are none.
--- a/internal/testbed/experiment/membership.go
+++ b/internal/testbed/experiment/membership.go
@@ -130,7 +130,7 @@
 			return nil, err
 		}
 		member, _ := members.Get(membership.Name(r.fleet.Names()[victim])) // known to all instances after awaitAgreement
-		delays = append(delays, member.Since-killed)
+		delays = append(delays, member.StateSince-killed)
 	}
 	return delays, nil
 }
--- a/internal/testbed/experiment/simulated.go
+++ b/internal/testbed/experiment/simulated.go
@@ -34,11 +34,11 @@
 		Kind: "simulated", Members: settings.Members, Loss: settings.Loss, DetectionTimeout: settings.DetectionTimeout,
 	}
 	cluster.Run(settings.DetectionTimeout / 2) // until the first probes have ended
-	bytes, packets := cluster.Bytes, cluster.Packets
+	bytes, packets := cluster.BytesSent, cluster.PacketsSent
 	cluster.Run(watch)
 	memberSeconds := watch / 1000 * Millis(settings.Members)
-	result.BytesPerSecond = float64(cluster.Bytes-bytes) / memberSeconds
-	result.PacketsPerSecond = float64(cluster.Packets-packets) / memberSeconds
+	result.BytesPerSecond = float64(cluster.BytesSent-bytes) / memberSeconds
+	result.PacketsPerSecond = float64(cluster.PacketsSent-packets) / memberSeconds
 	run := &simulatedRun{
 		fleet: cluster, result: result, victims: map[membership.Name]int{}, killed: cluster.Now(),
 		firstDetections: make([]float64, kills), fullDetections: make([]float64, kills), declared: make([]int, kills),
@@ -62,7 +62,7 @@
 
 // observe records the declaration of a death. It ignores other state changes.
 func (r *simulatedRun) observe(change sim.Observation) {
-	if change.State != membership.Dead || change.New {
+	if change.State != membership.Dead || change.NewMember {
 		return
 	}
 	if change.SubjectRunning {
--- a/internal/testbed/faultinject/random.go
+++ b/internal/testbed/faultinject/random.go
@@ -40,7 +40,7 @@
 	down    map[string]Verb // processes that are stalled or killed, by the verb that brings them back
 }
 
-func (d *scriptGenerator) intN(n int) int { return int(d.random.Next() * float64(n)) }
+func (d *scriptGenerator) intN(n int) int { return int(d.random.Float64() * float64(n)) }
 
 // nextStep draws one step. Of the eight kinds, two stall a process, two kill a process (all four bring back a process
 // that is down), one heals a link, one loses packets, one cuts a link in one direction and one in both. If no further
@@ -67,7 +67,7 @@
 	case kind == 4:
 		return Step{At: start, Verb: Heal, Target: target, Peer: peer}
 	case kind == 5:
-		return Step{At: start, Verb: Loss, Share: maxRandomLoss * d.random.Next()}
+		return Step{At: start, Verb: Loss, Share: maxRandomLoss * d.random.Float64()}
 	default:
 		return Step{At: start, Verb: Cut, Target: target, Peer: peer, Both: kind == 7}
 	}
--- a/internal/testbed/faultinject/rules.go
+++ b/internal/testbed/faultinject/rules.go
@@ -110,7 +110,7 @@
 	rule := r.effectiveRule(state)
 	// All three numbers are drawn for each packet, independent of the rule. Otherwise the delivery of a packet would
 	// depend on the rules for earlier packets.
-	loss, duplicate, jitter := state.random.Next(), state.random.Next(), state.random.Next()
+	loss, duplicate, jitter := state.random.Float64(), state.random.Float64(), state.random.Float64()
 	if rule.Cut || loss < rule.Drop {
 		return Delivery{}
 	}
--- a/internal/testbed/fleet/settings.go
+++ b/internal/testbed/fleet/settings.go
@@ -19,7 +19,7 @@
 	ToleratedPause   time.Duration // longest pause that is not declared a death; larger values slow detection
 	DetectionTimeout time.Duration // time limit for the detection of a death; smaller values cost more probes
 	Seeds            int           // number of instances, from the first, that are membership seeds; 0: all
-	Key              string        // seals packets and streams of the cluster; empty: unsealed
+	Key              string        // authenticates packets and streams of the cluster; empty: no authentication
 
 	Servers         int           // number of instances, from the first, that are voters of the policy log; 0: no policy
 	ElectionTimeout time.Duration // time without a message from the leader before an election
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -25,8 +25,8 @@
 	sendBy  time.Time     // the request must be written by then
 }
 
-// StartAttempt starts an attempt and returns a function that cancels it. The result is passed to attempt.OnEnd on
-// another goroutine. A connection that the attempt abandons is closed before OnEnd is called. Otherwise the next
+// StartAttempt starts an attempt and returns a function that cancels it. The result is passed to attempt.OnResult on
+// another goroutine. A connection that the attempt abandons is closed before OnResult is called. Otherwise the next
 // attempt of the request would run as a second copy beside this one.
 func (p *Pool) StartAttempt(attempt engine.Attempt) (cancelAttempt func()) {
 	ctx, cancel := context.WithCancel(context.Background())
@@ -38,7 +38,7 @@
 		result := p.runAttempt(ctx, attempt, dest)
 		result.EndedAt = p.clock.Now()
 		p.observeOutcome(dest.endpoint, startedAt, result.Outcome)
-		attempt.OnEnd(result)
+		attempt.OnResult(result)
 	}()
 	return cancel
 }
--- a/internal/upstream/benchmark_test.go
+++ b/internal/upstream/benchmark_test.go
@@ -75,13 +75,13 @@
 			}()
 			log := logrus.New()
 			log.SetOutput(io.Discard)
-			pool := NewPool(clock.New(), settings.Network{IdleAfter: 60_000, ConnectTimeout: 1000}, 4, log)
+			pool := NewPool(clock.New(), settings.Network{IdleTimeout: 60_000, ConnectTimeout: 1000}, 4, log)
 			pool.timing.reuseDelay = 0
 			address := listener.Addr().String()
 			pool.SetAddress("n", address)
 			results := make(chan engine.AttemptResult, 1)
 			attempt := engine.Attempt{
-				Endpoint: "n", Address: address, OnEnd: func(r engine.AttemptResult) { results <- r },
+				Endpoint: "n", Address: address, OnResult: func(r engine.AttemptResult) { results <- r },
 				Request: &engine.Request{
 					Method: bench.name, URI: "/read/1?key=17", Host: "app.svc", Body: bench.body,
 					Header: map[string][]string{
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -95,7 +95,7 @@
 	pool.SetAddress("n", l.Addr().String())
 	pool.StartAttempt(engine.Attempt{
 		Endpoint: "n", Address: l.Addr().String(), Deadline: pool.clock.Now() + longDeadline, Request: request,
-		OnEnd: func(r engine.AttemptResult) { results <- r },
+		OnResult: func(r engine.AttemptResult) { results <- r },
 	})
 	if result := <-results; result.Outcome != decision.Succeeded {
 		t.Fatalf("got outcome %d, want %d", result.Outcome, decision.Succeeded)
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -20,8 +20,8 @@
 	minIdleFraction = 256
 )
 
-// CloseIdle closes the idle connections to an endpoint. An id that is not listed is ignored.
-func (p *Pool) CloseIdle(id decision.EndpointID) {
+// CloseIdleConnections closes the idle connections to an endpoint. An id that is not listed is ignored.
+func (p *Pool) CloseIdleConnections(id decision.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e := p.endpoints[id]; e != nil {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -56,7 +56,7 @@
 // NewPool creates a pool of at most maxConnections connections, including idle ones.
 func NewPool(c *clock.Clock, n settings.Network, maxConnections int, log logrus.FieldLogger) *Pool {
 	readTimeout := max(clock.Duration(n.ConnectTimeout)/responseReadFraction, minResponseReadTimeout)
-	maxIdleTime := clock.Duration(n.IdleAfter) / 2
+	maxIdleTime := clock.Duration(n.IdleTimeout) / 2
 	return &Pool{
 		clock: c, log: log,
 		timing: timing{
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -95,7 +95,7 @@
 func newPool(maxConnections int) *Pool {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	return NewPool(clock.New(), settings.Network{IdleAfter: 2000, ConnectTimeout: 100}, maxConnections, log)
+	return NewPool(clock.New(), settings.Network{IdleTimeout: 2000, ConnectTimeout: 100}, maxConnections, log)
 }
 
 // attempt runs one attempt at address and returns its result. during is called while the attempt runs.
@@ -110,7 +110,7 @@
 			Method: method, URI: "/read/x?q=%2f;1", Host: "app.svc", Body: []byte("body"),
 			Header: map[string][]string{"X-Correlation-Id": {"c1"}, "Idempotency-Key": {"k"}, "X-Time-Left": {"9"}},
 		},
-		OnEnd: func(r engine.AttemptResult) { results <- r },
+		OnResult: func(r engine.AttemptResult) { results <- r },
 	})
 	if during != nil {
 		during(cancel)
@@ -315,7 +315,7 @@
 		"closed as expired": {
 			func(pool *Pool, _ string) { pool.idleLimit = 0; pool.closeExpired(false); pool.idleLimit = time.Hour }, 2,
 		},
-		"closed":            {func(pool *Pool, _ string) { pool.CloseIdle("n") }, 2},
+		"closed":            {func(pool *Pool, _ string) { pool.CloseIdleConnections("n") }, 2},
 		"removed and added": {func(pool *Pool, address string) { pool.SetAddress("n", ""); pool.SetAddress("n", address) }, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -325,7 +325,7 @@
 				results := make(chan engine.AttemptResult, 1)
 				pool.StartAttempt(engine.Attempt{
 					Endpoint: "n", Address: server.Addr().String(), Deadline: pool.clock.Now() + 1000,
-					Request: &engine.Request{Method: "GET", URI: "/", Host: "h"}, OnEnd: func(r engine.AttemptResult) { results <- r },
+					Request: &engine.Request{Method: "GET", URI: "/", Host: "h"}, OnResult: func(r engine.AttemptResult) { results <- r },
 				})
 				if result := <-results; result.Outcome != decision.Succeeded { // the fake endpoint has counted the connection by then
 					t.Errorf("got outcome %d, want %d", result.Outcome, decision.Succeeded)
@@ -374,8 +374,8 @@
 		results := make(chan engine.AttemptResult, 1)
 		pool.StartAttempt(engine.Attempt{
 			Endpoint: "n", Address: server.Addr().String(), Deadline: pool.clock.Now() + 1000,
-			Request: &engine.Request{Method: "POST", URI: "/", Host: "h", Header: map[string][]string{"X-Correlation-Id": {id}}},
-			OnEnd:   func(r engine.AttemptResult) { results <- r },
+			Request:  &engine.Request{Method: "POST", URI: "/", Host: "h", Header: map[string][]string{"X-Correlation-Id": {id}}},
+			OnResult: func(r engine.AttemptResult) { results <- r },
 		})
 		return <-results
 	}
@@ -557,7 +557,7 @@
 	results := make(chan engine.AttemptResult, 1)
 	cancel := pool.StartAttempt(engine.Attempt{
 		Endpoint: "n", Address: address, Deadline: pool.clock.Now() + 1000,
-		Request: &engine.Request{Method: "POST", URI: "/", Host: "h"}, OnEnd: func(r engine.AttemptResult) { results <- r },
+		Request: &engine.Request{Method: "POST", URI: "/", Host: "h"}, OnResult: func(r engine.AttemptResult) { results <- r },
 	})
 	<-received
 	pool.SetAddress("n", address)
@@ -672,7 +672,7 @@
 		results := make(chan engine.AttemptResult, 1)
 		pool.StartAttempt(engine.Attempt{
 			Endpoint: id, Address: address, Deadline: pool.clock.Now() + 300,
-			Request: &engine.Request{Method: method, URI: "/", Host: "h"}, OnEnd: func(r engine.AttemptResult) { results <- r },
+			Request: &engine.Request{Method: method, URI: "/", Host: "h"}, OnResult: func(r engine.AttemptResult) { results <- r },
 		})
 		return results
 	}
@@ -781,8 +781,8 @@
 			pool.SetAddress("n", address)
 			cancel := pool.StartAttempt(engine.Attempt{
 				Endpoint: "n", Address: address, Deadline: pool.clock.Now() + 500,
-				Request: &engine.Request{Method: "POST", URI: "/pay/x", Host: "h", Body: make([]byte, 1<<20)},
-				OnEnd:   func(r engine.AttemptResult) { results <- r },
+				Request:  &engine.Request{Method: "POST", URI: "/pay/x", Host: "h", Body: make([]byte, 1<<20)},
+				OnResult: func(r engine.AttemptResult) { results <- r },
 			})
 			endpoint, err := l.AcceptTCP()
 			if err != nil {
--- a/internal/upstream/requests_test.go
+++ b/internal/upstream/requests_test.go
@@ -64,8 +64,8 @@
 			pool.SetAddress("n", l.Addr().String())
 			pool.StartAttempt(engine.Attempt{
 				Endpoint: "n", Address: l.Addr().String(), Deadline: pool.clock.Now() + test.timeout,
-				Request: &engine.Request{Method: "POST", URI: "/pay/x", Host: "h", Body: make([]byte, test.size)},
-				OnEnd:   func(r engine.AttemptResult) { results <- r },
+				Request:  &engine.Request{Method: "POST", URI: "/pay/x", Host: "h", Body: make([]byte, test.size)},
+				OnResult: func(r engine.AttemptResult) { results <- r },
 			})
 			endpoint := acceptStarted(t, l)
 			go func() {
--- a/internal/upstream/responses_test.go
+++ b/internal/upstream/responses_test.go
@@ -175,7 +175,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := newFakeEndpoint(t, sendByteByByte(test.start, test.text))
-			network := settings.Network{IdleAfter: 2000, ConnectTimeout: test.connectTimeout}
+			network := settings.Network{IdleTimeout: 2000, ConnectTimeout: test.connectTimeout}
 			pool := NewPool(clock.New(), network, 4, newPool(4).log)
 			startedAt := time.Now()
 			checkResult(t, pool, pool.attempt(server.Addr().String(), "POST", longDeadline, nil), decision.MalformedResponse, 0)
@@ -243,8 +243,8 @@
 			pool.SetAddress("n", l.Addr().String())
 			pool.StartAttempt(engine.Attempt{
 				Endpoint: "n", Address: l.Addr().String(), Deadline: pool.clock.Now() + 1000,
-				Request: &engine.Request{Method: "POST", URI: "/pay/x", Host: "h", Body: make([]byte, oversizedBody)},
-				OnEnd:   func(r engine.AttemptResult) { results <- r },
+				Request:  &engine.Request{Method: "POST", URI: "/pay/x", Host: "h", Body: make([]byte, oversizedBody)},
+				OnResult: func(r engine.AttemptResult) { results <- r },
 			})
 			endpoint, client := acceptStarted(t, l), <-dialed
 			writeText(endpoint, test.response)
