--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -61,20 +61,20 @@
 				Endpoint:  ep.ID,
 				Build:     ep.Build,
 				Class:     class.Name,
-				Succeeded: outcomes.Good,
-				Failed:    outcomes.Bad,
+				Succeeded: outcomes.Successes,
+				Failed:    outcomes.Failures,
 			})
 		}
 	}
 	if removed := class.removedEndpoints; removed.Total() > 0 {
-		counts = append(counts, EndpointCount{Class: class.Name, Succeeded: removed.Good, Failed: removed.Bad})
+		counts = append(counts, EndpointCount{Class: class.Name, Succeeded: removed.Successes, Failed: removed.Failures})
 	}
 	return counts
 }
 
 // outcomesOf returns all stored outcomes of a build, oldest first.
 func outcomesOf(groups stats.Groups) []float64 {
-	return slices.Concat(groups.Before, groups.Last, groups.Fill)
+	return slices.Concat(groups.Previous, groups.Last, groups.Partial)
 }
 
 // acquireEvidence adds the evidence of another instance to this instance's own: the counts if they are of the
@@ -114,7 +114,7 @@
 	if class == nil {
 		return
 	}
-	outcomes := stats.Count{Good: count.Succeeded, Bad: count.Failed}
+	outcomes := stats.Count{Successes: count.Succeeded, Failures: count.Failed}
 	ep := b.endpoints.byID[count.Endpoint]
 	switch {
 	case ep != nil && ep.Build == count.Build:
--- a/decision/helpers_test.go
+++ b/decision/helpers_test.go
@@ -22,8 +22,8 @@
 	settings := Settings{
 		Instances: 2, Zone: "a", ClockGranularity: 5, MaxAttempts: 4, CancelAllowed: true, MaxRetryAfter: 300,
 		SlowStartFloor: 0.4, OverloadFactor: 2.5, SlowStartWindow: 4000, OverloadWindow: 1000,
-		ExposureCaps: []float64{0.1, 0.5, 1}, Stages: []float64{0.1, 0.4, 1}, FreeAttempts: 1,
-		VoteTTL: 6000, VoteWait: 1000,
+		ExposureCaps: []float64{0.1, 0.5, 1}, StageShares: []float64{0.1, 0.4, 1}, FreeAttempts: 1,
+		VoteTTL: 6000, VoteRetryWait: 1000,
 		Classes: []RequestClass{
 			{Name: "read", LatencyObjective: 400, Idempotency: Idempotent},
 			{
@@ -75,7 +75,7 @@
 // request sends a request and returns its ID, and the endpoint of its first attempt if one was started.
 func (sim *harness) request(class ClassName, key Key) (RequestID, EndpointID) {
 	sim.lastID++
-	sim.handle(RequestReceived{Request: sim.lastID, Class: class, Key: key, TTL: 1000})
+	sim.handle(RequestReceived{Request: sim.lastID, Class: class, Key: key, Remaining: 1000})
 	return sim.lastID, sim.attemptedAt(sim.lastID, 0)
 }
 
--- a/decision/trial.go
+++ b/decision/trial.go
@@ -20,8 +20,8 @@
 	arrivalRate       float64 // smoothed rate of new requests, without those sent before, per ms
 	arrivalRateBefore float64 // arrivalRate when the build was offered
 
-	// unsuccessful counts the unsuccessful attempts of this instance, scaled to a total of at most 40. Bad counts
-	// those with an error response, Good all others.
+	// unsuccessful counts the unsuccessful attempts of this instance, scaled to a total of at most 40. Failures
+	// counts those with an error response, Successes all others.
 	unsuccessful stats.Count
 }
 
@@ -57,10 +57,10 @@
 // As part of a group of the new stage they would cause rollbacks of good builds.
 func (b *Balancer) startStage() {
 	for _, class := range b.classes.all {
-		if outcomes := slices.Concat(class.baseline.Last, class.baseline.Fill); len(outcomes) >= minKeptBaselineOutcomes {
+		if outcomes := slices.Concat(class.baseline.Last, class.baseline.Partial); len(outcomes) >= minKeptBaselineOutcomes {
 			class.baselineAtStageStart = outcomes
 		}
-		class.baseline.Fill = nil
+		class.baseline.Partial = nil
 		class.resetCandidate()
 	}
 }
--- a/internal/cluster/membership/sim/sim.go
+++ b/internal/cluster/membership/sim/sim.go
@@ -21,7 +21,7 @@
 type Settings struct {
 	Members          int     // number of members
 	Seeds            int     // number of seeds; the members with the lowest indices are seeds
-	Seed             uint64  // seed of the random number generators
+	RandomSeed       uint64  // seed of the random number generators
 	ToleratedPause   Millis  // as in membership.Settings
 	DetectionTimeout Millis  // as in membership.Settings
 	Loss             float64 // probability that a packet is lost, 0 to 1, independent of other packets
@@ -34,7 +34,7 @@
 type Observation struct {
 	Observer int // index of the member whose view has changed
 	membership.Change
-	Running bool // the subject was running at that time
+	SubjectRunning bool // the subject was running at that time
 }
 
 // Member is one simulated process.
@@ -59,10 +59,10 @@
 	cuts      map[[2]int]bool // links that carry no packets, by sender and receiver
 	queue     eventQueue
 
-	OnChange func(Observation) // called for each change in a member's view; may be nil
-	Packets  int               // packets sent
-	Bytes    int               // bytes of the packets sent
-	Lost     int               // packets sent and not delivered
+	OnChange    func(Observation) // called for each change in a member's view; may be nil
+	PacketsSent int               // packets sent
+	BytesSent   int               // bytes of the packets sent
+	Lost        int               // packets sent and not delivered
 }
 
 // startUnix is the Unix time at which a simulation begins, in milliseconds.
@@ -73,7 +73,7 @@
 	fleet := &Fleet{
 		settings:  set,
 		now:       startUnix,
-		random:    stats.Random{Seed: set.Seed},
+		random:    stats.Random{Seed: set.RandomSeed},
 		byAddress: map[string]int{},
 		cuts:      map[[2]int]bool{},
 	}
@@ -115,7 +115,7 @@
 		Address:          address(i),
 		Run:              membership.RunID(i + 1 + member.Starts*f.settings.Members),
 		Start:            f.now,
-		RandomSeed:       f.settings.Seed<<20 + uint64(i) + uint64(member.Starts)<<40,
+		RandomSeed:       f.settings.RandomSeed<<20 + uint64(i) + uint64(member.Starts)<<40,
 		ToleratedPause:   f.settings.ToleratedPause,
 		DetectionTimeout: f.settings.DetectionTimeout,
 		MaxMembers:       max(2, 2*f.settings.Members),
@@ -204,7 +204,7 @@
 	if f.OnChange != nil {
 		for _, c := range out.Changes {
 			subject := f.members[f.byAddress[c.Address]]
-			f.OnChange(Observation{Observer: i, Change: c, Running: subject.Running})
+			f.OnChange(Observation{Observer: i, Change: c, SubjectRunning: subject.Running})
 		}
 	}
 	f.scheduleWake(i, f.members[i].Detector.Next())
@@ -216,10 +216,10 @@
 	if err != nil {
 		panic(err) // the codec is at fault: each packet of the detector can be encoded
 	}
-	f.Packets++
-	f.Bytes += len(raw)
+	f.PacketsSent++
+	f.BytesSent += len(raw)
 	to, known := f.byAddress[s.To]
-	if !known || f.cuts[[2]int{from, to}] || f.settings.Loss > 0 && f.random.Next() < f.settings.Loss {
+	if !known || f.cuts[[2]int{from, to}] || f.settings.Loss > 0 && f.random.Float64() < f.settings.Loss {
 		f.Lost++
 		return
 	}
@@ -227,7 +227,7 @@
 	if err != nil {
 		panic(err)
 	}
-	f.queue.push(event{due: f.now + f.settings.Delay*(0.1+0.9*f.random.Next()), member: to, packet: packet})
+	f.queue.push(event{due: f.now + f.settings.Delay*(0.1+0.9*f.random.Float64()), member: to, packet: packet})
 }
 
 // scheduleWake schedules a wake-up of a member unless an earlier one is scheduled.
--- a/internal/ingress/serve.go
+++ b/internal/ingress/serve.go
@@ -123,12 +123,12 @@
 		return res, nil
 	}
 	request := pendingRequestOf(r).request
-	request.Request.Fields = r.Header
+	request.Request.Header = r.Header
 	results := make(chan engine.Result, 1)
 	request.Respond = func(result engine.Result) { results <- result }
 	s.engine.ReceiveRequest(request)
 	// The engine returns a result for each request in time. If it fails to, the client still gets a final response.
-	overdue := time.NewTimer(clock.Duration(request.ReceivedAt + request.Remaining + s.responseSlack - s.clock.Now()))
+	overdue := time.NewTimer(clock.Duration(request.ReceivedAt + request.Remaining + s.responseGracePeriod - s.clock.Now()))
 	defer overdue.Stop()
 	select {
 	case result := <-results:
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -44,10 +44,10 @@
 	clock  *clock.Clock
 	parser requestParser
 
-	retryAfter    decision.Millis // Retry-After of requests rejected without the engine; 0: none
-	responseSlack decision.Millis // time after a client's deadline within which the engine still responds
-	drainTimeout  time.Duration   // limit of the time for open requests after the server has stopped accepting
-	decideResume  func(*decision.RequestClass) lease.ResumeDecision
+	retryAfter          decision.Millis // Retry-After of requests rejected without the engine; 0: none
+	responseGracePeriod decision.Millis // time after a client's deadline within which the engine still responds
+	drainTimeout        time.Duration   // limit of the time for open requests after the server has stopped accepting
+	decideResume        func(*decision.RequestClass) lease.ResumeDecision
 
 	httpServer *http.Server
 	limiter    *connLimiter
@@ -61,9 +61,9 @@
 	e Engine, c *clock.Clock, s decision.Settings, n settings.Network, maxConnections int, log logrus.FieldLogger,
 ) *Server {
 	server := &Server{
-		engine: e, clock: c, parser: newRequestParser(s, n.LongestTimeout),
-		retryAfter: s.MaxRetryAfter, responseSlack: n.ResponseSlack,
-		drainTimeout: clock.Duration(n.LongestTimeout + n.ResponseSlack),
+		engine: e, clock: c, parser: newRequestParser(s, n.MaxClientTimeout),
+		retryAfter: s.MaxRetryAfter, responseGracePeriod: n.ResponseGracePeriod,
+		drainTimeout: clock.Duration(n.MaxClientTimeout + n.ResponseGracePeriod),
 		openIDs:      openIDs{ids: map[string]bool{}},
 	}
 	server.limiter = newConnLimiter(maxConnections, &server.state, log)
@@ -92,10 +92,10 @@
 // discardLog returns a logger that writes nothing. net/http logs errors that clients cause, such as malformed requests.
 func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
 
-// HandleResumed sets the decision on requests with the header X-Resume, which clients repeat after an instance has
+// SetResumeDecision sets the decision on requests with the header X-Resume, which clients repeat after an instance has
 // disappeared. If decide returns lease.ResumeReject for the class of such a request, the response is an error with
 // Retry-After. By default these requests are served like all others. It must be called before Serve.
-func (s *Server) HandleResumed(decide func(*decision.RequestClass) lease.ResumeDecision) {
+func (s *Server) SetResumeDecision(decide func(*decision.RequestClass) lease.ResumeDecision) {
 	s.decideResume = decide
 }
 
--- a/internal/rollout/wire_golden_test.go
+++ b/internal/rollout/wire_golden_test.go
@@ -38,11 +38,11 @@
 			[]Fence{{Lease: "trial/n0", Token: 9}, {Lease: "trial/n<1>", Token: 1 << 60}},
 		},
 	} {
-		client.VoteFenced(cast.vote, cast.fences)
+		client.VoteWithFences(cast.vote, cast.fences)
 		observed += golden.Section(cast.title, receiveText(t, calls))
 		receiveText(t, results)
 	}
-	if err := golden.Check("testdata/calls.golden", []byte(observed)); err != nil {
+	if err := golden.CheckFile("testdata/calls.golden", []byte(observed)); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -38,8 +38,8 @@
 	for k, v := range flattenNested(t) {
 		pairs = append(pairs, k+"="+v)
 	}
-	fromPairs, err := ForModule(Pairs(pairs))
-	fromJSON, jsonErr := ForModule(flattenNested(t))
+	fromPairs, err := ForDecisionModule(ParsePairs(pairs))
+	fromJSON, jsonErr := ForDecisionModule(flattenNested(t))
 	if err != nil || jsonErr != nil || !reflect.DeepEqual(fromPairs, fromJSON) {
 		t.Errorf("from pairs %+v, error %v; from JSON %+v, error %v; want the same without errors",
 			fromPairs, err, fromJSON, jsonErr)
@@ -66,7 +66,7 @@
 
 func TestForNetwork(t *testing.T) {
 	got, err := ForNetwork(flattenNested(t))
-	want := Network{IdleAfter: 30000, ConnectTimeout: 250, ResponseSlack: 20, LongestTimeout: 2000}
+	want := Network{IdleTimeout: 30000, ConnectTimeout: 250, ResponseGracePeriod: 20, MaxClientTimeout: 2000}
 	if err != nil || got != want {
 		t.Errorf("got %+v, error %v, want %+v", got, err, want)
 	}
@@ -103,7 +103,7 @@
 			if test.value == "" {
 				delete(texts, test.key)
 			}
-			_, err := ForModule(texts)
+			_, err := ForDecisionModule(texts)
 			if err == nil {
 				_, err = ForNetwork(texts)
 			}
--- a/internal/stats/summary.go
+++ b/internal/stats/summary.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// Count holds the numbers of good and of bad outcomes. Weighted outcomes make the numbers fractional.
-type Count struct{ Good, Bad float64 }
+// Count holds the numbers of successes and of failures. Weighted outcomes make the numbers fractional.
+type Count struct{ Successes, Failures float64 }
 
 // Total returns the number of all outcomes.
-func (c Count) Total() float64 { return c.Good + c.Bad }
+func (c Count) Total() float64 { return c.Successes + c.Failures }
 
 // Add adds another count, multiplied by weight.
 func (c *Count) Add(other Count, weight float64) {
-	c.Good += weight * other.Good
-	c.Bad += weight * other.Bad
+	c.Successes += weight * other.Successes
+	c.Failures += weight * other.Failures
 }
 
 // ScaledTo returns the count scaled down to a total of at most n. A total below 1 is taken as 1.
 func (c Count) ScaledTo(n float64) Count {
 	factor := min(1, n/max(c.Total(), 1))
-	return Count{c.Good * factor, c.Bad * factor}
+	return Count{c.Successes * factor, c.Failures * factor}
 }
 
 // Median returns the median of the values. It panics if there are none.
@@ -26,15 +26,15 @@
 	return (sorted[(len(sorted)-1)/2] + sorted[len(sorted)/2]) / 2
 }
 
-// Groups divides a stream of values into disjoint groups. Fill is the group that is being filled, Last is the last full
-// group, Before the one before Last.
-type Groups struct{ Fill, Last, Before []float64 }
+// Groups divides a stream of values into disjoint groups. Partial is the group that is being filled, Last is the last
+// full group, Previous the one before Last.
+type Groups struct{ Partial, Last, Previous []float64 }
 
 // Add adds a value to the group that is being filled. It closes the group and returns true if the group then holds size
 // values.
 func (g *Groups) Add(v float64, size int) bool {
-	g.Fill = append(g.Fill, v)
-	if len(g.Fill) < size {
+	g.Partial = append(g.Partial, v)
+	if len(g.Partial) < size {
 		return false
 	}
 	g.Close()
@@ -42,7 +42,7 @@
 }
 
 // Close makes the group that is being filled the last full one, whatever its size, and starts an empty group.
-func (g *Groups) Close() { g.Fill, g.Last, g.Before = nil, g.Fill, g.Last }
+func (g *Groups) Close() { g.Partial, g.Last, g.Previous = nil, g.Partial, g.Last }
 
 // Mean is a running mean. It is the exact mean of the first values and is exponentially smoothed once as many values as
 // the memory of Add were added.
--- a/internal/testbed/faultinject/rules.go
+++ b/internal/testbed/faultinject/rules.go
@@ -69,8 +69,8 @@
 	r.stateFor(l).rule = &rule
 }
 
-// Cut blocks a link if on is true, and otherwise unblocks the link, which keeps its rule.
-func (r *Rules) Cut(l Link, on bool) {
+// SetCut blocks a link if on is true, and otherwise unblocks the link, which keeps its rule.
+func (r *Rules) SetCut(l Link, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stateFor(l).cut = on
@@ -110,7 +110,7 @@
 	rule := r.effectiveRule(state)
 	// All three numbers are drawn for each packet, independent of the rule. Otherwise the delivery of a packet would
 	// depend on the rules for earlier packets.
-	loss, duplicate, jitter := state.random.Next(), state.random.Next(), state.random.Next()
+	loss, duplicate, jitter := state.random.Float64(), state.random.Float64(), state.random.Float64()
 	if rule.Cut || loss < rule.Drop {
 		return Delivery{}
 	}
