--- a/decision/admission.go
+++ b/decision/admission.go
@@ -30,7 +30,7 @@
 	if first == nil || req.Idempotency == Idempotent {
 		return true
 	}
-	if req.Idempotency == NonIdempotent || b.now >= b.lastRetryAt(req, first) {
+	if req.Idempotency == NonIdempotent || b.now >= b.retryDeadline(req, first) {
 		return false
 	}
 	switch req.RetryScope {
@@ -43,8 +43,9 @@
 	}
 }
 
-// lastRetryAt returns the time from which on a request with an idempotency key is not retried.
-func (b *Balancer) lastRetryAt(req *request, first *attempt) Millis {
+// retryDeadline returns the time from which a request with an idempotency key must not be retried. first is its first
+// attempt that may have run.
+func (b *Balancer) retryDeadline(req *request, first *attempt) Millis {
 	return first.startedAt + req.DedupWindow - timerMarginSteps*b.settings.ClockGranularity
 }
 
--- a/decision/classes.go
+++ b/decision/classes.go
@@ -42,8 +42,8 @@
 	}
 	for i, class := range settings.Classes {
 		state := &classState{RequestClass: class, index: i, exposure: exposure, slowShare: new(float64)}
-		table.byName[class.Name] = state
 		// Of two classes with the same name, the later one takes effect.
+		table.byName[class.Name] = state
 		table.ordered = append(table.ordered, table.byName[class.Name])
 		table.overall.LatencyObjective = max(table.overall.LatencyObjective, class.LatencyObjective)
 	}
--- a/decision/comparison.go
+++ b/decision/comparison.go
@@ -19,9 +19,9 @@
 type comparison struct {
 	baseline    stats.Groups
 	candidate   stats.Groups
-	agrees      bool    // the candidate's last two groups agree, and the last one agrees with the baseline
+	agrees      bool    // the candidate's last two groups agree, and the last one agrees with the baseline or is faster
 	rejections  int     // consecutive groups that were clearly slower
-	medianRatio float64 // of the outcomes last passed to slower, over the baseline
+	medianRatio float64 // median of the outcomes last passed to slower, divided by that of the baseline
 }
 
 // add adds an outcome to the groups of its build, and evaluates a candidate group once it is full.
--- a/decision/concurrency.go
+++ b/decision/concurrency.go
@@ -7,10 +7,10 @@
 	meanLatencyWeight      = 0.15 * 0.15 // weight of the newest response in the mean over all endpoints
 	latencyTolerance       = 2.0         // ratio of response time to base latency from which an endpoint's limit falls
 	limitFallWeight        = 0.15        // weight of the newest response when it lowers an endpoint's limit
-	limitRiseWeight        = 0.15        // attempts by which a limit rises when it is reached
+	limitStep              = 0.15        // attempts; an endpoint's limit that is reached rises by at most half of this
 	queuedObjectiveDivisor = 2.0         // divisor: all instances together may queue half a latency objective of work
 	limitHeadroom          = 1.25        // ratio of an endpoint's limit to the attempts that it served concurrently
-	minEndpointLimit       = 0.15        // attempts
+	minEndpointLimit       = 0.15        // attempts; above 0, so that one attempt at a time may start
 	rejectionLimitFactor   = 1 - 0.15    // factor on an endpoint's limit when the endpoint rejects an attempt
 
 	slowResponseShare   = 0.25 // a response that takes longer than this share of its objective is slow
@@ -37,9 +37,11 @@
 	serviceRate float64 // responses per millisecond and unit of warm capacity
 	succeeded   float64 // responses from warm endpoints since the last tick
 
-	slowShare  float64               // smoothed share of slow responses
-	slowShares []*float64            // the same by class and by tenant
-	tenants    map[TenantID]*float64 // the same by tenant; bounded only where the settings list tenants
+	slowShare  float64    // smoothed share of slow responses
+	slowShares []*float64 // the same by class and by tenant
+	// tenants holds the same by tenant. It is bounded only if the settings list tenants, because requests of other
+	// tenants are rejected then.
+	tenants map[TenantID]*float64
 }
 
 // newLoadLimiter returns a limiter without a total limit. latency is the assumed response time before the first
@@ -94,15 +96,15 @@
 func (b *Balancer) adjustEndpointLimit(ep *endpoint, after Millis) {
 	ep.latency += latencyWeight * (after - ep.latency)
 	objective := b.classes.overall.LatencyObjective
-	share := objective / b.load.baseLatency / float64(b.settings.Instances) / queuedObjectiveDivisor
+	queueShare := objective / b.load.baseLatency / float64(b.settings.Instances) / queuedObjectiveDivisor
 	latencyFactor := min(1, latencyTolerance*b.load.baseLatency/ep.latency)
 	ep.concurrencyLimit -= limitFallWeight * ep.concurrencyLimit * (1 - latencyFactor)
 	if float64(ep.inFlight+1) < ep.concurrencyLimit {
 		return
 	}
-	raised := ep.concurrencyLimit + limitRiseWeight*min(1, share)/queuedObjectiveDivisor
+	raised := ep.concurrencyLimit + limitStep*min(1, queueShare)/queuedObjectiveDivisor
 	served := limitHeadroom * b.load.serviceRate * ep.Capacity * b.load.baseLatency
-	ep.concurrencyLimit = min(raised, max(1, share, served))
+	ep.concurrencyLimit = min(raised, max(1, queueShare, served))
 }
 
 // backOffEndpoint lowers the limit of an endpoint that rejected an attempt, and stops sending to the endpoint for
--- a/decision/controllercounts.go
+++ b/decision/controllercounts.go
@@ -40,7 +40,7 @@
 }
 
 // estimateErrors returns the good and bad responses of a count. The controller also counts rejections by
-// endpoints as failed, so the failed responses are scaled by the share of error responses among the instance's
+// endpoints as failed, so its failed responses are scaled by the share of error responses among the instance's
 // own unsuccessful attempts. One error response is not counted, because a single one may be chance.
 func (b *Balancer) estimateErrors(event ControllerCounts) stats.Count {
 	own := b.trial.unsuccessful
--- a/decision/crosszone.go
+++ b/decision/crosszone.go
@@ -4,9 +4,9 @@
 
 const (
 	crossGainFactor     = 4.0  // ratio of the cross-zone share to the gain
-	maxCrossZoneShare   = 0.5  // maximum of the cross-zone share
+	maxCrossZoneShare   = 0.5  // share of requests
 	zoneLatencyWeight   = 0.15 // weight of the newest response in a zone's response time
-	crossZoneCutDivisor = 2.0  // of the share, for each failed connection in another zone
+	crossZoneCutDivisor = 2.0  // divides the cross-zone share for each failed connection in another zone
 	zoneRetryRate       = 0.15 // share of the gap to the base latency that closes per slow start window
 )
 
@@ -35,7 +35,7 @@
 	}
 }
 
-// drawCrossZone draws whether a request is sent to another zone by the cross-zone share.
+// drawCrossZone draws whether a request is sent to another zone. The probability is the cross-zone share.
 func (b *Balancer) drawCrossZone() bool {
 	if b.crossZone.share <= 0 || len(b.routing.eligible[otherZone]) == 0 {
 		return false
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -12,7 +12,7 @@
 // endpointTable holds the current endpoint list.
 type endpointTable struct {
 	byID           map[EndpointID]*endpoint
-	ordered        []*endpoint                 // by ID
+	ordered        []*endpoint                 // sorted by ID
 	byBuildAndZone [2][2][]*endpoint           // by side and zone
 	machineTypes   map[MachineType]*stats.Mean // response time ratio of each type of machine that was ever listed
 }
@@ -23,21 +23,21 @@
 
 	inFlight         int
 	latency          Millis        // smoothed response time
-	failureShare     float64       // smoothed share of failures
-	machineTypeRatio *stats.Mean   // response time on its type of machine over the mean of the class
+	failureShare     float64       // smoothed share of failed attempts
+	machineTypeRatio *stats.Mean   // response time on its type of machine, divided by the mean of the class
 	outcomes         []stats.Count // by class and overall, since the newest build was offered
-	lastResponseAt   Millis        // or the start of the first attempt after the endpoint was idle
+	lastResponseAt   Millis        // time of the last response, or start of the first attempt after an idle time
 
 	concurrencyLimit float64 // limit on attempts in flight; concurrency.go
 	warmingSince     Millis  // start of its slow start; slowstart.go
-	slowStartCredit  float64 // attempts that may start there during slow start; slowstart.go
+	slowStartCredit  float64 // attempts that may start at it during slow start; slowstart.go
 
 	connectFailures int    // consecutive attempts with a failed or broken connection; outlier.go
 	ejections       int    // consecutive ejections; 0: not ejected; outlier.go
-	ejectedUntil    Millis // no attempts start there before; outlier.go
+	ejectedUntil    Millis // no attempt starts at it before this time; outlier.go
 
-	healthCheckRatio float64 // duration of the last health check over that of an idle endpoint; healthcheck.go
-	healthCheckedAt  Millis  // end of that check; 0 once an attempt has started there since
+	healthCheckRatio float64 // duration of its last health check, divided by that of an idle endpoint; healthcheck.go
+	healthCheckedAt  Millis  // end of that check; 0 once an attempt has started at it since
 }
 
 // newEndpointTable returns an empty table.
@@ -137,9 +137,9 @@
 
 // capacitySum is the total capacity of the endpoints that are Serving and not ejected.
 type capacitySum struct {
-	bySide [2]float64 // current, with warming endpoints by their slow start weight
-	warm   float64    // of warm endpoints
-	full   float64    // with warming endpoints at full capacity
+	bySide [2]float64 // current capacity by side: that of warming endpoints counts by their slow start weight
+	warm   float64    // capacity of the warm endpoints
+	full   float64    // capacity once all endpoints are warm
 }
 
 // addCapacity adds the capacity of an endpoint to a sum.
--- a/decision/event.go
+++ b/decision/event.go
@@ -102,14 +102,14 @@
 	Count  int    // responses
 	Failed int    // of these, the failed ones
 	Mean   Millis // mean response time
-	Age    Millis // of the counts
+	Age    Millis // time since the counts were taken
 }
 
 // ResponseFlagged reports that a client found a response wrong.
 type ResponseFlagged struct {
 	Endpoint EndpointID
 	Class    ClassName
-	Age      Millis // of the report
+	Age      Millis // time since the client reported it
 }
 
 // SettingsChanged delivers new settings of the deployment to a running balancer. The classes, tenants and
--- a/decision/fleetslowdown.go
+++ b/decision/fleetslowdown.go
@@ -11,7 +11,7 @@
 	maxRatioWeight    = 4    // maximum number of factors of slowRatio that one group counts for
 	slowdownFillTime  = 4000 // ms; a group that took this long to fill counts slowdownGroups times
 	arrivalRateMargin = 1.25 // ratio of the arrival rate to that before the trial from which no group is rejected
-	minEarlyOutcomes  = 5    // outcomes required to detect that endpoints were slow before the candidate started
+	minPreCandidate   = 5    // outcomes in preCandidate from which they show that endpoints were slow before the candidate
 )
 
 // fleetSlowdown compares the outcomes of both builds with those from before the trial. It detects a candidate
@@ -24,8 +24,9 @@
 	fillStartedAt   Millis    // time of the first outcome in the current group
 }
 
-// compareBeforeTrial adds an outcome of either build. value is a response time in ms, and meanBefore the mean
-// response time from before the trial.
+// compareBeforeTrial adds an outcome of either build to the comparison with the time before the trial, and evaluates
+// a group once it is full. value is a response time in ms, and meanBefore the mean response time from before the
+// trial.
 func (b *Balancer) compareBeforeTrial(slowdown *fleetSlowdown, value, meanBefore float64) {
 	if slowdown == nil || meanBefore == 0 || math.IsInf(value, 1) || len(slowdown.baseline.Last) == 0 {
 		return
@@ -59,7 +60,7 @@
 // addPreCandidate adds an outcome from before the candidate's first endpoint.
 func (s *fleetSlowdown) addPreCandidate(relative float64) {
 	s.preCandidate = append(s.preCandidate[:min(len(s.preCandidate), groupSize)], relative)
-	s.slowBeforeTrial = len(s.preCandidate) >= minEarlyOutcomes &&
+	s.slowBeforeTrial = len(s.preCandidate) >= minPreCandidate &&
 		stats.Median(s.preCandidate) > slowRatio*stats.Median(s.baseline.Last)
 }
 
--- a/decision/healthcheck.go
+++ b/decision/healthcheck.go
@@ -10,8 +10,8 @@
 	checkTimeoutSteps   = 2                  // steps of the clock that a request waits for a health check
 	checkTimerToken     = 1                  // token of the timer for the timeout of a check; 0 is the tick
 	minIdleCoreShare    = 1e-9               // lower bound for a divisor
-	idleDurationRise    = 0.15 * 0.15 * 0.25 // share by which the idle duration rises with each check
-	idleDurationFall    = 0.15 * 0.15        // and falls with each faster one; it settles at the fastest fifth
+	idleDurationRise    = 0.15 * 0.15 * 0.25 // share by which idleDuration rises with each check
+	idleDurationFall    = 0.15 * 0.15        // share by which it falls with each faster check; it settles where 1 in 4 checks is faster
 )
 
 // healthChecks holds the observations by which endpoints are checked before attempts.
@@ -44,7 +44,7 @@
 	switch {
 	case best != nil && best.healthCheckRatio <= idleRatio:
 		return endpointChoice{endpoint: best}, true
-	case b.now < req.healthCheckedAt+timeout:
+	case b.now < req.healthCheckSentAt+timeout:
 		return endpointChoice{awaitCheck: true}, true
 	case req.healthChecks < maxHealthChecks:
 		ep := b.drawEndpointToCheck(req)
@@ -52,7 +52,7 @@
 			return endpointChoice{}, false
 		}
 		req.healthChecks++
-		req.healthCheckedAt = b.now
+		req.healthCheckSentAt = b.now
 		b.emit(StartHealthCheck{Endpoint: ep.ID})
 		b.emit(WakeAt{Token: checkTimerToken, At: b.now + timeout})
 		return endpointChoice{awaitCheck: true}, true
@@ -95,7 +95,7 @@
 }
 
 // recentlyChecked reports whether a health check of an endpoint ended less than one base latency ago and no
-// attempt has started there since.
+// attempt has started at it since.
 func (b *Balancer) recentlyChecked(ep *endpoint) bool {
 	return ep.healthCheckedAt > 0 && b.now-ep.healthCheckedAt < b.load.baseLatency
 }
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -4,7 +4,7 @@
 
 const (
 	avoidSuspicion = 4.0 // suspicion from which an endpoint gets no new attempts
-	ejectSuspicion = 8.0 // suspicion from which it is ejected and its requests are migrated
+	ejectSuspicion = 8.0 // suspicion from which an endpoint is ejected and its requests are migrated
 
 	failureWeight = 0.15        // weight of the newest outcome in an endpoint's share of failures
 	brokenWeight  = 0.15 * 0.15 // weight of the newest outcome in brokenShare
@@ -33,8 +33,8 @@
 // no evidence against the candidate, because a fault overloads the remaining endpoints.
 func (b *Balancer) faultWithin(span Millis) bool { return b.now-b.outliers.lastFaultAt < span }
 
-// suspicion returns the negative logarithm of the probability of an endpoint's silence if it responded at its
-// usual rate.
+// suspicion returns the negative logarithm of the probability that an endpoint which responds at its usual rate is
+// silent for as long as this one has been.
 func (b *Balancer) suspicion(ep *endpoint) float64 {
 	return float64(ep.inFlight) * (b.now - ep.lastResponseAt) / max(ep.latency, b.load.meanLatency)
 }
@@ -116,9 +116,9 @@
 	b.outliers.brokenShare -= brokenWeight * b.outliers.brokenShare
 }
 
-// observeRefusal closes idle connections to an endpoint while connections are refused at once. An endpoint that
-// refuses connections has reached its connection limit, and idle connections of hundreds of instances keep other
-// instances out.
+// observeRefusal updates refusedShare. While endpoints refuse connections at once, it closes the idle connections to
+// an endpoint when the last attempt in flight there has ended. An endpoint that refuses connections has reached its
+// connection limit, and idle connections of hundreds of instances keep other instances out.
 func (b *Balancer) observeRefusal(ep *endpoint, event AttemptEnded) {
 	b.outliers.refusedShare -= refusedWeight * b.outliers.refusedShare
 	if event.Outcome == Unreachable && event.After < b.load.baseLatency*immediateRefusalShare {
@@ -144,9 +144,9 @@
 func (b *Balancer) observeBroken(ep *endpoint, event AttemptEnded) {
 	ep.connectFailures++
 	ep.failureShare += failureWeight * (1 - ep.failureShare)
-	notRefusedByHost := event.Outcome == Unreachable && event.After >= b.load.baseLatency*immediateRefusalShare
+	connectTimedOut := event.Outcome == Unreachable && event.After >= b.load.baseLatency*immediateRefusalShare
 	suspicion := -math.Log(b.outliers.brokenShare+minBrokenShare) * float64(ep.connectFailures)
-	failed := ep.ejections > 0 || notRefusedByHost || suspicion >= ejectSuspicion
+	failed := ep.ejections > 0 || connectTimedOut || suspicion >= ejectSuspicion
 	b.outliers.brokenShare += brokenWeight
 	if failed && b.now >= ep.ejectedUntil {
 		b.outliers.lastFaultAt = b.now
--- a/decision/polling.go
+++ b/decision/polling.go
@@ -5,7 +5,7 @@
 const (
 	firstPollShare          = 0.25 // share of MaxPollInterval within which the first poll is sent
 	pollWaitShare           = 0.25 // share of MaxPollInterval: upper bound for the assumed time of a poll in the queue
-	minPollBackoffFactor    = 0.15 // applied twice to MaxPollInterval: minimum backoff
+	minPollBackoffFactor    = 0.15 // the minimum backoff, without jitter, is twice MaxPollInterval times its square
 	pollSpreadHalfInstances = 20   // instances at which the first polls are spread over half of their range
 )
 
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -32,9 +32,9 @@
 	attempts     []attempt
 	inFlight     int
 	done         bool // final response sent, or client disconnected
-	healthChecks int  // sent for the next attempt
+	healthChecks int  // health checks sent before the next attempt
 
-	healthCheckedAt Millis // when the newest of these was sent
+	healthCheckSentAt Millis // time of the newest of these checks
 }
 
 // attempt is an attempt to serve a request at an endpoint.
@@ -43,7 +43,7 @@
 	startedAt   Millis
 	inFlight    bool
 	mayHaveRun  bool
-	noMigration bool // not to be cancelled or hedged: that was done already, or the response is being streamed
+	noMigration bool // not to be cancelled or hedged, because it already was, or because its response is being streamed
 }
 
 // firstThatMayHaveRun returns the first attempt that may have run, or nil. That attempt determines where and how
@@ -154,14 +154,14 @@
 	if b.load.full() {
 		return false
 	}
-	ep := b.choose(req)
+	ep := b.chooseBySide(req)
 	if ep == nil {
 		return false
 	}
 	action := StartAttempt{Request: req.id, Endpoint: ep.ID}
 	if first := req.firstThatMayHaveRun(); first != nil && req.Idempotency == IdempotentWithKey {
-		// The connection may be established only after endpoints have dropped the key.
-		action.SendBy = b.lastRetryAt(req, first)
+		// Otherwise a connection that is established late would send the request after endpoints have dropped the key.
+		action.SendBy = b.retryDeadline(req, first)
 	}
 	if !b.settings.CancelAllowed && req.Idempotency != NonIdempotent {
 		action.Timeout = req.LatencyObjective
@@ -245,28 +245,28 @@
 func (b *Balancer) migrateFromSilent() {
 	for _, id := range slices.Sorted(maps.Keys(b.requests.open)) {
 		req := b.requests.open[id]
-		last := len(req.attempts) - 1
-		if !b.shouldMigrate(req, last) {
+		lastIndex := len(req.attempts) - 1
+		if !b.shouldMigrate(req, lastIndex) {
 			continue
 		}
 		if b.settings.HedgingAllowed {
 			hedged := b.startAttempt(req) // may reallocate req.attempts
-			req.attempts[last].noMigration = hedged
+			req.attempts[lastIndex].noMigration = hedged
 		} else if b.settings.CancelAllowed && len(req.attempts) < b.settings.MaxAttempts {
-			req.attempts[last].noMigration = true
-			b.emit(Cancel{Request: req.id, Attempt: last})
+			req.attempts[lastIndex].noMigration = true
+			b.emit(Cancel{Request: req.id, Attempt: lastIndex})
 		}
 	}
 }
 
-// shouldMigrate reports whether the only attempt in flight of a request is at a silent or ejected endpoint. The
-// attempt that tests an endpoint after its ejection time is not migrated at once, so that the endpoint has time to
-// respond.
-func (b *Balancer) shouldMigrate(req *request, last int) bool {
+// shouldMigrate reports whether a request is to be migrated: its last attempt is the only one in flight, and is at a
+// silent or ejected endpoint. The attempt that tests an endpoint after its ejection time is not migrated at once, so
+// that the endpoint has time to respond.
+func (b *Balancer) shouldMigrate(req *request, lastIndex int) bool {
 	if req.done || req.inFlight != 1 || req.Idempotency == NonIdempotent {
 		return false
 	}
-	att := &req.attempts[last]
+	att := &req.attempts[lastIndex]
 	if !att.inFlight || att.noMigration {
 		return false
 	}
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -26,10 +26,9 @@
 	awaitCheck bool
 }
 
-// choose returns the endpoint for the next attempt of a request, or nil. The endpoint is one of the side that the
-// request is meant for, else one of the other side, else a warm one of the first side in place of warming
-// endpoints without credit.
-func (b *Balancer) choose(req *request) *endpoint {
+// chooseBySide returns the endpoint for the next attempt of a request, or nil. It searches the side that the request is
+// meant for, then the other side, and then the first side again with overflow to its warm endpoints.
+func (b *Balancer) chooseBySide(req *request) *endpoint {
 	side := baselineSide
 	if req.placement < b.routing.candidateShare {
 		side = candidateSide
@@ -44,15 +43,15 @@
 	return b.chooseEndpoint(req, side, true).endpoint
 }
 
-// chooseEndpoint selects the better of two random choices in the home zone. Endpoints of other zones must be
-// better by CrossZonePrice. If many requests miss their objective and health checks are allowed, endpoints are
-// checked first, because an instance does not see the load that other instances put on an endpoint. With overflow,
-// warm endpoints take the share of warming endpoints without credit.
+// chooseEndpoint selects the best of two random choices in each zone. Endpoints of other zones must be better by
+// CrossZonePrice. If many requests miss their objective and health checks are allowed, endpoints are checked first,
+// because an instance does not see the load that other instances put on an endpoint. With overflow, warm endpoints
+// take the share of warming endpoints without credit.
 func (b *Balancer) chooseEndpoint(req *request, side int, overflow bool) endpointChoice {
 	search := endpointSearch{balancer: b, request: req, lowestRisk: math.Inf(1)}
-	parts := &b.endpoints.byBuildAndZone[side]
-	b.collectEligible(&search, homeZone, parts[homeZone], overflow)
-	b.collectEligible(&search, otherZone, parts[otherZone], overflow)
+	byZone := &b.endpoints.byBuildAndZone[side]
+	b.collectEligible(&search, homeZone, byZone[homeZone], overflow)
+	b.collectEligible(&search, otherZone, byZone[otherZone], overflow)
 	if len(b.routing.eligible[homeZone])+len(b.routing.eligible[otherZone]) == 0 {
 		return endpointChoice{}
 	}
--- a/decision/samples.go
+++ b/decision/samples.go
@@ -21,7 +21,7 @@
 
 	baselineLatency          stats.Mean // mean response time of the baseline
 	baselineLatencyAtOffer   float64    // baselineLatency when the build was offered
-	controllerLatency        stats.Mean // the same by the controller's counts
+	controllerLatency        stats.Mean // the baseline's mean response time by the controller's counts
 	controllerLatencyAtOffer float64    // controllerLatency when the build was offered
 
 	removedEndpoints stats.Count // outcomes of baseline endpoints removed since the build was offered
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -19,7 +19,7 @@
 	Classes          []RequestClass
 	Tenants          []TenantID
 	PollEndpoints    bool   // the endpoint list is polled through a queue instead of being pushed
-	MaxPollInterval  Millis // maximum time until the next poll; with PollEndpoints
+	MaxPollInterval  Millis // with PollEndpoints: maximum time from a rejected poll to the next
 
 	CrossZonePrice   float64 // cost of sending a request to another zone, as a share of its value, 0 to 1
 	HealthCheckPrice float64 // cost of a health check, as a share of the value of a request, 0 to 1
@@ -32,8 +32,8 @@
 
 	SlowStartFloor  float64 // capacity of an endpoint at its start, as a share of its full capacity
 	SlowStartWindow Millis  // time from an endpoint's start to its full capacity
-	OverloadFactor  float64 // multiple of its capacity that a warming endpoint can serve for OverloadWindow
-	OverloadWindow  Millis  // see OverloadFactor
+	OverloadFactor  float64 // multiple of its current capacity that a warming endpoint can serve for OverloadWindow
+	OverloadWindow  Millis  // time for which a warming endpoint can serve OverloadFactor times its capacity
 
 	Control          Control
 	InPlace          bool      // endpoints of the candidate replace those of the baseline, which drain
@@ -57,7 +57,8 @@
 	Halt          bool    // no votes to advance, and votes to hold a clock; votes to roll back are still cast
 }
 
-// tickFraction times the shortest latency objective is the tick interval.
+// tickFraction times the shortest latency objective is the tick interval, unless that is below the clock granularity
+// or 1 ms.
 const tickFraction = 0.05
 
 // applySettings applies the settings of a deployment at the start or later. It keeps observations and open
@@ -71,7 +72,7 @@
 	settings.Tenants = b.settings.Tenants
 	settings.ClockGranularity = b.settings.ClockGranularity
 	b.settings = settings
-	// Both are divisors.
+	// Both windows are divisors, so they must be above 0.
 	b.settings.SlowStartWindow = max(settings.SlowStartWindow, b.tickInterval)
 	b.settings.OverloadWindow = max(settings.OverloadWindow, b.tickInterval)
 }
--- a/decision/stickykeys.go
+++ b/decision/stickykeys.go
@@ -2,8 +2,8 @@
 
 import "hash/crc32"
 
-// stickyKeys is the set of keys that a build has responded to, as 16-bit hashes. So the table is bounded. A
-// collision only keeps another key at the newer build too.
+// stickyKeys is the set of keys that a build has responded to, as 16-bit hashes, which bound its size. A collision
+// only keeps another key at the newer build too.
 type stickyKeys struct {
 	build  Build
 	hashes map[uint16]bool
--- a/decision/verdict.go
+++ b/decision/verdict.go
@@ -88,7 +88,7 @@
 	return assessed
 }
 
-// addRejections adds the consecutive rejections of one class. toHold rejections hold the clock.
+// addRejections adds the consecutive rejections of one class. toHold is the number of rejections that hold the clock.
 func (a *assessment) addRejections(rejections, toHold int) {
 	a.rejected = a.rejected || rejections > 0
 	a.holdReached = a.holdReached || rejections >= toHold
@@ -149,7 +149,8 @@
 }
 
 // advanceOnAgreement applies if the builds agree in every class with full groups. An earlier vote to advance stands
-// until blockAdvance applies; without full groups, only if such a vote requires outcomes of this instance.
+// until blockAdvance applies. Without full groups it stands only if outcomesWithoutGroups is above 0; otherwise
+// advanceWithoutGroups decides again.
 func advanceOnAgreement(b *Balancer, assessed *assessment) (decidedVote, bool) {
 	agreed := assessed.fullGroups > 0 && assessed.groupsAgree
 	stands := b.voting.vote.Verdict == VoteAdvance && (assessed.fullGroups > 0 || b.thresholds.outcomesWithoutGroups > 0)
@@ -189,8 +190,8 @@
 }
 
 // suspectsSlowness reports whether few response times are reason enough not to vote to advance: their median is
-// above slowRatio to the power of 1.5 (1.40) times the baseline's. The margin is wider than elsewhere because a
-// median of few response times scatters. No instance with little traffic can prove a slow build, but among
+// above slowRatio to the power of 1.5 (1.40) times the baseline's. The margin is wider than elsewhere because the
+// median of few response times varies widely. No instance with little traffic can prove a slow build, but among
 // hundreds of instances most suspicions are right. In the last stage, response times during a fault are no evidence,
 // because the fault overloads the remaining endpoints.
 func (b *Balancer) suspectsSlowness() bool {
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -7,7 +7,7 @@
 	maxVoteCheckInterval   = 200.0  // ms; upper bound of that interval
 	voteRenewalShare       = 0.85   // share of VoteTTL after which a vote is renewed
 	minPartialGroupSize    = 2      // outcomes from which a group may be evaluated before it is full
-	partialGroupInterval   = 4000.0 // ms between two such evaluations
+	partialGroupInterval   = 4000.0 // ms between two evaluations of a group that is not full
 )
 
 // votingState is the state of the instance's vote.
