--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -40,7 +40,7 @@
 			sim.advance(600)
 			retried := sim.attemptedAt(req, 1)
 			if (retried == "") != (test.zone == "-") || test.zone == "same" && retried[0] != first[0] {
-				t.Errorf("first attempt at %q: got retry at %q, want it by the scope of the class", first, retried)
+				t.Errorf("first attempt at %q: got retry at %q, want zone %q", first, retried, test.zone)
 			}
 			if _, got := sim.responses(req); test.zone == "-" && got != test.response {
 				t.Errorf("got response %q, want %q", got, test.response)
--- a/decision/comparison_test.go
+++ b/decision/comparison_test.go
@@ -16,19 +16,19 @@
 		return out
 	}
 	for _, test := range []struct {
-		older, baseline, got float64
-		want                 bool
+		previous, last, candidate float64 // lowest value of both baseline groups and of the candidate's group
+		want                      bool
 	}{
 		{1, 1, 2, true},
 		{2, 1, 2, false},
 		{1, 2, 2, false},
 		{1, 1, 1.1, false},
 		{1, 1, 0.5, false},
-		{1, 1, math.Inf(1), false},
-	} { // a group whose median is a failure is not slower
-		groups := &comparison{baseline: stats.Groups{Previous: fullGroup(test.older), Last: fullGroup(test.baseline)}}
-		if got := groups.slower(fullGroup(test.got), 1); got != test.want {
-			t.Errorf("%+v: got slower %v", test, got)
+		{1, 1, math.Inf(1), false}, // a group whose median is a failure is not slower
+	} {
+		groups := &comparison{baseline: stats.Groups{Previous: fullGroup(test.previous), Last: fullGroup(test.last)}}
+		if got := groups.slower(fullGroup(test.candidate), 1); got != test.want {
+			t.Errorf("%+v: got slower %v, want %v", test, got, test.want)
 		}
 	}
 	if groups := (&comparison{baseline: stats.Groups{Last: fullGroup(1)}}); groups.slower(fullGroup(2), 1) {
--- a/decision/crosszone_test.go
+++ b/decision/crosszone_test.go
@@ -16,14 +16,15 @@
 		return func() (Outcome, Millis) { return Succeeded, after }
 	}
 	unreachable := func() (Outcome, Millis) { return Unreachable, 250 }
-	const half = maxCrossZoneShare + (1-maxCrossZoneShare)/2
+	// Half of the requests that are not drawn by the cross-zone share may go to the other zone too.
+	const mostCrossed = maxCrossZoneShare + (1-maxCrossZoneShare)/2
 	for _, test := range []struct {
 		name        string
 		home, other func() (Outcome, Millis)
 		price       float64
 		least, most float64 // share of requests in the other zone
 	}{
-		{"home overloaded", succeeds(400), succeeds(60), 0.02, 0.25, half},
+		{"home overloaded", succeeds(400), succeeds(60), 0.02, 0.25, mostCrossed},
 		{"both fast", succeeds(60), succeeds(60), 0.02, 0, 0.1},
 		{"both overloaded", succeeds(400), succeeds(400), 0.02, 0, 0.2},
 		{"home overloaded, high price", succeeds(400), succeeds(60), 0.5, 0, 0.1},
--- a/decision/evidence_test.go
+++ b/decision/evidence_test.go
@@ -39,7 +39,7 @@
 		evidence, _ = terminated.balancer.Evidence()
 		vote := terminated.balancer.voting.vote
 		if len(evidence.Counts) > 0 || len(evidence.Classes[0].Candidate) > 0 || vote.Verdict != VoteNone {
-			t.Errorf("%s: after revocation, got evidence %+v, want none", name, evidence)
+			t.Errorf("%s: after revocation, got evidence %+v and vote %+v, want none", name, evidence, vote)
 		}
 	}
 	sim := start(t, releasedUpdate(8), nil)
--- a/decision/exposure_test.go
+++ b/decision/exposure_test.go
@@ -34,9 +34,10 @@
 					}
 				}
 			}
-			if test.cap == 0 && len(attempts) > 0 ||
-				test.cap > 0 && len(attempts) < int(250*test.cap*test.cap) {
-				t.Errorf("got %d attempts, want none without and enough with exposure", len(attempts))
+			least := int(250 * test.cap * test.cap)
+			if test.cap == 0 && len(attempts) > 0 || test.cap > 0 && len(attempts) < least {
+				t.Errorf("got %d attempts with an exposure cap of %v, want none with 0, else at least %d", len(attempts),
+					test.cap, least)
 			}
 		})
 	}
--- a/decision/fleet_test.go
+++ b/decision/fleet_test.go
@@ -219,8 +219,8 @@
 	if age := f.now - endpoint.StartedAt; endpoint.StartedAt > 0 && age < 2700 {
 		speed = 0.35 + 0.65*age/2700
 	}
-	duration := math.Log(1-f.random.Float64()) * meanWork * endpoint.slowdown / speed
-	endpoint.cores[free] = max(f.now, endpoint.cores[free]) - duration
+	negativeDuration := math.Log(1-f.random.Float64()) * meanWork * endpoint.slowdown / speed
+	endpoint.cores[free] = max(f.now, endpoint.cores[free]) - negativeDuration
 	return endpoint.cores[free]
 }
 
@@ -334,12 +334,13 @@
 			t.Errorf("second %d: got %.0f attempts per warm endpoint of the candidate, want at most 30 and 1.5 times %.0f",
 				second, attemptsPer[8], attemptsPer[7])
 		}
-		got := 0.0
+		attemptsPerWarming := 0.0
 		for _, endpoint := range warming {
-			got += float64(fleet.attempts[endpoint.ID]) / float64(len(warming))
+			attemptsPerWarming += float64(fleet.attempts[endpoint.ID]) / float64(len(warming))
 		}
-		if least := []float64{3, 7, 9}[second]; got < least { // each can serve 9 to 27
-			t.Errorf("second %d: got %.1f attempts per warming endpoint, want at least 3, 7 and 9", second, got)
+		if least := []float64{3, 7, 9}[second]; attemptsPerWarming < least { // each can serve 9 to 27
+			t.Errorf("second %d: got %.1f attempts per warming endpoint, want at least %.0f", second,
+				attemptsPerWarming, least)
 		}
 	}
 }
@@ -349,44 +350,44 @@
 func TestFleetPollsWithoutOverload(t *testing.T) {
 	for name, test := range map[string]struct {
 		instances int
-		perCall   Millis  // service time of a poll
+		pollTime  Millis  // service time of a poll
 		within    Millis  // time until all instances watch the list
-		calls     float64 // maximum number of polls per instance
+		mostPolls float64 // maximum number of polls per instance
 	}{
 		"few instances":               {3, 60, 1000, 1},
 		"a large fleet":               {80, 60, 12000, 2},
 		"a large fleet, slow service": {80, 130, 40000, 5},
-		"one":                         {1, 60, 500, 1},
+		"one instance":                {1, 60, 500, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			const timeout, within = 2000, 10000
+			const timeout, maxInterval = 2000, 10000
 			fleet := newFleet(t, test.instances, nil, func(s *Settings) {
-				s.PollEndpoints, s.MaxPollInterval = true, within
+				s.PollEndpoints, s.MaxPollInterval = true, maxInterval
 			})
-			free, calls, start := fleet.now, 0, fleet.now // free: when the service is idle
+			idleAt, polls, start := fleet.now, 0, fleet.now // idleAt: time from which the service is idle
 			watching := map[int]Millis{}
 			fleet.perform = func(instance int, action Action) {
 				if _, ok := action.(WatchEndpoints); !ok {
 					return
 				}
-				calls++
-				free = max(free, fleet.now) + test.perCall
-				if wait := free - fleet.now; wait <= timeout {
-					fleet.scheduleAt(free, func() {
+				polls++
+				idleAt = max(idleAt, fleet.now) + test.pollTime
+				if wait := idleAt - fleet.now; wait <= timeout {
+					fleet.scheduleAt(idleAt, func() {
 						watching[instance] = fleet.now
 						fleet.deliver(instance, EndpointsChanged{Kind: Delta})
 					})
 				} else if wait <= 2*timeout {
 					fleet.scheduleAt(fleet.now+timeout, func() { fleet.deliver(instance, EndpointsChanged{Kind: PollRejected}) })
 				} else {
-					free -= test.perCall // rejected immediately, without service time
+					idleAt -= test.pollTime // rejected immediately, without service time
 					fleet.scheduleAt(fleet.now+1, func() { fleet.deliver(instance, EndpointsChanged{Kind: PollRejected}) })
 				}
 			}
 			fleet.run(start + test.within)
-			if len(watching) < test.instances || float64(calls) > test.calls*float64(test.instances) {
-				t.Errorf("got %d of %d instances watching after %.0f ms with %d polls, want all with fewer polls", len(watching),
-					test.instances, test.within, calls)
+			if len(watching) < test.instances || float64(polls) > test.mostPolls*float64(test.instances) {
+				t.Errorf("got %d of %d instances watching after %.0f ms with %d polls, want all with at most %.0f", len(watching),
+					test.instances, test.within, polls, test.mostPolls*float64(test.instances))
 			}
 		})
 	}
--- a/decision/fleetslowdown_test.go
+++ b/decision/fleetslowdown_test.go
@@ -19,14 +19,14 @@
 	sim.handle(trialUpdate(1, 0.5))
 	slowdown := sim.balancer.classes.overall.slowdown
 	for _, test := range []struct {
-		times float64
+		ratio float64 // response time divided by that before the trial
 		want  int
 	}{{1.3, 0}, {1.6, 2}, {2, 5}, {4, 9}, {math.Inf(1), 9}, {1, 0}, {1000, 4}} {
 		for i := range groupSize {
-			sim.balancer.compareBeforeTrial(slowdown, test.times*(100+float64(i)), 1)
+			sim.balancer.compareBeforeTrial(slowdown, test.ratio*(100+float64(i)), 1)
 		}
 		if slowdown.rejections != test.want {
-			t.Errorf("%g times slower: got %d rejections, want %d", test.times, slowdown.rejections, test.want)
+			t.Errorf("%g times slower: got %d rejections, want %d", test.ratio, slowdown.rejections, test.want)
 		}
 	}
 }
@@ -36,10 +36,11 @@
 // because clients also do that when the candidate is slow.
 func TestFleetSlowdownIgnoresOtherCauses(t *testing.T) {
 	for _, test := range []struct {
-		name            string
-		first, repeated int     // additional requests, new and sent before
-		none, rejects   bool    // no endpoint runs the candidate; a rejection is expected
-		early           float64 // response time before an endpoint runs the candidate; 0: no outcomes
+		name             string
+		newCount, resent int     // additional requests, new and sent before
+		noCandidate      bool    // no endpoint runs the candidate
+		rejected         bool    // a rejection is expected
+		earlyLatency     float64 // response time before an endpoint runs the candidate; 0: no outcomes
 	}{
 		{"unchanged arrival rate", 0, 0, false, true, 0},
 		{"burst of new requests", 400, 0, false, false, 0},
@@ -56,25 +57,25 @@
 		}
 		sim.balancer.classes.overall.baselineLatency.Add(1, latencySamples)
 		sim.handle(trialUpdate(0, 0.1))
-		if test.none || test.early > 0 {
+		if test.noCandidate || test.earlyLatency > 0 {
 			sim.replaceEndpoints(newEndpoint("a1", 7), newEndpoint("b1", 7))
 		}
-		if test.early > 0 {
+		if test.earlyLatency > 0 {
 			for range groupSize / 4 {
-				sim.balancer.compareBeforeTrial(sim.balancer.classes.overall.slowdown, test.early, 1)
+				sim.balancer.compareBeforeTrial(sim.balancer.classes.overall.slowdown, test.earlyLatency, 1)
 			}
 			sim.handle(EndpointsChanged{Kind: Delta, Endpoints: []Endpoint{newEndpoint("a2", 8)}})
 		}
-		for i := range test.first + test.repeated {
+		for i := range test.newCount + test.resent {
 			sim.handle(RequestReceived{
-				Request: RequestID(i + 1), Class: "read", Remaining: 1000, Retried: i >= test.first,
+				Request: RequestID(i + 1), Class: "read", Remaining: 1000, Retried: i >= test.newCount,
 			})
 		}
 		for range groupSize {
 			sim.balancer.compareBeforeTrial(sim.balancer.classes.overall.slowdown, 3, 1)
 		}
-		if got := sim.balancer.classes.overall.slowdown.rejections > 0; got != test.rejects {
-			t.Errorf("%s: got rejected %v, want %v", test.name, got, test.rejects)
+		if got := sim.balancer.classes.overall.slowdown.rejections > 0; got != test.rejected {
+			t.Errorf("%s: got rejected %v, want %v", test.name, got, test.rejected)
 		}
 	}
 }
@@ -83,10 +84,10 @@
 // at least 4 s to fill, as at an instance with little traffic.
 func TestFleetSlowdownMustLast(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		took  Millis
-		slow  float64
-		proof bool
+		name     string
+		fillTime Millis  // time in which the group fills
+		ratio    float64 // response time divided by that before the trial
+		proof    bool    // the group proves a slowdown
 	}{
 		{"at once", 0, 3, false},
 		{"in half a second", 500, 3, false},
@@ -103,9 +104,9 @@
 		sim.handle(trialUpdate(0, 0.1))
 		for i := range groupSize {
 			if i > 0 {
-				sim.balancer.now += test.took / (groupSize - 1)
+				sim.balancer.now += test.fillTime / (groupSize - 1)
 			}
-			sim.balancer.compareBeforeTrial(sim.balancer.classes.overall.slowdown, test.slow, 1)
+			sim.balancer.compareBeforeTrial(sim.balancer.classes.overall.slowdown, test.ratio, 1)
 		}
 		rejections := overall.slowdown.rejections
 		if got := rejections >= slowdownGroups*overall.rejectionsNeeded; got != test.proof {
--- a/decision/golden_test.go
+++ b/decision/golden_test.go
@@ -17,8 +17,8 @@
 
 const (
 	seedCount           = 72
-	eventsPerCheckpoint = 1000 // events between two checkpoints
-	checkpointsPerSeed  = 10   // checkpoints per seed
+	eventsPerCheckpoint = 1000
+	checkpointsPerSeed  = 10
 )
 
 var goldenFile = filepath.Join("testdata", "streams.txt")
@@ -58,8 +58,8 @@
 	}
 	want := map[string]string{}
 	for line := range strings.Lines(string(data)) {
-		point, sum, _ := strings.Cut(strings.TrimSpace(line), ": ")
-		want[point] = sum
+		checkpoint, hash, _ := strings.Cut(strings.TrimSpace(line), ": ")
+		want[checkpoint] = hash
 	}
 	if len(want) != seedCount*checkpointsPerSeed {
 		t.Fatalf("%s has %d checkpoints, want %d", goldenFile, len(want), seedCount*checkpointsPerSeed)
@@ -71,9 +71,9 @@
 func compareLines(t *testing.T, got []string, want map[string]string) {
 	t.Helper()
 	for _, line := range got {
-		point, sum, _ := strings.Cut(line, ": ")
-		if want[point] != sum {
-			t.Fatalf("%s: first difference, got hash %s, want %q", point, sum, want[point])
+		checkpoint, hash, _ := strings.Cut(line, ": ")
+		if want[checkpoint] != hash {
+			t.Fatalf("%s: first difference, got hash %s, want %q", checkpoint, hash, want[checkpoint])
 		}
 	}
 }
--- a/decision/healthcheck_test.go
+++ b/decision/healthcheck_test.go
@@ -6,7 +6,7 @@
 
 // While many requests miss their latency objective, a request is sent to the first endpoint whose health check is as
 // fast as at an idle endpoint, or after three checks to the fastest of these. Without responses to the checks, the
-// request is sent by the other observations.
+// endpoint is chosen by the other observations.
 func TestHealthChecksFindIdleEndpoint(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -38,7 +38,7 @@
 				sim.handle(HealthCheckEnded{Endpoint: check.Endpoint, Outcome: Succeeded, After: duration})
 			}
 			sim.now += 2 * sim.balancer.settings.ClockGranularity
-			sim.handle(TimerFired{Token: 1})
+			sim.handle(TimerFired{Token: checkTimerToken})
 		}
 		if to := sim.attemptedAt(1, 0); to == "" || best != "" && to != best || checks != test.checks {
 			t.Errorf("%s: got %d health checks, fastest at %q, and the attempt at %q, want %d checks and an attempt there",
@@ -59,8 +59,8 @@
 		sim.handle(HealthCheckEnded{
 			Endpoint: "a1", Outcome: Succeeded, After: 1, Load: &Load{Utilisation: test.utilisation, Queue: -1},
 		})
-		if endpoint := sim.balancer.endpoints.byID["a1"]; (endpoint.healthCheckRatio <= slowRatio) != test.idle {
-			t.Errorf("%+v: got ratio %v", test, endpoint.healthCheckRatio)
+		if endpoint := sim.balancer.endpoints.byID["a1"]; (endpoint.healthCheckRatio <= idleRatio) != test.idle {
+			t.Errorf("%+v: got ratio %v, want idle %v", test, endpoint.healthCheckRatio, test.idle)
 		}
 	}
 }
--- a/decision/helpers_test.go
+++ b/decision/helpers_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-// request sends a request and returns its ID, and the endpoint of its first attempt if one was started.
+// request sends a request and returns its ID, and the endpoint of its first attempt or an empty ID if none was started.
 func (sim *harness) request(class ClassName, key Key) (RequestID, EndpointID) {
 	sim.lastID++
 	sim.handle(RequestReceived{Request: sim.lastID, Class: class, Key: key, Remaining: 1000})
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -19,7 +19,7 @@
 	}
 	for _, a := range sim.actions {
 		if _, ok := a.(Cancel); ok {
-			t.Error("got the attempt canceled, want it kept")
+			t.Error("got the attempt cancelled, want it in flight")
 		}
 	}
 }
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -7,20 +7,20 @@
 // A request that no endpoint can serve gets exactly one final response, before its deadline.
 func TestUnservableRequestGetsOneResponse(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		ttl  Millis
-		want string
+		class     ClassName
+		remaining Millis
+		want      string
 	}{{"read", 1000, "reject"}, {"pay", 1000, "reject"}, {"mark", 30, "reject"}, {"unknown", 1000, "reject"}} {
 		sim := start(t, trialUpdate(0, 0), nil)
 		sim.replaceEndpoints()
-		sim.handle(RequestReceived{Request: 9, Class: ClassName(test.name), Remaining: test.ttl})
-		sim.advance(test.ttl)
+		sim.handle(RequestReceived{Request: 9, Class: test.class, Remaining: test.remaining})
+		sim.advance(test.remaining)
 		sim.handle(ClientDisconnected{Request: 9})
 		sim.handle(AttemptEnded{Request: 9, Outcome: EndpointFailed})
 		open := len(sim.balancer.requests.open)
 		if n, got := sim.responses(9); n != 1 || got != test.want || open != 0 {
-			t.Errorf("%s: got %d responses, the last %q, and %d open requests, want one rejection and none open",
-				test.name, n, got, open)
+			t.Errorf("%s: got %d responses, the last %q, and %d open requests, want one %q and none open",
+				test.class, n, got, open, test.want)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 		}
 		got := ""
 		for _, a := range sim.actions {
-			if x, ok := a.(Cancel); ok && x.Request == silent {
+			if canceled, ok := a.(Cancel); ok && canceled.Request == silent {
 				got = "cancel"
 			}
 		}
@@ -93,8 +93,8 @@
 		t.Run(name, func(t *testing.T) {
 			sim := start(t, releasedUpdate(8), func(s *Settings) { s.MaxAttempts = test.maxAttempts })
 			req, _ := sim.request(test.class, "")
-			for _, n := range sim.balancer.endpoints.ordered {
-				n.ejectedUntil = sim.now + 5000 // no other endpoint is available
+			for _, ep := range sim.balancer.endpoints.ordered {
+				ep.ejectedUntil = sim.now + 5000 // no other endpoint is available
 			}
 			sim.endAttempt(req, 0, test.outcome, 1)
 			if n, last := sim.responses(req); last != test.last || n > 1 {
--- a/decision/settings_test.go
+++ b/decision/settings_test.go
@@ -28,7 +28,7 @@
 		t.Errorf("after a success: got %d responses of the balancer and %d open requests, want none", n, open)
 	}
 	if sim.attemptedAt(request, 1) != "" {
-		t.Error("got a second attempt, want one")
+		t.Error("got a second attempt, want only the first")
 	}
 	sim.handle(SettingsChanged{Settings: before})
 	hold, rollback = balancer.thresholds.holdRejections, balancer.classes.overall.rejectionsNeeded
--- a/decision/stream_test.go
+++ b/decision/stream_test.go
@@ -144,7 +144,7 @@
 // drawSettings draws the settings of a deployment. Each boolean setting is true with some seeds and false with others.
 func drawSettings(random *rand.Rand) decision.Settings {
 	flip := func() bool { return random.IntN(2) == 0 }
-	target := 300 + 900*random.Float64()
+	objective := 300 + 900*random.Float64()
 	settings := decision.Settings{
 		Instances: 1 + random.IntN(8), Zone: "a", ClockGranularity: float64(1 + random.IntN(6)),
 		Tenants:       []decision.TenantID{"gold", "silver"},
@@ -158,20 +158,20 @@
 		FlagShare: random.Float64(), VoteTTL: 2000 + 4000*random.Float64(), VoteRetryWait: 200 + 800*random.Float64(),
 	}
 	settings.Classes = []decision.RequestClass{
-		{Name: "read", LatencyObjective: target, Idempotency: decision.Idempotent},
+		{Name: "read", LatencyObjective: objective, Idempotency: decision.Idempotent},
 		{
-			Name: "mark-cell", LatencyObjective: target * 1.5, Idempotency: decision.IdempotentWithKey,
-			RetryScope: decision.ScopeCell, DedupWindow: target,
+			Name: "mark-cell", LatencyObjective: objective * 1.5, Idempotency: decision.IdempotentWithKey,
+			RetryScope: decision.ScopeCell, DedupWindow: objective,
 		},
 		{
-			Name: "mark-zone", LatencyObjective: target * 1.2, Idempotency: decision.IdempotentWithKey,
-			RetryScope: decision.ScopeZone, DedupWindow: target,
+			Name: "mark-zone", LatencyObjective: objective * 1.2, Idempotency: decision.IdempotentWithKey,
+			RetryScope: decision.ScopeZone, DedupWindow: objective,
 		},
 		{
-			Name: "mark-all", LatencyObjective: target, Idempotency: decision.IdempotentWithKey,
-			RetryScope: decision.ScopeAll, DedupWindow: target * 2,
+			Name: "mark-all", LatencyObjective: objective, Idempotency: decision.IdempotentWithKey,
+			RetryScope: decision.ScopeAll, DedupWindow: objective * 2,
 		},
-		{Name: "pay", LatencyObjective: target * 2, Idempotency: decision.NonIdempotent},
+		{Name: "pay", LatencyObjective: objective * 2, Idempotency: decision.NonIdempotent},
 	}
 	if flip() {
 		settings.CrossZonePrice, settings.HealthCheckPrice = 0.02*random.Float64(), 0.01*random.Float64()
@@ -212,7 +212,7 @@
 
 // scenarioVariants are applied to the seeds in turn.
 var scenarioVariants = []func(*simulation){
-	(*simulation).calm,
+	(*simulation).noFaults,
 	(*simulation).slowCandidates,
 	(*simulation).failingCandidates,
 	(*simulation).otherZoneDown,
@@ -226,8 +226,8 @@
 	(*simulation).shortObjectives,
 }
 
-// calm has no faults, so that whole rollouts complete.
-func (s *simulation) calm() {
+// noFaults turns faults off, so that whole rollouts complete.
+func (s *simulation) noFaults() {
 	s.faultInterval, s.randomOutcomeShare = 1e5, 0
 }
 
--- a/decision/vote_test.go
+++ b/decision/vote_test.go
@@ -25,7 +25,8 @@
 		name      string
 		change    func(*Settings)
 		candidate func(int) (Outcome, Millis)
-		has, not  string
+		// want and unwanted are the verdicts that the votes include, and those that they do not.
+		want, unwanted string
 	}{
 		{"alike", nil, equal, "1", "3"},
 		{"faster", nil, faster, "1", "3"},
@@ -39,8 +40,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			got := startWithOutcomes(t, test.change, test.candidate).votes()
-			if !strings.Contains(got, test.has) || test.not != "" && strings.ContainsAny(got, test.not) {
-				t.Errorf("got votes %q, want %q and none of %q", got, test.has, test.not)
+			if !strings.Contains(got, test.want) || test.unwanted != "" && strings.ContainsAny(got, test.unwanted) {
+				t.Errorf("got votes %q, want %q and none of %q", got, test.want, test.unwanted)
 			}
 		})
 	}
