--- a/cmd/simadapter/batches.go
+++ b/cmd/simadapter/batches.go
@@ -45,9 +45,9 @@
 			return fmt.Errorf("line %d: incomplete: %w", number, err)
 		}
 		if err := s.handleLine(strings.TrimSuffix(strings.TrimSuffix(line, "\n"), "\r")); err != nil {
-			var failed writeError
-			if errors.As(err, &failed) {
-				return failed.error
+			var failedWrite writeError
+			if errors.As(err, &failedWrite) {
+				return failedWrite.error
 			}
 			return fmt.Errorf("line %d: %w", number, err)
 		}
--- a/internal/engine/actions.go
+++ b/internal/engine/actions.go
@@ -35,20 +35,21 @@
 		case decision.Log:
 			c.log.Info(action.Text)
 		case decision.StartHealthCheck:
-			c.endHealthCheckUnsent(action)
-		case decision.SendToPeer: // the protocol has no messages between instances
+			c.reportHealthCheckNotSent(action)
+		case decision.SendToPeer: // not carried out: the platform's protocol has no messages between instances
 		}
 	}
 }
 
 func (c *core) castVote(vote decision.Vote) {
 	c.stats.counters.Votes++
-	c.log.WithFields(logrus.Fields{"build": vote.Build, "stage": vote.Stage, "verdict": vote.Verdict}).Debug("vote")
+	c.log.WithFields(logrus.Fields{"build": vote.Build, "stage": vote.Stage, "verdict": vote.Verdict}).Debug("vote cast")
 	c.controller.Vote(vote)
 }
 
-// endHealthCheckUnsent reports a health check to the module as not sent, because the protocol has no health checks.
-func (c *core) endHealthCheckUnsent(check decision.StartHealthCheck) {
+// reportHealthCheckNotSent reports to the module that a health check was not sent, because the platform's protocol has
+// no health checks.
+func (c *core) reportHealthCheckNotSent(check decision.StartHealthCheck) {
 	c.stats.counters.HealthChecks++
 	c.followUps = append(c.followUps, decision.HealthCheckEnded{Endpoint: check.Endpoint, Outcome: decision.NotSent})
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -51,7 +51,7 @@
 	post       func(message) // appends to the queue
 
 	requests  requestTable
-	endpoints map[decision.EndpointID]Endpoint // from the endpoint list; a draining endpoint has no address
+	endpoints map[decision.EndpointID]Endpoint // entries of the endpoint list; a draining endpoint has no address
 	timers    timers
 	recovery  recovery
 	followUps []decision.Event // events caused by the current actions; passed to the module after them
@@ -162,9 +162,9 @@
 			e.core.handle(now, msg.message)
 		}
 		// Due timers run between any two messages. Otherwise a flood of requests would delay them without bound.
-		at, pending := e.core.timers.next()
-		if pending && at <= now {
-			e.lag.observe(now, now-at, waiting, "timer")
+		dueAt, pending := e.core.timers.next()
+		if pending && dueAt <= now {
+			e.lag.observe(now, now-dueAt, waiting, "timer")
 			e.core.fireTimers(now)
 			continue
 		}
@@ -172,7 +172,7 @@
 			continue
 		}
 		if pending {
-			wake.Reset(clock.Duration(at - now))
+			wake.Reset(clock.Duration(dueAt - now))
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -16,8 +16,8 @@
 
 func (l *logRecorder) Levels() []logrus.Level { return logrus.AllLevels }
 
-func (l *logRecorder) Fire(line *logrus.Entry) error {
-	l.entries = append(l.entries, line)
+func (l *logRecorder) Fire(entry *logrus.Entry) error {
+	l.entries = append(l.entries, entry)
 	return nil
 }
 
@@ -41,18 +41,18 @@
 		decision.ControllerCounts{},
 		decision.ResponseFlagged{},
 	} {
-		h, lines := newHarness(), &logRecorder{}
+		h, recorder := newHarness(), &logRecorder{}
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		log.AddHook(lines)
+		log.AddHook(recorder)
 		h.log = log
 		h.module.panicNext = true
 		h.callModule(h.now, event)
-		if len(lines.entries) == 0 {
+		if len(recorder.entries) == 0 {
 			t.Fatal("got no log line, want one about the panic")
 		}
-		fields := lines.entries[0].Data
-		observed += fmt.Sprintf("level=%s event=%v open=%v panic=%v\n", lines.entries[0].Level, fields["event"],
+		fields := recorder.entries[0].Data
+		observed += fmt.Sprintf("level=%s event=%v open=%v panic=%v\n", recorder.entries[0].Level, fields["event"],
 			fields["open"], fields["panic"])
 	}
 	if err := golden.CheckFile("testdata/panics.golden", []byte(observed)); err != nil {
--- a/internal/engine/helpers_test.go
+++ b/internal/engine/helpers_test.go
@@ -33,11 +33,11 @@
 	*core
 	module   *fakeModule
 	now      decision.Millis
-	calls    []string // to upstream, controller and discovery
+	calls    []string // calls to upstream, controller and discovery
 	attempts []Attempt
 	posted   []message
-	results  []string
-	starts   int // how often a module was started
+	results  []string // of each request, as "KIND;RETRY_AFTER;HAS_RESPONSE"; empty without a result
+	starts   int      // how often a module was started
 }
 
 func newHarness() *harness {
--- a/internal/engine/lag.go
+++ b/internal/engine/lag.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	// maxLagThreshold is the delay above which a warning is logged when the latency objectives allow a longer one.
+	// maxLagThreshold is the upper limit of the delay above which a warning is logged. It applies if all latency objectives
+	// are long.
 	maxLagThreshold decision.Millis = 1000
-	// lagThresholdFraction is the part of the shortest latency objective above which a delay is logged: it is then a
-	// noticeable part of the response time.
+	// lagThresholdFraction is the fraction of the shortest latency objective above which a delay is logged, because such a
+	// delay is a noticeable part of the response time.
 	lagThresholdFraction = 0.05
-	// lagLogInterval is the interval that one warning covers, and so the shortest time between two warnings.
+	// lagLogInterval is the interval that one warning covers, and therefore the shortest time between two warnings.
 	lagLogInterval decision.Millis = 5000
 )
 
@@ -24,9 +25,9 @@
 type lagMonitor struct {
 	log           logrus.FieldLogger
 	threshold     decision.Millis // a warning is logged above this delay
-	periodStart   decision.Millis
-	longest       decision.Millis // delay in this interval
-	longestSource string          // "queue" or "timer"
+	intervalStart decision.Millis
+	longestDelay  decision.Millis // longest delay in this interval
+	delaySource   string          // where longestDelay occurred: "queue" or "timer"
 	maxWaiting    int             // highest number of waiting messages in this interval
 }
 
@@ -39,18 +40,18 @@
 }
 
 // observe records the delay of a queued message or a timer, and the number of messages that still wait.
-func (l *lagMonitor) observe(now, late decision.Millis, waiting int, source string) {
-	if late >= l.longest {
-		l.longest, l.longestSource = late, source
+func (l *lagMonitor) observe(now, delay decision.Millis, waiting int, source string) {
+	if delay >= l.longestDelay {
+		l.longestDelay, l.delaySource = delay, source
 	}
 	l.maxWaiting = max(l.maxWaiting, waiting)
-	if now-l.periodStart < lagLogInterval {
+	if now-l.intervalStart < lagLogInterval {
 		return
 	}
-	if l.longest > l.threshold {
+	if l.longestDelay > l.threshold {
 		l.log.WithFields(logrus.Fields{
-			"late_ms": int(l.longest), "waiting": l.maxWaiting, "at": l.longestSource,
+			"late_ms": int(l.longestDelay), "waiting": l.maxWaiting, "at": l.delaySource,
 		}).Warn("event loop late")
 	}
-	l.periodStart, l.longest, l.maxWaiting = now, 0, 0
+	l.intervalStart, l.longestDelay, l.maxWaiting = now, 0, 0
 }
--- a/internal/engine/messages.go
+++ b/internal/engine/messages.go
@@ -16,7 +16,7 @@
 	clientDisconnected struct{ request *ClientRequest }
 	attemptEnded       struct {
 		id      decision.RequestID
-		attempt int // index, from 0
+		attempt int // index in openRequest.attempts
 		result  AttemptResult
 	}
 	endpointsReceived struct{ update EndpointUpdate }
@@ -66,6 +66,8 @@
 	c.dispatch(now, event)
 }
 
+// recordStageUpdate logs a stage update and saves the stage for a restart of the module. The result of a vote that was
+// not accepted has no stage.
 func (c *core) recordStageUpdate(now decision.Millis, update decision.StageUpdate) {
 	c.log.WithFields(logrus.Fields{
 		"build": update.Build, "stage": update.Stage, "phase": update.Phase, "cap": update.ExposureCap,
--- a/internal/engine/queue.go
+++ b/internal/engine/queue.go
@@ -9,7 +9,7 @@
 )
 
 // queue holds the messages that wait for the event loop. It has no limit of its own: each open request, attempt and
-// event of a reader accounts for at most one message, and their numbers are limited elsewhere.
+// received event accounts for at most one message, and their numbers are limited elsewhere.
 //
 // Endpoint lists, events of the rollout controller and queries have priority over messages about requests, so that
 // decisions use the newest state even under load. Messages of one priority keep their order.
@@ -69,10 +69,10 @@
 		return queuedMessage{}, false
 	}
 	first = list[0]
-	list[0] = queuedMessage{} // lets the collector free the message while the array is in use
+	list[0] = queuedMessage{} // lets the garbage collector free the message while the array is in use
 	list = list[1:]
 	if len(list) == 0 {
-		list = nil // lets the collector free the array
+		list = nil // lets the garbage collector free the array
 	}
 	*messages = list
 	return first, true
--- a/internal/engine/recovery.go
+++ b/internal/engine/recovery.go
@@ -16,12 +16,12 @@
 // recovery holds what is needed to restart the module.
 type recovery struct {
 	newModule   func(seed uint64) module
-	seed        uint64          // of the running module; each restart increments it
-	restartedAt decision.Millis // of the last restart, or neverRestarted
+	seed        uint64          // seed of the running module; each restart increments it
+	restartedAt decision.Millis // time of the last restart, or neverRestarted
 
-	stage           *decision.StageUpdate // the newest; nil before the first
+	stage           *decision.StageUpdate // newest update with a stage; nil before the first
 	stageReceivedAt decision.Millis
-	settings        *decision.SettingsChanged // the newest; nil while those of the start apply
+	settings        *decision.SettingsChanged // newest settings; nil until the settings of the start change
 }
 
 // callModule passes an event to the module and returns the module's actions. After a panic of the module it fails the
--- a/internal/engine/requests_test.go
+++ b/internal/engine/requests_test.go
@@ -17,7 +17,7 @@
 		actions  actions
 		calls    string
 		result   string
-		received decision.Event // last event of the module; nil is not compared
+		received decision.Event // last event that the module received; not compared if nil
 		open     int
 	}{
 		"no action": {
@@ -94,8 +94,8 @@
 				t.Errorf("calls: got %q, want %q; result: got %q, want %q; open requests: got %d, want %d", calls, test.calls,
 					h.results[0], test.result, len(h.requests.open), test.open)
 			}
-			last := h.module.received[len(h.module.received)-1]
-			if diff := cmp.Diff(test.received, last); test.received != nil && diff != "" {
+			lastEvent := h.module.received[len(h.module.received)-1]
+			if diff := cmp.Diff(test.received, lastEvent); test.received != nil && diff != "" {
 				t.Errorf("last event (-want +got):\n%s", diff)
 			}
 		})
@@ -158,7 +158,7 @@
 			}
 			received := len(core.module.received)
 			if core.deliver(msg); len(core.module.received) != received {
-				t.Error("second end of an attempt: got another event, want none")
+				t.Error("outcome of an attempt that has ended: got another event, want none")
 			}
 		})
 	}
--- a/internal/engine/simulation_test.go
+++ b/internal/engine/simulation_test.go
@@ -14,7 +14,7 @@
 	random       *rand.Rand
 	sentRequests []*simulatedRequest
 	pending      []pendingAttempt
-	mayHaveRun   map[*Request]bool // non-idempotent requests that may have run
+	mayHaveRun   map[*Request]bool // non-idempotent requests that an endpoint may have run
 	inFlight     map[*Request]int
 	violations   []string
 }
@@ -131,7 +131,7 @@
 		if sim.now < 25000 && sim.random.IntN(10) == 0 {
 			sim.sendRequest()
 		}
-		if sim.now == 15000 { // as a panic does
+		if sim.now == 15000 { // restart the module as callModule does after a panic
 			sim.restart(sim.now)
 			sim.dispatch(sim.now, decision.ResponseFlagged{})
 		}
--- a/internal/engine/timers.go
+++ b/internal/engine/timers.go
@@ -23,9 +23,9 @@
 func (t timers) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
 func (t *timers) Push(x any)        { *t = append(*t, x.(timer)) }
 func (t *timers) Pop() any {
-	last := (*t)[len(*t)-1]
+	popped := (*t)[len(*t)-1]
 	*t = (*t)[:len(*t)-1]
-	return last
+	return popped
 }
 
 // next returns the time of the earliest timer, or false if no timer is set.
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -23,7 +23,7 @@
 	Tenant               decision.TenantID
 	Key                  decision.Key    // sticky key; empty if there is none
 	Remaining            decision.Millis // time left at ReceivedAt until the client gives up
-	ReceivedAt           decision.Millis // by the engine's clock
+	ReceivedAt           decision.Millis // time by the engine's clock
 	EstimatedServiceTime decision.Millis // client's estimate of the processing time; 0 if there is none
 	Retried              bool            // the client repeats an earlier request
 	Request              *Request
@@ -67,7 +67,7 @@
 // AttemptResult holds the outcome of an attempt.
 type AttemptResult struct {
 	Outcome  decision.Outcome
-	EndedAt  decision.Millis // by the engine's clock
+	EndedAt  decision.Millis // time by the engine's clock
 	Response *Response       // if succeeded; otherwise nil
 	Load     *decision.Load  // reported by the endpoint; nil without a report
 }
--- a/internal/rollout/client.go
+++ b/internal/rollout/client.go
@@ -36,15 +36,15 @@
 // only after the next one has received a message. No more than these two connections are open, apart from replaced ones
 // that still wait for the result of a vote.
 type Client struct {
-	voteTimeout time.Duration // for a vote's result and for writes; the module repeats a vote only after it
-	heartbeat   time.Duration // heartbeatInterval, shorter or longer in tests
+	voteTimeout time.Duration // limits writes and the wait for a vote's result; the module repeats a vote only after it
+	heartbeat   time.Duration // heartbeatInterval; tests set other values
 	handle      func(decision.Event)
 	log         logrus.FieldLogger
 	warnings    logging.Limiter // limits warnings about malformed messages
 
 	address     string      // used by Run's goroutine only
 	newAddress  chan string // received by Run
-	unavailable bool        // as last logged; used by Run's goroutine only
+	unavailable bool        // state that was logged last; used by Run's goroutine only
 
 	ids    idSequence
 	active activeConnection
@@ -73,7 +73,7 @@
 	}
 }
 
-// Run maintains the connections until ctx ends, and closes them then.
+// Run maintains the connections until ctx ends, and then closes them.
 func (c *Client) Run(ctx context.Context) {
 	var open connections
 	for ctx.Err() == nil {
--- a/internal/rollout/client_test.go
+++ b/internal/rollout/client_test.go
@@ -58,16 +58,16 @@
 	if _, err := lines.ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
-	old.send(`{"method":"flag","params":{"host":"still"}}`)
-	if got := fmt.Sprint(nextEvent(t, events)); !strings.Contains(got, "still") {
-		t.Errorf("event of the old address: got %s, want the flag of host still", got)
+	old.send(`{"method":"flag","params":{"host":"host-1"}}`)
+	if got := fmt.Sprint(nextEvent(t, events)); !strings.Contains(got, "host-1") {
+		t.Errorf("event of the old address: got %s, want the flag of host-1", got)
 	}
 	call{conn: conn}.send(`{"method":"stage","params":{"image":43,"ring":0,"progress":"testing","ceiling":0.1}}`)
 	if got, ok := nextEvent(t, events).(decision.StageUpdate); !ok || got.Build != 43 {
 		t.Errorf("event of the new address: got %v, want a stage update of build 43", got)
 	}
-	old.send(`{"method":"flag","params":{"host":"late"}}`)
-	vote.respond(stageJSON) // of build 42
+	old.send(`{"method":"flag","params":{"host":"host-2"}}`) // dropped, because the new connection is active
+	vote.respond(stageJSON)                                  // its stage, of build 42, may be outdated by now
 	want := decision.StageUpdate{IsVoteResult: true, VoteResult: decision.VoteTimedOut}
 	if got := nextEvent(t, events); got != want {
 		t.Errorf("vote result: got %v, want VoteTimedOut", got)
--- a/internal/rollout/connection.go
+++ b/internal/rollout/connection.go
@@ -21,7 +21,7 @@
 	client   *Client
 	address  string
 	conn     net.Conn
-	number   int // from 1; a newer connection has a higher number
+	number   int // starts at 1; a newer connection has a higher number
 	openedAt time.Time
 	followID uint64        // id of the call that subscribes to events
 	received chan struct{} // signals a received message
@@ -149,7 +149,7 @@
 	return err
 }
 
-// logIfMalformed logs an error in a message, and returns whether there was none.
+// logIfMalformed logs err as the fault of a malformed message, unless err is nil. It returns whether err is nil.
 func (c *connection) logIfMalformed(err error) bool {
 	if err != nil && c.client.warnings.Allow("unreadable") {
 		c.client.log.WithError(err).Warn("rollout controller message malformed")
@@ -157,8 +157,8 @@
 	return err == nil
 }
 
-// activate makes this connection the active one unless a newer one is active, and returns whether this one is active
-// then. Events of an older connection could arrive after newer ones.
+// activate makes this connection the active one unless a newer one is active. It returns whether this connection is
+// active afterwards. If it is not, its events must be dropped, because newer ones may have arrived before.
 func (c *connection) activate() bool { return c.client.active.promote(c) }
 
 // activeConnection holds the newest connection that has received a message. Votes are sent on it, and events of other
@@ -182,7 +182,7 @@
 	return a.conn
 }
 
-// promote makes conn the active connection unless a newer one is active, and returns whether conn is active then.
+// promote makes conn the active connection unless a newer one is active. It returns whether conn is active afterwards.
 func (a *activeConnection) promote(conn *connection) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/rollout/helpers_test.go
+++ b/internal/rollout/helpers_test.go
@@ -38,7 +38,7 @@
 	return startClientWithTimeout(t, 100)
 }
 
-// startClientWithTimeout does the same with another vote timeout.
+// startClientWithTimeout is startClient with a given vote timeout, in milliseconds.
 func startClientWithTimeout(t *testing.T, timeout decision.Millis) (*Client, chan call, chan decision.Event) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/rollout/votes.go
+++ b/internal/rollout/votes.go
@@ -42,7 +42,7 @@
 	return true
 }
 
-// failVote passes on a result other than a response, if the vote is still pending.
+// failVote passes on the result of a vote that got no response, if the vote is still pending.
 func (c *connection) failVote(id uint64, result decision.VoteResult) {
 	if c.votes.remove(id) {
 		c.client.handle(failedVote(result))
@@ -58,7 +58,7 @@
 // timeout or the end of the connection.
 type pendingVotes struct {
 	mu      sync.Mutex
-	timers  map[uint64]*time.Timer // by id of the call; nil after the connection has ended
+	timers  map[uint64]*time.Timer // timeouts by id of the call; nil after the connection has ended
 	onEmpty func()                 // called under mu once no vote is pending; may be nil
 }
 
--- a/internal/rollout/wire.go
+++ b/internal/rollout/wire.go
@@ -53,14 +53,14 @@
 		Lag      float64  `json:"lag_ms"`
 	}
 	if err := json.Unmarshal(raw, &stage); err != nil {
-		return decision.StageUpdate{}, fmt.Errorf("stage: %w", err)
+		return decision.StageUpdate{}, fmt.Errorf("decode stage: %w", err)
 	}
 	phase, known := phases[stage.Progress]
 	complete := known && stage.Image != nil && stage.Ceiling != nil
 	if !complete || *stage.Ceiling < 0 || *stage.Ceiling > 1 || stage.Lag < 0 || stage.Ring < 0 {
 		return decision.StageUpdate{}, fmt.Errorf(
-			"stage: image or ceiling missing, progress %q unknown, or out of range: ceiling 0 to 1, ring and lag_ms 0 or more",
-			stage.Progress)
+			"decode stage: image or ceiling is missing, progress %q is unknown, or a value is out of range "+
+				"(ceiling 0 to 1, ring and lag_ms at least 0)", stage.Progress)
 	}
 	return decision.StageUpdate{
 		Age: stage.Lag, Build: decision.Build(*stage.Image), Phase: phase, ExposureCap: *stage.Ceiling,
@@ -76,7 +76,7 @@
 		Lag  float64 `json:"lag_ms"`
 	}
 	if err := json.Unmarshal(raw, &flag); err != nil {
-		return decision.ResponseFlagged{}, fmt.Errorf("flag: %w", err)
+		return decision.ResponseFlagged{}, fmt.Errorf("decode flag: %w", err)
 	}
 	return decision.ResponseFlagged{
 		Endpoint: decision.EndpointID(flag.Host), Class: decision.ClassName(flag.Type), Age: flag.Lag,
@@ -127,7 +127,7 @@
 }
 
 func encodeVote(id uint64, vote decision.Vote, fences []Fence) []byte {
-	fencesMember := "" // left out without fences
+	fencesMember := "" // stays empty without fences
 	if len(fences) > 0 {
 		raw, err := json.Marshal(fences)
 		if err != nil {
--- a/internal/rollout/wire_golden_test.go
+++ b/internal/rollout/wire_golden_test.go
@@ -102,14 +102,14 @@
 	}
 }
 
-// receiveText returns the next text of a channel.
+// receiveText returns the next text of the channel calls or results.
 func receiveText(t *testing.T, texts <-chan string) string {
 	t.Helper()
 	select {
 	case text := <-texts:
 		return text
 	case <-time.After(10 * time.Second):
-		t.Fatal("got no text within 10s, want one")
+		t.Fatal("got neither a line nor a vote result within 10s, want one")
 		return ""
 	}
 }
--- a/internal/rollout/wire_test.go
+++ b/internal/rollout/wire_test.go
@@ -21,7 +21,7 @@
 func TestNotificationsBecomeEvents(t *testing.T) {
 	for name, test := range map[string]struct {
 		line string
-		want decision.Event // nil: none
+		want decision.Event // nil if the line causes no event
 	}{
 		"in trial": {
 			`{"jsonrpc":"2.0","method":"stage","params":` + stageJSON + `}`,
@@ -50,7 +50,7 @@
 			_, calls, events := startClient(t)
 			conn := awaitSubscription(t, calls, events)
 			conn.send("%s", test.line)
-			conn.send(`{"method":"flag","params":{"host":"last"}}`)
+			conn.send(`{"method":"flag","params":{"host":"last"}}`) // the first event if test.line causes none
 			if test.want == nil {
 				test.want = decision.ResponseFlagged{Endpoint: "last"}
 			}
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -12,7 +12,7 @@
 
 // lineKind describes how a kind of line is decoded.
 type lineKind struct {
-	fieldCount int  // of its fields, with its name
+	fieldCount int  // number of fields, including the name
 	openEnded  bool // the last field may be missing or repeated
 	isEntry    bool // the line is an entry of an endpoint list
 	decodeList func(*Decoder, *fields)
@@ -78,8 +78,8 @@
 
 // Bits of a request line's last field.
 const (
-	hasHintBit = 1 << 0
-	retriedBit = 1 << 1
+	hasEstimateBit = 1 << 0 // field 7 holds an estimated service time
+	retriedBit     = 1 << 1
 )
 
 func decodeRequest(f *fields) decision.Event {
@@ -91,8 +91,8 @@
 		Remaining: f.number(6),
 	}
 	bits := f.integer(8)
-	if hint := f.number(7); bits&hasHintBit != 0 {
-		request.EstimatedServiceTime = hint
+	if estimate := f.number(7); bits&hasEstimateBit != 0 {
+		request.EstimatedServiceTime = estimate
 	}
 	request.Retried = bits&retriedBit != 0
 	return request
