--- a/internal/cluster/failover/checkpoint.go
+++ b/internal/cluster/failover/checkpoint.go
@@ -90,9 +90,9 @@
 
 // countResponses returns the number of responses of both builds in the evidence.
 func countResponses(e *decision.Evidence) int {
-	sum := 0.0
+	responses := 0.0
 	for _, count := range e.Counts {
-		sum += count.Succeeded + count.Failed
+		responses += count.Succeeded + count.Failed
 	}
-	return int(sum)
+	return int(responses)
 }
--- a/internal/cluster/failover/manager.go
+++ b/internal/cluster/failover/manager.go
@@ -48,9 +48,9 @@
 
 // Config holds the operator's settings and the identity of the process.
 type Config struct {
-	Name        string        // of the instance
-	Incarnation uint64        // of the process, chosen at its start
-	TTL         time.Duration // of a lease; a higher TTL writes less to the log and delays takeover
+	Name        string        // name of the instance
+	Incarnation uint64        // identifies the process; chosen at its start
+	TTL         time.Duration // TTL of a lease; a higher TTL writes less to the log and delays takeover
 }
 
 // renewalsPerTTL is the number of renewals, each with a checkpoint, within a lease's TTL. More renewals lose less
@@ -73,7 +73,7 @@
 	// checkpointMutex is held while a checkpoint is collected and written. Two checkpoints at once could be written in
 	// the wrong order, and evidence that was collected before a merge would overwrite the merged evidence.
 	checkpointMutex contextMutex
-	manualTakeovers chan manualTakeover // from operators
+	manualTakeovers chan manualTakeover // requests of operators
 }
 
 // manualTakeover is an operator's request to take a lease over.
@@ -108,14 +108,14 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	running.Go(func() { mgr.takeoverLoop(ctx) })
-	every := time.NewTicker(mgr.renewInterval())
-	defer every.Stop()
+	ticker := time.NewTicker(mgr.renewInterval())
+	defer ticker.Stop()
 	for {
 		mgr.renew(ctx)
 		select {
 		case <-ctx.Done():
 			return
-		case <-every.C:
+		case <-ticker.C:
 		}
 	}
 }
@@ -123,8 +123,8 @@
 // takeoverLoop takes over leases one at a time. The ticker covers lost membership changes, and leases that had not
 // expired when their holder died.
 func (mgr *Manager) takeoverLoop(ctx context.Context) {
-	every := time.NewTicker(mgr.renewInterval())
-	defer every.Stop()
+	ticker := time.NewTicker(mgr.renewInterval())
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -135,7 +135,7 @@
 			if change.State >= membership.Dead {
 				mgr.takeOverExpired(ctx)
 			}
-		case <-every.C:
+		case <-ticker.C:
 			mgr.takeOverExpired(ctx)
 		}
 	}
--- a/internal/cluster/failover/manager_test.go
+++ b/internal/cluster/failover/manager_test.go
@@ -86,7 +86,7 @@
 type fakeEngine struct {
 	mu            sync.Mutex
 	responses     float64
-	handledEvents int // events handled
+	handledEvents int // calls of HandleEvent
 	discards      int // calls of DiscardEvidence
 }
 
@@ -165,15 +165,15 @@
 		cancel()
 		running.Wait()
 	})
-	waitFor(t, "own lease held", func() bool { _, held := log.get("trial/b"); return held })
+	waitFor(t, "own lease acquired", func() bool { _, held := log.get("trial/b"); return held })
 	return log, engine, manager
 }
 
-func waitFor(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("want within ten seconds: ", what)
+			t.Fatalf("not met within 10s: %s", condition)
 		}
 	}
 }
@@ -187,7 +187,7 @@
 	}
 	log, engine, _ := startManager(t, 400*time.Millisecond, deadCheckpoint)
 	merging, unblock, once := make(chan struct{}), make(chan struct{}), sync.Once{}
-	renewals := make(chan int, 1000) // checkpoint lengths in bytes
+	renewals := make(chan int, 1000) // length of each renewal's checkpoint in bytes
 	log.setIntercept(func(c *lease.Command) error {
 		switch c.Operation {
 		case lease.Merge:
@@ -203,26 +203,26 @@
 	for len(renewals) > 0 {
 		<-renewals
 	}
-	for range 8 { // twice the TTL
+	for range 8 { // renewals during twice the TTL
 		if n := <-renewals; n > 0 {
 			t.Errorf("renewal during the merge: got a checkpoint of %d bytes, want none", n)
 		}
 	}
 	close(unblock)
-	waitFor(t, "merged", func() bool { _, there := log.get("trial/a"); return !there })
-	waitFor(t, "evidence acquired", func() bool { return engine.responseCount() == 43 })
+	waitFor(t, "lease of a merged", func() bool { _, exists := log.get("trial/a"); return !exists })
+	waitFor(t, "evidence of a delivered to the engine", func() bool { return engine.responseCount() == 43 })
 	waitFor(t, "a renewal with a checkpoint", func() bool { return <-renewals > 0 })
 	l, _ := log.get("trial/b")
 	combined, err := decodeCheckpoint(l.Checkpoint)
 	if err != nil || len(combined.Merged) != 1 {
 		t.Errorf("got %v, checkpoint %+v, want one merged lease", err, combined)
 	}
-	sum := 0
+	responses := 0
 	for _, e := range combined.Evidence {
-		sum += countResponses(&e)
+		responses += countResponses(&e)
 	}
-	if sum != 43 {
-		t.Errorf("got %d responses in the checkpoint, want 43", sum)
+	if responses != 43 {
+		t.Errorf("got %d responses in the checkpoint, want 43", responses)
 	}
 }
 
@@ -239,7 +239,7 @@
 		return nil
 	})
 	log.expire()
-	waitFor(t, "abandoned", func() bool { _, there := log.get("trial/a"); return !there })
+	waitFor(t, "lease of a abandoned", func() bool { _, exists := log.get("trial/a"); return !exists })
 	leases, err := manager.Status(t.Context())
 	if err != nil || len(leases) != 2 || leases[1].Holder != "b" ||
 		!strings.Contains(leases[1].AbandonReason, "can't be read") {
--- a/internal/cluster/failover/ownlease.go
+++ b/internal/cluster/failover/ownlease.go
@@ -98,9 +98,9 @@
 	if o.session.Token() == 0 {
 		return nil
 	}
-	out := []rollout.Fence{{Lease: string(o.session.ID), Token: uint64(o.session.Token())}}
+	fences := []rollout.Fence{{Lease: string(o.session.ID), Token: uint64(o.session.Token())}}
 	for _, grant := range o.merged {
-		out = append(out, rollout.Fence{Lease: string(grant.ID), Token: uint64(grant.Token)})
+		fences = append(fences, rollout.Fence{Lease: string(grant.ID), Token: uint64(grant.Token)})
 	}
-	return out
+	return fences
 }
--- a/internal/cluster/failover/status.go
+++ b/internal/cluster/failover/status.go
@@ -14,11 +14,11 @@
 type LeaseStatus struct {
 	Lease         lease.ID         `json:"work"`
 	Holder        string           `json:"owner"`      // abandoned lease: the instance that abandoned it
-	Incarnation   uint64           `json:"run,string"` // of the holder's process
+	Incarnation   uint64           `json:"run,string"` // incarnation of the holder's process
 	Token         lease.Token      `json:"token"`
 	RemainingMS   float64          `json:"left_ms"` // ms until the lease expires; 0 after expiry
 	Expired       bool             `json:"lapsed"`
-	CheckpointAt  float64          `json:"written_ms"`     // of the newest checkpoint, 0: none; or of the abandonment
+	CheckpointAt  float64          `json:"written_ms"`     // time of the newest checkpoint (0: none) or of the abandonment
 	CheckpointAge float64          `json:"written_ago_ms"` // ms since CheckpointAt
 	Merged        []lease.Grant    `json:"merged,omitempty"`
 	HolderState   membership.State `json:"owner_state"`     // dead if membership does not know the holder
@@ -29,7 +29,7 @@
 type EvidenceSummary struct {
 	Build     int `json:"build"`
 	Stage     int `json:"stage"`
-	Responses int `json:"hits"` // of both builds, since the candidate was offered
+	Responses int `json:"hits"` // responses of both builds since the candidate was offered
 }
 
 // EvidenceSummary returns the current summary; all fields are zero if no build is on trial.
@@ -52,18 +52,18 @@
 	if err != nil {
 		return nil, err
 	}
-	out := []LeaseStatus{} // not nil, so that an empty list is [] in JSON
+	statuses := []LeaseStatus{} // not nil, so that an empty list is [] in JSON
 	view := mgr.view()
 	for i := range list.Leases {
-		out = append(out, statusOf(&list.Leases[i], list.Now, view))
+		statuses = append(statuses, statusOf(&list.Leases[i], list.Now, view))
 	}
 	for _, abandoned := range list.Abandoned {
-		out = append(out, LeaseStatus{
+		statuses = append(statuses, LeaseStatus{
 			Lease: abandoned.ID, Holder: abandoned.Holder, Token: abandoned.Token, Expired: true,
 			AbandonReason: abandoned.Reason, CheckpointAt: abandoned.At, CheckpointAge: list.Now - abandoned.At,
 		})
 	}
-	return out, nil
+	return statuses, nil
 }
 
 func statusOf(l *lease.Lease, now lease.Millis, view *membership.View) LeaseStatus {
--- a/internal/cluster/failover/takeover_test.go
+++ b/internal/cluster/failover/takeover_test.go
@@ -37,7 +37,7 @@
 		return nil
 	})
 	log.expire()
-	waitFor(t, "merged", func() bool { _, there := log.get("trial/a"); return !there })
+	waitFor(t, "lease of a merged", func() bool { _, exists := log.get("trial/a"); return !exists })
 	if len(merges) != 2 || takeovers != 1 {
 		t.Errorf("got %d merges, %d takeovers, want 2, 1", len(merges), takeovers)
 	}
--- a/internal/cluster/lease/clockskew_test.go
+++ b/internal/cluster/lease/clockskew_test.go
@@ -20,8 +20,8 @@
 func (m *skewedInstance) localTime(at Millis) Millis { return m.offset + at*m.rate }
 
 // renewalDue reports whether the instance has no lease, or at most half of the lease's TTL is left.
-func (m *skewedInstance) renewalDue(sent Millis) bool {
-	return m.session.token == 0 || sent >= m.session.trustedUntil-skewTTL/2
+func (m *skewedInstance) renewalDue(localNow Millis) bool {
+	return m.session.token == 0 || localNow >= m.session.trustedUntil-skewTTL/2
 }
 
 // skewedCluster simulates five instances, one of which leads the log, and the lease table that the log maintains.
@@ -33,7 +33,7 @@
 	table               *Table
 	clock               logclock.Clock
 	now                 Millis // true time
-	diedAt, takenOverAt Millis // death of the first instance and takeover of its lease, true time; below 0: not yet
+	diedAt, takenOverAt Millis // true time of the first instance's death and of the takeover of its lease; -1: not yet
 }
 
 func newSkewedCluster(seed uint64) *skewedCluster {
@@ -112,7 +112,7 @@
 		return
 	}
 	if victim.session.Valid(victim.localTime(s.now)) {
-		t.Fatalf("seed %d: %s took over at %.0f ms the lease of %s, want it held while its holder trusts it", s.seed,
+		t.Fatalf("seed %d: %s took over at %.0f ms the lease of %s, want no takeover while the holder trusts it", s.seed,
 			instance.session.Holder.Name, s.now, victim.session.Holder.Name)
 	}
 	// The lease expired because step did not pick the victim in time. Releasing the lease lets the victim acquire it
--- a/internal/cluster/lease/command.go
+++ b/internal/cluster/lease/command.go
@@ -23,13 +23,13 @@
 	Operation      Operation `msgpack:"Verb"`
 	ID             ID        `msgpack:"Work"`
 	Holder         Holder    `msgpack:"By"`         // the proposing process
-	Token          Token     `msgpack:"Token"`      // of the lease ID; unused by Acquire and TakeOver
-	TTL            Millis    `msgpack:"Span"`       // minTTL to maxTTL, higher delays takeover; unused by Release, Abandon
-	Checkpoint     []byte    `msgpack:"Checkpoint"` // Renew and Merge; nil in Renew keeps the stored checkpoint
+	Token          Token     `msgpack:"Token"`      // token of the lease ID; unused by Acquire and TakeOver
+	TTL            Millis    `msgpack:"Span"`       // minTTL to maxTTL; a high TTL delays takeover; unused by Release, Abandon
+	Checkpoint     []byte    `msgpack:"Checkpoint"` // new checkpoint in Renew and Merge; nil in Renew keeps the stored one
 	MergeInto      ID        `msgpack:"Into"`       // Merge: the holder's own lease
 	MergeIntoToken Token     `msgpack:"IntoToken"`  // Merge: token of the holder's own lease
-	CheckpointSeq  uint64    `msgpack:"Seq"`        // of Checkpoint; a holder increases the number with each checkpoint
-	Reason         string    `msgpack:"Why"`        // Abandon: up to MaxReasonBytes
+	CheckpointSeq  uint64    `msgpack:"Seq"`        // number of Checkpoint; a holder increases it with each checkpoint
+	Reason         string    `msgpack:"Why"`        // Abandon: why the work can't be resumed, up to MaxReasonBytes
 }
 
 // Reply is the result of a command.
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -16,7 +16,7 @@
 
 // Holder identifies one process of an instance.
 type Holder struct {
-	Name        string `json:"Name" msgpack:"Name"` // of the instance
+	Name        string `json:"Name" msgpack:"Name"` // name of the instance
 	Incarnation uint64 `json:"Run" msgpack:"Run"`   // chosen at each start of the process
 }
 
@@ -42,7 +42,7 @@
 	Token         Token   `json:"Token" msgpack:"Token"`
 	ExpiresAt     Millis  `json:"Until" msgpack:"Until"`
 	Checkpoint    []byte  `json:"Checkpoint" msgpack:"Checkpoint"` // state from which a successor resumes
-	CheckpointAt  Millis  `json:"Written" msgpack:"Written"`       // when Checkpoint was written; 0: never
+	CheckpointAt  Millis  `json:"Written" msgpack:"Written"`       // time at which Checkpoint was written; 0: never
 	Merged        []Grant `json:"Merged" msgpack:"Merged"`         // leases whose work is in Checkpoint, the newest last
 	CheckpointSeq uint64  `json:"Seq" msgpack:"Seq"`               // number of Checkpoint, assigned by the holder
 }
@@ -73,7 +73,7 @@
 // AbandonedLease describes a lease that its holder ended because the work could not be resumed.
 type AbandonedLease struct {
 	ID     ID     `json:"Work" msgpack:"Work"`
-	Token  Token  `json:"Token" msgpack:"Token"` // under which the lease was held
+	Token  Token  `json:"Token" msgpack:"Token"` // token under which the lease was held
 	Holder string `json:"By" msgpack:"By"`       // the instance that abandoned the lease
 	Reason string `json:"Why" msgpack:"Why"`
 	At     Millis `json:"At" msgpack:"At"`
--- a/internal/cluster/lease/session.go
+++ b/internal/cluster/lease/session.go
@@ -24,10 +24,10 @@
 type Session struct {
 	ID     ID
 	Holder Holder
-	TTL    Millis // of the lease, requested in each command
+	TTL    Millis // TTL of the lease, requested in each command
 
 	token        Token  // the newest granted token; stays set while the lease is lost
-	trustedUntil Millis // by the instance's local clock, see trustedShare
+	trustedUntil Millis // time by the instance's local clock, see trustedShare
 	lost         bool   // whether the lease granted under token was lost
 }
 
--- a/internal/cluster/lease/snapshot.go
+++ b/internal/cluster/lease/snapshot.go
@@ -10,7 +10,7 @@
 
 // tableSnapshot is the stored form of a table in a snapshot of the log.
 type tableSnapshot struct {
-	Leases    []Lease          `msgpack:"Leases"` // by ID
+	Leases    []Lease          `msgpack:"Leases"` // sorted by ID
 	LastToken Token            `msgpack:"Token"`
 	Now       Millis           `msgpack:"Now"`
 	Abandoned []AbandonedLease `msgpack:"Ended"`
--- a/internal/cluster/lease/successors.go
+++ b/internal/cluster/lease/successors.go
@@ -18,12 +18,12 @@
 // names only (rendezvous hashing), so all members agree on the order, and the leases of one member are spread over many
 // successors.
 func Successors(id ID, alive []string) []string {
-	out := slices.Clone(alive)
+	ordered := slices.Clone(alive)
 	weight := func(name string) uint64 { return xxhash.Sum64String(string(id) + "\x00" + name) }
-	slices.SortFunc(out, func(a, b string) int {
+	slices.SortFunc(ordered, func(a, b string) int {
 		return cmp.Or(cmp.Compare(weight(b), weight(a)), cmp.Compare(a, b))
 	})
-	return out
+	return ordered
 }
 
 // DueForTakeover returns the leases that the instance self should take over now. Their holders are dead or have left
@@ -40,12 +40,12 @@
 			alive = append(alive, string(m.Name))
 		}
 	}
-	var out []ID
+	var due []ID
 	for i := range list.Leases {
 		l := &list.Leases[i]
 		if l.Holder.Name == self {
 			if l.ID != TrialID(self) {
-				out = append(out, l.ID)
+				due = append(due, l.ID)
 			}
 			continue
 		}
@@ -55,10 +55,10 @@
 		}
 		rank := slices.Index(Successors(l.ID, alive), self)
 		if rank >= 0 && list.Now >= l.ExpiresAt+Millis(rank)*successorDelay*ttl {
-			out = append(out, l.ID)
+			due = append(due, l.ID)
 		}
 	}
-	return out
+	return due
 }
 
 // holderRetainsWork reports whether the holder of an expired lease still has the work. A live instance that is only cut
--- a/internal/cluster/lease/successors_test.go
+++ b/internal/cluster/lease/successors_test.go
@@ -45,9 +45,9 @@
 	leases := []Lease{{ID: leaseID, Holder: Holder{"z", 1}, ExpiresAt: 1000}, {ID: TrialID("a"), Holder: Holder{"a", 1}}}
 	for _, test := range []struct {
 		name  string
-		state membership.State // of the holder
+		state membership.State // state of the holder
 		now   Millis
-		rank  int // of the calling instance among the successors
+		rank  int // rank of the calling instance among the successors
 		due   bool
 	}{
 		{"dead, not expired", membership.Dead, 999, 0, false},
@@ -67,18 +67,18 @@
 			}
 		})
 	}
-	due := func(self string, holder membership.State, now Millis) []ID {
+	dueAt := func(self string, holder membership.State, now Millis) []ID {
 		return DueForTakeover(self, viewWithHolder(holder), List{Now: now, Leases: leases}, 500)
 	}
 	leases[0].Holder.Name = successors[1]
-	if got := due(successors[1], membership.Dead, 0); !slices.Contains(got, leaseID) {
+	if got := dueAt(successors[1], membership.Dead, 0); !slices.Contains(got, leaseID) {
 		t.Errorf("taken over by the calling instance and not merged: got due leases %v, want trial/z among them", got)
 	}
-	if got := due(successors[0], membership.Dead, 1000); !slices.Contains(got, leaseID) {
+	if got := dueAt(successors[0], membership.Dead, 1000); !slices.Contains(got, leaseID) {
 		t.Errorf("taken over by another instance, not merged, expired: got due leases %v, want trial/z among them", got)
 	}
 	leases[0].Holder.Name = "forgotten"
-	if got := due(successors[0], membership.Alive, 9000); len(got) != 1 {
+	if got := dueAt(successors[0], membership.Alive, 9000); len(got) != 1 {
 		t.Errorf("held by an instance that membership does not know: got due leases %v, want one", got)
 	}
 }
--- a/internal/cluster/lease/table.go
+++ b/internal/cluster/lease/table.go
@@ -147,8 +147,8 @@
 	into.ExpiresAt = t.now + command.TTL
 	into.writeCheckpoint(command.Checkpoint, command.CheckpointSeq, t.now)
 	into.Merged = append(append(into.Merged, l.Merged...), Grant{command.ID, command.Token})
-	if over := len(into.Merged) - maxMerged; over > 0 {
-		into.Merged = slices.Clone(into.Merged[over:])
+	if excess := len(into.Merged) - maxMerged; excess > 0 {
+		into.Merged = slices.Clone(into.Merged[excess:])
 	}
 	delete(t.leases, command.ID)
 	return Reply{}
--- a/internal/cluster/lease/table_test.go
+++ b/internal/cluster/lease/table_test.go
@@ -141,9 +141,9 @@
 	rng          *rand.Rand
 	table        *Table
 	now          Millis
-	highestToken Token                   // of all grants
-	tokens       map[ID]map[Holder]Token // the newest granted to each holder
-	outcomes     map[string]bool         // written to a checkpoint; the number of a renewal's step stands for an outcome
+	highestToken Token                   // highest token of all grants
+	tokens       map[ID]map[Holder]Token // newest token of a lease that each holder was granted
+	outcomes     map[string]bool         // outcomes that renewals have written, each named by the number of its step
 }
 
 func newRandomHistory(seed uint64) *randomHistory {
@@ -198,15 +198,16 @@
 // checkOutcomes expects each written outcome in exactly one checkpoint.
 func (h *randomHistory) checkOutcomes(t *testing.T, step int, c *Command) {
 	t.Helper()
-	seen := map[string]int{}
+	occurrences := map[string]int{} // of each outcome in all checkpoints
 	for _, l := range h.table.leases {
 		for _, outcome := range strings.FieldsFunc(string(l.Checkpoint), func(r rune) bool { return r == '+' }) {
-			seen[outcome]++
+			occurrences[outcome]++
 		}
 	}
 	for outcome := range h.outcomes {
-		if seen[outcome] != 1 {
-			t.Fatalf("seed %d, step %d, %+v: got outcome %s in %d checkpoints, want 1", h.seed, step, c, outcome, seen[outcome])
+		if occurrences[outcome] != 1 {
+			t.Fatalf("seed %d, step %d, %+v: got outcome %s in %d checkpoints, want 1", h.seed, step, c, outcome,
+				occurrences[outcome])
 		}
 	}
 }
--- a/internal/cluster/policy/golden_test.go
+++ b/internal/cluster/policy/golden_test.go
@@ -65,11 +65,11 @@
 		t.Fatal(err)
 	}
 	golden.AssertFixture(t, "record.bin", raw)
-	back, err := DecodeRecord(golden.Read(t, "record.bin"))
+	decoded, err := DecodeRecord(golden.Read(t, "record.bin"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	golden.AssertDecoded(t, "record.bin", *back, record)
+	golden.AssertDecoded(t, "record.bin", *decoded, record)
 }
 
 // Guards the encoding of the kept records in snapshots of the log.
@@ -81,9 +81,9 @@
 		t.Fatal(err)
 	}
 	golden.AssertFixture(t, "state.msgpack", raw)
-	back := &State{}
-	if err := back.Restore(golden.Read(t, "state.msgpack")); err != nil {
+	restored := &State{}
+	if err := restored.Restore(golden.Read(t, "state.msgpack")); err != nil {
 		t.Fatal(err)
 	}
-	golden.AssertDecoded(t, "state.msgpack", back, state)
+	golden.AssertDecoded(t, "state.msgpack", restored, state)
 }
--- a/internal/cluster/policy/record.go
+++ b/internal/cluster/policy/record.go
@@ -17,9 +17,9 @@
 
 // Proposal is a policy that is proposed to the log as the next version.
 type Proposal struct {
-	ID          string  `msgpack:"ID"`    // chosen by the proposer, 1 to 64 bytes; a later proposal with it is a duplicate
+	ID          string  `msgpack:"ID"`    // chosen by the proposer, 1 to 64 bytes; a repeated ID marks a duplicate
 	Proposer    string  `msgpack:"By"`    // the process that proposes the policy
-	ProposedAt  float64 `msgpack:"At"`    // Unix time in milliseconds at that process
+	ProposedAt  float64 `msgpack:"At"`    // Unix time in milliseconds by the proposer's clock
 	RequireBase bool    `msgpack:"Based"` // reject the proposal unless the base is still the latest version
 	BaseVersion Version `msgpack:"Base"`
 	Body        []byte  `msgpack:"Body"` // the policy's encoding for the log, see Parse
@@ -32,7 +32,7 @@
 	Proposer   string  `msgpack:"By"`
 	ProposedAt float64 `msgpack:"At"`
 	Body       []byte  `msgpack:"Body"`
-	// Checksum over this record and the checksum of the previous version. Equal checksums mean equal histories.
+	// Checksum covers this record and the checksum of the previous version. Equal checksums mean equal histories.
 	Checksum uint64 `msgpack:"Sum"`
 }
 
@@ -49,21 +49,21 @@
 // ErrCorruptRecord reports a stored record whose checksum or encoding is wrong.
 var ErrCorruptRecord = errors.New("policy: the stored record of the applied version is corrupt")
 
-// chainedSum returns the record's checksum, given the checksum of the previous version.
-func (r *Record) chainedSum(previous uint64) uint64 {
+// chainedChecksum returns the record's checksum, given the checksum of the previous version.
+func (r *Record) chainedChecksum(previous uint64) uint64 {
 	var header [16]byte
 	binary.BigEndian.PutUint64(header[:8], previous)
 	binary.BigEndian.PutUint64(header[8:], uint64(r.Version))
 	digest := xxhash.New()
-	for _, part := range [][]byte{header[:], []byte(r.ID), {0}, r.Body} {
-		_, _ = digest.Write(part) // a Digest's Write never fails
+	for _, field := range [][]byte{header[:], []byte(r.ID), {0}, r.Body} {
+		_, _ = digest.Write(field) // a Digest's Write never fails
 	}
 	return digest.Sum64()
 }
 
 // follows reports whether the record is the version immediately after previous.
 func (r *Record) follows(previous *Record) bool {
-	return r.Version == previous.Version+1 && r.Checksum == r.chainedSum(previous.Checksum)
+	return r.Version == previous.Version+1 && r.Checksum == r.chainedChecksum(previous.Checksum)
 }
 
 func brokenChainError(r, previous *Record) error {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-const storedSumBytes = 8 // length of the checksum at the end of a stored record
+const storedChecksumBytes = 8 // length of the checksum at the end of a stored record
 
 // EncodeRecord returns the stored form of a record: its msgpack encoding, followed by the xxhash of that encoding as 8
 // big-endian bytes.
@@ -94,7 +94,7 @@
 
 // DecodeRecord decodes the stored form of a record. An error wraps [ErrCorruptRecord].
 func DecodeRecord(raw []byte) (*Record, error) {
-	size := len(raw) - storedSumBytes
+	size := len(raw) - storedChecksumBytes
 	if size < 0 || xxhash.Sum64(raw[:size]) != binary.BigEndian.Uint64(raw[size:]) {
 		return nil, ErrCorruptRecord
 	}
--- a/internal/cluster/policy/state.go
+++ b/internal/cluster/policy/state.go
@@ -16,7 +16,7 @@
 // State holds the sequence of versions; the oldest are dropped beyond the limits. The zero State has no version. A
 // State is not safe for concurrent use.
 type State struct {
-	records []Record // in order, without a gap
+	records []Record // in order of version, without a gap
 	bytes   int      // total length of the records' bodies
 }
 
@@ -59,7 +59,7 @@
 		Version: latest.Version + 1, ID: proposal.ID, Proposer: proposal.Proposer, ProposedAt: proposal.ProposedAt,
 		Body: proposal.Body,
 	}
-	r.Checksum = r.chainedSum(latest.Checksum)
+	r.Checksum = r.chainedChecksum(latest.Checksum)
 	s.appendRecord(r)
 	return Outcome{Version: r.Version}
 }
--- a/internal/cluster/policy/state_test.go
+++ b/internal/cluster/policy/state_test.go
@@ -106,11 +106,11 @@
 	if _, err := equal.Append(broken); !errors.Is(err, ErrBrokenChain) {
 		t.Errorf("records that do not follow: got %v, want ErrBrokenChain", err)
 	}
-	var late State
-	if changed, err := late.Append(state.Since(0)); !changed || err != nil || late.Version() != state.Version() {
-		t.Errorf("without versions: got %v, %v, version %d, want true, no error, the latest", changed, err, late.Version())
+	var empty State
+	if changed, err := empty.Append(state.Since(0)); !changed || err != nil || empty.Version() != state.Version() {
+		t.Errorf("without versions: got %v, %v, version %d, want true, no error, the latest", changed, err, empty.Version())
 	}
-	if changed, err := late.Append(state.Since(700)); changed || err != nil {
+	if changed, err := empty.Append(state.Since(700)); changed || err != nil {
 		t.Errorf("known records: got %v, %v, want false and no error", changed, err)
 	}
 }
--- a/internal/cluster/policy/wire_golden_test.go
+++ b/internal/cluster/policy/wire_golden_test.go
@@ -26,7 +26,7 @@
 	record, _ := state.Latest()
 	proposal.BaseVersion = 7
 	observed := golden.Section("policy", golden.Quote(body)+"\n")
-	for _, part := range []struct {
+	for _, encoding := range []struct {
 		title  string
 		encode func() ([]byte, error)
 	}{
@@ -35,11 +35,11 @@
 		{"record", func() ([]byte, error) { return EncodeRecord(&record) }},
 		{"snapshot", state.Encode},
 	} {
-		raw, err := part.encode()
+		raw, err := encoding.encode()
 		if err != nil {
 			t.Fatal(err)
 		}
-		observed += golden.Section(part.title, golden.Quote(raw)+"\n")
+		observed += golden.Section(encoding.title, golden.Quote(raw)+"\n")
 	}
 	if err := golden.CheckFile("testdata/log.golden", []byte(observed)); err != nil {
 		t.Error(err)
--- a/internal/cluster/policysync/applier.go
+++ b/internal/cluster/policysync/applier.go
@@ -101,7 +101,7 @@
 	})
 	if err := a.apply(a.admission.Current()); err != nil {
 		a.admission.MarkFailed(err)
-		log.WithError(err).Error("policy can't be applied: no part in trials")
+		log.WithError(err).Error("policy can't be applied, trials closed")
 		a.applyWithoutTrials(previous.Record)
 	} else {
 		log.Info("policy applied")
@@ -226,4 +226,4 @@
 }
 
 // formatChecksum returns a record's checksum in hexadecimal, as in status, history and log lines.
-func formatChecksum(sum uint64) string { return strconv.FormatUint(sum, 16) }
+func formatChecksum(checksum uint64) string { return strconv.FormatUint(checksum, 16) }
--- a/internal/cluster/policysync/node.go
+++ b/internal/cluster/policysync/node.go
@@ -18,11 +18,11 @@
 
 // Timeouts as multiples of the election timeout.
 const (
-	catchUpElectionTimeouts = 10 // for one attempt of a server to catch up
-	confirmElectionTimeouts = 4  // for a server to confirm to a watcher that its log is up to date
+	catchUpElectionTimeouts = 10 // limit of one attempt of a server to catch up
+	confirmElectionTimeouts = 4  // limit for a server to confirm to a watcher that the server's log is up to date
 )
 
-const requestTimeout = 2 * time.Second // for calls that other servers answer without waiting
+const requestTimeout = 2 * time.Second // limit of a call that the other server answers without waiting
 
 // Hooks are the callbacks by which a process checks and applies policies. Both must return without blocking.
 type Hooks struct {
@@ -117,7 +117,7 @@
 			return
 		}
 		if ctx.Err() == nil {
-			n.log.WithError(err).Debug("policy: not caught up yet")
+			n.log.WithError(err).Debug("policy: catch-up failed")
 		}
 	}
 }
--- a/internal/cluster/policysync/propose.go
+++ b/internal/cluster/policysync/propose.go
@@ -19,7 +19,7 @@
 	"ottershed/internal/cluster/raftlog"
 )
 
-const maxProposeWait = 15 * time.Second // for a proposal, including its checks
+const maxProposeWait = 15 * time.Second // limit of the wait for a proposal's result, including its checks
 
 // ProposeRequest is an operator's proposal.
 type ProposeRequest struct {
@@ -47,7 +47,7 @@
 
 // UnknownResultError reports a proposal that may or may not have been committed.
 type UnknownResultError struct {
-	ID  string // with which to propose the policy again
+	ID  string // ID with which to propose the policy again
 	Err error  // why the result is unknown
 }
 
@@ -114,7 +114,7 @@
 func (n *Node) checkAtServers(ctx context.Context, body []byte) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	reasons := make([]string, len(n.cfg.Servers)) // by server, so that the order in the error does not vary
+	reasons := make([]string, len(n.cfg.Servers)) // one for each server, so that the order in the error does not vary
 	var requests sync.WaitGroup
 	for i, server := range n.cfg.Servers {
 		if server.Name == n.cfg.Name {
--- a/internal/cluster/policysync/server.go
+++ b/internal/cluster/policysync/server.go
@@ -21,7 +21,7 @@
 // watcherRegistry keeps the status that watchers report with their polls. It is safe for concurrent use.
 type watcherRegistry struct {
 	mu      sync.Mutex
-	members map[string]MemberStatus // by name
+	members map[string]MemberStatus // newest status by name
 }
 
 // record keeps a watcher's status as of now, Unix milliseconds. At the limit a new watcher is kept only if others have
@@ -79,7 +79,7 @@
 	} else {
 		response.Records, response.Newest, err = n.applier.awaitSince(r.Context(), request.Version, longPoll)
 		if err != nil {
-			return // the watcher has closed the connection, so there is nobody to respond to
+			return // the watcher has closed the connection
 		}
 	}
 	if raw, err = msgpack.Marshal(&response); err != nil {
--- a/internal/cluster/policysync/status.go
+++ b/internal/cluster/policysync/status.go
@@ -20,7 +20,7 @@
 	Name           string         `json:"name" msgpack:"Name"`
 	Role           string         `json:"role" msgpack:"Role"` // leader, follower, candidate, placing, watcher
 	Version        policy.Version `json:"version" msgpack:"Version"`
-	Checksum       string         `json:"sum" msgpack:"Sum"`                   // of Version and all before, hexadecimal
+	Checksum       string         `json:"sum" msgpack:"Sum"`                   // covers Version and all earlier, hexadecimal
 	TrialsAdmitted bool           `json:"open" msgpack:"Open"`                 // whether requests may go to a candidate
 	Failure        string         `json:"failed,omitempty" msgpack:"Failed"`   // why the latest version can't be applied
 	Unreachable    string         `json:"missing,omitempty" msgpack:"Missing"` // why the status could not be requested
