--- a/internal/cluster/failover/manager_test.go
+++ b/internal/cluster/failover/manager_test.go
@@ -173,7 +173,7 @@
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not met within 10s: %s", condition)
+			t.Fatal("not met within 10s: ", condition)
 		}
 	}
 }
--- a/internal/rollout/wire.go
+++ b/internal/rollout/wire.go
@@ -59,8 +59,8 @@
 	complete := known && stage.Image != nil && stage.Ceiling != nil
 	if !complete || *stage.Ceiling < 0 || *stage.Ceiling > 1 || stage.Lag < 0 || stage.Ring < 0 {
 		return decision.StageUpdate{}, fmt.Errorf(
-			"decode stage: image or ceiling is missing, progress %q is unknown, or a value is out of range "+
-				"(ceiling 0 to 1, ring and lag_ms at least 0)", stage.Progress)
+			"decode stage: want image, a known progress (got %q), ceiling 0 to 1, ring and lag_ms of 0 or more",
+			stage.Progress)
 	}
 	return decision.StageUpdate{
 		Age: stage.Lag, Build: decision.Build(*stage.Image), Phase: phase, ExposureCap: *stage.Ceiling,
