--- a/internal/cluster/gossip/counters.go
+++ b/internal/cluster/gossip/counters.go
@@ -22,13 +22,13 @@
 	droppedChanges atomic.Uint64
 }
 
-// received counts a valid packet of so many bytes.
+// received counts a valid packet of a size in bytes.
 func (c *counters) received(bytes int) {
 	c.packetsIn.Add(1)
 	c.bytesIn.Add(uint64(bytes))
 }
 
-// sent counts a packet of so many bytes that was sent.
+// sent counts a sent packet of a size in bytes.
 func (c *counters) sent(bytes int) {
 	c.packetsOut.Add(1)
 	c.bytesOut.Add(uint64(bytes))
--- a/internal/cluster/gossip/transport.go
+++ b/internal/cluster/gossip/transport.go
@@ -20,7 +20,7 @@
 const (
 	receiveQueueSize   = 256  // received packets that wait for the detector; further packets are dropped
 	readBufferBytes    = 4096 // bytes read of a datagram; the rest of a longer one is discarded
-	leaveAnnouncements = 3    // calls of Detector.Leave
+	leaveAnnouncements = 3    // calls of Detector.Leave for one shutdown
 )
 
 // Config configures a transport, according to the operator's file.
@@ -107,14 +107,14 @@
 // Run drives the detector until ctx ends: it passes on received packets, ticks and requests of Leave, and carries out
 // the detector's output. It closes the socket before it returns.
 func (t *Transport) Run(ctx context.Context) {
-	read := make(chan struct{})
+	readerDone := make(chan struct{})
 	go func() {
-		defer close(read)
+		defer close(readerDone)
 		t.read()
 	}()
 	defer func() {
 		_ = t.conn.Close() // ends read
-		<-read
+		<-readerDone
 	}()
 	wake := time.NewTimer(0)
 	defer wake.Stop()
--- a/internal/cluster/logclock/clock_test.go
+++ b/internal/cluster/logclock/clock_test.go
@@ -52,17 +52,17 @@
 		leaders[i] = leader{(random.Float64() - 0.5) * 7.2e6, 0.9 + 0.2*random.Float64()}
 	}
 	var clock Clock
-	var now, started, last, betweenLeaders Millis // in real time
+	var now, started, lastEntry, betweenLeaders Millis // in real time
 	current := 0
 	for entry := range 500 {
 		now += 100 * random.Float64()
 		if entry == 0 {
 			started = now
-			last = now
+			lastEntry = now
 		}
 		if random.IntN(10) == 0 {
 			if next := random.IntN(len(leaders)); next != current {
-				betweenLeaders += now - last
+				betweenLeaders += now - lastEntry
 				current = next
 			}
 		}
@@ -73,6 +73,6 @@
 			t.Fatalf("seed %d: got log time %v after %v, want about the real time %v, of which %v passed between leaders",
 				seed, got, before, elapsed, betweenLeaders)
 		}
-		last = now
+		lastEntry = now
 	}
 }
--- a/internal/cluster/membership/broadcast.go
+++ b/internal/cluster/membership/broadcast.go
@@ -8,7 +8,7 @@
 const (
 	gossipFanout     = 2    // members that receive a packet in a gossip round
 	retransmitFactor = 4    // an update is sent this often per decimal digit of the number of members
-	maxPacketBytes   = 1200 // of an encoded packet, as estimated by Packet.size; every path carries it unfragmented
+	maxPacketBytes   = 1200 // maximum Packet.size of a packet; every path carries a datagram of this size unfragmented
 )
 
 // broadcastQueue holds the members whose newest update is still to be disseminated. Each member is queued at most once,
@@ -16,7 +16,7 @@
 type broadcastQueue struct {
 	levels        [][]*member // by number of transmits; a requeued or removed member leaves a stale entry
 	size          int         // members queued
-	transmitLimit int         // an update is removed after so many transmits
+	transmitLimit int         // an update is removed after this many transmits
 	nextGossip    Millis      // when the next gossip round is due
 }
 
@@ -47,7 +47,7 @@
 }
 
 // appendUpdates appends queued updates to those of a packet, up to the remaining bytes, and counts them as sent. A
-// member that already stands among updates appended by this call is skipped.
+// member whose update this call has already appended is skipped.
 func (q *broadcastQueue) appendUpdates(updates []Update, remaining int) []Update {
 	first := len(updates)
 	var sent []*member
--- a/internal/cluster/membership/detector.go
+++ b/internal/cluster/membership/detector.go
@@ -6,12 +6,12 @@
 	"ottershed/internal/stats"
 )
 
-// phase is a detector's stage of life.
+// phase is the state of a detector's life cycle.
 //
 //	from     to          on
 //	created  running     the first call of Tick, Receive or Leave (start)
 //	running  leaving     Leave
-//	running  superseded  a newer process of this name at another address (handleSelfUpdate); it sends nothing any more
+//	running  superseded  a newer process of this name at another address (handleSelfUpdate); no packets are sent then
 type phase int
 
 const (
@@ -70,7 +70,7 @@
 	if d.phase == created || d.phase == superseded {
 		return d.now + d.timing.period
 	}
-	next := min(d.probing.nextDue(), d.sync.next, d.nextSweep)
+	next := min(d.probing.nextDue(), d.sync.nextSync, d.nextSweep)
 	if d.broadcasts.size > 0 {
 		next = min(next, d.broadcasts.nextGossip)
 	}
@@ -124,8 +124,8 @@
 	d.output.Changes = d.output.Changes[:0]
 }
 
-// advance sets the time and performs the actions that are due, in a fixed order. A time before the last one counts as
-// the last one.
+// advance sets the time and performs the actions that are due, in a fixed order. If now is earlier than the time of the
+// previous call, the time stays unchanged.
 func (d *Detector) advance(now Millis) {
 	now = max(now, d.now)
 	if d.phase == created {
@@ -141,12 +141,12 @@
 	d.checkProbes()
 	d.checkRelays()
 	d.checkSuspicions()
-	if now >= d.probing.next {
-		d.probing.next = now + d.timing.period*d.awareness.timeoutFactor()
+	if now >= d.probing.nextProbe {
+		d.probing.nextProbe = now + d.timing.period*d.awareness.timeoutFactor()
 		d.sync.packetsLeft = maxSyncPackets
 		d.probeNext()
 	}
-	if now >= d.sync.next {
+	if now >= d.sync.nextSync {
 		d.startSync()
 	}
 	if now >= d.broadcasts.nextGossip && d.broadcasts.size > 0 {
@@ -162,16 +162,16 @@
 	d.broadcasts.nextGossip = max(d.broadcasts.nextGossip, now)
 }
 
-// start schedules the first actions. The times are random, for members that start together would otherwise send their
-// probes at the same times from then on.
+// start schedules the first actions. The times are random, because members that start together would otherwise send all
+// their probes at the same times.
 func (d *Detector) start(now Millis) {
 	d.phase = running
 	d.now = now
 	d.sync.joined = d.settings.Initial != nil
-	d.probing.next = now + d.timing.period*d.random.Float64()
-	d.sync.next = now
+	d.probing.nextProbe = now + d.timing.period*d.random.Float64()
+	d.sync.nextSync = now
 	if d.sync.joined {
-		d.sync.next = now + d.timing.syncInterval*d.random.Float64()
+		d.sync.nextSync = now + d.timing.syncInterval*d.random.Float64()
 	}
 	d.nextSweep = now + d.timing.syncInterval*(1+d.random.Float64())
 	d.broadcasts.nextGossip = now
@@ -195,7 +195,7 @@
 		}
 	}
 	d.awareness.increase(1)
-	d.probing.next = max(d.probing.next, d.now)
+	d.probing.nextProbe = max(d.probing.nextProbe, d.now)
 }
 
 // sweep removes the members that died or left longer than deadRetention ago. If they were removed at once, a late
@@ -203,7 +203,7 @@
 // each name that was ever used.
 func (d *Detector) sweep() {
 	for _, m := range d.table.overridden() {
-		if m.State >= Dead && m.Name != d.settings.Name && d.now-m.since >= d.timing.deadRetention {
+		if m.State >= Dead && m.Name != d.settings.Name && d.now-m.stateSince >= d.timing.deadRetention {
 			d.broadcasts.remove(m)
 			d.table.remove(m)
 		}
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -210,7 +210,7 @@
 		t.Error("a member that left was not removed from the table")
 	}
 	if detector.table.size() != 1 || len(detector.broadcasts.levels) > 20 || detector.broadcasts.size > 1 {
-		t.Errorf("got %d members, queue of %d in %d levels, want 1, at most 1 and at most 20",
+		t.Errorf("got %d members and %d queued updates in %d levels, want 1, at most 1 and at most 20",
 			detector.table.size(), detector.broadcasts.size, len(detector.broadcasts.levels))
 	}
 }
--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -10,14 +10,14 @@
 
 // prober is the state of this member's own probes and of the pings that it relays.
 type prober struct {
-	next   Millis // when the next periodic probe is due
-	order  walk   // the random order of the current round
-	seq    uint64 // sequence number of the last ping
-	probes []*probe
-	relays []relay
+	nextProbe Millis // when the next periodic probe is due
+	order     walk   // the random order of the current round
+	seq       uint64 // sequence number of the last ping
+	probes    []*probe
+	relays    []relay
 }
 
-// probe is a probe in flight.
+// probe is the state of one probe of a member, from its first ping until it is acknowledged or has failed.
 //
 //	from      to        on
 //	direct    acked     an Ack
@@ -32,7 +32,7 @@
 	directDeadline Millis // without an Ack by then, other members are asked to ping the target
 	deadline       Millis // without an Ack by then, the probe has failed
 	relays, nacks  int    // members that were asked to ping the target, and Nacks received from them
-	indirect       bool   // other members were asked
+	indirect       bool   // other members were asked to ping the target
 	acked          bool
 	retry          bool // not a periodic probe: its failure leads to suspicion at once
 }
@@ -50,7 +50,7 @@
 
 // nextDue returns when probeNext, checkProbes or checkRelays is due.
 func (p *prober) nextDue() Millis {
-	next := p.next
+	next := p.nextProbe
 	for _, probe := range p.probes {
 		if !probe.indirect {
 			next = min(next, probe.directDeadline)
@@ -130,8 +130,8 @@
 }
 
 // handleFailedProbe probes the target once more, and suspects it after the second failure in a row. A single failure is
-// not sufficient: under packet loss, one probe in some tens fails, and each accusation and its refutation are sent to
-// all members.
+// not sufficient: under packet loss, one in several tens of probes fails, and each accusation and its refutation are
+// sent to all members.
 func (d *Detector) handleFailedProbe(p *probe) {
 	// A member whose own machine is slow or partitioned would accuse all others in turn. Relays that send neither Ack nor
 	// Nack are as silent as the target, which indicates that this member itself is at fault.
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -26,7 +26,7 @@
 	if sender.State == Suspect && packet.Incarnation >= sender.Incarnation {
 		d.table.writable(packet.From).lastAliveAt = d.now
 	}
-	if packet.Kind != Records { // for those, handleRecords sends the records that differ
+	if packet.Kind != Records { // handleRecords responds to Records with the records that differ
 		d.sendRefutations(sender, packet.Updates)
 	}
 	d.dispatch(packet, sender)
--- a/internal/cluster/membership/settings.go
+++ b/internal/cluster/membership/settings.go
@@ -41,8 +41,8 @@
 const (
 	periodsPerDetection = 16      // probe periods in DetectionTimeout - ToleratedPause, see deriveTiming
 	minProbePeriod      = 20.0    // ms; timers of a busy machine are too inaccurate for a shorter period
-	maxNameBytes        = 64      // bytes
-	maxTableSize        = 1 << 20 // members
+	maxNameBytes        = 64      // maximum length of a member's name
+	maxTableSize        = 1 << 20 // upper limit of MaxMembers
 )
 
 // Check validates the settings and returns an error about the first invalid one, which names its key in the operator's
@@ -57,9 +57,9 @@
 	if s.ToleratedPause < 0 {
 		return fmt.Errorf("membership.bear-pause: want 0 or more, got %g ms", s.ToleratedPause)
 	}
-	if least := s.ToleratedPause + periodsPerDetection*minProbePeriod; s.DetectionTimeout < least {
-		return fmt.Errorf("membership.detect-within: want at least bear-pause and %g ms, %g ms, got %g ms",
-			periodsPerDetection*minProbePeriod, least, s.DetectionTimeout)
+	if minTimeout := s.ToleratedPause + periodsPerDetection*minProbePeriod; s.DetectionTimeout < minTimeout {
+		return fmt.Errorf("membership.detect-within: want at least bear-pause + %g ms = %g ms, got %g ms",
+			periodsPerDetection*minProbePeriod, minTimeout, s.DetectionTimeout)
 	}
 	if s.MaxMembers < 2 || s.MaxMembers > maxTableSize {
 		return fmt.Errorf("membership.most-members: want 2 to %d, got %d", maxTableSize, s.MaxMembers)
@@ -68,7 +68,7 @@
 		return err
 	}
 	if len(s.Seeds) > s.MaxMembers {
-		return fmt.Errorf("membership.seeds: want most-members at most, %d, got %d", s.MaxMembers, len(s.Seeds))
+		return fmt.Errorf("membership.seeds: want at most most-members (%d), got %d", s.MaxMembers, len(s.Seeds))
 	}
 	return nil
 }
@@ -113,10 +113,10 @@
 }
 
 // checkAddress accepts numeric addresses only. A host name would have to be resolved, and any sender of a packet could
-// trigger such requests.
+// trigger DNS lookups.
 func checkAddress(address string) error {
-	at, err := netip.ParseAddrPort(address)
-	if err != nil || at.Port() == 0 || at.Addr().IsUnspecified() || at.Addr().Zone() != "" {
+	parsed, err := netip.ParseAddrPort(address)
+	if err != nil || parsed.Port() == 0 || parsed.Addr().IsUnspecified() || parsed.Addr().Zone() != "" {
 		return fmt.Errorf("want ip:port, got %q", address)
 	}
 	return nil
@@ -125,12 +125,12 @@
 // timing holds the detector's intervals, derived from the two durations that an operator sets.
 type timing struct {
 	period         Millis // between two probes
-	directTimeout  Millis // for the Ack to a ping, before other members are asked to ping
+	directTimeout  Millis // wait for the Ack to a ping before other members are asked to ping
 	gossipInterval Millis // between two gossip rounds
 	minSuspicion   Millis // timeout of a suspicion with enough confirmations
 	maxSuspicion   Millis // timeout of a suspicion without confirmations
-	syncInterval   Millis // the longest time between two digests
-	deadRetention  Millis // for which a dead or left member stays in the table
+	syncInterval   Millis // maximum time between two digests
+	deadRetention  Millis // how long a dead or left member stays in the table
 }
 
 // deriveTiming divides DetectionTimeout - ToleratedPause into 16 periods. Eight are for the first probe that reaches
--- a/internal/cluster/membership/sim/sim.go
+++ b/internal/cluster/membership/sim/sim.go
@@ -34,7 +34,7 @@
 type Observation struct {
 	Observer int // index of the member whose view has changed
 	membership.Change
-	SubjectRunning bool // the subject was running at that time
+	SubjectRunning bool // the subject was running when the change was reported
 }
 
 // Member is one simulated process.
@@ -43,7 +43,7 @@
 	Detector *membership.Detector
 	Running  bool
 	Stalled  bool                 // the member does not run, and packets to it are queued
-	Starts   int                  // how often it was started
+	Starts   int                  // how often the member was started
 	pending  []*membership.Packet // received while stalled
 	nextWake Millis               // Unix time of the earliest wake-up in the queue; 0: none
 }
--- a/internal/cluster/membership/sim/sim_test.go
+++ b/internal/cluster/membership/sim/sim_test.go
@@ -56,17 +56,17 @@
 		for seed := range uint64(20) {
 			f := fleet(t, Settings{Members: members, RandomSeed: seed, Prejoined: true})
 			f.Run(5000 + 100*Millis(seed))
-			killed, last, declared := f.Now(), Millis(0), map[int]bool{}
+			killed, lastDelay, declared := f.Now(), Millis(0), map[int]bool{}
 			f.OnChange = func(observed Observation) {
 				if observed.State == membership.Dead && observed.Name == f.Member(0).Name {
-					declared[observed.Observer], last = true, f.Now()-killed
+					declared[observed.Observer], lastDelay = true, f.Now()-killed
 				}
 			}
 			f.Kill(0)
 			f.Run(14000)
-			if len(declared) != members-1 || last > f.settings.DetectionTimeout {
+			if len(declared) != members-1 || lastDelay > f.settings.DetectionTimeout {
 				t.Errorf("%d members, seed %d: %d declared it dead, the last after %.0f ms, want %d within %.0f ms",
-					members, seed, len(declared), last, members-1, f.settings.DetectionTimeout)
+					members, seed, len(declared), lastDelay, members-1, f.settings.DetectionTimeout)
 			}
 			if err := f.CheckAgreement(); err != nil {
 				t.Errorf("%d members, seed %d: %v", members, seed, err)
@@ -169,8 +169,8 @@
 	simulated.Run(2000)
 	setPartition(true)
 	simulated.Run(40000)
-	if by := simulated.Member(5).Detector.Count(); by[membership.Dead] != 4 {
-		t.Errorf("members by state on the smaller side: got %v, want 4 dead", by)
+	if count := simulated.Member(5).Detector.Count(); count[membership.Dead] != 4 {
+		t.Errorf("members by state on the smaller side: got %v, want 4 dead", count)
 	}
 	setPartition(false)
 	simulated.Run(30000)
--- a/internal/cluster/membership/state.go
+++ b/internal/cluster/membership/state.go
@@ -11,14 +11,14 @@
 //
 //	from              to        on
 //	(unknown)         Alive     any update but Dead and Left, or a packet from the member (addMember)
-//	(unknown)         Dead Left such an update; the entry rejects late updates from before the death (addMember)
-//	Alive             Suspect   a second failed probe in a row, or an accusation; also another's Dead (suspectMember)
+//	(unknown)         Dead Left an update with this state; the entry rejects late updates from before it (addMember)
+//	Alive             Suspect   a second failed probe in a row, or an accusation, or another member's Dead (suspectMember)
 //	Suspect           Alive     a refutation: a higher incarnation from the member itself (applyUpdate)
-//	Suspect           Dead      the timeout without a sign of life (checkSuspicions), or another's Dead (applyUpdate)
+//	Suspect           Dead      the timeout without a sign of life (checkSuspicions), or another member's Dead (applyUpdate)
 //	Alive Suspect     Left      the member's own announcement (applyUpdate); it takes precedence over Dead, too
 //	Dead Left         Alive     a higher incarnation: a refutation or a restart (applyUpdate)
-//	Dead Left         Suspect   an accusation at a higher incarnation, by way of Alive (applyAccusation)
-//	Left              Dead      another's Dead at a higher incarnation (applyUpdate)
+//	Dead Left         Suspect   an accusation at a higher incarnation, after a transition to Alive (applyAccusation)
+//	Left              Dead      another member's Dead at a higher incarnation (applyUpdate)
 //	Dead Left         (unknown) ten times Settings.DetectionTimeout later (sweep)
 type State int
 
@@ -125,7 +125,7 @@
 		update.Accuser = ""
 	}
 	m := d.table.add(update)
-	m.since = d.now
+	m.stateSince = d.now
 	d.updateTransmitLimit()
 	// Updates about dead members circulate for a while. If members that did not know the dead ones queued such updates
 	// again, they would circulate without end.
@@ -155,7 +155,7 @@
 	d.broadcasts.enqueue(target)
 	d.updateTransmitLimit()
 	if previous != update.State || run != update.Run {
-		target.since = d.now
+		target.stateSince = d.now
 		d.emitChange(target, previous, false)
 	}
 }
@@ -168,9 +168,9 @@
 	}
 	// A process that was declared dead and replaced at another address would compete with its replacement for the name,
 	// each refuting the other without end. The process that started last keeps the name.
-	other := update.Run != d.self.Run && update.Address != d.self.Address
+	otherProcess := update.Run != d.self.Run && update.Address != d.self.Address
 	newer := update.Incarnation > d.self.Incarnation || update.Run > d.self.Run
-	if other && update.State == Alive && newer {
+	if otherProcess && update.State == Alive && newer {
 		d.phase = superseded
 		d.supersededBy = update.Address
 		d.probing.probes = nil
@@ -178,7 +178,7 @@
 		d.emitChange(d.table.get(d.settings.Name), Alive, false)
 		return
 	}
-	if update.State == Alive && (update.Run == d.self.Run || update.Incarnation == d.self.Incarnation && !other) {
+	if update.State == Alive && (update.Run == d.self.Run || update.Incarnation == d.self.Incarnation && !otherProcess) {
 		return
 	}
 	if update.State == Suspect && update.Run == d.self.Run {
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -7,8 +7,8 @@
 
 const (
 	maxConfirmations = 3 // further accusers that shorten a suspicion to its minimum timeout
-	maxFinalChecks   = 3 // one in each of the last periods of a suspicion, for packets can be lost
-	confirmingProbes = 8 // members of the cluster that start a probe because of another's accusation, on average
+	maxFinalChecks   = 3 // one in each of the last periods of a suspicion, because the packets of a check can be lost
+	confirmingProbes = 8 // average number of members that start a probe when they learn of another member's accusation
 )
 
 // suspicion is the state of a member that is accused of a failure and can still refute the accusation.
@@ -17,7 +17,7 @@
 	endsAt              Millis
 	accusers            []Name // distinct, at most confirmationsWanted+1
 	confirmationsWanted int    // further accusers that shorten the suspicion to its minimum timeout
-	finalChecks         int    // made so far
+	finalChecks         int    // number of final checks made
 }
 
 // timeout returns the whole duration of a suspicion. It shrinks with the logarithm of the number of independent
@@ -83,7 +83,7 @@
 	}
 	target.suspicion.endsAt = d.now + target.suspicion.timeout(&d.timing)
 	if previous != Suspect {
-		target.since = d.now
+		target.stateSince = d.now
 		d.emitChange(target, previous, false)
 	}
 }
--- a/internal/cluster/membership/sync.go
+++ b/internal/cluster/membership/sync.go
@@ -7,7 +7,7 @@
 
 // antiEntropy is the state of the periodic comparison of whole tables.
 type antiEntropy struct {
-	next        Millis // when the next digest is due
+	nextSync    Millis // when the next digest is due
 	joined      bool   // a packet of another member was received, or an initial roster is given
 	packetsLeft int    // Records packets that may still be sent in this period
 }
@@ -15,9 +15,9 @@
 // startSync sends digests: to the seeds until a member responds, then to one random member at a time. Anti-entropy
 // delivers updates that gossip did not, and merges the sides of a healed partition.
 func (d *Detector) startSync() {
-	d.sync.next = d.now + d.timing.syncInterval*(1+d.random.Float64())/2
+	d.sync.nextSync = d.now + d.timing.syncInterval*(1+d.random.Float64())/2
 	if !d.sync.joined {
-		d.sync.next = d.now + d.timing.period
+		d.sync.nextSync = d.now + d.timing.period
 		d.contactSeeds()
 		return
 	}
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -12,7 +12,7 @@
 // member is an entry of the table.
 type member struct {
 	Update
-	since       Millis     // when the member entered its state
+	stateSince  Millis     // when the member entered its state
 	suspicion   *suspicion // nil unless the state is Suspect
 	lastAliveAt Millis     // while Suspect: when this member itself last saw a sign of life
 	notifiedAt  Millis     // while Dead: when the member was last sent the update about itself
@@ -31,7 +31,7 @@
 func NewRoster(updates []Update) *Roster {
 	r := &Roster{index: make(map[Name]int, len(updates))}
 	for _, u := range updates {
-		if _, twice := r.index[u.Name]; twice {
+		if _, duplicate := r.index[u.Name]; duplicate {
 			continue
 		}
 		u.State = Alive
@@ -80,8 +80,8 @@
 		return t.overrides[t.added[i-len(t.base.members)]]
 	}
 	m := &t.base.members[i]
-	if own, changed := t.overrides[m.Name]; changed {
-		return own
+	if override, changed := t.overrides[m.Name]; changed {
+		return override
 	}
 	return m
 }
@@ -157,13 +157,13 @@
 
 // overridden returns the members that were changed or added since the start, sorted by name.
 func (t *table) overridden() []*member {
-	var out []*member
+	var members []*member
 	for _, name := range slices.Sorted(maps.Keys(t.overrides)) {
 		if m := t.overrides[name]; m != nil {
-			out = append(out, m)
+			members = append(members, m)
 		}
 	}
-	return out
+	return members
 }
 
 // bucketCount is the number of checksums in a Digest. It is part of the wire format.
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -66,24 +66,24 @@
 
 // Present returns the sorted names of the members that are alive or suspected.
 func (v *View) Present() []Name {
-	var out []Name
+	var names []Name
 	for _, m := range v.Members {
 		if m.State <= Suspect {
-			out = append(out, m.Name)
+			names = append(names, m.Name)
 		}
 	}
-	return out
+	return names
 }
 
 // snapshot returns a copy of the member for callers.
 func (m *member) snapshot() Member {
 	return Member{
 		Name: m.Name, Address: m.Address, State: m.State, Incarnation: m.Incarnation, Run: m.Run,
-		StateSince: m.since, Accuser: m.Accuser,
+		StateSince: m.stateSince, Accuser: m.Accuser,
 	}
 }
 
-// emitChange adds a change of a member to the output. isNew says that the member was not known before. Nothing is
+// emitChange adds a change of a member to the output. isNew is true if the member was not known before. Nothing is
 // reported before the detector has started.
 func (d *Detector) emitChange(m *member, previous State, isNew bool) {
 	if d.phase == created {
@@ -91,7 +91,7 @@
 	}
 	if isNew {
 		m = d.table.writable(m.Name)
-		m.since = d.now
+		m.stateSince = d.now
 	}
 	d.output.Changes = append(d.output.Changes, Change{At: d.now, Previous: previous, NewMember: isNew, Member: m.snapshot()})
 }
--- a/internal/cluster/membership/wire.go
+++ b/internal/cluster/membership/wire.go
@@ -11,9 +11,9 @@
 
 const (
 	protocolVersion = 1
-	maxWireBytes    = 2048 // of a datagram; longer ones are not decoded
-	signatureBytes  = 16   // of an HMAC-SHA-256, which is truncated
-	maxClusterBytes = 32   // of a cluster's name
+	maxWireBytes    = 2048 // maximum size of a datagram; longer ones are rejected
+	signatureBytes  = 16   // length of the truncated HMAC-SHA-256, and the minimum length of a key
+	maxClusterBytes = 32   // maximum length of a cluster's name
 )
 
 // wirePacket is the encoded form of a packet: a msgpack array, so that field names are not sent. The order of the
@@ -96,11 +96,11 @@
 		return nil, fmt.Errorf("%w: want %d bytes at most, got %d", ErrMalformed, maxWireBytes, len(raw))
 	}
 	if len(c.Key) > 0 {
-		cut := len(raw) - signatureBytes
-		if cut < 0 || !hmac.Equal(c.sign(raw[:cut]), raw[cut:]) {
+		end := len(raw) - signatureBytes
+		if end < 0 || !hmac.Equal(c.sign(raw[:end]), raw[end:]) {
 			return nil, ErrSignature
 		}
-		raw = raw[:cut]
+		raw = raw[:end]
 	}
 	var w wirePacket
 	if err := msgpack.Unmarshal(raw, &w); err != nil {
@@ -129,7 +129,7 @@
 }
 
 // maxIncarnation is the exclusive upper bound of incarnations. An accusation at the highest value of the type could not
-// be refuted, for a refutation needs a higher incarnation.
+// be refuted, because a refutation needs a higher incarnation.
 const maxIncarnation = Incarnation(1) << 62
 
 // Check validates a received packet and returns an error about the first invalid field.
@@ -185,7 +185,7 @@
 	return nil
 }
 
-// Estimates of the most bytes that parts of an encoded packet take, without their strings. The name of an update's
+// Upper estimates of the sizes of encoded parts of a packet, in bytes, without their strings. The name of an update's
 // state is not counted, so a packet of many updates can be encoded to more bytes than estimated.
 const (
 	fixedBytes    = 9*4 + 24 // a packet: four numbers of nine bytes, headers and short fields
--- a/internal/cluster/quorum/start.go
+++ b/internal/cluster/quorum/start.go
@@ -2,7 +2,7 @@
 
 // PeerState is what another server reported about itself.
 type PeerState struct {
-	Reachable   bool // the server has responded; if not, the rest is unknown
+	Reachable   bool // the server has responded; if not, Established is unknown
 	Established bool // the server has a log
 }
 
--- a/internal/cluster/raftlog/client.go
+++ b/internal/cluster/raftlog/client.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	maxMessageBytes     = 4 << 20 // of the body of a proposal or a response
+	maxMessageBytes     = 4 << 20 // maximum size of the body of a proposal or a response
 	idleConnTimeout     = time.Minute
 	maxIdleConnsPerHost = 2
 )
@@ -51,8 +51,8 @@
 // returns the error of the last server.
 func (c *Client) Get(ctx context.Context, path string, reply any) (err error) {
 	for _, s := range c.Servers {
-		tryCtx, cancel := context.WithTimeout(ctx, c.ElectionTimeout)
-		err = Call(tryCtx, c.HTTP, s.Address, http.MethodGet, path, nil, reply)
+		attemptCtx, cancel := context.WithTimeout(ctx, c.ElectionTimeout)
+		err = Call(attemptCtx, c.HTTP, s.Address, http.MethodGet, path, nil, reply)
 		cancel()
 		if err == nil || ctx.Err() != nil {
 			break
@@ -77,15 +77,15 @@
 	if err != nil {
 		return err
 	}
-	for try := 0; ; try++ {
+	for attempt := 0; ; attempt++ {
 		address := n.leaderAddress()
 		// A server that has lost the connection to its leader still names it as leader, so every other attempt goes to the
 		// next server in turn.
-		if address == "" || try%2 == 1 {
-			address = n.cfg.Servers[try/2%len(n.cfg.Servers)].Address
+		if address == "" || attempt%2 == 1 {
+			address = n.cfg.Servers[attempt/2%len(n.cfg.Servers)].Address
 		}
-		tryCtx, cancel := context.WithTimeout(ctx, 3*n.cfg.ElectionTimeout)
-		err := Call(tryCtx, n.httpClient, address, http.MethodPost, path, raw, reply)
+		attemptCtx, cancel := context.WithTimeout(ctx, 3*n.cfg.ElectionTimeout)
+		err := Call(attemptCtx, n.httpClient, address, http.MethodPost, path, raw, reply)
 		cancel()
 		if err == nil {
 			return nil
--- a/internal/cluster/raftlog/fsm.go
+++ b/internal/cluster/raftlog/fsm.go
@@ -84,11 +84,11 @@
 func (f *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	at, err := msgpack.Marshal(&f.logClock)
+	clock, err := msgpack.Marshal(&f.logClock)
 	if err != nil {
 		return nil, err
 	}
-	parts := map[string][]byte{lastKey: indexKey(f.lastApplied.Load()), clockKey: at}
+	parts := map[string][]byte{lastKey: indexKey(f.lastApplied.Load()), clockKey: clock}
 	for kind, machine := range f.machines {
 		raw, err := machine.Snapshot()
 		if err != nil {
@@ -138,22 +138,22 @@
 		return nil, err
 	}
 	if raw, err = verifyChecksum(raw); err != nil {
-		return nil, fmt.Errorf("snapshot: %w", err)
+		return nil, fmt.Errorf("verify snapshot: %w", err)
 	}
 	var parts map[string][]byte
 	if err := msgpack.Unmarshal(raw, &parts); err != nil {
-		return nil, fmt.Errorf("snapshot: %w", err)
+		return nil, fmt.Errorf("decode snapshot: %w", err)
 	}
 	return parts, nil
 }
 
-// restoreClock restores the log's time. A snapshot of a release before stamps has none (raw is nil): the log's time
-// then starts at the highest time of the state machines.
+// restoreClock restores the log's time. A snapshot of a release before stamps has no time (raw is nil): the log's
+// time then starts at the highest time of the state machines.
 func (f *fsm) restoreClock(raw []byte) error {
 	f.logClock = logclock.Clock{}
 	if raw != nil {
 		if err := msgpack.Unmarshal(raw, &f.logClock); err != nil {
-			return fmt.Errorf("snapshot: %w", err)
+			return fmt.Errorf("decode clock of snapshot: %w", err)
 		}
 		return nil
 	}
--- a/internal/cluster/raftlog/golden_test.go
+++ b/internal/cluster/raftlog/golden_test.go
@@ -186,8 +186,8 @@
 	return sink.Bytes()
 }
 
-// sortedParts verifies a snapshot's checksum and returns the snapshot with its parts sorted by name, for the order of
-// the encoded map is random. The parts themselves are unchanged.
+// sortedParts verifies a snapshot's checksum and returns the snapshot with its parts sorted by name, because the
+// order of the encoded map is random. The parts themselves are unchanged.
 func sortedParts(t *testing.T, raw []byte) []byte {
 	t.Helper()
 	plain, err := verifyChecksum(raw)
@@ -307,7 +307,7 @@
 	return lines
 }
 
-// copyFixture returns a directory with a copy of the fixture store.db, for opening a store writes to its file.
+// copyFixture returns a directory with a copy of the fixture store.db, because opening a store writes to its file.
 func copyFixture(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
--- a/internal/cluster/raftlog/handshake.go
+++ b/internal/cluster/raftlog/handshake.go
@@ -30,7 +30,7 @@
 	serverRole = 's'
 )
 
-var errKey = errors.New("the other side has another key")
+var errKeyMismatch = errors.New("the other side has another key")
 
 // proof returns an HMAC of the role and the nonces of both sides, the client's nonce first. It proves the possession of
 // the key.
@@ -45,7 +45,7 @@
 func setHandshakeDeadline(conn net.Conn, until time.Time) func() {
 	_ = conn.SetDeadline(until) // fails only on a closed connection, on which the next read fails, too
 	return func() {
-		_ = conn.SetDeadline(time.Time{}) // likewise
+		_ = conn.SetDeadline(time.Time{}) // fails only on a closed connection
 	}
 }
 
@@ -81,7 +81,7 @@
 		return 0, err
 	}
 	if !hmac.Equal(clientProof, proof(key, clientRole, nonces)) {
-		return 0, errKey
+		return 0, errKeyMismatch
 	}
 	return kind, nil
 }
@@ -121,7 +121,7 @@
 	}
 	nonces := slices.Concat(hello[1:], response[:nonceBytes])
 	if !hmac.Equal(response[nonceBytes:], proof(key, serverRole, nonces)) {
-		return errKey
+		return errKeyMismatch
 	}
 	_, err := conn.Write(proof(key, clientRole, nonces))
 	return err
--- a/internal/cluster/raftlog/join.go
+++ b/internal/cluster/raftlog/join.go
@@ -14,7 +14,7 @@
 
 const (
 	joinIntervalDivisor = 4       // attempts to join or rejoin per ElectionTimeout
-	maxReadmitBytes     = 1 << 10 // of a readmitRequest
+	maxReadmitBytes     = 1 << 10 // maximum size of a readmitRequest
 )
 
 // join starts a server without a log: it bootstraps a new log with the other servers, or rejoins their log. It returns
--- a/internal/cluster/raftlog/listener.go
+++ b/internal/cluster/raftlog/listener.go
@@ -17,12 +17,12 @@
 
 // mux shares one listener between raft and HTTP. The handshake of a connection states its kind.
 type mux struct {
-	listener net.Listener
-	key      []byte
-	raft     chan net.Conn
-	http     chan net.Conn
-	done     chan struct{}
-	once     sync.Once
+	listener  net.Listener
+	key       []byte
+	raft      chan net.Conn
+	http      chan net.Conn
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 // newMux returns a mux that accepts connections from a listener. Connections are authenticated by key.
@@ -32,7 +32,7 @@
 		key:      key,
 		raft:     make(chan net.Conn),
 		http:     make(chan net.Conn),
-		done:     make(chan struct{}),
+		closed:   make(chan struct{}),
 	}
 	go m.acceptLoop()
 	return m
@@ -47,7 +47,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptRetryDelay) // for example, out of file descriptors
+			time.Sleep(acceptRetryDelay) // the process may be out of file descriptors for a while
 			continue
 		}
 		select {
@@ -77,25 +77,25 @@
 	}
 	select {
 	case to <- conn:
-	case <-m.done:
+	case <-m.closed:
 		_ = conn.Close() // the server shuts down
 	}
 }
 
-// next waits for a connection. It returns net.ErrClosed after close.
-func (m *mux) next(from chan net.Conn) (net.Conn, error) {
+// nextConn waits for a connection. It returns net.ErrClosed after close.
+func (m *mux) nextConn(from chan net.Conn) (net.Conn, error) {
 	select {
 	case conn := <-from:
 		return conn, nil
-	case <-m.done:
+	case <-m.closed:
 		return nil, net.ErrClosed
 	}
 }
 
 // close closes the listener and ends all waits for connections.
 func (m *mux) close() {
-	m.once.Do(func() {
-		close(m.done)
+	m.closeOnce.Do(func() {
+		close(m.closed)
 		_ = m.listener.Close() // the server shuts down
 	})
 }
@@ -103,7 +103,7 @@
 // httpListener implements net.Listener for HTTP connections.
 type httpListener struct{ mux *mux }
 
-func (l httpListener) Accept() (net.Conn, error) { return l.mux.next(l.mux.http) }
+func (l httpListener) Accept() (net.Conn, error) { return l.mux.nextConn(l.mux.http) }
 func (l httpListener) Addr() net.Addr            { return l.mux.listener.Addr() }
 func (l httpListener) Close() error {
 	l.mux.close()
@@ -118,7 +118,7 @@
 	address func(name string) (string, error)
 }
 
-func (s streamLayer) Accept() (net.Conn, error) { return s.mux.next(s.mux.raft) }
+func (s streamLayer) Accept() (net.Conn, error) { return s.mux.nextConn(s.mux.raft) }
 func (s streamLayer) Addr() net.Addr            { return serverAddr(s.name) }
 func (s streamLayer) Close() error {
 	s.mux.close()
--- a/internal/cluster/raftlog/node.go
+++ b/internal/cluster/raftlog/node.go
@@ -23,7 +23,7 @@
 	snapshotsRetained    = 2
 	snapshotThreshold    = 256 // entries since the last snapshot that cause a new one
 	trailingLogs         = 256 // entries that stay in the log after a snapshot
-	commitTimeoutDivisor = 200 // a follower learns of a commit within this fraction of ElectionTimeout
+	commitTimeoutDivisor = 200 // a follower learns of a commit within ElectionTimeout divided by this number
 	raftPoolSize         = 3   // idle connections to each server
 )
 
@@ -173,7 +173,7 @@
 	settings.HeartbeatTimeout = n.cfg.ElectionTimeout
 	settings.ElectionTimeout = n.cfg.ElectionTimeout
 	settings.LeaderLeaseTimeout = n.cfg.ElectionTimeout / 2
-	// A server applies a policy version only after it has learned of its commit, so followers must learn of it soon.
+	// A server applies a policy version only after it has learned of the commit, so followers must learn of commits soon.
 	settings.CommitTimeout = n.cfg.ElectionTimeout / commitTimeoutDivisor
 	settings.SnapshotThreshold = snapshotThreshold
 	settings.TrailingLogs = trailingLogs
@@ -195,11 +195,11 @@
 	return all
 }
 
-// raftLogWriter writes the log lines of hashicorp/raft as debug lines, with the text in the field raft.
+// raftLogWriter logs the messages of hashicorp/raft at level debug, with their text in the field raft.
 type raftLogWriter struct{ log logrus.FieldLogger }
 
 func (l raftLogWriter) Write(p []byte) (int, error) {
-	l.log.WithField("raft", strings.TrimSpace(string(p))).Debug("raft: log line")
+	l.log.WithField("raft", strings.TrimSpace(string(p))).Debug("raft: library message")
 	return len(p), nil
 }
 
--- a/internal/cluster/raftlog/propose.go
+++ b/internal/cluster/raftlog/propose.go
@@ -22,9 +22,9 @@
 	leaderHeader = "X-Log-Leader" // the leader as known to the responding server
 )
 
-// Propose appends a command to the log and returns the reply of its state machine. A reply can be lost if the leader
-// fails. The command is then proposed again, until a reply is received or ctx ends, so the state machine must recognize
-// a command that it has already applied. An error wraps ErrNoLeader. Any goroutine may call Propose.
+// Propose appends a command to the log and returns the reply of its state machine. If the leader fails, its reply
+// can be lost. The command is then proposed again, until a reply is received or ctx ends, so the state machine must
+// recognize a command that it has already applied. An error wraps ErrNoLeader. Any goroutine may call Propose.
 func (n *Node) Propose(ctx context.Context, kind CommandKind, command []byte) ([]byte, error) {
 	first := n.leaderName()
 	if first == "" {
@@ -141,8 +141,8 @@
 	route := proposalRoute{client: c, target: first}
 	for {
 		name := route.next()
-		tryCtx, cancel := context.WithTimeout(ctx, 3*c.ElectionTimeout)
-		reply, leader, err := c.proposeTo(tryCtx, c.address(name), command)
+		attemptCtx, cancel := context.WithTimeout(ctx, 3*c.ElectionTimeout)
+		reply, leader, err := c.proposeTo(attemptCtx, c.address(name), command)
 		cancel()
 		if err == nil {
 			c.readings.setLeader(name)
@@ -182,8 +182,8 @@
 }
 
 // deadlineQuery returns the query parameters that tell the leader, by the leader's own clock, until when the proposer
-// waits; empty if ctx has no deadline. Without a usable reading they name process 0, which the leader does not accept:
-// its response has a reading.
+// waits; empty if ctx has no deadline. Without a usable reading the parameters name process 0. The leader rejects such
+// a proposal, and its response has a reading.
 func (c *Client) deadlineQuery(ctx context.Context, address string) string {
 	end, bounded := ctx.Deadline()
 	if !bounded {
--- a/internal/cluster/raftlog/propose_test.go
+++ b/internal/cluster/raftlog/propose_test.go
@@ -42,10 +42,10 @@
 func TestLogTimeFollowsStamps(t *testing.T) {
 	recorder := &timeRecorder{}
 	machine := &fsm{machines: map[byte]StateMachine{'x': recorder}}
-	day := time.Unix(1_700_000_000, 0)
-	applyEntry(machine, []byte("xold"), day)
+	wallClock := time.Unix(1_700_000_000, 0)
+	applyEntry(machine, []byte("xold"), wallClock)
 	for i, s := range []logclock.Stamp{{Process: 5, Uptime: 100}, {Process: 5, Uptime: 350}, {Process: 6, Uptime: 9e6}} {
-		got := applyEntry(machine, prependStamp(s, []byte("xnew")), day.Add(time.Duration(i)*time.Hour))
+		got := applyEntry(machine, prependStamp(s, []byte("xnew")), wallClock.Add(time.Duration(i)*time.Hour))
 		if string(got.([]byte)) != "new" {
 			t.Errorf("stamp %+v: got command %q, want \"new\"", s, got)
 		}
@@ -55,7 +55,7 @@
 		t.Errorf("log times: got %v, want %v", recorder.times, want)
 	}
 	for _, corrupt := range []string{"t", "t12345678", "t12345678\x7f\xf8\x00\x00\x00\x00\x00\x01x"} {
-		if got := applyEntry(machine, []byte(corrupt), day); len(got.([]byte)) != 0 || len(recorder.times) != 4 {
+		if got := applyEntry(machine, []byte(corrupt), wallClock); len(got.([]byte)) != 0 || len(recorder.times) != 4 {
 			t.Errorf("corrupt entry %q: got reply %q and %d commands applied, want none and 4",
 				corrupt, got, len(recorder.times))
 		}
@@ -116,9 +116,9 @@
 	for _, test := range []struct {
 		name     string
 		redirect string // the leader that server a names
-		requests string // by server
+		requests string // number of requests to each server
 	}{
-		{"redirect to the leader", "c", "map[a:1 c:2]"}, // c twice, for its clock is not known at first
+		{"redirect to the leader", "c", "map[a:1 c:2]"}, // two requests to c, because its clock is not known at first
 		{"redirect to a server that is down", "d", "map[a:1 b:1 c:2]"},
 		{"no redirect", "", "map[a:1 b:1 c:2]"},
 	} {
--- a/internal/cluster/raftlog/store.go
+++ b/internal/cluster/raftlog/store.go
@@ -24,9 +24,9 @@
 
 const (
 	storeFile     = "store.db"
-	lockTimeout   = 5 * time.Second // wait for another process to release its lock on the file
-	indexBytes    = 8               // of an index or a number, big-endian
-	checksumBytes = 8               // of a checksum, xxhash64, big-endian
+	lockTimeout   = 5 * time.Second // maximum wait for another process to release its lock on the file
+	indexBytes    = 8               // size of an index or a number, which is big-endian
+	checksumBytes = 8               // size of a checksum, which is a big-endian xxhash64
 )
 
 // errNotFound is returned for a key that was never set. hashicorp/raft recognizes it by its text.
@@ -43,7 +43,7 @@
 // empty if the store was intact.
 func OpenStore(dir string) (s *Store, quarantined string, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, "", fmt.Errorf("store: %w", err)
+		return nil, "", fmt.Errorf("create store directory: %w", err)
 	}
 	path := filepath.Join(dir, storeFile)
 	err = verify(path)
@@ -55,11 +55,11 @@
 	}
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout})
 	if err != nil {
-		return nil, quarantined, fmt.Errorf("store %s: %w", path, err)
+		return nil, quarantined, fmt.Errorf("open store %s: %w", path, err)
 	}
 	if err := db.Update(createBuckets); err != nil {
 		_ = db.Close() // the error of the update is returned
-		return nil, quarantined, fmt.Errorf("store %s: %w", path, err)
+		return nil, quarantined, fmt.Errorf("create buckets in store %s: %w", path, err)
 	}
 	return &Store{db: db}, quarantined, nil
 }
@@ -81,11 +81,11 @@
 
 // verifyChecksum returns a copy of a value without its checksum, or ErrCorrupt if the checksum does not match.
 func verifyChecksum(v []byte) ([]byte, error) {
-	cut := len(v) - checksumBytes
-	if cut < 0 || xxhash.Sum64(v[:cut]) != binary.BigEndian.Uint64(v[cut:]) {
+	end := len(v) - checksumBytes
+	if end < 0 || xxhash.Sum64(v[:end]) != binary.BigEndian.Uint64(v[end:]) {
 		return nil, ErrCorrupt
 	}
-	return append([]byte(nil), v[:cut]...), nil
+	return append([]byte(nil), v[:end]...), nil
 }
 
 // Close closes the file.
--- a/internal/cluster/raftlog/verify.go
+++ b/internal/cluster/raftlog/verify.go
@@ -25,7 +25,7 @@
 func quarantine(dir string, cause error) (string, error) {
 	quarantined := filepath.Join(dir, "torn-"+strconv.FormatInt(time.Now().UnixMilli(), 10))
 	if err := os.Mkdir(quarantined, 0o700); err != nil {
-		return "", fmt.Errorf("%w; cannot move its files: %w", cause, err)
+		return "", fmt.Errorf("%w; cannot create the directory to move its files to: %w", cause, err)
 	}
 	for _, name := range []string{storeFile, snapshotsDir} {
 		err := os.Rename(filepath.Join(dir, name), filepath.Join(quarantined, name))
@@ -45,7 +45,7 @@
 		return nil
 	}
 	if err != nil {
-		return fmt.Errorf("store: %w", err)
+		return fmt.Errorf("verify store: %w", err)
 	}
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -83,9 +83,9 @@
 	case err == nil:
 		return db, nil
 	case errors.Is(err, os.ErrPermission):
-		return nil, fmt.Errorf("store: %w", err)
+		return nil, fmt.Errorf("open store: %w", err)
 	case errors.Is(err, bbolterrors.ErrTimeout):
-		return nil, fmt.Errorf("store %s: locked by another process: %w", path, err)
+		return nil, fmt.Errorf("open store %s: locked by another process: %w", path, err)
 	}
 	return nil, fmt.Errorf("%w: %s: %w", ErrCorrupt, path, err)
 }
@@ -109,10 +109,10 @@
 }
 
 // entryOrder verifies that the indices of entries follow one another without a gap. The first index may be lower than
-// next, for snapshots can cover entries that are still in the log.
+// next, because snapshots can cover entries that are still in the log.
 type entryOrder struct {
 	next    uint64 // the next index expected
-	started bool   // an entry was checked
+	started bool   // at least one entry was checked
 }
 
 // check verifies the index of the next entry.
@@ -133,11 +133,11 @@
 	}
 	snapshots, err := raft.NewFileSnapshotStore(dir, snapshotsRetained, io.Discard)
 	if err != nil {
-		return 0, fmt.Errorf("store: %w", err)
+		return 0, fmt.Errorf("open snapshot store: %w", err)
 	}
 	all, err := snapshots.List()
 	if err != nil {
-		return 0, fmt.Errorf("store: %w", err)
+		return 0, fmt.Errorf("list snapshots: %w", err)
 	}
 	for _, meta := range all {
 		_, content, err := snapshots.Open(meta.ID)
--- a/internal/cluster/raftlog/wire_golden_test.go
+++ b/internal/cluster/raftlog/wire_golden_test.go
@@ -49,11 +49,11 @@
 	t.Helper()
 	m := &fsm{machines: map[byte]StateMachine{'x': fixedMachine{}}, logClock: logclock.Clock{Now: 2000.5, Last: stamp}}
 	m.lastApplied.Store(7)
-	taken, err := m.Snapshot()
+	encoded, err := m.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := verifyChecksum(taken.(snapshot))
+	raw, err := verifyChecksum(encoded.(snapshot))
 	if err != nil {
 		t.Fatal(err)
 	}
