--- a/cmd/testbed/settings.go
+++ b/cmd/testbed/settings.go
@@ -14,8 +14,8 @@
 const (
 	endpointCount  = 3                        // endpoints per cluster
 	seedCount      = 3                        // instances that are membership seeds
-	clusterKey     = "a key of sixteen bytes" // seals packets and streams of the cluster
-	candidateBuild = 2                        // build of one endpoint if there is a trial
+	clusterKey     = "a key of sixteen bytes" // authenticates packets and streams of the cluster
+	candidateBuild = 2                        // build that one endpoint runs if there is a trial
 )
 
 // sharedFlags returns the flags of all subcommands that start processes.
--- a/internal/testbed/days/day.go
+++ b/internal/testbed/days/day.go
@@ -117,9 +117,9 @@
 // instanceLog holds the state of reading one instance's log from start to end.
 type instanceLog struct {
 	day           *Day
-	last          map[string]float64 // values of the newest summary
-	lastAt        float64            // time of the newest summary, in seconds
-	pendingSecond int                // second whose gauges the newest summary gives; -1 if none
+	newest        map[string]float64 // values of the newest summary
+	newestAt      float64            // time of the newest summary, or of the start of the process, in seconds
+	pendingSecond int                // second whose gauges are taken from the newest summary; -1 if none
 	summaries     int
 }
 
@@ -154,7 +154,7 @@
 func (l *instanceLog) restart(at float64) {
 	l.recordPending()
 	l.pendingSecond = -1
-	l.last, l.lastAt = map[string]float64{}, at
+	l.newest, l.newestAt = map[string]float64{}, at
 }
 
 // summary records the events since the previous summary. The gauges of a second come from its last summary, so they are
@@ -165,28 +165,28 @@
 		return fmt.Errorf("parse summary at %.3f s: %w", line.at, err)
 	}
 	l.summaries++
-	l.day.recordCounts(l.last, values, l.lastAt, line.at)
+	l.day.recordCounts(l.newest, values, l.newestAt, line.at)
 	if l.pendingSecond != int(line.at) {
 		l.recordPending()
 	}
-	l.last, l.lastAt, l.pendingSecond = values, line.at, int(line.at)
+	l.newest, l.newestAt, l.pendingSecond = values, line.at, int(line.at)
 	return nil
 }
 
 // recordPending records the gauges of the second that the newest summary belongs to.
 func (l *instanceLog) recordPending() {
 	if l.pendingSecond >= 0 {
-		l.day.recordGauges(l.pendingSecond, l.last)
+		l.day.recordGauges(l.pendingSecond, l.newest)
 	}
 }
 
 // recordCounts distributes the events between two summaries evenly over the seconds between them. A counter that has
 // decreased belongs to a new process and has started again from 0.
-func (d *Day) recordCounts(last, now map[string]float64, from, until float64) {
+func (d *Day) recordCounts(previous, current map[string]float64, from, until float64) {
 	for _, key := range counterFields {
-		count := now[key] - last[key]
-		if last[key] > now[key] {
-			count = now[key]
+		count := current[key] - previous[key]
+		if previous[key] > current[key] {
+			count = current[key]
 		}
 		if count != 0 {
 			d.distribute(key, count, from, until)
@@ -212,19 +212,19 @@
 }
 
 // recordGauges adds an instance's state to a second.
-func (d *Day) recordGauges(second int, now map[string]float64) {
+func (d *Day) recordGauges(second int, values map[string]float64) {
 	s := &d.Seconds[second]
 	s.Instances++
 	for _, key := range gaugeFields {
-		s.Gauges[key] += now[key]
+		s.Gauges[key] += values[key]
 	}
-	build, stage := int(now["build"]), int(now["stage"])
+	build, stage := int(values["build"]), int(values["stage"])
 	if build > s.Build {
 		s.Build, s.Stage, s.Verdicts = build, stage, [verdictCount]int{}
 	}
 	if build == s.Build {
 		s.Stage = max(s.Stage, stage)
-		if v := int(now["verdict"]); v >= 0 && v < verdictCount {
+		if v := int(values["verdict"]); v >= 0 && v < verdictCount {
 			s.Verdicts[v]++
 		}
 	}
--- a/internal/testbed/days/day_test.go
+++ b/internal/testbed/days/day_test.go
@@ -12,15 +12,15 @@
 
 // summaryLine returns a summary line with the given "key=value" pairs and 0 for all other fields.
 func summaryLine(set string) string {
-	at := map[string]string{}
+	values := map[string]string{}
 	for pair := range strings.FieldsSeq(set) {
 		k, v, _ := strings.Cut(pair, "=")
-		at[k] = v
+		values[k] = v
 	}
 	var b strings.Builder
 	b.WriteString(`time="2026-12-01T00:00:00.000Z" level=info msg=summary`)
 	for _, key := range slices.Concat(trialFields, counterFields, gaugeFields) {
-		v := at[key]
+		v := values[key]
 		if v == "" {
 			v = "0"
 		}
--- a/internal/testbed/days/report.go
+++ b/internal/testbed/days/report.go
@@ -28,31 +28,32 @@
 	return nil
 }
 
-// tableRow returns the row of seconds, of which the first is number from. Gauges come from the last second with a
-// summary.
+// tableRow returns the row for consecutive seconds that begin with second from of the day. Gauges come from the last
+// second with a summary.
 func tableRow(from int, seconds []Second) []string {
-	end := &seconds[len(seconds)-1]
+	lastState := &seconds[len(seconds)-1]
 	starts, instances := 0, 0
 	for i := range seconds {
 		starts += seconds[i].Starts
 		instances = max(instances, seconds[i].Instances)
 		if seconds[i].Instances > 0 {
-			end = &seconds[i]
+			lastState = &seconds[i]
 		}
 	}
 	row := []string{
-		strconv.Itoa(from), strconv.Itoa(instances), strconv.Itoa(starts), fmt.Sprintf("%d/%d", end.Build, end.Stage),
-		strconv.Itoa(end.Verdicts[verdictAdvance]), strconv.Itoa(end.Verdicts[verdictRollback]),
+		strconv.Itoa(from), strconv.Itoa(instances), strconv.Itoa(starts),
+		fmt.Sprintf("%d/%d", lastState.Build, lastState.Stage),
+		strconv.Itoa(lastState.Verdicts[verdictAdvance]), strconv.Itoa(lastState.Verdicts[verdictRollback]),
 	}
 	for _, key := range counterFields {
-		sum := 0.0
+		events := 0.0
 		for _, s := range seconds {
-			sum += s.Counts[key]
+			events += s.Counts[key]
 		}
-		row = append(row, strconv.FormatFloat(sum/float64(len(seconds)), 'f', 0, 64))
+		row = append(row, strconv.FormatFloat(events/float64(len(seconds)), 'f', 0, 64))
 	}
 	for _, key := range gaugeFields {
-		row = append(row, strconv.FormatFloat(end.Gauges[key], 'f', 1, 64))
+		row = append(row, strconv.FormatFloat(lastState.Gauges[key], 'f', 1, 64))
 	}
 	return row
 }
@@ -96,8 +97,8 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b *occurrence) int {
-		if by := a.first - b.first; by != 0 {
-			return by
+		if order := a.first - b.first; order != 0 {
+			return order
 		}
 		return strings.Compare(a.text, b.text)
 	})
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -39,8 +39,8 @@
 		return Quantiles{math.NaN(), math.NaN(), math.NaN()}
 	}
 	slices.Sort(values)
-	at := func(q float64) float64 { return values[min(len(values)-1, int(q*float64(len(values))))] }
-	return Quantiles{at(0.5), at(0.95), values[len(values)-1]}
+	quantile := func(q float64) float64 { return values[min(len(values)-1, int(q*float64(len(values))))] }
+	return Quantiles{quantile(0.5), quantile(0.95), values[len(values)-1]}
 }
 
 // quantilesOfCopy returns the quantiles of values and keeps the order of values.
--- a/internal/testbed/experiment/membership.go
+++ b/internal/testbed/experiment/membership.go
@@ -113,7 +113,7 @@
 		return err
 	}
 	if err := r.awaitAgreement(ctx); err != nil {
-		return fmt.Errorf("restart of %s: %w", r.fleet.Names()[victim], err)
+		return fmt.Errorf("wait for agreement after the restart of %s: %w", r.fleet.Names()[victim], err)
 	}
 	return nil
 }
--- a/internal/testbed/experiment/policy.go
+++ b/internal/testbed/experiment/policy.go
@@ -41,10 +41,10 @@
 
 // policyRun holds the state of a running policy experiment.
 type policyRun struct {
-	fleet    *fleet.Fleet
-	result   *PolicyResult
-	versions policy.Version // newest committed version
-	proposed []time.Time    // proposal times, indexed by version; index 0 is unused
+	fleet         *fleet.Fleet
+	result        *PolicyResult
+	newestVersion policy.Version // newest committed version
+	proposed      []time.Time    // proposal times, indexed by version; index 0 is unused
 	// Measurements per proposal, per restart and per killed leader, in milliseconds.
 	commitTimes, catchUpTimes, failoverTimes []float64
 }
@@ -91,7 +91,7 @@
 	defer cancel()
 	return poll.Until(ctx, func() error {
 		for i := range r.fleet.Names() {
-			if err := r.fleet.CheckPolicyVersion(ctx, i, r.versions); err != nil {
+			if err := r.fleet.CheckPolicyVersion(ctx, i, r.newestVersion); err != nil {
 				return err
 			}
 		}
@@ -123,14 +123,14 @@
 
 // proposeNext proposes a version and waits until all instances run it.
 func (r *policyRun) proposeNext(ctx context.Context) error {
-	version := int(r.versions) + 1
+	version := int(r.newestVersion) + 1
 	r.proposed[version] = time.Now()
 	text := fmt.Sprintf(`{"note":"version %d","trial-share":0.5,"settings":{"domain":{"vote-ttl-ms":4000}}}`, version)
 	if _, err := r.fleet.Propose(ctx, version%r.result.Instances, text, ""); err != nil {
 		return err
 	}
 	r.commitTimes = append(r.commitTimes, millis(time.Since(r.proposed[version])))
-	r.versions++
+	r.newestVersion++
 	return r.awaitApplied(ctx)
 }
 
@@ -157,17 +157,17 @@
 
 // applyTimes returns for each version the time from its proposal until the last instance ran it, according to the logs.
 func (r *policyRun) applyTimes() []float64 {
-	last := make([]time.Time, len(r.proposed))
+	lastApplied := make([]time.Time, len(r.proposed))
 	for i := range r.fleet.Names() {
 		for version, at := range parseApplyTimes(r.fleet.Process(i).Output()) {
-			if int(version) < len(last) && at.After(last[version]) {
-				last[version] = at
+			if int(version) < len(lastApplied) && at.After(lastApplied[version]) {
+				lastApplied[version] = at
 			}
 		}
 	}
 	var delays []float64
-	for version := 1; version < len(last); version++ {
-		delays = append(delays, max(0, millis(last[version].Sub(r.proposed[version]))))
+	for version := 1; version < len(lastApplied); version++ {
+		delays = append(delays, max(0, millis(lastApplied[version].Sub(r.proposed[version]))))
 	}
 	return delays
 }
@@ -219,15 +219,16 @@
 	return nil
 }
 
-// killLeader kills the leader that instance asked reports, and records the time to the commit of the next proposal.
-func (r *policyRun) killLeader(ctx context.Context, asked int) error {
-	status, err := r.fleet.PolicyStatus(ctx, asked)
+// killLeader kills the leader that an instance, observer, reports, and records the time to the commit of the next
+// proposal.
+func (r *policyRun) killLeader(ctx context.Context, observer int) error {
+	status, err := r.fleet.PolicyStatus(ctx, observer)
 	if err != nil {
 		return err
 	}
 	leader, err := fleet.InstanceNumber(status.Log.Leader)
 	if err != nil {
-		return fmt.Errorf("leader name %q: %w", status.Log.Leader, err)
+		return fmt.Errorf("parse leader name %q: %w", status.Log.Leader, err)
 	}
 	if err := r.fleet.Process(leader).Kill(); err != nil {
 		return err
@@ -238,7 +239,7 @@
 		return err
 	}
 	r.failoverTimes = append(r.failoverTimes, millis(time.Since(start)))
-	r.versions++
+	r.newestVersion++
 	if err := r.fleet.Process(leader).Start(); err != nil {
 		return err
 	}
--- a/internal/testbed/experiment/takeover.go
+++ b/internal/testbed/experiment/takeover.go
@@ -84,11 +84,11 @@
 	return run.result, nil
 }
 
-// awaitLeasesHeld waits until instance at reports want leases, each held by a running instance.
-func (r *takeoverRun) awaitLeasesHeld(ctx context.Context, at, want int) error {
+// awaitLeasesHeld waits until an instance, observer, reports want leases, each held by a running instance.
+func (r *takeoverRun) awaitLeasesHeld(ctx context.Context, observer, want int) error {
 	ctx, cancel := context.WithTimeout(ctx, baseHeldTimeout+heldTimeoutFactor*r.settings.DetectionTimeout)
 	defer cancel()
-	return poll.Until(ctx, func() error { return r.fleet.CheckLeasesHeld(ctx, at, want) })
+	return poll.Until(ctx, func() error { return r.fleet.CheckLeasesHeld(ctx, observer, want) })
 }
 
 // killHolders kills one lease holder per round.
@@ -111,23 +111,23 @@
 // killHolder sends requests to an instance, kills it after its next checkpoint, and records when its lease was merged.
 func (r *takeoverRun) killHolder(ctx context.Context, round int) error {
 	victim := round % r.result.Instances
-	watcher := (round + 1) % r.result.Instances
+	observer := (round + 1) % r.result.Instances
 	r.sendRequests(ctx, round, victim)
-	if err := wait(ctx, r.settings.LeaseTTL/2); err != nil { // for a checkpoint that holds the evidence of these requests
+	if err := wait(ctx, r.settings.LeaseTTL/2); err != nil { // until a checkpoint contains the evidence of these requests
 		return err
 	}
 	killed := time.Now()
 	if err := r.fleet.Process(victim).Kill(); err != nil {
 		return err
 	}
-	if err := r.awaitLeasesHeld(ctx, watcher, r.result.Instances-1); err != nil {
+	if err := r.awaitLeasesHeld(ctx, observer, r.result.Instances-1); err != nil {
 		return err
 	}
 	r.recordMerges(victim, killed)
 	if err := r.fleet.Process(victim).Start(); err != nil {
 		return err
 	}
-	return r.awaitLeasesHeld(ctx, watcher, r.result.Instances)
+	return r.awaitLeasesHeld(ctx, observer, r.result.Instances)
 }
 
 // sendRequests sends requests to an instance and counts the successful responses.
--- a/internal/testbed/faultinject/parse.go
+++ b/internal/testbed/faultinject/parse.go
@@ -38,11 +38,11 @@
 // ParseScript parses a script in the syntax that the package comment defines. Its errors are of type *SyntaxError.
 func ParseScript(text string) (Script, error) {
 	var script Script
-	number := 0
+	lineNumber := 0
 	for line := range strings.Lines(text) {
-		number++
+		lineNumber++
 		line, _, _ = strings.Cut(line, "#")
-		words, end := splitWords(line, number)
+		words, end := splitWords(line, lineNumber)
 		if len(words) == 0 {
 			continue
 		}
@@ -57,7 +57,7 @@
 }
 
 // splitWords splits a line at white space. end is the position after the last word.
-func splitWords(line string, number int) (words []word, end word) {
+func splitWords(line string, lineNumber int) (words []word, end word) {
 	rest := line
 	column := 1
 	for {
@@ -70,9 +70,9 @@
 		if length < 0 {
 			length = len(trimmed)
 		}
-		words = append(words, word{text: trimmed[:length], line: number, column: column})
+		words = append(words, word{text: trimmed[:length], line: lineNumber, column: column})
 		column += utf8.RuneCountInString(trimmed[:length])
-		end = word{line: number, column: column}
+		end = word{line: lineNumber, column: column}
 		rest = trimmed[length:]
 	}
 }
@@ -89,15 +89,15 @@
 	}
 	step.At, step.Verb = at, Verb(words[1].text)
 	arguments := words[2:]
-	parse, want := argumentsFor(step.Verb, arguments)
+	parse, wantCount := argumentsFor(step.Verb, arguments)
 	if parse == nil {
 		return step, words[1].errorf("unknown action %q", step.Verb)
 	}
-	if len(arguments) > want {
-		return step, arguments[want].errorf("action %s wants %d arguments, got %d", step.Verb, want, len(arguments))
+	if len(arguments) > wantCount {
+		return step, arguments[wantCount].errorf("action %s wants %d arguments, got %d", step.Verb, wantCount, len(arguments))
 	}
-	if len(arguments) < want {
-		return step, end.errorf("action %s wants %d arguments, got %d", step.Verb, want, len(arguments))
+	if len(arguments) < wantCount {
+		return step, end.errorf("action %s wants %d arguments, got %d", step.Verb, wantCount, len(arguments))
 	}
 	err = parse(&step, arguments)
 	return step, err
@@ -107,7 +107,7 @@
 type argumentParser func(*Step, []word) error
 
 // argumentsFor returns the parser for the arguments of a verb and their number. The parser is nil for an unknown verb.
-func argumentsFor(verb Verb, arguments []word) (parse argumentParser, words int) {
+func argumentsFor(verb Verb, arguments []word) (parse argumentParser, count int) {
 	switch verb {
 	case Cut:
 		return parseLink, 3
--- a/internal/testbed/faultinject/random.go
+++ b/internal/testbed/faultinject/random.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	stepKinds     = 8   // number of kinds that a step is drawn from
+	stepKinds     = 8   // number of kinds of steps, see nextStep
 	maxRandomLoss = 0.3 // maximum share of packets lost
 )
 
@@ -37,37 +37,37 @@
 	random  stats.Random
 	names   []string
 	maxDown int
-	down    map[string]Verb // processes that are stalled or killed, by the verb that brings them back
+	down    map[string]Verb // for each stalled or killed process, the verb that brings it back
 }
 
-func (d *scriptGenerator) intN(n int) int { return int(d.random.Float64() * float64(n)) }
+func (g *scriptGenerator) intN(n int) int { return int(g.random.Float64() * float64(n)) }
 
 // nextStep draws one step. Of the eight kinds, two stall a process, two kill a process (all four bring back a process
 // that is down), one heals a link, one loses packets, one cuts a link in one direction and one in both. If no further
 // process may be down, a link is cut instead.
-func (d *scriptGenerator) nextStep(start time.Duration) Step {
-	target := d.names[d.intN(len(d.names))]
-	peer := d.names[d.intN(len(d.names)-1)]
+func (g *scriptGenerator) nextStep(start time.Duration) Step {
+	target := g.names[g.intN(len(g.names))]
+	peer := g.names[g.intN(len(g.names)-1)]
 	if peer == target {
-		peer = d.names[len(d.names)-1]
+		peer = g.names[len(g.names)-1]
 	}
-	kind := d.intN(stepKinds)
-	back, isDown := d.down[target]
-	mayTakeDown := len(d.down) < d.maxDown
+	kind := g.intN(stepKinds)
+	back, isDown := g.down[target]
+	mayTakeDown := len(g.down) < g.maxDown
 	switch {
 	case kind < 4 && isDown:
-		delete(d.down, target)
+		delete(g.down, target)
 		return Step{At: start, Verb: back, Target: target}
 	case kind < 2 && mayTakeDown:
-		d.down[target] = Resume
+		g.down[target] = Resume
 		return Step{At: start, Verb: Stall, Target: target}
 	case kind < 4 && mayTakeDown:
-		d.down[target] = Start
+		g.down[target] = Start
 		return Step{At: start, Verb: Kill, Target: target}
 	case kind == 4:
 		return Step{At: start, Verb: Heal, Target: target, Peer: peer}
 	case kind == 5:
-		return Step{At: start, Verb: Loss, Share: maxRandomLoss * d.random.Float64()}
+		return Step{At: start, Verb: Loss, Share: maxRandomLoss * g.random.Float64()}
 	default:
 		return Step{At: start, Verb: Cut, Target: target, Peer: peer, Both: kind == 7}
 	}
--- a/internal/testbed/faultinject/relay_test.go
+++ b/internal/testbed/faultinject/relay_test.go
@@ -73,9 +73,9 @@
 	start := time.Now()
 	mustSend(t, cut, "from b", target)
 	mustSend(t, delayed, "from c", target)
-	one, two := mustReceive(t, receiver), mustReceive(t, receiver)
-	if one != "from c" || two != "from c" || time.Since(start) < 20*time.Millisecond {
-		t.Errorf("got %q and %q after %v, want two copies of \"from c\" after 20ms", one, two, time.Since(start))
+	first, second := mustReceive(t, receiver), mustReceive(t, receiver)
+	if first != "from c" || second != "from c" || time.Since(start) < 20*time.Millisecond {
+		t.Errorf("got %q and %q after %v, want two copies of \"from c\" after 20ms", first, second, time.Since(start))
 	}
 	rules.Heal()
 	mustSend(t, cut, "healed", target)
--- a/internal/testbed/faultinject/rules_test.go
+++ b/internal/testbed/faultinject/rules_test.go
@@ -25,24 +25,24 @@
 // The same seed gives each packet of a link the same delivery, independent of traffic on other links and of earlier
 // rules.
 func TestDeliveriesFollowFromSeed(t *testing.T) {
-	one, two, three := drawDeliveries(1, false), drawDeliveries(1, true), drawDeliveries(2, false)
-	if fmt.Sprint(one) != fmt.Sprint(two) || fmt.Sprint(one) == fmt.Sprint(three) {
+	first, withOtherLink, otherSeed := drawDeliveries(1, false), drawDeliveries(1, true), drawDeliveries(2, false)
+	if fmt.Sprint(first) != fmt.Sprint(withOtherLink) || fmt.Sprint(first) == fmt.Sprint(otherSeed) {
 		t.Error("deliveries depend on other links, or not on the seed")
 	}
-	lost, twice := 0, 0
-	for _, delivery := range one[200:] {
+	lost, duplicated := 0, 0
+	for _, delivery := range first[200:] {
 		switch delivery.Copies {
 		case 0:
 			lost++
 		case 2:
-			twice++
+			duplicated++
 		}
 		if delivery.Copies > 0 && (delivery.Delay < time.Millisecond || delivery.Delay > 2*time.Millisecond) {
 			t.Errorf("got delivery %+v, want a delay of 1ms to 2ms", delivery)
 		}
 	}
-	if lost < 20 || lost > 60 || twice < 5 || twice > 40 {
-		t.Errorf("of 200 packets %d were lost and %d duplicated, want 20 to 60 and 5 to 40", lost, twice)
+	if lost < 20 || lost > 60 || duplicated < 5 || duplicated > 40 {
+		t.Errorf("of 200 packets %d were lost and %d duplicated, want 20 to 60 and 5 to 40", lost, duplicated)
 	}
 	t.Run("per link", checkPerLinkRules)
 }
--- a/internal/testbed/faultinject/script_test.go
+++ b/internal/testbed/faultinject/script_test.go
@@ -23,7 +23,7 @@
 10s heal all`
 	s, err := ParseScript(text)
 	if err != nil || len(s) != 11 || s[0].Verb != Cut || !s[2].Both || s[3].Share != 0.2 {
-		t.Fatalf("got script %v, error %v", s, err)
+		t.Fatalf("got script %v, error %v, want 11 steps in the order of their times", s, err)
 	}
 	if again, err := ParseScript(s.String()); err != nil || again.String() != s.String() {
 		t.Errorf("parse of the formatted script: got %v, error %v, want the same script", again, err)
@@ -76,20 +76,20 @@
 		}
 		down := map[string]Verb{}
 		for _, step := range script {
-			switch back, isDown := down[step.Target]; step.Verb {
+			switch takenDownBy, isDown := down[step.Target]; step.Verb {
 			case Stall, Kill:
 				if down[step.Target] = step.Verb; isDown || len(down) > 2 {
-					t.Errorf("seed %d: step %v although these are down: %v", seed, step, down)
+					t.Errorf("seed %d: step %v while these processes are down: %v", seed, step, down)
 				}
 			case Resume, Start:
-				if !isDown || (back == Stall) != (step.Verb == Resume) {
-					t.Errorf("seed %d: step %v for a process that needs %q", seed, step, back)
+				if !isDown || (takenDownBy == Stall) != (step.Verb == Resume) {
+					t.Errorf("seed %d: step %v for a process that was taken down by %q", seed, step, takenDownBy)
 				}
 				delete(down, step.Target)
 			}
 		}
 		if len(down) > 0 || script[len(script)-1-stepsAfterLastHeal(script)].Verb != Heal {
-			t.Errorf("seed %d: the script ends without a final heal, or with these down: %v", seed, down)
+			t.Errorf("seed %d: the script ends without a final heal, or with processes that are down: %v", seed, down)
 		}
 	}
 }
--- a/internal/testbed/faultinject/streams.go
+++ b/internal/testbed/faultinject/streams.go
@@ -76,10 +76,10 @@
 		return
 	}
 	defer s.untrack(out)
-	var both sync.WaitGroup
-	both.Go(func() { s.copy(out, opened, link) })
-	both.Go(func() { s.copy(opened, out, Link{link.To, link.From}) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { s.copy(out, opened, link) })
+	directions.Go(func() { s.copy(opened, out, Link{link.To, link.From}) })
+	directions.Wait()
 }
 
 // waitWhileCut waits until a link is not cut. It returns false if the relays are closed first.
@@ -116,7 +116,7 @@
 			if !s.waitForDelivery(link) {
 				return
 			}
-			if _, werr := dst.Write(buffer[:n]); werr != nil {
+			if _, writeErr := dst.Write(buffer[:n]); writeErr != nil {
 				reset(src)
 				return
 			}
--- a/internal/testbed/fleet/files.go
+++ b/internal/testbed/fleet/files.go
@@ -39,11 +39,11 @@
 
 // writeFiles writes an instance's configuration and its operator file.
 func (f *Fleet) writeFiles(i int) error {
-	key, err := f.keySetting()
+	keyLine, err := f.writeKeyFile()
 	if err != nil {
 		return err
 	}
-	operator, err := f.operatorFile(i, key)
+	operator, err := f.operatorFile(i, keyLine)
 	if err != nil {
 		return err
 	}
@@ -64,8 +64,9 @@
 		fmt.Sprintf(instanceSettings, f.settings.Instances))
 }
 
-// keySetting writes the key file of the cluster and returns the setting that refers to it, or "" if there is no key.
-func (f *Fleet) keySetting() (string, error) {
+// writeKeyFile writes the key file of the cluster and returns the line of an operator file that refers to it, or "" if
+// there is no key.
+func (f *Fleet) writeKeyFile() (string, error) {
 	if f.settings.Key == "" {
 		return "", nil
 	}
@@ -77,32 +78,32 @@
 }
 
 // operatorFile returns the text of an instance's operator file.
-func (f *Fleet) operatorFile(i int, key string) (string, error) {
+func (f *Fleet) operatorFile(i int, keyLine string) (string, error) {
 	var seeds strings.Builder
 	for s := range f.names {
 		if f.settings.Seeds == 0 || s < f.settings.Seeds {
 			fmt.Fprintf(&seeds, "[[membership.seeds]]\nname = %q\naddress = %q\n", f.names[s], f.relayAddresses[s])
 		}
 	}
-	policy, err := f.policySection(i, key)
+	policy, err := f.policySection(i, keyLine)
 	if err != nil {
 		return "", err
 	}
 	return fmt.Sprintf("[admin]\nlisten = %q\n\n[membership]\nenabled = true\ncluster = \"lab\"\n"+
 		"bind = %q\nadvertise = %q\n%sbear-pause = %q\ndetect-within = %q\n%s\n%s",
-		f.AdminAddress(i), f.address(i, memberPort), f.relayAddresses[i], key,
+		f.AdminAddress(i), f.address(i, memberPort), f.relayAddresses[i], keyLine,
 		f.settings.ToleratedPause.String(), f.settings.DetectionTimeout.String(), seeds.String(), policy), nil
 }
 
 // policySection returns the policy and takeover sections of an instance's operator file, or "" without policy servers.
 // The instance reaches each server through a relay of its own, so that faults affect only that pair.
-func (f *Fleet) policySection(i int, key string) (string, error) {
+func (f *Fleet) policySection(i int, keyLine string) (string, error) {
 	if f.settings.Servers == 0 {
 		return "", nil
 	}
 	var section strings.Builder
 	fmt.Fprintf(&section, "[policy]\nenabled = true\ndir = %q\nbind = %q\n%select-within = %q\n", f.names[i]+".store",
-		f.address(i, policyPort), key, f.settings.ElectionTimeout.String())
+		f.address(i, policyPort), keyLine, f.settings.ElectionTimeout.String())
 	for s := range f.settings.Servers {
 		address := f.address(s, policyPort)
 		if s != i {
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -36,7 +36,8 @@
 )
 
 // fleetCount numbers the fleets of this process. Each fleet uses its own network in 127.0.0.0/8 with fixed ports. Free
-// ports assigned by the kernel could be taken by another process before the instance binds them.
+// ports assigned by the kernel could be taken by another process before the instance binds them. The process ID is part
+// of the network, so that fleets of several processes rarely get the same one.
 var fleetCount atomic.Int64
 
 // Fleet is a cluster of balancers on loopback. Each has its own address and a relay for its membership packets.
--- a/internal/testbed/fleet/lease.go
+++ b/internal/testbed/fleet/lease.go
@@ -47,9 +47,9 @@
 	return err
 }
 
-// CheckLeasesHeld returns an error unless instance at reports want leases, each held by a running instance.
-func (f *Fleet) CheckLeasesHeld(ctx context.Context, at, want int) error {
-	leases, err := f.Leases(ctx, at)
+// CheckLeasesHeld returns an error unless an instance, observer, reports want leases, each held by a running instance.
+func (f *Fleet) CheckLeasesHeld(ctx context.Context, observer, want int) error {
+	leases, err := f.Leases(ctx, observer)
 	if err != nil {
 		return err
 	}
@@ -60,7 +60,7 @@
 		}
 	}
 	if len(leases) != want {
-		return fmt.Errorf("%s reports %d leases, want %d: %+v", f.names[at], len(leases), want, leases)
+		return fmt.Errorf("%s reports %d leases, want %d: %+v", f.names[observer], len(leases), want, leases)
 	}
 	return nil
 }
--- a/internal/testbed/fleet/settings.go
+++ b/internal/testbed/fleet/settings.go
@@ -11,9 +11,9 @@
 	Dir       string             // existing directory for the files, logs and stores of the instances
 	Program   string             // path of the balancer program
 	Env       []string           // added to the environment of each instance
-	Clocks    []string           // used in turn, such as "-1h 1.1" (see clock.TestbedEnv); empty: exact clocks
+	Clocks    []string           // values of clock.TestbedEnv, assigned in turn, such as "-1h 1.1"; empty: exact clocks
 	Instances int                // 1 to 200
-	Seed      uint64             // of the faults and of the random choices of the instances
+	Seed      uint64             // seed of the faults and of the instances' random choices
 	Platform  *platform.Platform // shared by all instances
 
 	ToleratedPause   time.Duration // longest pause that is not declared a death; larger values slow detection
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -61,25 +61,25 @@
 }
 
 // Start starts the clients, which run until Stop is called or ctx ends.
-func (l *Generator) Start(ctx context.Context) {
-	ctx, l.cancel = context.WithCancel(ctx)
-	for client := range l.clients {
-		l.running.Go(func() { l.runClient(ctx, client) })
+func (g *Generator) Start(ctx context.Context) {
+	ctx, g.cancel = context.WithCancel(ctx)
+	for client := range g.clients {
+		g.running.Go(func() { g.runClient(ctx, client) })
 	}
 }
 
 // Stop stops the clients after their current requests and returns the counts. Start must have been called.
-func (l *Generator) Stop() Result {
-	l.cancel()
-	l.running.Wait()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.result
+func (g *Generator) Stop() Result {
+	g.cancel()
+	g.running.Wait()
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.result
 }
 
 // runClient sends the requests of one client until ctx ends.
-func (l *Generator) runClient(ctx context.Context, client int) {
-	random := rand.New(rand.NewPCG(l.seed, uint64(client)+1))
+func (g *Generator) runClient(ctx context.Context, client int) {
+	random := rand.New(rand.NewPCG(g.seed, uint64(client)+1))
 	clients := NewClients()
 	defer clients.Close()
 	for n := 0; ctx.Err() == nil; n++ {
@@ -87,48 +87,48 @@
 		if random.IntN(sendTextOneIn) == 0 {
 			class = ClassSendText
 		}
-		l.sendUntilDone(clients, random.IntN(len(l.fleet.Names())), class, fmt.Sprintf("c%d-%d", client, n))
+		g.sendUntilDone(clients, random.IntN(len(g.fleet.Names())), class, fmt.Sprintf("c%d-%d", client, n))
 		time.Sleep(time.Duration(random.IntN(maxThinkTimeMillis)) * time.Millisecond)
 	}
 }
 
 // sendUntilDone sends one request to an instance and, on failure, to the following instances, until one responds.
-func (l *Generator) sendUntilDone(clients *Clients, instance int, class, id string) {
+func (g *Generator) sendUntilDone(clients *Clients, instance int, class, id string) {
 	// The context does not derive from that of the generator: a request canceled by Stop would count as lost.
 	ctx, cancel := context.WithTimeout(context.Background(), resumeTimeout)
 	defer cancel()
 	resumed := false
 	for {
-		response, err := clients.send(ctx, l.fleet.RequestAddress(instance), class, id, resumed)
+		response, err := clients.send(ctx, g.fleet.RequestAddress(instance), class, id, resumed)
 		switch {
 		case err == nil:
-			l.record(response.Status, class, resumed)
+			g.record(response.Status, class, resumed)
 			return
 		case errors.Is(err, ErrMismatchedResponse):
-			l.count(func(r *Result) { r.Mismatched++ })
+			g.count(func(r *Result) { r.Mismatched++ })
 			return
 		case ctx.Err() != nil:
-			l.count(func(r *Result) { r.Lost++ })
+			g.count(func(r *Result) { r.Lost++ })
 			return
 		}
 		// A request that reached a balancer may have reached an endpoint; a request without a connection has not.
 		resumed = resumed || !isDialError(err)
-		instance = (instance + 1) % len(l.fleet.Names())
+		instance = (instance + 1) % len(g.fleet.Names())
 		time.Sleep(resumeInterval)
 	}
 }
 
 // count counts one request and applies add to the result.
-func (l *Generator) count(add func(*Result)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.result.Requests++
-	add(&l.result)
+func (g *Generator) count(add func(*Result)) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.result.Requests++
+	add(&g.result)
 }
 
 // record counts a request that got a response.
-func (l *Generator) record(status int, class string, resumed bool) {
-	l.count(func(r *Result) {
+func (g *Generator) record(status int, class string, resumed bool) {
+	g.count(func(r *Result) {
 		if resumed {
 			r.Resumed++
 			if class == ClassSendText {
--- a/internal/testbed/platform/controller.go
+++ b/internal/testbed/platform/controller.go
@@ -185,7 +185,7 @@
 	ctl.mu.Lock()
 	delete(ctl.followers, conn)
 	ctl.mu.Unlock()
-	_ = conn.Close() // the peer has already closed the connection
+	_ = conn.Close() // the connection has ended or sent an invalid line
 }
 
 func (ctl *Controller) handle(conn net.Conn, req request) {
--- a/internal/testbed/platform/discovery.go
+++ b/internal/testbed/platform/discovery.go
@@ -38,8 +38,8 @@
 	_ = json.NewEncoder(w).Encode(p.endpointList()) // a failed write means that the balancer has disconnected
 }
 
-// awaitChange waits for a list newer than the index of the watch. It returns false if the client has disconnected or
-// the platform is closed.
+// awaitChange waits for a list newer than the index of the watch. It also returns true at the timeout
+// of the watch, and false if the client has disconnected or the platform is closed.
 func (p *Platform) awaitChange(r *http.Request) bool {
 	// A malformed index or timeout counts as 0, so that the watch returns at once.
 	since, _ := strconv.Atoi(r.URL.Query().Get("since"))
--- a/internal/testbed/platform/platform.go
+++ b/internal/testbed/platform/platform.go
@@ -32,7 +32,7 @@
 	closing          chan struct{}
 
 	mu      sync.Mutex
-	index   int           // of the endpoint list; incremented with each change
+	index   int           // version of the endpoint list; incremented with each change
 	changed chan struct{} // closed and replaced with each change of the list
 }
 
