--- a/internal/conventions/conventions_test.go
+++ b/internal/conventions/conventions_test.go
@@ -107,7 +107,7 @@
 // declaredIdentifiers returns the identifiers that a file declares.
 func declaredIdentifiers(file *ast.File) []*ast.Ident {
 	var names []*ast.Ident
-	defines := func(operator token.Token, expressions ...ast.Expr) {
+	addDefined := func(operator token.Token, expressions ...ast.Expr) {
 		if operator != token.DEFINE {
 			return
 		}
@@ -128,21 +128,22 @@
 		case *ast.Field:
 			names = append(names, node.Names...)
 		case *ast.AssignStmt:
-			defines(node.Tok, node.Lhs...)
+			addDefined(node.Tok, node.Lhs...)
 		case *ast.RangeStmt:
-			defines(node.Tok, node.Key, node.Value)
+			addDefined(node.Tok, node.Key, node.Value)
 		}
 		return true
 	})
 	return names
 }
 
-// interfaceMethods are method names that interfaces of the standard library require.
+// interfaceMethods may contain a withdrawn word, because interfaces of the standard library require these names.
 var interfaceMethods = []string{"MarshalText", "UnmarshalText", "MarshalJSON", "UnmarshalJSON"}
 
 // wellKnownMethods are exempt from the doc comment, because their names are defined by common interfaces.
 var wellKnownMethods = []string{"Error", "String", "Unwrap"}
 
+// wordBoundaries match the boundaries between two words of an identifier.
 var wordBoundaries = []*regexp.Regexp{
 	regexp.MustCompile(`([a-z0-9])([A-Z])`),
 	regexp.MustCompile(`([A-Z]+)([A-Z][a-z])`),
@@ -153,8 +154,8 @@
 	if slices.Contains(interfaceMethods, name) {
 		return ""
 	}
-	for _, border := range wordBoundaries {
-		name = border.ReplaceAllString(name, "${1}_$2")
+	for _, boundary := range wordBoundaries {
+		name = boundary.ReplaceAllString(name, "${1}_$2")
 	}
 	for part := range strings.SplitSeq(strings.ToLower(name), "_") {
 		if withdrawn[part] {
@@ -187,6 +188,7 @@
 	return names
 }
 
+// undocumentedSpec returns the exported identifiers of a type, constant or variable declaration without a comment.
 func undocumentedSpec(spec ast.Spec) []*ast.Ident {
 	var names []*ast.Ident
 	switch spec := spec.(type) {
