--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -75,7 +75,7 @@
 	}
 	server.stop(t)
 	if _, err := Call(t.Context(), server.address, "/who", nil); err == nil {
-		t.Error("responds after its end")
+		t.Error("the server responds after it was stopped")
 	}
 }
 
--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -17,7 +17,7 @@
 
 func (e *RequestError) Error() string { return e.Address + ": " + e.Reason }
 
-// StatusError is returned by Call if the response is neither a success nor states a reason.
+// StatusError is returned by Call if the instance responded with an error status and without a reason.
 type StatusError struct {
 	Address string // of the instance
 	Path    string
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -60,7 +60,7 @@
 	s.GetWithContext(path, func(context.Context) any { return handle() })
 }
 
-// GetWithContext does the same for a handler that takes time. The context of handle ends with the request.
+// GetWithContext is like Get, for a handler that takes time. The context of handle ends with the request.
 func (s *Server) GetWithContext(path string, handle func(context.Context) any) {
 	s.mux.HandleFunc("GET "+path, func(w http.ResponseWriter, r *http.Request) {
 		writeJSON(w, http.StatusOK, handle(r.Context()))
--- a/internal/admin/wire_golden_test.go
+++ b/internal/admin/wire_golden_test.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Close() }() // the test reads nothing more from it
+	defer func() { _ = c.Close() }() // the whole response was read
 	if err := c.SetDeadline(time.Now().Add(10 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = listener.Close() }() // the test reads nothing more from it
+	defer func() { _ = listener.Close() }() // the test is over
 	requests := make(chan []byte, 2)
 	go func() {
 		for c, err := listener.Accept(); err == nil; c, err = listener.Accept() {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -19,7 +19,7 @@
 type Clock struct {
 	start time.Time       // with a reading of the monotonic clock
 	unix  decision.Millis // Unix time at start
-	rate  float64         // milliseconds of this clock in one of the monotonic clock; 1 except in a testbed
+	rate  float64         // milliseconds of this clock per millisecond of the monotonic clock; 1 except in a testbed
 }
 
 // TestbedEnv is the environment variable by which the testbed starts processes with a wrong clock. Its value is "OFFSET
@@ -45,7 +45,7 @@
 	return c
 }
 
-// Uptime returns the time since the clock was made.
+// Uptime returns the time since the clock was created.
 func (c *Clock) Uptime() decision.Millis { return c.Now() - c.unix }
 
 // Now returns the current Unix time.
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -12,11 +12,11 @@
 	"ottershed/internal/engine"
 )
 
-const maxSnapshotBytes = 1 << 20 // of a response body
+const maxResponseBytes = 1 << 20 // a longer response body is truncated and can't be decoded
 
 var (
 	// errTimeout is the error of a call that exceeded one of its time limits.
-	errTimeout = errors.New("no response within the time limit")
+	errTimeout = errors.New("no complete response within the time limit")
 	// errRejected is the error of a call that an overloaded service rejected.
 	errRejected = errors.New("refused")
 )
@@ -27,7 +27,7 @@
 	firstByteTimeout time.Duration // until the first byte of the response
 	stallTimeout     time.Duration // between two bytes of a response; 0: no limit, since the call is hedged
 	timeout          time.Duration // until the last byte of the response
-	sentAt           time.Time     // zero if arriving is not called
+	sentAt           time.Time     // zero if the call is not hedged: arriving is not called then
 
 	lastByteAt atomic.Int64 // time of the last byte in ns since sentAt; 0: no byte yet
 	complete   atomic.Bool  // the body was read completely and is being decoded
@@ -88,7 +88,7 @@
 	defer func() { _ = res.Body.Close() }() // the body was read as far as needed
 	progress := func() {
 		current.progress()
-		if current.stallTimeout > 0 { // without it a stalled response would delay the next call by a whole watch
+		if current.stallTimeout > 0 { // otherwise a stalled response would delay the next call until the timeout
 			timer.Reset(current.stallTimeout)
 		}
 	}
@@ -97,7 +97,7 @@
 	if err := statusError(res.StatusCode); err != nil {
 		return engine.EndpointUpdate{}, err
 	}
-	raw, err := io.ReadAll(io.LimitReader(progressReader{res.Body, progress}, maxSnapshotBytes))
+	raw, err := io.ReadAll(io.LimitReader(progressReader{res.Body, progress}, maxResponseBytes))
 	if err != nil {
 		return engine.EndpointUpdate{}, fmt.Errorf("read endpoint list: %w", err)
 	}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = listener.Close() }() // no error matters here
+	defer func() { _ = listener.Close() }() // the test is over
 	calls := make(chan string, 1000)
 	go func() {
 		for c, err := listener.Accept(); err == nil; c, err = listener.Accept() {
@@ -76,7 +76,7 @@
 
 // respondToCalls sends the bytes of each call on a connection to calls, and responds to full snapshot calls.
 func respondToCalls(c net.Conn, calls chan<- string) {
-	defer func() { _ = c.Close() }() // no error matters here
+	defer func() { _ = c.Close() }() // the watcher may have closed its side
 	var all bytes.Buffer
 	r := bufio.NewReader(io.TeeReader(c, &all))
 	for {
--- a/internal/discovery/snapshot.go
+++ b/internal/discovery/snapshot.go
@@ -26,9 +26,9 @@
 // hedgedSnapshot requests a full snapshot. While no response arrives, it sends further calls in parallel, until one
 // call succeeds or fails.
 //
-// After an outage an agent never responds to the calls that it accepted meanwhile, and changes count as notified from
-// the moment that the agent is back. With one call a second, hundreds of instances would send new requests to endpoints
-// that started draining during the outage, up to a second past the grace.
+// An agent never responds to the calls that it accepted during an outage, and changes count as notified from the moment
+// that the agent is back. With one call a second, hundreds of instances would send new requests to endpoints that
+// started draining during the outage, up to a second past the drain grace.
 //
 // The agent may also be slow. So once a second a long-lived call is sent, which may stay open for snapshotTimeout. The
 // other calls time out earlier, and the oldest of them is evicted for a new call. The timeout of one call does not end
@@ -40,17 +40,17 @@
 func (w *watch) hedgedSnapshot(ctx context.Context) (engine.EndpointUpdate, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	calls := hedgedCalls{watch: w, done: make(chan *snapshotCall)}
+	calls := hedgedCalls{watch: w, ended: make(chan *snapshotCall)}
 	hedge := time.NewTicker(w.hedgeAfter)
 	defer hedge.Stop()
 	calls.send(ctx)
 	for {
 		select {
-		case ended := <-calls.done:
-			if ended.err == nil {
-				return ended.update, nil
+		case call := <-calls.ended:
+			if call.err == nil {
+				return call.update, nil
 			}
-			if err := calls.remove(ended); err != nil {
+			if err := calls.remove(call); err != nil {
 				return engine.EndpointUpdate{}, err
 			}
 		case <-hedge.C:
@@ -67,9 +67,9 @@
 // hedgedSnapshot.
 type hedgedCalls struct {
 	*watch
-	open        []*snapshotCall // oldest first
-	longLivedAt time.Time       // time of the newest long-lived call; zero: none
-	done        chan *snapshotCall
+	open        []*snapshotCall    // oldest first
+	longLivedAt time.Time          // time of the newest long-lived call; zero: none
+	ended       chan *snapshotCall // receives each call that has succeeded or failed
 }
 
 // send sends one more call. If maxOpenCalls are open, it evicts the oldest call first.
@@ -85,7 +85,7 @@
 		defer next.cancel()
 		next.update, next.err = c.get(callCtx, &next.call)
 		select {
-		case c.done <- next:
+		case c.ended <- next:
 		case <-ctx.Done():
 		}
 	}()
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -48,7 +48,7 @@
 	url         string // of the list
 	version     int64  // of the last delivered list; noVersion: the next call requests a full snapshot
 	client      *http.Client
-	delivered   chan<- int // receives number with the first update
+	delivered   chan<- int // receives number after the first update was delivered
 	unavailable bool       // the last calls failed or timed out
 }
 
@@ -98,8 +98,8 @@
 // call or failed twice in a row.
 func (w *watch) handleFailure(err error) watchState {
 	if errors.Is(err, errTimeout) && w.hedgeAfter > 0 {
-		w.version = noVersion // without delay, since the agent may be back
-		return fetching
+		w.version = noVersion
+		return fetching // without the retry delay, since the agent may be back
 	}
 	w.warnUnavailable(err)
 	failedBefore := w.unavailable
@@ -159,10 +159,10 @@
 	})
 }
 
-// warnUnavailable logs a warning, at a limited rate.
+// warnUnavailable logs that a call failed, at a limited rate.
 func (w *watch) warnUnavailable(err error) {
 	if w.causes.Allow("unavailable") {
-		w.log.WithError(err).Warn("discovery unavailable or unreadable")
+		w.log.WithError(err).Warn("discovery call failed")
 	}
 }
 
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -112,8 +112,8 @@
 	})
 }
 
-// queryAgent starts an agent that sends the query of each call to calls and takes its replies from a channel. It sends
-// "canceled" to calls when the caller ends a call without a reply.
+// queryAgent starts an agent that sends the query of each call to calls and takes its replies from a channel; first is
+// the reply to the first call. It sends "canceled" to calls when the caller ends a call without a reply.
 func queryAgent(t *testing.T, first reply) (address string, calls chan string, replies chan reply) {
 	t.Helper()
 	calls, replies = make(chan string, 100), make(chan reply, 100)
--- a/internal/discovery/wire.go
+++ b/internal/discovery/wire.go
@@ -30,7 +30,7 @@
 // encodedList is the JSON form of a full snapshot or a delta. encodedList and encodedEndpoint are aliases of unnamed
 // types, since JSON errors contain the names of named types.
 type encodedList = struct {
-	Version   *int64            `json:"index"` // version, increases with each change
+	Version   *int64            `json:"index"` // increases with each change
 	Snapshot  bool              `json:"snapshot"`
 	Endpoints []encodedEndpoint `json:"endpoints"`
 }
--- a/internal/ingress/closing_test.go
+++ b/internal/ingress/closing_test.go
@@ -158,7 +158,7 @@
 				closeConns(server)
 				c.write(rest)
 				respondToRequests(t, fake, failedResult)
-				if last := c.readFailedOrRejected(); server.state.reached(draining) && !last {
+				if closes := c.readFailedOrRejected(); server.state.reached(draining) && !closes {
 					t.Error("the response of a draining server does not close the connection")
 				}
 			})
@@ -166,8 +166,9 @@
 	}
 }
 
-// Guards against the same failure for a pipelined request. Its bytes are in a buffer of http.Server, where the limiter
-// cannot see them. Either the first response announces the close, or the second request gets a response too.
+// Guards against closing a connection after the server has read a part of a pipelined request from it. The bytes are in
+// a buffer of http.Server, where the limiter cannot see them. Either the first response announces the close, or the
+// second request gets a response too.
 func TestPipelinedRequestSurvivesClosing(t *testing.T) {
 	for name, test := range map[string]struct {
 		separate bool // the second request is sent by itself; otherwise in one segment with the first
@@ -292,8 +293,8 @@
 // short response when the handler has ended, and a long one earlier, so here the handler is blocked after the last byte.
 func TestCorrelationIDIsFreeAfterResponse(t *testing.T) {
 	for name, test := range map[string]struct {
-		size int
-		same bool // both requests use one connection
+		size     int
+		sameConn bool // both requests use one connection
 	}{
 		"short, same connection":  {2, true},
 		"short, other connection": {2, false},
@@ -311,13 +312,13 @@
 			unblock := sync.OnceFunc(func() { close(release) })
 			defer unblock()
 			clients := []*client{dial(t, l.Addr().String()), dial(t, l.Addr().String())}
-			if test.same {
+			if test.sameConn {
 				clients[1] = clients[0]
 			}
 			respondToRequests(t, fake, succeededResult(test.size))
 			for i, c := range clients {
 				c.send("GET /read/1", "X-Time-Left: 1\r\nX-Correlation-Id: same\r\n", "")
-				if i == 1 && test.same {
+				if i == 1 && test.sameConn {
 					unblock()
 				}
 				if response, body := c.readResponse(); response.StatusCode != http.StatusOK || len(body) != test.size {
--- a/internal/ingress/doc.go
+++ b/internal/ingress/doc.go
@@ -7,8 +7,8 @@
 // # Files
 //
 //	server.go     construction, Serve, readiness check on /up, responses that close their connection
-//	parse.go      form of requests, in the order of the checks
-//	errors.go     status code and text for each request that is not passed to the engine
+//	parse.go      checks of the request line and headers
+//	errors.go     status code and text for each reason not to pass a request to the engine
 //	serve.go      handling of one request: parse, read the body, claim its id, wait for the result of the engine
 //	response.go   results and errors as HTTP responses
 //	limits.go     connection limit: counting, eviction, rejection beyond the limit
--- a/internal/ingress/drain.go
+++ b/internal/ingress/drain.go
@@ -90,12 +90,12 @@
 // Addr returns the address of the listener.
 func (l *connLimiter) Addr() net.Addr { return l.listener.Addr() }
 
-// Close closes the listener. http.Server calls it when it closes. If no request is open, that may happen before
-// http.Server has noticed that shutdown closed the listener, so closing it twice is not an error.
+// Close closes the listener. http.Server calls it from its own Close. If no request is open, it may do so before it has
+// noticed that shutdown closed the listener, so a second Close is not an error.
 func (l *connLimiter) Close() error { return l.closeListener() }
 
-// isClosing reports whether the server is closing. It takes the lock because acceptNext then sets another deadline on
-// the listener, which must not be overwritten by the deadline that shutdown sets under the lock.
+// isClosing reports whether the server is closing. shutdown enters that state and sets a deadline on the listener under
+// the lock. Without the lock here, that deadline could overwrite the later one that acceptNext sets on a closing server.
 func (l *connLimiter) isClosing() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/ingress/lifecycle_test.go
+++ b/internal/ingress/lifecycle_test.go
@@ -26,9 +26,9 @@
 			for _, to := range test.entered {
 				lifecycle.advance(to)
 			}
-			for _, at := range all {
-				if want := slices.Index(all, at) <= slices.Index(all, test.want); lifecycle.reached(at) != want {
-					t.Errorf("state %d reached: got %v, want %v", at, !want, want)
+			for _, s := range all {
+				if want := slices.Index(all, s) <= slices.Index(all, test.want); lifecycle.reached(s) != want {
+					t.Errorf("state %d reached: got %v, want %v", s, !want, want)
 				}
 			}
 		})
@@ -55,7 +55,7 @@
 		t.Error("closed with a request open")
 	}
 	request.Respond(failedResult())
-	if last := conn.readFailedOrRejected(); !last {
+	if closes := conn.readFailedOrRejected(); !closes {
 		t.Error("the response does not close its connection")
 	}
 	if err := <-drained; err != nil || !server.state.reached(closed) {
--- a/internal/ingress/limits.go
+++ b/internal/ingress/limits.go
@@ -33,9 +33,9 @@
 
 // connTable holds the open connections, and lists those without a request in the order of eviction.
 type connTable struct {
-	entries map[net.Conn]connEntry // removed when the connection ends
-	unused  *list.List             // of *sockopt.Conn that have not yet carried a request, oldest first
-	idle    *list.List             // of *sockopt.Conn between requests, longest idle first
+	entries map[net.Conn]connEntry // an entry is removed when its connection ends
+	unused  *list.List             // connections (*sockopt.Conn) that have not yet carried a request, oldest first
+	idle    *list.List             // connections (*sockopt.Conn) between requests, longest idle first
 }
 
 // connEntry is the place of a connection in one of the lists. It is zero while the connection carries a request.
@@ -124,7 +124,7 @@
 		return false
 	}
 	if !l.fullLogged {
-		l.log.WithField("held", open).Warn("no descriptor left for clients")
+		l.log.WithField("held", open).Warn("client connection limit exceeded")
 	}
 	l.fullLogged = true
 	return true
--- a/internal/ingress/parse.go
+++ b/internal/ingress/parse.go
@@ -43,7 +43,7 @@
 type requestParser struct {
 	classes          map[string]*decision.RequestClass // by the first segment of the path
 	tenants          map[decision.TenantID]bool        // empty: all tenants are accepted
-	maxClientTimeout decision.Millis                   // longer times are reduced to it, those above twice as long are errors
+	maxClientTimeout decision.Millis                   // a longer remaining time is reduced to this, more than twice this is an error
 }
 
 // parsedRequest holds the values from the headers and request line.
@@ -160,8 +160,8 @@
 }
 
 // stickyKey returns the first "key" parameter of the query, unescaped if its escapes are valid, or an empty key. With
-// sticky keys, a request goes to the build that has responded to its key. A request whose key was not found could go
-// back to the baseline.
+// sticky keys, a request goes to the build that has responded to its key. Without its key, it could go back to the
+// baseline.
 func stickyKey(query string) decision.Key {
 	for pair := range strings.SplitSeq(query, "&") {
 		name, text, _ := strings.Cut(pair, "=")
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -98,7 +98,7 @@
 // send sends a request. It adds a new correlation id if the headers have none.
 func (c *client) send(line, headers, body string) {
 	if !strings.Contains(headers, "X-Correlation-Id") {
-		headers += fmt.Sprintf("X-Correlation-Id: c%d\r\n", ids.Add(1))
+		headers += fmt.Sprintf("X-Correlation-Id: c%d\r\n", correlationIDs.Add(1))
 	}
 	c.write(fmt.Sprintf("%s HTTP/1.1\r\nHost: app.svc\r\n%s\r\n%s", line, headers, body))
 }
@@ -122,8 +122,8 @@
 	}
 }
 
-// ids counts the correlation ids of send.
-var ids atomic.Int64
+// correlationIDs counts the correlation ids that send has added.
+var correlationIDs atomic.Int64
 
 // readResponse reads a response and its body. The status code is 0 if the connection ends without a response.
 func (c *client) readResponse() (*http.Response, string) {
@@ -195,11 +195,11 @@
 		Body: []byte("hi"), Header: map[string][]string{"Content-Type": {"text/odd"}, "Connection": {"x"}},
 	}
 	for name, test := range map[string]struct {
-		result  engine.Result
-		status  int
-		retry   string
-		body    string
-		content string
+		result      engine.Result
+		status      int
+		retryAfter  string
+		body        string
+		contentType string
 	}{
 		"succeeded":                  {engine.Result{Response: response}, 200, "", "hi", "text/odd"},
 		"rejected":                   {engine.Result{Kind: engine.Rejected}, 503, "", "", ""},
@@ -221,8 +221,8 @@
 				}
 				request.Respond(test.result)
 				res, body := c.readResponse()
-				if res.StatusCode != test.status || res.Header.Get("Retry-After") != test.retry || body != test.body || res.Close ||
-					res.Header.Get("Content-Type") != test.content {
+				if res.StatusCode != test.status || res.Header.Get("Retry-After") != test.retryAfter || body != test.body || res.Close ||
+					res.Header.Get("Content-Type") != test.contentType {
 					t.Errorf("got status %d, headers %v, body %q; want %+v", res.StatusCode, res.Header, body, test)
 				}
 			}
@@ -439,12 +439,12 @@
 	}
 	clients[1].send("GET /read/2", "X-Time-Left: 1\r\n", "")
 	second := <-fake.requests
-	over := dial(t, address)
+	excess := dial(t, address)
 	for server.limiter.connCount() < 3 {
 		time.Sleep(time.Millisecond)
 	}
-	over.send("GET /read/3", "X-Time-Left: 1\r\n", "")
-	if res, _ := over.readResponse(); res.StatusCode != 503 || !res.Close || res.Header.Get("Retry-After") != "0.500" {
+	excess.send("GET /read/3", "X-Time-Left: 1\r\n", "")
+	if res, _ := excess.readResponse(); res.StatusCode != 503 || !res.Close || res.Header.Get("Retry-After") != "0.500" {
 		t.Errorf("beyond the limit: got status %d, %v; want 503 with Retry-After 0.500 and close", res.StatusCode, res.Header)
 	}
 	for _, request := range []*engine.ClientRequest{request, second} {
@@ -629,8 +629,8 @@
 		time.Sleep(time.Millisecond)
 	}
 	for _, test := range []struct {
-		age  time.Duration
-		left int
+		age       time.Duration
+		remaining int // number of connections
 	}{{-time.Hour, 1}, {newConnectionGrace, 0}} {
 		server.limiter.mu.Lock()
 		for conn, entry := range server.limiter.conns.entries {
@@ -638,8 +638,8 @@
 			server.limiter.conns.entries[conn] = entry
 		}
 		server.limiter.mu.Unlock()
-		if n := server.limiter.closeUnusedAndIdle(); n != test.left {
-			t.Errorf("connection of age %v: got %d left, want %d", test.age, n, test.left)
+		if n := server.limiter.closeUnusedAndIdle(); n != test.remaining {
+			t.Errorf("connection of age %v: got %d connections left, want %d", test.age, n, test.remaining)
 		}
 	}
 }
--- a/internal/sockopt/conn.go
+++ b/internal/sockopt/conn.go
@@ -20,7 +20,7 @@
 	headTimeout time.Duration // from the first byte of a further request to the end of its header
 
 	mu         sync.Mutex
-	pending    bool // bytes of a request were read that has no response yet
+	pending    bool // at least a part of a request was read, and the request has no response yet
 	responded  bool // set by MarkResponded; the reader may have buffered a part of the next request
 	bufferSize int  // size of the reader's buffer in bytes, from its first read; 0: unknown
 	closed     bool // set by CloseIfIdle
@@ -66,7 +66,7 @@
 	case n == 0:
 		return 0, io.EOF
 	case requestStarts:
-		// The idle timeout may expire before the reader notices that a request has started.
+		// Without a new deadline, the idle timeout could expire before the reader notices that a request has started.
 		_ = c.SetReadDeadline(time.Now().Add(c.headTimeout)) // fails only on a closed connection
 	}
 	return n, nil
@@ -103,15 +103,15 @@
 	c.responded = true
 }
 
-// RequestPending reports whether bytes of a request were read that has no response yet.
+// RequestPending reports whether at least a part of a request was read that has no response yet.
 func (c *Conn) RequestPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pending
 }
 
-// CloseIfIdle closes the connection if no request is pending or unread, and reports whether the connection is closed by
-// CloseIfIdle. It may be called from any goroutine.
+// CloseIfIdle closes the connection if no request is pending or unread. It returns true if this call or an earlier one
+// has closed the connection. It may be called from any goroutine.
 func (c *Conn) CloseIfIdle() bool {
 	c.mu.Lock()
 	c.closed = c.closed || !c.pending && isIdle(c.raw)
--- a/internal/sockopt/conn_test.go
+++ b/internal/sockopt/conn_test.go
@@ -41,7 +41,7 @@
 // closeQuietly closes a side of a connection, which the test may have closed already.
 func closeQuietly(c net.Conn) { _ = c.Close() }
 
-// sendText sends a text. An error because the other side is closed shows in what its reader gets.
+// sendText sends a text. It ignores errors: if the other side is closed, the result of its Read shows that.
 func sendText(c net.Conn, text string) { _, _ = c.Write([]byte(text)) }
 
 // Read returns the same errors as net.TCPConn, and net.ErrClosed after the connection was closed as idle.
@@ -96,7 +96,7 @@
 	}
 	server.MarkResponded()
 	if server.CloseIfIdle() {
-		t.Error("closed before the reader waits again, which may have buffered a further request")
+		t.Error("closed before the reader waits again, although it may have buffered a further request")
 	}
 	read := make(chan error)
 	go func() {
--- a/internal/stats/random.go
+++ b/internal/stats/random.go
@@ -37,10 +37,10 @@
 	for _, w := range weights {
 		total += w
 	}
-	rest := r.Float64() * total
+	position := r.Float64() * total
 	for i, w := range weights {
-		rest -= w
-		if rest < 0 {
+		position -= w
+		if position < 0 {
 			return i
 		}
 	}
--- a/internal/stats/ranktest.go
+++ b/internal/stats/ranktest.go
@@ -13,19 +13,20 @@
 	meanRank := float64(len(all)+1) / 2
 	var between, within float64
 	for _, group := range [][]float64{a, b} {
-		sum := 0.0
+		deviationSum := 0.0
 		for _, v := range group {
 			low, _ := slices.BinarySearch(all, v)
 			high := low
 			for high < len(all) && all[high] == v {
 				high++
 			}
-			deviation := float64(low+high+1)/2 - meanRank // of the mean rank of the tied values
-			sum += deviation
+			// The values equal to v have the ranks low+1 to high, whose mean is (low+high+1)/2.
+			deviation := float64(low+high+1)/2 - meanRank
+			deviationSum += deviation
 			within += deviation * deviation
 		}
 		if len(group) > 0 {
-			between += sum * sum / float64(len(group))
+			between += deviationSum * deviationSum / float64(len(group))
 		}
 	}
 	if within == 0 {
--- a/internal/stats/summary.go
+++ b/internal/stats/summary.go
@@ -14,7 +14,7 @@
 	c.Failures += weight * other.Failures
 }
 
-// ScaledTo returns the count scaled down to a total of at most n. A total below 1 is taken as 1.
+// ScaledTo returns the count scaled down to a total of at most n. A total below 1 counts as 1.
 func (c Count) ScaledTo(n float64) Count {
 	factor := min(1, n/max(c.Total(), 1))
 	return Count{c.Successes * factor, c.Failures * factor}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -14,7 +14,7 @@
 type attemptRun struct {
 	attempt  engine.Attempt
 	target   target
-	deadline time.Time // the attempt times out without a response by then
+	deadline time.Time // without a response by then, the attempt times out
 }
 
 // acquiredConn is a connection that an attempt took from the pool or opened.
@@ -30,7 +30,7 @@
 // attempt of the request would run as a second copy beside this one.
 func (p *Pool) StartAttempt(attempt engine.Attempt) (cancelAttempt func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	// The caller's goroutine looks up the target, in the endpoint list that the decision was based on.
+	// The lookup runs on the caller's goroutine, while the endpoint list is still the one the decision was based on.
 	dest := p.lookupTarget(attempt.Endpoint, attempt.Address)
 	go func() {
 		defer cancel()
@@ -54,8 +54,8 @@
 	}
 }
 
-// tryOnce runs an attempt over one connection: verify, acquire, write, read, release, classify. If it returns
-// reconnect, the request did not run and the attempt continues on another connection.
+// tryOnce runs an attempt over one connection: verify, acquire, write, read, release, classify. If
+// reconnect is true, the request did not run and the attempt continues on another connection.
 func (p *Pool) tryOnce(ctx context.Context, run *attemptRun) (result engine.AttemptResult, reconnect bool) {
 	if !p.maySend(ctx, run) {
 		return engine.AttemptResult{Outcome: decision.NotSent}, false
@@ -66,7 +66,7 @@
 	}
 	acquired.sendBy = p.sendBy(run)
 	_ = acquired.conn.SetReadDeadline(run.deadline) // fails only on a closed connection
-	// An endpoint that receives the end of the request after sendBy may have forgotten an earlier run and run it twice.
+	// An endpoint that receives the end of the request after sendBy may have forgotten an earlier run and run the request twice.
 	_ = acquired.conn.SetWriteDeadline(acquired.sendBy)
 	stopInterrupt := context.AfterFunc(ctx, acquired.conn.interrupt)
 	exchanged := p.exchange(ctx, run, acquired.conn)
--- a/internal/upstream/classify.go
+++ b/internal/upstream/classify.go
@@ -95,7 +95,7 @@
 }
 
 // parseLoad parses an endpoint's load report, comma-separated name=value pairs. It returns nil for an empty report.
-// Values that are not finite numbers of 0 or more are omitted; an omitted value is -1.
+// Values that are not finite numbers of 0 or more are ignored; a value that is missing or ignored is -1.
 func parseLoad(report string) *decision.Load {
 	if report == "" {
 		return nil
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -12,8 +12,8 @@
 	"ottershed/internal/engine"
 )
 
-// maxBody is the maximum size of a response's body in bytes, and the size that is allowed in addition for what precedes
-// the body.
+// maxBody is the maximum size of a response's body in bytes. The whole response, with its status line and headers, may
+// have twice as many.
 const maxBody = 64 << 10
 
 // responseProbeTimeout limits the wait for a response that arrived before its request was written completely.
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -71,8 +71,8 @@
 // The remaining time is written in seconds with three decimals, and a negative one as 0.
 func TestGoldenTimeLeft(t *testing.T) {
 	var observed strings.Builder
-	for _, left := range []decision.Millis{1234.5678, 1, 0.4, 0, -20, 3600000} {
-		observed.Write(timeLeftHeader.Find(encodeRequest(&engine.Request{Method: "GET", URI: "/", Host: "h"}, left)))
+	for _, remaining := range []decision.Millis{1234.5678, 1, 0.4, 0, -20, 3600000} {
+		observed.Write(timeLeftHeader.Find(encodeRequest(&engine.Request{Method: "GET", URI: "/", Host: "h"}, remaining)))
 	}
 	if err := golden.CheckFile("testdata/time-left.golden", []byte(golden.Quote([]byte(observed.String())))); err != nil {
 		t.Error(err)
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// closeIdleOf closes and removes an endpoint's idle connections; p.mu must be held. Closed connections that stayed in
-// the list of an endpoint that is no longer listed would be closed and counted again when its last attempt ends, and
-// the pool would exceed its connection limit.
+// closeIdleOf closes and removes an endpoint's idle connections; p.mu must be held. The list is cleared because an
+// endpoint that is no longer listed may still have attempts. When the last of them ends, connections left in the list
+// would be closed and counted a second time, and the pool would exceed its connection limit.
 func (p *Pool) closeIdleOf(e *endpoint) {
 	p.closeAll(e.idle)
 	e.idle = nil
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -120,7 +120,7 @@
 	}
 	if p.slots.taken >= p.slots.limit && !p.closeLongestIdle() {
 		if !p.slots.exhausted {
-			p.log.WithField("held", p.slots.taken).Warn("no descriptor left for endpoints")
+			p.log.WithField("held", p.slots.taken).Warn("endpoint connection limit reached")
 		}
 		p.slots.exhausted = true
 		return false
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -74,7 +74,8 @@
 // closeQuietly closes the endpoint's side of a connection. The pool may have closed its side already.
 func closeQuietly(c net.Conn) { _ = c.Close() }
 
-// writeText writes to a connection. An error because the pool closed its side shows in the outcome of the attempt.
+// writeText writes to a connection. It ignores errors: if the pool has closed its side, the outcome of the attempt shows
+// that.
 func writeText(c net.Conn, text string) { _, _ = io.WriteString(c, text) }
 
 // resetConn closes a connection with a RST.
@@ -256,8 +257,8 @@
 	}
 }
 
-// Invalid values in a load report are omitted.
-func TestParseLoadOmitsInvalidFigures(t *testing.T) {
+// Invalid values in a load report are ignored.
+func TestParseLoadIgnoresInvalidValues(t *testing.T) {
 	for text, want := range map[string]decision.Load{
 		"util=0.5,queue=NaN": {Utilisation: 0.5, Queue: -1}, "util=Inf,queue=3": {Utilisation: -1, Queue: 3},
 		"util=-Inf,queue=-3": {Utilisation: -1, Queue: -1}, "util=1e999,;;,=,queue": {Utilisation: -1, Queue: -1},
@@ -384,7 +385,7 @@
 		t.Errorf("got outcome %d with body %q, want %d with %q", result.Outcome, result.Response.Body, decision.Succeeded, "hi")
 	}
 	pool.mu.Lock()
-	old := pool.endpoints["n"].idle[0] // what arrives on it is detected after the reuse delay
+	old := pool.endpoints["n"].idle[0] // its further bytes are detected after the reuse delay
 	pool.mu.Unlock()
 	for timeout := time.Now().Add(5 * time.Second); old.isUsable(); time.Sleep(time.Millisecond) {
 		if time.Now().After(timeout) {
@@ -552,7 +553,7 @@
 	})
 	pool := newPool(4)
 	address := server.Addr().String()
-	pool.attempt(address, "GET", 1000, nil) // stays idle within the reuse delay, so that the next attempt opens another
+	pool.attempt(address, "GET", 1000, nil) // its connection is not reused: the next attempt opens another
 	pool.timing.reuseDelay = time.Hour
 	results := make(chan engine.AttemptResult, 1)
 	cancel := pool.StartAttempt(engine.Attempt{
--- a/internal/upstream/requests_test.go
+++ b/internal/upstream/requests_test.go
@@ -106,10 +106,10 @@
 // response later. From SendBy on nothing is sent, even if an idle connection is available.
 func TestSendByLimitsOnlySending(t *testing.T) {
 	for name, test := range map[string]struct {
-		left       decision.Millis // until SendBy
-		reuseDelay time.Duration
-		want       decision.Outcome
-		sent       int32
+		untilSendBy decision.Millis
+		reuseDelay  time.Duration
+		want        decision.Outcome
+		sent        int32
 	}{
 		"before SendBy, reused connection": {400, 0, decision.Succeeded, 1},
 		"before SendBy, new connection":    {400, time.Hour, decision.Succeeded, 1},
@@ -126,7 +126,7 @@
 			address := server.Addr().String()
 			pool.attempt(address, "GET", 1000, nil)
 			pool.timing.reuseDelay = test.reuseDelay
-			sendBy.Store(int64(pool.clock.Now() + test.left))
+			sendBy.Store(int64(pool.clock.Now() + test.untilSendBy))
 			result := pool.attemptSendBy(address, float64(sendBy.Load()), 0)
 			if sent := server.requests.Load() - 1; result.Outcome != test.want || sent != test.sent {
 				t.Errorf("got outcome %d, sent %d times, want %d, %d times", result.Outcome, sent, test.want, test.sent)
--- a/internal/upstream/responses_test.go
+++ b/internal/upstream/responses_test.go
@@ -92,7 +92,7 @@
 // request is not sent again. Wherever the response breaks off, a closed connection gives ConnectionBroken at once, and
 // an endpoint that stops sending gives MalformedResponse after the response read timeout.
 func TestIncompleteResponseNotPassedOn(t *testing.T) {
-	for place, part := range map[string]string{
+	for place, incomplete := range map[string]string{
 		"in the status line":    "HTTP/1.1 20",
 		"in a header name":      "HTTP/1.1 200 OK\r\nContent-Le",
 		"in a content length":   "HTTP/1.1 200 OK\r\nContent-Length: 1",
@@ -121,7 +121,7 @@
 					pool.timing.responseReadTimeout = time.Hour // a closed connection must be detected without the timeout
 				}
 				server := newFakeEndpoint(t, func(c net.Conn, r *http.Request) {
-					respondWith(part)(c, r)
+					respondWith(incomplete)(c, r)
 					<-read
 					test.interrupt(c)
 				})
@@ -208,7 +208,8 @@
 				<-read
 				test.then(c)
 			})
-			// Over by the time that the next bytes come. A response that is read at once needs no timeout.
+			// This timeout has passed when the next response arrives, and must not apply to it. Bytes that are buffered
+			// already are read without a timeout.
 			pool.timing.responseReadTimeout = time.Nanosecond
 			checkResult(t, pool, pool.attempt(server.Addr().String(), "POST", 500, nil), test.want, test.idle)
 		})
