--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -11,7 +11,7 @@
 
 // RequestError is returned by Call if the instance rejected the request with a reason.
 type RequestError struct {
-	Address string // of the instance
+	Address string // address of the instance
 	Reason  string
 }
 
@@ -19,7 +19,7 @@
 
 // StatusError is returned by Call if the instance responded with an error status and without a reason.
 type StatusError struct {
-	Address string // of the instance
+	Address string // address of the instance
 	Path    string
 	Code    int
 	Status  string // code and text, such as "404 Not Found"
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	readTimeout    = 5 * time.Second  // for reading a request, and for an idle connection
-	writeTimeout   = 20 * time.Second // for a request and its response; some handlers query other instances
+	readTimeout    = 5 * time.Second  // limit for reading a request, and for an idle connection
+	writeTimeout   = 20 * time.Second // limit for a request and its response; some handlers query other instances
 	maxHeaderBytes = 4 << 10
-	maxBodyBytes   = 4 << 20 // of a request, and of a response that Call reads
+	maxBodyBytes   = 4 << 20 // limit for a request, and for a response that Call reads
 )
 
 const jsonType = "application/json"
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -17,7 +17,7 @@
 
 // Clock reads the time in fractional milliseconds. Its methods are safe for concurrent use.
 type Clock struct {
-	start time.Time       // with a reading of the monotonic clock
+	start time.Time       // includes a reading of the monotonic clock
 	unix  decision.Millis // Unix time at start
 	rate  float64         // milliseconds of this clock per millisecond of the monotonic clock; 1 except in a testbed
 }
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -68,7 +68,7 @@
 	return server.Listener.Addr().String()
 }
 
-// sendReply sends a reply.
+// sendReply sends a reply. Unless it is complete, the call then stays open or its connection is aborted.
 func sendReply(t *testing.T, w http.ResponseWriter, r *http.Request, response reply) {
 	t.Helper()
 	if response == (reply{}) {
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -24,9 +24,9 @@
 // call is one request for the list with the progress of its response.
 type call struct {
 	url              string
-	firstByteTimeout time.Duration // until the first byte of the response
-	stallTimeout     time.Duration // between two bytes of a response; 0: no limit, since the call is hedged
-	timeout          time.Duration // until the last byte of the response
+	firstByteTimeout time.Duration // limit for the first byte of the response
+	stallTimeout     time.Duration // limit between two bytes of the response; 0: none, since the call is hedged
+	timeout          time.Duration // limit for the last byte of the response
 	sentAt           time.Time     // zero if the call is not hedged: arriving is not called then
 
 	lastByteAt atomic.Int64 // time of the last byte in ns since sentAt; 0: no byte yet
--- a/internal/discovery/snapshot.go
+++ b/internal/discovery/snapshot.go
@@ -11,7 +11,7 @@
 
 const (
 	maxOpenCalls = 16 // calls open at the same time: half of the descriptors that internal/config reserves
-	maxLongCalls = 4  // of these, calls that may stay open for all of snapshotTimeout
+	maxLongCalls = 4  // open calls that may stay open for all of snapshotTimeout
 )
 
 // snapshotCall is a full snapshot call that may be hedged by further calls.
--- a/internal/discovery/snapshot_test.go
+++ b/internal/discovery/snapshot_test.go
@@ -20,21 +20,21 @@
 // longer than the hedge interval is received too.
 func TestFullSnapshotReceivedAfterOutage(t *testing.T) {
 	for name, test := range map[string]struct {
-		unanswered int           // number of first calls without a response
-		delay      time.Duration // of the later responses
+		unanswered int           // number of calls at the start that get no response
+		delay      time.Duration // delay of the later responses
 	}{
 		"back after an outage":           {unanswered: 40},
 		"slower than the hedge interval": {delay: 30 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var calls atomic.Int64
-			back := make(chan time.Time, 1)
+			replied := make(chan time.Time, 1)
 			address := fakeAgent(t, func(r *http.Request) reply {
 				if int(calls.Add(1)) <= test.unanswered || r.URL.RawQuery != "" {
 					return reply{}
 				}
 				select {
-				case back <- time.Now():
+				case replied <- time.Now():
 				default:
 				}
 				time.Sleep(test.delay)
@@ -54,7 +54,7 @@
 				t.Errorf("got list 41 after %d calls, want at least %d", got, test.unanswered+1)
 			}
 			stop()
-			if len(back) != 1 {
+			if len(replied) != 1 {
 				t.Error("got no call after the outage, want at least 1")
 			}
 		})
@@ -132,8 +132,8 @@
 
 // slowCase describes a slow agent and the expected result of the calls.
 type slowCase struct {
-	response       func(call int) []segment // to a full snapshot call, by its number
-	version        int64                    // of the delivered list
+	response       func(call int) []segment // response to a full snapshot call, given its number
+	version        int64                    // version of the delivered list
 	deliveredAfter time.Duration            // time until the list is delivered
 	calls          int                      // number of calls until then; 0: any
 	decodeTime     time.Duration            // duration of decoding a list
@@ -156,7 +156,7 @@
 		}, version: 41, deliveredAfter: 3500 * time.Millisecond},
 		"only the second long-lived call has a response": {response: func(call int) []segment {
 			if call == 101 {
-				return []segment{{3500 * time.Millisecond, older}} // after the first has timed out
+				return []segment{{3500 * time.Millisecond, older}} // the first long-lived call has timed out by then
 			}
 			return []segment{neverSent}
 		}, version: 41, deliveredAfter: 4500 * time.Millisecond},
@@ -256,7 +256,7 @@
 func TestUnresponsiveAgentReportedUnavailable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		agent := &slowAgent{respond: func(call int, _ string) []segment {
-			if call == 2000 { // after 20 s
+			if call == 2000 { // sent after 20 s
 				return nil
 			}
 			return []segment{neverSent}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -44,9 +44,9 @@
 // watch follows the list at one address. Its fields are used only by the goroutine of run.
 type watch struct {
 	*Watcher
-	number      int    // in the order of start, from 1
-	url         string // of the list
-	version     int64  // of the last delivered list; noVersion: the next call requests a full snapshot
+	number      int    // position in the order of start, from 1
+	url         string // URL of the list
+	version     int64  // version of the last delivered list; noVersion: the next call requests a full snapshot
 	client      *http.Client
 	delivered   chan<- int // receives number after the first update was delivered
 	unavailable bool       // the last calls failed or timed out
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -13,14 +13,14 @@
 // The response to a watch is read as long as bytes arrive, up to snapshotTimeout. After a stalled or too slow response
 // the watch fetches a full snapshot.
 func TestStalledWatchFetchesSnapshot(t *testing.T) {
-	part := []segment{{0, encodeUpdate(42, false, "Terminating")[:20]}, neverSent}
+	stalled := []segment{{0, encodeUpdate(42, false, "Terminating")[:20]}, neverSent}
 	for name, test := range map[string]struct {
-		response []segment     // to the first watch call
-		version  int64         // of the delivered list
-		after    time.Duration // until it is delivered
+		response []segment     // response to the first watch call
+		version  int64         // version of the delivered list
+		after    time.Duration // time until the list is delivered
 	}{
 		"steadily": {splitEvenly(100*time.Millisecond, encodeUpdate(42, false, "Terminating"), 10), 42, time.Second},
-		"stalls":   {part, 43, stallTimeout},
+		"stalls":   {stalled, 43, stallTimeout},
 		"steadily, too long": {
 			splitEvenly(100*time.Millisecond, encodeUpdate(42, false, "Terminating"), 60), 43,
 			snapshotTimeout + 30*time.Millisecond,
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	watchTimeout    = 2 * time.Second        // of a watch without a change; short, since calls hang while the agent is down
-	responseTimeout = time.Second            // until the first byte of a response that is due
+	watchTimeout    = 2 * time.Second        // wait of a watch for a change; short, since calls hang while the agent is down
+	responseTimeout = time.Second            // limit for the first byte of a response that is due
 	snapshotTimeout = 4 * time.Second        // see timing.snapshotTimeout
-	stallTimeout    = 200 * time.Millisecond // between two bytes of a response, which the agent has ready as a whole
-	retryDelay      = 50 * time.Millisecond  // after a failure; a watch continues only if the next call comes within 200 ms
+	stallTimeout    = 200 * time.Millisecond // limit between two bytes of a response, which the agent has ready as a whole
+	retryDelay      = 50 * time.Millisecond  // after a failed call; a watch continues only if the next call comes within 200 ms
 
 	queueFraction = 4                     // MaxPollInterval divided by this is the minimum responseTimeout of a polled service
 	hedgeFraction = 4                     // the drain grace divided by this is the time between hedged calls
--- a/internal/ingress/closing_test.go
+++ b/internal/ingress/closing_test.go
@@ -105,15 +105,15 @@
 // respondToRequests responds to all further requests at once, until the test ends.
 func respondToRequests(t *testing.T, fake fakeEngine, result func() engine.Result) {
 	t.Helper()
-	done := make(chan struct{})
-	t.Cleanup(func() { close(done) })
+	testEnded := make(chan struct{})
+	t.Cleanup(func() { close(testEnded) })
 	go func() {
 		for {
 			select {
 			case request := <-fake.requests:
 				request.Respond(result())
 			case <-fake.disconnected:
-			case <-done:
+			case <-testEnded:
 				return
 			}
 		}
--- a/internal/ingress/golden_test.go
+++ b/internal/ingress/golden_test.go
@@ -25,7 +25,7 @@
 type goldenCase struct {
 	title   string
 	request string
-	result  *engine.Result // of the engine; nil: the engine must not receive the request
+	result  *engine.Result // result of the engine; nil: the engine must not receive the request
 	prepare func(*Server)  // called before Serve; may be nil
 	serving func(*Server)  // called while the server serves; may be nil
 }
@@ -77,25 +77,25 @@
 
 // invalidRequests lists requests that never reach the engine.
 func invalidRequests() []goldenCase {
-	const left = "X-Time-Left: 1\r\n"
+	const timeLeft = "X-Time-Left: 1\r\n"
 	return []goldenCase{
 		{title: "400 no X-Time-Left", request: requestHead("GET /read/1", "")},
-		{title: "400 two X-Time-Left", request: requestHead("GET /read/1", left+left)},
-		{title: "400 two X-Correlation-Id", request: requestHead("GET /read/1", left+"X-Correlation-Id: g2\r\n")},
-		{title: "400 two X-Account", request: requestHead("GET /read/1", left+"X-Account: a\r\nX-Account: b\r\n")},
-		{title: "400 two Idempotency-Key", request: requestHead("POST /mark/1", left+"Idempotency-Key: a\r\nIdempotency-Key: b\r\n")},
-		{title: "400 no Idempotency-Key", request: requestHead("POST /mark/1", left+"Content-Length: 0\r\n")},
+		{title: "400 two X-Time-Left", request: requestHead("GET /read/1", timeLeft+timeLeft)},
+		{title: "400 two X-Correlation-Id", request: requestHead("GET /read/1", timeLeft+"X-Correlation-Id: g2\r\n")},
+		{title: "400 two X-Account", request: requestHead("GET /read/1", timeLeft+"X-Account: a\r\nX-Account: b\r\n")},
+		{title: "400 two Idempotency-Key", request: requestHead("POST /mark/1", timeLeft+"Idempotency-Key: a\r\nIdempotency-Key: b\r\n")},
+		{title: "400 no Idempotency-Key", request: requestHead("POST /mark/1", timeLeft+"Content-Length: 0\r\n")},
 		{title: "400 no X-Correlation-Id", request: strings.Replace(goldenRequest, "X-Correlation-Id: g1\r\n", "", 1)},
-		{title: "400 unknown X-Account", request: requestHead("GET /read/1", left+"X-Account: nobody\r\n")},
-		{title: "400 GET with a body", request: requestHead("GET /read/1", left+"Content-Length: 2\r\n") + "hi"},
+		{title: "400 unknown X-Account", request: requestHead("GET /read/1", timeLeft+"X-Account: nobody\r\n")},
+		{title: "400 GET with a body", request: requestHead("GET /read/1", timeLeft+"Content-Length: 2\r\n") + "hi"},
 		{title: "400 not HTTP", request: "what\r\n\r\n"},
-		{title: "404 unknown request class", request: requestHead("GET /other/1", left)},
-		{title: "405 POST of a GET class", request: requestHead("POST /read/1", left+"Content-Length: 0\r\n")},
-		{title: "405 GET of a POST class", request: requestHead("GET /pay/1", left)},
-		{title: "411 transfer encoding", request: requestHead("POST /pay/1", left+"Transfer-Encoding: chunked\r\n") + "0\r\n\r\n"},
+		{title: "404 unknown request class", request: requestHead("GET /other/1", timeLeft)},
+		{title: "405 POST of a GET class", request: requestHead("POST /read/1", timeLeft+"Content-Length: 0\r\n")},
+		{title: "405 GET of a POST class", request: requestHead("GET /pay/1", timeLeft)},
+		{title: "411 transfer encoding", request: requestHead("POST /pay/1", timeLeft+"Transfer-Encoding: chunked\r\n") + "0\r\n\r\n"},
 		{
 			title:   "413 body too long",
-			request: requestHead("POST /pay/1", left+fmt.Sprintf("Content-Length: %d\r\n", maxBodyBytes+1)),
+			request: requestHead("POST /pay/1", timeLeft+fmt.Sprintf("Content-Length: %d\r\n", maxBodyBytes+1)),
 		},
 		{
 			title:   "431 headers too long",
--- a/internal/ingress/limits.go
+++ b/internal/ingress/limits.go
@@ -20,7 +20,7 @@
 	listener       net.Listener
 	listenerClosed chan struct{}
 	closeListener  func() error // closes the listener once; each call returns the result of the first
-	state          *lifecycle   // of the server; the state closing is entered under mu
+	state          *lifecycle   // state of the server, which enters closing under mu
 
 	maxConnections int // beyond this number requests are rejected and their connections closed
 	log            logrus.FieldLogger
--- a/internal/ingress/parse.go
+++ b/internal/ingress/parse.go
@@ -41,7 +41,7 @@
 
 // requestParser checks requests against the settings.
 type requestParser struct {
-	classes          map[string]*decision.RequestClass // by the first segment of the path
+	classes          map[string]*decision.RequestClass // keyed by the first segment of the path
 	tenants          map[decision.TenantID]bool        // empty: all tenants are accepted
 	maxClientTimeout decision.Millis                   // a longer remaining time is reduced to this, more than twice this is an error
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -29,7 +29,7 @@
 // Limiter never removes a cause, so causes must be constant strings.
 type Limiter struct {
 	mu          sync.Mutex
-	lastAllowed map[string]time.Time // by cause
+	lastAllowed map[string]time.Time // time of the last allowed line of each cause
 }
 
 // Allow reports whether a line with this cause may be written now. If so, it starts the interval anew.
--- a/internal/sockopt/conn.go
+++ b/internal/sockopt/conn.go
@@ -17,7 +17,7 @@
 type Conn struct {
 	*net.TCPConn
 	raw         syscall.RawConn
-	headTimeout time.Duration // from the first byte of a further request to the end of its header
+	headTimeout time.Duration // limit from the first byte of a further request to the end of its header
 
 	mu         sync.Mutex
 	pending    bool // at least a part of a request was read, and the request has no response yet
--- a/internal/upstream/classify_test.go
+++ b/internal/upstream/classify_test.go
@@ -20,7 +20,7 @@
 	for name, test := range map[string]struct {
 		result           exchangeResult
 		reused, canceled bool
-		deadline, sendBy time.Duration // from now
+		deadline, sendBy time.Duration // relative to now
 		want             decision.Outcome
 		reconnect        bool
 	}{
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -35,7 +35,7 @@
 type exchangeResult struct {
 	outcome    decision.Outcome
 	load       *decision.Load   // the endpoint's load report; nil: none
-	response   *engine.Response // only for Succeeded
+	response   *engine.Response // nil unless the outcome is Succeeded
 	mayHaveRun bool             // the last byte was written or a response came
 	reusable   bool             // the connection may carry another request
 }
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -10,8 +10,8 @@
 // even under the same id and at the same address. Attempts for the previous one must not reach it.
 type endpoint struct {
 	address        string
-	permit         *sendPermit // for attempts that start now
-	idle           []*conn     // the most recently used last
+	permit         *sendPermit // current permit, which new attempts get
+	idle           []*conn     // idle connections, most recently used last
 	lastResponseAt time.Time
 }
 
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -35,8 +35,8 @@
 
 // timing holds the time limits of attempts and connections.
 type timing struct {
-	connectTimeout      time.Duration // for opening a connection
-	responseReadTimeout time.Duration // from the first byte of a response to the last
+	connectTimeout      time.Duration // limit for opening a connection
+	responseReadTimeout time.Duration // limit from the first byte of a response to the last
 	reuseDelay          time.Duration // how long a connection is not reused after a response; see lateResponseWindow
 	maxIdleTime         time.Duration // idle connections are closed by then, before the endpoint closes them
 }
@@ -75,7 +75,7 @@
 	Opened      int64 // connections that were established
 	Unreachable int64 // connections that failed to open, except for canceled attempts
 	Open        int   // connections that are established or coming up
-	Idle        int   // of these, the connections without an attempt
+	Idle        int   // open connections without an attempt
 }
 
 // dials counts the connections that were established and those that failed to open.
@@ -106,7 +106,7 @@
 // slots enforces the limit on connections.
 type slots struct {
 	limit     int
-	taken     int  // by connections that are established or coming up
+	taken     int  // one per connection that is established or coming up
 	exhausted bool // the warning was logged and the pool has not recovered yet
 }
 
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -395,7 +395,7 @@
 	pool.timing.reuseDelay = lateResponseWindow // otherwise the connection would be closed as expired
 	pool.expireReuseDelay()
 	pool.mu.Lock()
-	pool.endpoints["n"].idle = pool.endpoints["n"].idle[:1] // only the first connection
+	pool.endpoints["n"].idle = pool.endpoints["n"].idle[:1] // keep only the first connection
 	pool.slots.taken = 1
 	pool.mu.Unlock()
 	if c := pool.takeIdle(pool.lookupTarget("n", server.Addr().String())); c != nil || pool.heldConnections() != 0 {
@@ -799,8 +799,8 @@
 				t.Errorf("got outcome %d, %d connections, want outcome %d, none",
 					result.Outcome, pool.heldConnections(), test.want)
 			}
-			if rest, _ := io.ReadAll(endpoint); len(rest) >= 1<<20 {
-				t.Errorf("got %d bytes of the request, want fewer than %d", len(rest), 1<<20)
+			if received, _ := io.ReadAll(endpoint); len(received) >= 1<<20 {
+				t.Errorf("got %d bytes of the request, want fewer than %d", len(received), 1<<20)
 			}
 		})
 	}
--- a/internal/upstream/requests_test.go
+++ b/internal/upstream/requests_test.go
@@ -49,7 +49,7 @@
 // not written completely by then counts as not run; one that is written in time succeeds.
 func TestSlowReaderEndsAtDeadline(t *testing.T) {
 	for name, test := range map[string]struct {
-		size    int // of the body
+		size    int // bytes of the body
 		pause   time.Duration
 		timeout decision.Millis
 		want    decision.Outcome
@@ -95,9 +95,9 @@
 	}, pool.lookupTarget("n", address))
 }
 
-// waitUntil waits for a time of the pool's clock, in ms.
-func (pool *Pool) waitUntil(at decision.Millis) {
-	for pool.clock.Now() < at {
+// waitUntil waits until the pool's clock has this reading, in ms.
+func (pool *Pool) waitUntil(reading decision.Millis) {
+	for pool.clock.Now() < reading {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -165,8 +165,8 @@
 	go func() { results <- pool.attemptSendBy(l.Addr().String(), sendBy, oversizedBody) }()
 	endpoint := acceptStarted(t, l)
 	pool.waitUntil(sendBy + 20)
-	if rest, _ := io.ReadAll(endpoint); len(rest) >= oversizedBody {
-		t.Errorf("got %d bytes of the request, want fewer than %d", len(rest), oversizedBody)
+	if received, _ := io.ReadAll(endpoint); len(received) >= oversizedBody {
+		t.Errorf("got %d bytes of the request, want fewer than %d", len(received), oversizedBody)
 	}
 	checkResult(t, pool, <-results, decision.NotSent, 0)
 }
