--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -30,8 +30,8 @@
 }
 
 // closeIdleOf closes and removes an endpoint's idle connections; p.mu must be held. The list is cleared because an
-// endpoint that is no longer listed may still have attempts. When the last of them ends, connections left in the list
-// would be closed and counted a second time, and the pool would exceed its connection limit.
+// endpoint that is no longer listed may still have attempts. When one of them ends without a response, connections left
+// in the list would be closed and counted a second time, and the pool would exceed its connection limit.
 func (p *Pool) closeIdleOf(e *endpoint) {
 	p.closeAll(e.idle)
 	e.idle = nil
