--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	readTimeout    = 5 * time.Second  // for reading a request, and for an idle connection
-	writeTimeout   = 20 * time.Second // for a request and its response; some handlers query other instances
+	readTimeout    = 5 * time.Second  // limit for reading a request, and for an idle connection
+	writeTimeout   = 20 * time.Second // limit for a request and its response; some handlers query other instances
 	maxHeaderBytes = 4 << 10
-	maxBodyBytes   = 4 << 20 // of a request, and of a response that Call reads
+	maxBodyBytes   = 4 << 20 // limit for a request, and for a response that Call reads
 )
 
 const jsonType = "application/json"
@@ -60,7 +60,7 @@
 	s.GetWithContext(path, func(context.Context) any { return handle() })
 }
 
-// GetWithContext does the same for a handler that takes time. The context of handle ends with the request.
+// GetWithContext is like Get, for a handler that takes time. The context of handle ends with the request.
 func (s *Server) GetWithContext(path string, handle func(context.Context) any) {
 	s.mux.HandleFunc("GET "+path, func(w http.ResponseWriter, r *http.Request) {
 		writeJSON(w, http.StatusOK, handle(r.Context()))
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -12,8 +12,8 @@
 	"ottershed/internal/engine"
 )
 
-// maxBody is the maximum size of a response's body in bytes, and the size that is allowed in addition for what precedes
-// the body.
+// maxBody is the maximum size of a response's body in bytes. The whole response, with its status line and headers, may
+// have twice as many.
 const maxBody = 64 << 10
 
 // responseProbeTimeout limits the wait for a response that arrived before its request was written completely.
@@ -35,7 +35,7 @@
 type exchangeResult struct {
 	outcome    decision.Outcome
 	load       *decision.Load   // the endpoint's load report; nil: none
-	response   *engine.Response // only for Succeeded
+	response   *engine.Response // nil unless the outcome is Succeeded
 	mayHaveRun bool             // the last byte was written or a response came
 	reusable   bool             // the connection may carry another request
 }
