--- a/internal/alias/alias.go
+++ b/internal/alias/alias.go
@@ -12,8 +12,9 @@
 // exitFailure is the exit code if the program with the present name can't be started.
 const exitFailure = 1
 
-// Exec prints the present name on standard error and replaces the process by the program of that name in the same directory,
-// with the same arguments and environment. If that fails, Exec prints the error and exits with code 1. It does not return.
+// Exec prints a notice with the present name on standard error, and replaces the process by the program of that name in the
+// same directory, with the same arguments and environment. If that fails, Exec prints the error and exits with code 1. Exec
+// does not return.
 func Exec(program string) {
 	formerName := filepath.Base(os.Args[0])
 	err := execSibling(program)
@@ -21,7 +22,7 @@
 	os.Exit(exitFailure)
 }
 
-// execSibling prints the present name and replaces the process. It returns only an error.
+// execSibling prints the notice and replaces the process. It returns only if that fails, with the error.
 func execSibling(program string) error {
 	self, err := os.Executable()
 	if err != nil {
--- a/internal/alias/alias_test.go
+++ b/internal/alias/alias_test.go
@@ -17,7 +17,7 @@
 	os.Exit(m.Run())
 }
 
-// A program with a former name prints the present name on standard error, and passes on arguments, output and exit code.
+// A program with a former name prints a notice with the present name, and passes on arguments, output and exit code.
 func TestExecPassesArgumentsAndExitCode(t *testing.T) {
 	self, err := os.ReadFile(os.Args[0])
 	if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,17 +18,17 @@
 	// Listen (listen, LB_LISTEN) is the host:port that clients connect to. Required, port 1 to 65535.
 	Listen string
 	// Discovery (discovery, LB_DISCOVERY) is the host:port of the discovery service. Required, port 1 to 65535. A
-	// running instance can change it.
+	// reload applies a change.
 	Discovery string
-	// Platform (platform.address) is the host:port of the rollout controller. Required, port 1 to 65535. A running
-	// instance can change it.
+	// Platform (platform.address) is the host:port of the rollout controller. Required, port 1 to 65535. A reload
+	// applies a change.
 	Platform string
 	// Seed (seed) seeds the random number generator. Required, a 64-bit hexadecimal number, new with each start.
 	Seed uint64
 	// Limits (limits) are the resources of the machine.
 	Limits Limits
-	// Settings and Network (settings) are the settings of the deployment. Required. A running instance can change
-	// part of Settings, see CanReloadSettings, and nothing of Network.
+	// Settings and Network (settings) are the settings of the deployment. Required. A reload applies a change of
+	// Settings if CanReloadSettings allows it, and never a change of Network.
 	Settings decision.Settings
 	Network  settings.Network
 	// RawSettings maps each setting's name to its text, including settings that no code reads.
@@ -39,7 +39,7 @@
 	Stage *decision.StageUpdate
 	// Warnings describe harmless mistakes, such as unknown keys, one per element.
 	Warnings []string
-	// Operator holds the operator's file; nil: no such file.
+	// Operator is the configuration from the operator's file; nil: no file was given.
 	Operator *Operator
 }
 
@@ -61,8 +61,8 @@
 	bytesPerMiB         = 1 << 20
 )
 
-// Connections returns how many connections to clients the limits allow, and likewise to endpoints, at least 1. Each open
-// request may need one connection of both kinds, and half of the memory is reserved for bodies.
+// Connections returns the maximum number of connections to clients, which is also the maximum to endpoints, and at least 1.
+// Each open request may need one connection of each kind, and half of the memory is reserved for bodies.
 func (l Limits) Connections() int {
 	byDescriptors := (l.Sockets - reservedDescriptors) / 2
 	byMemory := int(l.MemoryMB*bytesPerMiB/2) / (bodiesPerConnection * maxBodyBytes)
@@ -114,7 +114,7 @@
 // KeysNeedingRestart returns the keys that differ in updated and take effect only at a restart. It leaves out the seed:
 // a new seed does not justify a warning.
 func (c *Config) KeysNeedingRestart(updated *Config) (keys []string) {
-	for _, part := range []struct {
+	for _, comparison := range []struct {
 		key  string
 		same bool
 	}{
@@ -123,8 +123,8 @@
 		{"limits", c.Limits == updated.Limits},
 		{"settings", c.CanReloadSettings(updated)},
 	} {
-		if !part.same {
-			keys = append(keys, part.key)
+		if !comparison.same {
+			keys = append(keys, comparison.key)
 		}
 	}
 	return keys
@@ -138,8 +138,8 @@
 		current.ClockGranularity == updated.ClockGranularity && c.Network == next.Network
 }
 
-// WithPolicy returns the decision module's settings with those of a policy applied over them. The error is the one of
-// settings.Overlay.
+// WithPolicy returns the decision module's settings with those of a policy applied over them. The error is the one that
+// settings.Overlay returns.
 func (c *Config) WithPolicy(p *policy.Policy) (decision.Settings, error) {
 	merged := c.Settings
 	if len(p.Settings) > 0 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -148,7 +148,7 @@
 	}
 }
 
-// errorKey returns the invalid key that an error names, and "the file" for a syntax error.
+// errorKey returns the invalid key that an error names, "the file" for a syntax error, and otherwise an empty string.
 func errorKey(err error) string {
 	var key *KeyError
 	if errors.As(err, &key) {
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -6,7 +6,7 @@
 // the operator's file (TOML). An error names the invalid key: it is a KeyError, or a settings.FieldError for a key below
 // settings.
 //
-//	config.go         Config and Limits: the configuration, and which part a running instance can change
+//	config.go         Config and Limits: the configuration, and which part of it a reload applies
 //	file.go           the platform's file: format, precedence, checks
 //	operator.go       Operator: the configuration from the operator's file
 //	operatorfile.go   the operator's file: format, checks
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -85,7 +85,7 @@
 func load(path string, env func(string) string, isReload bool) (*Config, error) {
 	raw, err := readComplete(path)
 	if err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
+		return nil, fmt.Errorf("read configuration: %w", err)
 	}
 	encoded := configFile{Limits: defaultLimits}
 	var rawKeys map[string]json.RawMessage
@@ -111,8 +111,8 @@
 	return cfg, cfg.decodeSections(encoded)
 }
 
-// rewriteTimeout is how long an incomplete file is read again, since it may still be being written. Otherwise an instance
-// that starts at that moment would fail, and a running instance would miss the change.
+// rewriteTimeout limits how long readComplete reads an incomplete file again, which may still be being written. Without
+// this an instance that starts at that moment would fail, and a running instance would miss the change.
 const rewriteTimeout = 500 * time.Millisecond
 
 // readComplete returns the contents of the file at path, or the embedded default if path is empty. It reads an incomplete
@@ -141,7 +141,7 @@
 	if errors.As(err, &typeErr) && typeErr.Field != "" {
 		return keyErrorf(typeErr.Field, "want %s, got %s", jsonTypeName(typeErr.Type), typeErr.Value)
 	}
-	return fmt.Errorf("configuration %s: %w", path, err)
+	return fmt.Errorf("decode configuration %s: %w", path, err)
 }
 
 // jsonTypeName returns the JSON type that a Go type is decoded from, for error messages.
@@ -174,24 +174,25 @@
 // unknownKeys returns a warning for each key that no field decodes.
 func unknownKeys(rawKeys map[string]json.RawMessage) (warnings []string) {
 	warnings = unknownFields("", rawKeys, reflect.TypeFor[configFile]())
-	for key, in := range map[string]reflect.Type{
+	for key, structType := range map[string]reflect.Type{
 		"limits":   reflect.TypeFor[Limits](),
 		"platform": reflect.TypeFor[platformSection](),
 	} {
 		var section map[string]json.RawMessage
 		if json.Unmarshal(rawKeys[key], &section) == nil {
-			warnings = append(warnings, unknownFields(key+".", section, in)...)
+			warnings = append(warnings, unknownFields(key+".", section, structType)...)
 		}
 	}
 	return warnings
 }
 
-// unknownFields returns a warning for each key that is not the JSON tag of a field of in. It puts prefix before the keys.
-func unknownFields(prefix string, rawKeys map[string]json.RawMessage, in reflect.Type) (warnings []string) {
+// unknownFields returns a warning for each key that is not the JSON tag of a field of structType. It puts prefix before the
+// keys.
+func unknownFields(prefix string, rawKeys map[string]json.RawMessage, structType reflect.Type) (warnings []string) {
 	for key := range rawKeys {
 		known := false
-		for i := range in.NumField() {
-			known = known || in.Field(i).Tag.Get("json") == key
+		for i := range structType.NumField() {
+			known = known || structType.Field(i).Tag.Get("json") == key
 		}
 		if !known {
 			warnings = append(warnings, prefix+key+": unknown key")
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -56,24 +56,24 @@
 	{"array", "", `[]`},
 	{"not JSON", "", `{"name":n3}`},
 	{"name missing", `"name":"n3"`, `"name":""`},
-	{"name a number", `"name":"n3"`, `"name":3`},
+	{"name is a number", `"name":"n3"`, `"name":3`},
 	{"listen without a port", "127.0.0.4:8080", "127.0.0.4"},
 	{"discovery at port 0", "127.2.0.1:8500", "127.2.0.1:0"},
 	{"platform without a host", "127.2.0.2:6400", ":6400"},
-	{"platform a string", `"platform":{"address":"127.2.0.2:6400",`, `"platform":"x","odd":{`},
+	{"platform is a string", `"platform":{"address":"127.2.0.2:6400",`, `"platform":"x","odd":{`},
 	{"seed not a number", "8c1f30d27a5be964", "seed"},
-	{"cores too many", `"cores":1.0`, `"cores":4096`},
-	{"memory a string", `"memory_mb":192`, `"memory_mb":"much"`},
-	{"sockets too few", `"sockets":1024`, `"sockets":10`},
-	{"sockets fractional", `"sockets":1024`, `"sockets":1.5`},
-	{"limits an array", `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024}`, `"limits":[]`},
-	{"news: an odd word", `"progress":"testing"`, `"progress":"odd"`},
-	{"news: a figure that is a text", `"ring":1`, `"ring":"one"`},
-	{"known without its index", `"index":41,`, ``},
-	{"known: an odd word", `"status":"Ready"`, `"status":"Odd"`},
-	{"known: a figure that is a text", `"status":"Ready"`, `"weight":"one"`},
+	{"too many cores", `"cores":1.0`, `"cores":4096`},
+	{"memory is a string", `"memory_mb":192`, `"memory_mb":"much"`},
+	{"too few sockets", `"sockets":1024`, `"sockets":10`},
+	{"sockets is a fraction", `"sockets":1024`, `"sockets":1.5`},
+	{"limits is an array", `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024}`, `"limits":[]`},
+	{"news: unknown progress", `"progress":"testing"`, `"progress":"odd"`},
+	{"news: string for a number", `"ring":1`, `"ring":"one"`},
+	{"known: index missing", `"index":41,`, ``},
+	{"known: unknown status", `"status":"Ready"`, `"status":"Odd"`},
+	{"known: string for a number", `"status":"Ready"`, `"weight":"one"`},
 	{"settings missing", `"settings":{`, `"other":{`},
-	{"settings a string", `"settings":{`, `"settings":"x","other":{`},
+	{"settings is a string", `"settings":{`, `"settings":"x","other":{`},
 	{"settings: number missing", `"n-instances":3,`, ``},
 	{"settings: number out of range", `"cold-from":0.35`, `"cold-from":7`},
 	{"settings: string for a number", `"give-up-ms":1500`, `"give-up-ms":"x"`},
@@ -92,8 +92,8 @@
 	{"array for a string", `listen = "127.0.0.1:8081"`, "listen = [1]"},
 	{"not a duration", `"3s"`, `"soon"`},
 	{"detection timeout too short", `"9s"`, `"3.1s"`},
-	{"admin for all", "127.0.0.1:8081", "0.0.0.0:8081"},
-	{"admin no address", "127.0.0.1:8081", "localhost"},
+	{"admin on all interfaces", "127.0.0.1:8081", "0.0.0.0:8081"},
+	{"admin without ip:port", "127.0.0.1:8081", "localhost"},
 	{"key file missing", `"key"`, `"no-key"`},
 	{"key too short", `"key"`, `"short"`},
 	{"instance not among the seeds", `name = "n3"`, `name = "n7"`},
@@ -183,10 +183,10 @@
 
 // listKeys lists the keys that the tags of a struct's fields define, one per line with the kind of its value. It puts
 // prefix before each key.
-func listKeys(prefix, tag string, in reflect.Type) string {
+func listKeys(prefix, tag string, structType reflect.Type) string {
 	var lines string
-	for i := range in.NumField() {
-		field := in.Field(i)
+	for i := range structType.NumField() {
+		field := structType.Field(i)
 		name := prefix + field.Tag.Get(tag)
 		switch fieldType := field.Type; {
 		case fieldType.Kind() == reflect.Struct:
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -44,11 +44,11 @@
 		lines[2][1] = fmt.Sprintf("%s, %d servers, %v to elect, store in %s", role, len(c.Servers), c.ElectionTimeout, c.Dir)
 	}
 	if c := o.Membership; c != nil {
-		signing := "packets not sealed"
+		sealing := "packets not sealed"
 		if len(c.Codec.Key) > 0 {
-			signing = "packets sealed"
+			sealing = "packets sealed"
 		}
-		lines[1][1] = fmt.Sprintf("cluster %q, %s, %d seeds", c.Codec.Cluster, signing, len(c.Membership.Seeds))
+		lines[1][1] = fmt.Sprintf("cluster %q, %s, %d seeds", c.Codec.Cluster, sealing, len(c.Membership.Seeds))
 		lines = append(lines, [][2]string{
 			{"membership.bind", c.Bind},
 			{"membership.advertise", c.Membership.Address},
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -30,22 +30,22 @@
 // Each error names the key or the line, since operators read it to correct the file.
 func TestReadOperator(t *testing.T) {
 	for name, test := range map[string]operatorCase{
-		"unchanged":       {},
-		"off":             {"enabled = true", "enabled = false", ""},
-		"unknown key":     {"cluster", "clutser", "line 5: membership.clutser: unknown key"},
-		"not TOML":        {"enabled = true", "enabled = ", "line 4: "},
-		"number as time":  {`"3s"`, "3", "line 7: membership.bear-pause"},
-		"not a duration":  {`"3s"`, `"soon"`, "membership.bear-pause: want a duration like 4s"},
-		"too short":       {`"9s"`, `"3.1s"`, "membership.detect-within: want at least"},
-		"admin to all":    {"127.0.0.1:8081", "0.0.0.0:8081", "admin.listen: want a loopback address"},
-		"admin elsewhere": {"127.0.0.1:8081", "localhost", "admin.listen: want ip:port"},
-		"no key file":     {`"key"`, `"no-key"`, "membership.key-file: "},
-		"key too short":   {`"key"`, `"short"`, "membership.key-file: want a key of at least 16 bytes"},
-		"key empty":       {`"key"`, `"empty"`, "membership.key-file: "},
-		"not a seed":      {`name = "n0"`, `name = "n7"`, `membership.bind: missing, and membership.seeds has no entry for "n0"`},
-		"seed's address":  {"127.0.0.2:7946", "127.0.0.2", "membership.seeds[1].address: want ip:port"},
-		"seed twice":      {`name = "n1"`, `name = "n0"`, "membership.seeds[1].name"},
-		"long cluster":    {`"town"`, `"` + strings.Repeat("t", 33) + `"`, "membership.cluster: want 32 bytes"},
+		"unchanged":                    {},
+		"off":                          {"enabled = true", "enabled = false", ""},
+		"unknown key":                  {"cluster", "clutser", "line 5: membership.clutser: unknown key"},
+		"not TOML":                     {"enabled = true", "enabled = ", "line 4: "},
+		"number for a duration":        {`"3s"`, "3", "line 7: membership.bear-pause"},
+		"not a duration":               {`"3s"`, `"soon"`, "membership.bear-pause: want a duration like 4s"},
+		"detection timeout too short":  {`"9s"`, `"3.1s"`, "membership.detect-within: want at least"},
+		"admin on all interfaces":      {"127.0.0.1:8081", "0.0.0.0:8081", "admin.listen: want a loopback address"},
+		"admin without ip:port":        {"127.0.0.1:8081", "localhost", "admin.listen: want ip:port"},
+		"key file missing":             {`"key"`, `"no-key"`, "membership.key-file: "},
+		"key too short":                {`"key"`, `"short"`, "membership.key-file: want a key of at least 16 bytes"},
+		"key empty":                    {`"key"`, `"empty"`, "membership.key-file: "},
+		"instance not among the seeds": {`name = "n0"`, `name = "n7"`, `membership.bind: missing, and membership.seeds has no entry for "n0"`},
+		"seed address without a port":  {"127.0.0.2:7946", "127.0.0.2", "membership.seeds[1].address: want ip:port"},
+		"duplicate seed":               {`name = "n1"`, `name = "n0"`, "membership.seeds[1].name"},
+		"cluster too long":             {`"town"`, `"` + strings.Repeat("t", 33) + `"`, "membership.cluster: want 32 bytes"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			operator, err := test.read(t)
--- a/internal/config/operatorfile.go
+++ b/internal/config/operatorfile.go
@@ -27,7 +27,7 @@
 	defaultLeaseTTL         = "5s"
 
 	minElectionTimeout   = 50 * time.Millisecond
-	minElectionsPerLease = 3 // a lease must outlast this many elections, so that an election does not expire it
+	minElectionsPerLease = 3 // a lease must outlast this many elections, so that it does not expire during one
 	maxServers           = 9
 	minKeyBytes          = 16
 )
@@ -58,7 +58,7 @@
 
 type policySection struct {
 	Enabled     bool           `toml:"enabled"`
-	Dir         string         `toml:"dir"`          // directory of the store, relative to this file; required
+	Dir         string         `toml:"dir"`          // directory of the replicated log, relative to this file; required
 	Bind        string         `toml:"bind"`         // ip:port, TCP; default: the address of the instance's own entry in servers
 	KeyFile     string         `toml:"key-file"`     // relative to this file; default empty: the log accepts any connection
 	ElectWithin string         `toml:"elect-within"` // see raftlog.Config.ElectionTimeout
@@ -70,18 +70,18 @@
 	Lease   string `toml:"lease"`   // see Operator.LeaseTTL
 }
 
-// namedAddress is the name of an instance and the address that others reach it at.
+// namedAddress is the name of an instance and the address at which other instances reach it.
 type namedAddress struct {
 	Name    string `toml:"name"`
 	Address string `toml:"address"` // ip:port
 }
 
 // ReadOperator reads the operator's file at path for the instance with this name. The error names the invalid key, and
-// also its line if the file does not decode. Paths in the file are relative to the file.
+// also its line if the TOML decoder reports the error. Paths in the file are relative to the file.
 func ReadOperator(path, name string) (*Operator, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("operator's file: %w", err)
+		return nil, fmt.Errorf("read operator's file: %w", err)
 	}
 	encoded := operatorFile{
 		Membership: membershipSection{
@@ -100,7 +100,8 @@
 	return operator, nil
 }
 
-// toOperator checks and converts the sections that are enabled.
+// toOperator checks the enabled sections and converts them for the instance with this name. path is that of the operator's
+// file.
 func (f *operatorFile) toOperator(path, name string) (operator *Operator, err error) {
 	operator = &Operator{Admin: f.Admin.Listen}
 	if operator.Admin != "" {
@@ -185,15 +186,15 @@
 
 // gossipConfig checks the section and converts it for the instance with this name. path is that of the operator's file.
 func (m *membershipSection) gossipConfig(path, name string) (*gossip.Config, error) {
-	own := ""
+	ownAddress := ""
 	var seeds []membership.Seed
 	for _, seed := range m.Seeds {
 		if seed.Name == name {
-			own = seed.Address
+			ownAddress = seed.Address
 		}
 		seeds = append(seeds, membership.Seed{Name: membership.Name(seed.Name), Address: seed.Address})
 	}
-	advertise := cmp.Or(m.Advertise, own, m.Bind)
+	advertise := cmp.Or(m.Advertise, ownAddress, m.Bind)
 	if advertise == "" {
 		return nil, keyErrorf("membership.bind", "missing, and membership.seeds has no entry for %q", name)
 	}
@@ -279,7 +280,8 @@
 	return nil
 }
 
-// leaseTTL returns how long a lease lasts without renewal. operator holds the other sections, which takeover requires.
+// leaseTTL returns how long a lease lasts without renewal. operator has the converted sections membership and policy, which
+// takeover requires.
 func (t *takeoverSection) leaseTTL(operator *Operator) (time.Duration, error) {
 	if operator.Membership == nil || operator.Policy == nil {
 		return 0, keyErrorf("takeover.enabled", "requires membership.enabled and policy.enabled")
--- a/internal/config/page_test.go
+++ b/internal/config/page_test.go
@@ -93,10 +93,10 @@
 func keysInCode(t *testing.T) []string {
 	t.Helper()
 	listed := listKeys("", "json", reflect.TypeFor[configFile]()) + listKeys("", "toml", reflect.TypeFor[operatorFile]())
-	all := map[string]bool{}
+	keys := map[string]bool{}
 	for line := range strings.Lines(listed) {
 		key, _, _ := strings.Cut(line, ":")
-		all[key] = true
+		keys[key] = true
 	}
 	raw, err := os.ReadFile("../settings/testdata/keys.golden")
 	if err != nil {
@@ -105,31 +105,31 @@
 	index := regexp.MustCompile(`\.\d+\.`)
 	for line := range strings.Lines(string(raw)) {
 		key := strings.TrimSpace(line)
-		length := strings.HasSuffix(key, ".count") // length of a list, see settings.Flatten
-		if key == "" || strings.HasPrefix(key, "==") || length {
+		isLength := strings.HasSuffix(key, ".count") // the length of a list, see settings.Flatten
+		if key == "" || strings.HasPrefix(key, "==") || isLength {
 			continue
 		}
-		all["settings "+index.ReplaceAllString(key, "[].")] = true
+		keys["settings "+index.ReplaceAllString(key, "[].")] = true
 	}
-	return slices.Sorted(maps.Keys(all))
+	return slices.Sorted(maps.Keys(keys))
 }
 
 // keysOnPage returns the keys of the rows. Keys whose terms are fields of settings have "settings " before them, as in
 // keysInCode.
 func keysOnPage(t *testing.T, rows []pageRow) []string {
 	t.Helper()
-	all := map[string]bool{}
+	keys := map[string]bool{}
 	for _, row := range rows {
 		key := row.key
 		if strings.HasPrefix(row.terms[0], "decision.") || strings.HasPrefix(row.terms[0], "settings.") {
 			key = "settings " + key
 		}
-		if all[key] {
+		if keys[key] {
 			t.Errorf("%s: duplicate row on the page", key)
 		}
-		all[key] = true
+		keys[key] = true
 	}
-	return slices.Sorted(maps.Keys(all))
+	return slices.Sorted(maps.Keys(keys))
 }
 
 // docs/configuration.md lists exactly the keys that the code reads, with a text in each column. Each of its terms is a
--- a/internal/settings/decision.go
+++ b/internal/settings/decision.go
@@ -23,7 +23,7 @@
 }
 
 func decisionSettings(reader *settingReader) (decision.Settings, error) {
-	set := decision.Settings{
+	settings := decision.Settings{
 		Instances:           reader.count("n-instances", 1, maxCount),
 		Zone:                decision.Zone(reader.text("zone")),
 		ClockGranularity:    reader.optionalNumber("granularity-ms"),
@@ -55,17 +55,17 @@
 		CountInterval:       reader.optionalNumber("domain.tally-every-ms"),
 	}
 	if reader.flag("limits.retry-after") {
-		set.MaxRetryAfter = reader.optionalNumber("limits.max-retry-after-ms")
+		settings.MaxRetryAfter = reader.optionalNumber("limits.max-retry-after-ms")
 	}
 	if reader.text("domain.vote-mode") == "clocked" {
-		set.Control = decision.ByClock
+		settings.Control = decision.ByClock
 	}
-	if len(set.ExposureCaps) != len(set.StageShares) {
+	if len(settings.ExposureCaps) != len(settings.StageShares) {
 		reader.recordError("domain.caps", reasonLengthsDiffer)
 	}
-	set.Classes = reader.classes()
-	set.Tenants = reader.tenants()
-	return set, reader.err
+	settings.Classes = reader.classes()
+	settings.Tenants = reader.tenants()
+	return settings, reader.err
 }
 
 // classes reads all request classes.
@@ -78,7 +78,7 @@
 }
 
 // class reads the request class whose settings begin with prefix. usedNames holds the names of the classes before it, and
-// gets its name.
+// class adds the name that it reads.
 func (reader *settingReader) class(prefix string, usedNames map[string]bool) decision.RequestClass {
 	idempotency, ok := idempotencyByName[reader.text(prefix+"idempotency")]
 	if !ok {
@@ -101,7 +101,7 @@
 	return class
 }
 
-// tenants reads the names of the tenants. Without the setting there are none.
+// tenants reads the names of the tenants. If tenants.count is absent, there are none.
 func (reader *settingReader) tenants() (tenants []decision.TenantID) {
 	if _, ok := reader.lookup("tenants.count"); !ok {
 		return nil
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -7,7 +7,7 @@
 //
 //	reader.go     settingReader: reads single settings and checks their bounds; FieldError
 //	flatten.go    ParsePairs and Flatten
-//	network.go    Network: the settings of the sockets
+//	network.go    Network: the settings of connections and discovery
 //	decision.go   ForDecisionModule: the settings of the decision module
 //	overlay.go    Overlay
 package settings
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// ParsePairs splits texts of the form name=value into a map. It leaves out texts without =.
-func ParsePairs(parts []string) map[string]string {
-	texts := make(map[string]string, len(parts))
-	for _, part := range parts {
-		if key, value, ok := strings.Cut(part, "="); ok {
+// ParsePairs splits pairs of the form name=value into a map. It ignores texts without =.
+func ParsePairs(pairs []string) map[string]string {
+	texts := make(map[string]string, len(pairs))
+	for _, pair := range pairs {
+		if key, value, ok := strings.Cut(pair, "="); ok {
 			texts[key] = value
 		}
 	}
@@ -23,8 +23,8 @@
 var ErrNotObject = errors.New("want an object")
 
 // Flatten turns a JSON object into the same map of names and texts that ParsePairs returns. Names are the keys on the
-// path, joined by dots. The items of a list of scalars are joined by commas. A list of objects has its length under
-// .count and its items under .0, .1 and so on. Flatten leaves out null values. The error wraps ErrNotObject.
+// path, joined by dots. The items of a list of scalars are joined by commas. A list of objects adds its length as
+// name.count, and its items below name.0, name.1 and so on. Flatten leaves out null values. An error wraps ErrNotObject.
 func Flatten(raw []byte) (map[string]string, error) {
 	decoder := json.NewDecoder(strings.NewReader(string(raw)))
 	decoder.UseNumber()
--- a/internal/settings/network.go
+++ b/internal/settings/network.go
@@ -28,13 +28,13 @@
 	// MaxPollInterval (rules.ask-within-ms) is the time within which an instance must poll. Default 0; 0 or more. A
 	// higher value lets a queued call wait for longer before it is abandoned.
 	MaxPollInterval decision.Millis
-	// DrainGrace (rules.drain-grace-ms) is the time from the announcement that an endpoint is draining until it must get no
-	// new requests. Default 0, which discovery treats as 50 ms; 0 or more. A higher value allows longer watches of a pushed
+	// DrainGrace (rules.drain-grace-ms) is how long an endpoint may still get new requests after it was announced as
+	// draining. Default 0, which discovery treats as 50 ms; 0 or more. A higher value allows longer watches of a pushed
 	// list, and so fewer calls.
 	DrainGrace decision.Millis
 }
 
-// ForNetwork returns the settings of the sockets from a map of names and texts. The error is a FieldError.
+// ForNetwork returns the network settings from a map of names and texts. The error is a FieldError.
 func ForNetwork(texts map[string]string) (Network, error) {
 	return networkSettings(&settingReader{texts: texts})
 }
--- a/internal/settings/overlay.go
+++ b/internal/settings/overlay.go
@@ -9,7 +9,7 @@
 
 // Overlay returns base, the settings of a running instance, with those of the JSON object override applied over them. It
 // accepts only settings that the decision module reads and a running instance can change. The error is a FieldError for
-// the first other or invalid setting, or wraps ErrNotObject.
+// an invalid setting or one that is not accepted, or wraps ErrNotObject.
 func Overlay(base map[string]string, override []byte) (map[string]string, error) {
 	changes, err := Flatten(override)
 	if err != nil {
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -9,12 +9,12 @@
 
 // Upper bounds of settings.
 const (
-	maxNumber  = 1e12 // of numbers without another bound
-	maxCount   = 1e6  // of the numbers of instances, attempts, stages and tenants
-	maxClasses = 1e4  // of the number of request classes
+	maxNumber  = 1e12 // bounds numbers that have no other bound
+	maxCount   = 1e6  // bounds the numbers of instances, attempts, stages and tenants
+	maxClasses = 1e4  // bounds the number of request classes
 )
 
-// Texts of FieldError.Reason; those named Format have verbs.
+// Values of FieldError.Reason. Those whose names end in Format are format strings.
 const (
 	reasonMissing             = "missing"
 	reasonUnknownName         = "missing or unknown"
@@ -33,8 +33,8 @@
 
 func (e FieldError) Error() string { return "settings." + e.Key + ": " + e.Reason }
 
-// settingReader reads settings by name and keeps the first error. After an error it goes on with the lower bound in place
-// of the invalid value, so that callers check err once at the end.
+// settingReader reads settings by name and keeps the first error. After an error it continues with the lower bound in
+// place of the invalid value, so that callers check err once at the end.
 type settingReader struct {
 	texts    map[string]string
 	err      error           // the first error, a FieldError
@@ -69,7 +69,7 @@
 	return s
 }
 
-// recordError records an error unless there was one before.
+// recordError records the first error and ignores all later ones.
 func (reader *settingReader) recordError(key, reason string) {
 	if reader.err == nil {
 		reader.err = FieldError{Key: key, Reason: reason}
