--- a/cmd/balancer/clients_test.go
+++ b/cmd/balancer/clients_test.go
@@ -16,7 +16,7 @@
 	url       string // URL of the instance
 	client    *http.Client
 	pause     time.Duration              // pause of each client after a response
-	check     func(*testing.T, response) // check of each response
+	check     func(*testing.T, response) // called with each response
 	ids       atomic.Int32
 	sent      atomic.Int32
 	responded atomic.Int32
@@ -93,11 +93,11 @@
 	l.clients.Wait()
 }
 
-// awaitMore waits until a counter has grown by more.
+// awaitMore waits until a counter has grown by the number more.
 func awaitMore(t *testing.T, counter *atomic.Int32, more int32) {
 	t.Helper()
-	until := counter.Load() + more
-	waitFor(t, stepTimeout, fmt.Sprintf("want %d more responses", more), func() bool { return counter.Load() >= until })
+	target := counter.Load() + more
+	waitFor(t, stepTimeout, fmt.Sprintf("got fewer than %d more responses", more), func() bool { return counter.Load() >= target })
 }
 
 // awaitListening waits until an instance responds, whatever the status.
--- a/cmd/balancer/cluster.go
+++ b/cmd/balancer/cluster.go
@@ -68,7 +68,7 @@
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return fmt.Errorf("admin.listen: %w", err)
+		return fmt.Errorf("listen on admin.listen: %w", err)
 	}
 	s.admin, s.adminListener = admin.New(), listener
 	return nil
@@ -123,7 +123,7 @@
 	if ttl <= 0 {
 		return
 	}
-	if log := s.policy.Log(); log != nil {
+	if log := s.policy.Log(); log != nil { // nil: this instance is not a server of the replicated log
 		failover.NewStateMachine(log)
 	}
 	cfg := failover.Config{Name: s.cfg.Name, Incarnation: uint64(s.gossip.RunID()), TTL: ttl}
@@ -171,8 +171,8 @@
 	}
 }
 
-// voteController returns the receiver of the decision module's votes. This is the client of the rollout controller, or the
-// failover manager in front of that client, which passes on only the votes of a lease holder.
+// voteController returns the receiver of the decision module's votes: the client of the rollout controller or, with takeover
+// enabled, the failover manager in front of that client. Without a valid lease, the manager sends no vote that needs one.
 func (s *clusterServices) voteController(controller *rollout.Client) engine.Controller {
 	if s.failover != nil {
 		return s.failover
--- a/cmd/balancer/cluster_test.go
+++ b/cmd/balancer/cluster_test.go
@@ -16,7 +16,7 @@
 	"ottershed/internal/testbed/poll"
 )
 
-// runAsBalancer is the environment variable that makes the test binary run as the balancer. Tests start it as processes.
+// runAsBalancer is the environment variable with which tests make processes of the test binary run as the balancer.
 const runAsBalancer = "OTTERSHED_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -28,7 +28,7 @@
 }
 
 // startCluster starts instances as processes, and waits until each considers all others alive.
-func startCluster(t *testing.T, set fleet.Settings) (*fleet.Fleet, context.Context) {
+func startCluster(t *testing.T, settings fleet.Settings) (*fleet.Fleet, context.Context) {
 	t.Helper()
 	platform, err := testplatform.New(3)
 	if err != nil {
@@ -37,15 +37,16 @@
 	t.Cleanup(platform.Close)
 	ctx, cancel := context.WithTimeout(context.Background(), 4*time.Minute)
 	t.Cleanup(cancel)
-	if set.DetectionTimeout == 0 {
-		set.ToleratedPause, set.DetectionTimeout = 3500*time.Millisecond, 9*time.Second
+	if settings.DetectionTimeout == 0 {
+		settings.ToleratedPause, settings.DetectionTimeout = 3500*time.Millisecond, 9*time.Second
 	}
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	set.Dir, set.Program, set.Env, set.Platform = t.TempDir(), program, []string{runAsBalancer + "=1"}, platform
-	fleet, err := fleet.New(set)
+	settings.Dir, settings.Program, settings.Env, settings.Platform =
+		t.TempDir(), program, []string{runAsBalancer + "=1"}, platform
+	fleet, err := fleet.New(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,12 +65,12 @@
 	return fleet, ctx
 }
 
-// await waits until ok returns nil, and fails the test with its last error if that takes too long.
-func await(t *testing.T, ctx context.Context, within time.Duration, ok func() error) {
+// await waits until check returns nil, and fails the test with the last error of check if that takes too long.
+func await(t *testing.T, ctx context.Context, within time.Duration, check func() error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
-	if err := poll.Until(ctx, ok); err != nil {
+	if err := poll.Until(ctx, check); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -86,7 +87,8 @@
 	return lines
 }
 
-// checkOthers returns the first error of a check of all instances except one. An except of -1 checks all instances.
+// checkOthers calls check for each instance except one and returns the first error. If except is -1, it calls check for all
+// instances.
 func checkOthers(f *fleet.Fleet, except int, check func(i int) error) error {
 	for i := range f.Names() {
 		if i != except {
@@ -107,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	was, _ := before.Get("n2")
+	earlier, _ := before.Get("n2")
 	paused := time.Now()
 	if err := fleet.Process(2).Stall(); err != nil {
 		t.Fatal(err)
@@ -124,11 +126,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if is, _ := after.Get("n2"); is.Incarnation <= was.Incarnation || is.Run != was.Run {
-		t.Errorf("got %+v, want the same run with a higher incarnation than %+v, since it refuted the suspicion", is, was)
+	if current, _ := after.Get("n2"); current.Incarnation <= earlier.Incarnation || current.Run != earlier.Run {
+		t.Errorf("got %+v, want the same run with a higher incarnation than %+v, since n2 refuted the suspicion", current, earlier)
 	}
 	if lines := deathLogLines(fleet); len(lines) > 0 {
-		t.Errorf("declared dead: %s", lines)
+		t.Errorf("want no member declared dead, got %s", lines)
 	}
 }
 
@@ -139,7 +141,7 @@
 	fleet.Rules.SetDefault(faultinject.Rule{Drop: 0.2})
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(time.Second) { // the test is about this minute
 		if lines := deathLogLines(fleet); len(lines) > 0 {
-			t.Fatalf("declared dead: %s", lines)
+			t.Fatalf("want no member declared dead, got %s", lines)
 		}
 	}
 	fleet.Rules.Heal()
@@ -153,7 +155,7 @@
 	fleet.Rules.SetCut(faultinject.Link{From: "n0", To: "n1"}, true) // n1 receives nothing from n0
 	time.Sleep(20 * time.Second)                                     // more than twice the detection timeout
 	if lines := deathLogLines(fleet); len(lines) > 0 {
-		t.Errorf("declared dead: %s", lines)
+		t.Errorf("want no member declared dead, got %s", lines)
 	}
 	for i := range fleet.Names() {
 		if err := fleet.CheckMemberState(ctx, i, 0, membership.Alive); i != 1 && err != nil {
@@ -173,7 +175,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	was, _ := before.Get("n3")
+	earlier, _ := before.Get("n3")
 	if err := fleet.Process(3).Kill(); err != nil {
 		t.Fatal(err)
 	}
@@ -188,8 +190,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if is, _ := after.Get("n3"); is.Incarnation <= was.Incarnation || is.Run == was.Run {
-		t.Errorf("after the restart: got %+v, want another run with a higher incarnation than %+v", is, was)
+	if current, _ := after.Get("n3"); current.Incarnation <= earlier.Incarnation || current.Run == earlier.Run {
+		t.Errorf("after the restart: got %+v, want another run with a higher incarnation than %+v", current, earlier)
 	}
 	if err := fleet.Process(4).Terminate(ctx); err != nil {
 		t.Error(err)
@@ -254,13 +256,13 @@
 }
 
 func sendUDP(to string, packet []byte) error {
-	c, err := net.Dial("udp", to)
+	conn, err := net.Dial("udp", to)
 	if err != nil {
 		return err
 	}
-	if _, err := c.Write(packet); err != nil {
-		_ = c.Close() // the error of Write is the one that matters
+	if _, err := conn.Write(packet); err != nil {
+		_ = conn.Close() // the error of Write is the one that matters
 		return err
 	}
-	return c.Close()
+	return conn.Close()
 }
--- a/cmd/balancer/commands.go
+++ b/cmd/balancer/commands.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// groupCommand returns a command that groups others. Each of these takes one argument if it has an ArgsUsage, otherwise
-// none.
+// groupCommand returns a command that groups others. Each command of the group takes one argument if it has an ArgsUsage,
+// otherwise none.
 func groupCommand(name, usage string, commands []*cli.Command) *cli.Command {
 	for _, c := range commands {
 		want := 0
@@ -65,7 +65,8 @@
 		c.OnUsageError, c.HideHelpCommand = usageError, true
 		c.Before = func(ctx context.Context, cmd *cli.Command) (context.Context, error) {
 			if n := cmd.Args().Len(); n != want {
-				return ctx, fmt.Errorf("%w: %s %s takes %d arguments, got %d; see --help", errUsage, name, cmd.Name, want, n)
+				return ctx, fmt.Errorf("%w: %s %s: wrong number of arguments: want %d, got %d; see --help",
+					errUsage, name, cmd.Name, want, n)
 			}
 			return ctx, nil
 		}
@@ -74,7 +75,7 @@
 		Name: name, Usage: usage, Commands: commands, OnUsageError: usageError, HideHelpCommand: true,
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			if cmd.Args().Present() {
-				return fmt.Errorf("%w: unknown command %s %q; see --help", errUsage, name, cmd.Args().First())
+				return fmt.Errorf("%w: unknown %s command %q; see --help", errUsage, name, cmd.Args().First())
 			}
 			return cli.ShowSubcommandHelp(cmd)
 		},
--- a/cmd/balancer/commands_golden_test.go
+++ b/cmd/balancer/commands_golden_test.go
@@ -93,8 +93,8 @@
 	{"serve, file missing", "serve --config none.json"},
 }
 
-// The output of each command, as a table and as JSON, and its errors match the golden file. The address of the admin server
-// differs between runs, so the file has ADDRESS in its place.
+// The output and errors of each command match the golden file. The address of the admin server differs between
+// runs, so the file has ADDRESS in its place.
 func TestGoldenCommands(t *testing.T) {
 	var observed string
 	t.Run("run", func(t *testing.T) {
@@ -160,7 +160,8 @@
 	return listener.Addr().String()
 }
 
-// runCommand runs the program with args. It returns the output, then standard error and the error under headings.
+// runCommand runs the program with args. It returns standard output, followed by standard error and the returned error, each
+// under a heading.
 func runCommand(ctx context.Context, address string, args []string) string {
 	var stdout, stderr bytes.Buffer
 	root := command()
--- a/cmd/balancer/drain_test.go
+++ b/cmd/balancer/drain_test.go
@@ -54,11 +54,12 @@
 // Endpoints fail in each way in turn, one endpoint drains, and the instance drains with requests in flight. Each request
 // gets one response in time, no non-idempotent request runs twice, and all goroutines and descriptors are released.
 func TestFaultsOnRealSockets(t *testing.T) {
-	first, err := net.Listen("tcp", "127.0.0.1:0") // the first socket opens two descriptors of the network poller, which stay open
+	// The first socket of the process opens two descriptors for the network poller, which stay open.
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := first.Close(); err != nil {
+	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
 	before := openResources(t)
--- a/cmd/balancer/instance.go
+++ b/cmd/balancer/instance.go
@@ -28,8 +28,8 @@
 	clusterLeaveTimeout = 2 * drainGrace
 )
 
-// instance is one load balancer process. Its components are constructed in the order of the fields. None of them runs
-// before run starts it.
+// instance is one load balancer process. Its components are constructed in the order of the fields, and none runs before
+// the method run starts it.
 type instance struct {
 	cfg        *config.Config
 	log        logrus.FieldLogger
@@ -44,8 +44,8 @@
 	summary    summaryLogger
 }
 
-// run runs an instance until stop delivers a signal, and calls reread at each signal from hup to reload the configuration.
-// summaryInterval is the time between two summary lines; 0: no lines.
+// run runs an instance until stop delivers a signal. At each signal from hup it reloads the configuration that reread
+// returns. summaryInterval is the time between two summary lines; 0: no lines.
 func run(ctx context.Context, cfg *config.Config, log logrus.FieldLogger, stop, hup <-chan os.Signal,
 	reread func() (*config.Config, error), summaryInterval time.Duration,
 ) error {
@@ -64,12 +64,12 @@
 }
 
 // newInstance constructs the components and connects them. It opens the listener first, so that connections of clients
-// wait during the start and are not refused.
+// wait until the instance serves, and are not refused.
 func newInstance(cfg *config.Config, log logrus.FieldLogger, summaryInterval time.Duration) (*instance, error) {
 	inst := &instance{cfg: cfg, log: log}
 	var err error
 	if inst.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
+		return nil, fmt.Errorf("listen for clients: %w", err)
 	}
 	connections := cfg.Limits.Connections()
 	monotonic := clock.New()
--- a/cmd/balancer/lease_cluster_test.go
+++ b/cmd/balancer/lease_cluster_test.go
@@ -48,9 +48,9 @@
 // leaseStatus returns the status of a lease from the first instance.
 func leaseStatus(ctx context.Context, fleet *fleet.Fleet, id lease.ID) (failover.LeaseStatus, error) {
 	leases, err := fleet.Leases(ctx, 0)
-	for _, l := range leases {
-		if l.Lease == id {
-			return l, err
+	for _, status := range leases {
+		if status.Lease == id {
+			return status, err
 		}
 	}
 	if err == nil {
@@ -63,19 +63,19 @@
 // new checkpoints: the first may have been started before the call, the second was started after the first.
 func awaitCheckpoint(t *testing.T, ctx context.Context, fleet *fleet.Fleet, id lease.ID) {
 	t.Helper()
-	l, err := leaseStatus(ctx, fleet, id)
+	status, err := leaseStatus(ctx, fleet, id)
 	if err != nil {
 		t.Fatal(err)
 	}
-	since := l.CheckpointAt
+	lastCheckpoint := status.CheckpointAt
 	for range 2 {
 		await(t, ctx, 10*time.Second, func() error {
-			l, err := leaseStatus(ctx, fleet, id)
-			if err == nil && l.CheckpointAt <= since {
-				err = fmt.Errorf("no new checkpoint: %+v", l)
+			status, err := leaseStatus(ctx, fleet, id)
+			if err == nil && status.CheckpointAt <= lastCheckpoint {
+				err = fmt.Errorf("want a new checkpoint, got lease %+v", status)
 			}
 			if err == nil {
-				since = l.CheckpointAt
+				lastCheckpoint = status.CheckpointAt
 			}
 			return err
 		})
@@ -85,9 +85,9 @@
 // checkGrants fails the test if a token was granted more than once.
 func checkGrants(t *testing.T, fleet *fleet.Fleet) {
 	t.Helper()
-	for token, times := range fleet.GrantsByToken() {
-		if times > 1 {
-			t.Errorf("token %s was granted %d times, want once", token, times)
+	for token, grants := range fleet.GrantsByToken() {
+		if grants > 1 {
+			t.Errorf("token %s was granted %d times, want once", token, grants)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 	return lines
 }
 
-// awaitLogLines waits until want lines contain all of the texts, and returns all such lines by then. An instance writes its
+// awaitLogLines waits until at least want log lines contain all of the texts, and returns these lines. An instance writes its
 // line some milliseconds after the replicated log has the entry, so a test can't expect the line as soon as the lease table
 // shows the change. The timeout is the one for the lease table.
 func awaitLogLines(t *testing.T, ctx context.Context, fleet *fleet.Fleet, want int, texts ...string) []string {
@@ -179,15 +179,15 @@
 	}
 }
 
-// checkVotesOnce checks that after a ballot with a token of a lease, the controller counted no ballot with an earlier token
-// of that lease.
+// checkVotesOnce checks that after a vote with a token of a lease, the controller counted no vote with an earlier token of
+// that lease.
 func checkVotesOnce(t *testing.T, fleet *fleet.Fleet) {
 	t.Helper()
-	newest := map[string]uint64{}
-	for _, b := range fleet.Platform().Controller().Votes() {
-		for _, fence := range b.FencingTokens {
-			if b.Counted && fence.Token < newest[fence.Work] {
-				t.Errorf("ballot %+v counted after one with token %d", b, newest[fence.Work])
+	newest := map[string]uint64{} // token by lease
+	for _, vote := range fleet.Platform().Controller().Votes() {
+		for _, fence := range vote.FencingTokens {
+			if vote.Counted && fence.Token < newest[fence.Work] {
+				t.Errorf("vote %+v counted after a vote with token %d", vote, newest[fence.Work])
 			}
 			newest[fence.Work] = max(newest[fence.Work], fence.Token)
 		}
@@ -222,20 +222,20 @@
 	if err := fleet.Process(3).Resume(); err != nil {
 		t.Fatal(err)
 	}
-	await(t, ctx, 5*time.Second, func() error { // the new holder has its evidence, which counts once
+	await(t, ctx, 5*time.Second, func() error { // the new holder has the evidence of n3, which counts once
 		n, err := fleet.EvidenceResponses(ctx)
 		if err == nil && n != 40 {
 			err = fmt.Errorf("%d responses in the evidence of all instances, want 40", n)
 		}
 		return err
 	})
-	await(t, ctx, 10*time.Second, func() error { // its next write is rejected, and it acquires its lease anew
+	await(t, ctx, 10*time.Second, func() error { // the next write of n3 is rejected, and n3 acquires its lease anew
 		if len(logLines(fleet, `msg="lease lost"`, "marshal=n3", fmt.Sprintf("token=%d", before.Token))) != 1 {
 			return errors.New("late write of n3 not rejected exactly once")
 		}
-		l, err := leaseStatus(ctx, fleet, "trial/n3")
-		if err == nil && (l.Token <= before.Token || l.Holder != "n3") {
-			err = fmt.Errorf("got lease %+v, want it held by n3 with a higher token than %+v", l, before)
+		status, err := leaseStatus(ctx, fleet, "trial/n3")
+		if err == nil && (status.Token <= before.Token || status.Holder != "n3") {
+			err = fmt.Errorf("got lease %+v, want holder n3 and a higher token than in %+v", status, before)
 		}
 		return err
 	})
@@ -252,14 +252,14 @@
 		{"of the new holder again", before.Token + 1000, `"result"`},
 	} {
 		params := fmt.Sprintf(`{"image":2,"ring":0,"opinion":"on","fences":[{"work":"trial/n3","token":%d}]}`, vote.token)
-		if response := castBallot(t, controller.Address(), params); !strings.Contains(response, vote.want) {
+		if response := castVote(t, controller.Address(), params); !strings.Contains(response, vote.want) {
 			t.Errorf("vote %s with token %d: got %s, want %s", vote.name, vote.token, response, vote.want)
 		}
 	}
 }
 
-// castBallot sends a vote to the controller and returns its response.
-func castBallot(t *testing.T, address, params string) string {
+// castVote sends a vote to the controller and returns the controller's response.
+func castVote(t *testing.T, address, params string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -292,7 +292,7 @@
 	rejections := make([]string, 4)
 	for i := range 4 {
 		racing.Go(func() {
-			err := poll.Until(ctx, func() error { // until the lease has expired and an instance holds it
+			err := poll.Until(ctx, func() error { // until the lease of n4 has expired and another instance holds it
 				err := fleet.TakeOver(ctx, i, "trial/n4")
 				if err != nil && (!strings.Contains(err.Error(), "trial/n4") || strings.Contains(err.Error(), "held by n4")) {
 					return err // no leader yet, or the lease is still held
@@ -326,19 +326,19 @@
 	checkGrants(t, fleet)
 }
 
-// A client sends a request that was in flight at a killed instance again, to another instance. A non-idempotent request is
-// rejected at once with Retry-After, since it may have run already. An idempotent request is served.
+// When an instance is killed, a client resends a request that was in flight there to another instance. A non-idempotent
+// request is rejected at once with Retry-After, since it may have run already. An idempotent request is served.
 func TestRequestInFlightAtTakeover(t *testing.T) {
 	t.Parallel()
 	fleet, ctx := leaseCluster(t, 24)
 	clients := load.NewClients()
 	defer clients.Close()
-	for _, n := range fleet.Platform().Endpoints() {
-		n.SetBehavior(400*time.Millisecond, false)
+	for _, endpoint := range fleet.Platform().Endpoints() {
+		endpoint.SetBehavior(400*time.Millisecond, false)
 	}
 	for _, test := range []struct {
-		name, class, outcome string
-		want                 func(status int, retryAfter string, latency time.Duration) bool
+		name, class, want string
+		satisfied         func(status int, retryAfter string, latency time.Duration) bool
 	}{
 		{"non-idempotent", "send-text", "status 500 with Retry-After within 200 ms", rejectedPromptly},
 		{"idempotent", "read", "status 200", succeeded},
@@ -350,14 +350,14 @@
 			switch {
 			case err != nil:
 				t.Error(err)
-			case !test.want(response.Status, response.RetryAfter, response.Latency):
-				t.Errorf("got response %+v, want %s", response, test.outcome)
+			case !test.satisfied(response.Status, response.RetryAfter, response.Latency):
+				t.Errorf("got response %+v, want %s", response, test.want)
 			}
 			restartKilled(t, ctx, fleet, clients)
 		})
 	}
-	if twice := fleet.Platform().DuplicateExecutions(); len(twice) > 0 {
-		t.Errorf("ran twice: %v", twice)
+	if duplicates := fleet.Platform().DuplicateExecutions(); len(duplicates) > 0 {
+		t.Errorf("want no request run twice, got %v", duplicates)
 	}
 }
 
@@ -414,8 +414,8 @@
 func TestLeasesSurviveHundredKills(t *testing.T) {
 	t.Parallel()
 	fleet, ctx := leaseCluster(t, 25)
-	for _, n := range fleet.Platform().Endpoints() { // slow endpoints, so that requests are in flight at a kill
-		n.SetBehavior(load.RequestLatency, false)
+	for _, endpoint := range fleet.Platform().Endpoints() { // slow endpoints, so that requests are in flight at a kill
+		endpoint.SetBehavior(load.RequestLatency, false)
 	}
 	load := load.New(fleet, 6, 25)
 	load.Start(ctx)
@@ -451,8 +451,8 @@
 	}
 }
 
-// Clocks differ by hours and run 10 % fast or slow. When two instances are killed one after the other, one other instance
-// takes over each of their leases as soon as with equal clocks, and no live holder loses its lease.
+// Clocks differ by hours and run 10 % fast or slow. When two instances are killed one after the other, each of their leases
+// is taken over by one other instance, as soon as with equal clocks, and no live holder loses its lease.
 func TestLeasesUnderClockSkew(t *testing.T) {
 	t.Parallel()
 	fleet, ctx := leaseClusterWithClocks(t, 27, "1h 1.1", "-1h 0.9", "0s 1", "-26h 1.1", "3h 0.9")
--- a/cmd/balancer/log_golden_test.go
+++ b/cmd/balancer/log_golden_test.go
@@ -22,9 +22,9 @@
 // logTime matches the time of a log line.
 var logTime = regexp.MustCompile(`time="[^"]*"`)
 
-// The log lines that tools read, with the summary and with the settings applied, match the golden file. The time of a line
-// differs between runs, so the file has TIME in its place.
-func TestGoldenSummary(t *testing.T) {
+// The log lines "summary" and "settings applied", which tools read, match the golden file. The time of a line differs
+// between runs, so the file has TIME in its place.
+func TestGoldenLogLines(t *testing.T) {
 	cfg, err := config.Read("", func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -3,7 +3,7 @@
 //
 //	serve.go, instance.go  an instance: its components, and the order in which they start and stop
 //	readiness.go           when a new instance becomes ready
-//	reload.go              SIGHUP: which part of the configuration a running instance reloads
+//	reload.go              SIGHUP: the part of the configuration that a running instance reloads
 //	settings_source.go     the settings in force, from the configuration and the cluster's policy
 //	cluster.go             membership, policy, takeover and the admin server, all off by default
 //	summary.go             summary log lines
@@ -32,7 +32,7 @@
 var errUsage = errors.New("usage")
 
 func main() {
-	cli.OsExiter = func(int) {}
+	cli.OsExiter = func(int) {} // the library must not end the process: main sets the exit code
 	err := command().Run(context.Background(), os.Args)
 	if err == nil {
 		return
--- a/cmd/balancer/policy.go
+++ b/cmd/balancer/policy.go
@@ -93,7 +93,7 @@
 	}
 	var result policysync.ProposeResult
 	if err := json.Unmarshal(response, &result); err != nil {
-		return err
+		return fmt.Errorf("decode response to /policy/propose: %w", err)
 	}
 	duplicate := ""
 	if result.Duplicate {
@@ -118,7 +118,7 @@
 		return err
 	}
 	if err := json.Unmarshal(raw, response); err != nil {
-		return fmt.Errorf("%s: %w", path, err)
+		return fmt.Errorf("decode response to %s: %w", path, err)
 	}
 	var rows strings.Builder
 	writeRows(&rows)
--- a/cmd/balancer/policy_cluster_test.go
+++ b/cmd/balancer/policy_cluster_test.go
@@ -22,8 +22,8 @@
 	"ottershed/internal/testbed/poll"
 )
 
-// policyCluster starts instances, of which the first are servers of the replicated log, and waits until all of them admit
-// trials.
+// policyCluster starts instances, the first servers of which are servers of the replicated log. It waits until all instances
+// admit trials.
 func policyCluster(t *testing.T, instances, servers int, seed uint64) (*fleet.Fleet, context.Context) {
 	t.Helper()
 	fleet, ctx := startCluster(t, fleet.Settings{
@@ -64,18 +64,18 @@
 	return fmt.Sprintf(`{"note":%q,"trial-share":%g,"settings":{"domain":{"vote-ttl-ms":4000}}}`, note, share)
 }
 
-// propose proposes a policy at an instance, again with the same ID until it is committed, and returns its version.
-func propose(t *testing.T, ctx context.Context, fleet *fleet.Fleet, at int, text, id string) policy.Version {
+// propose proposes a policy at an instance, repeatedly with the same ID until it is committed, and returns its version.
+func propose(t *testing.T, ctx context.Context, fleet *fleet.Fleet, instance int, text, id string) policy.Version {
 	t.Helper()
-	var got policy.Version
+	var version policy.Version
 	await(t, ctx, 20*time.Second, func() error {
-		p, err := fleet.Propose(ctx, at, text, id)
+		result, err := fleet.Propose(ctx, instance, text, id)
 		if err == nil {
-			got = p.Version
+			version = result.Version
 		}
 		return err
 	})
-	return got
+	return version
 }
 
 // awaitSameVersion waits until all instances have applied a version. It fails the test if the checksums of their histories
@@ -83,50 +83,51 @@
 func awaitSameVersion(t *testing.T, ctx context.Context, fleet *fleet.Fleet, version policy.Version) {
 	t.Helper()
 	awaitVersion(t, ctx, 30*time.Second, fleet, version)
-	sums := map[string]bool{}
+	checksums := map[string]bool{}
 	lines := 0
 	for i := range fleet.Names() {
-		m, err := fleet.OwnPolicyStatus(ctx, i)
+		status, err := fleet.OwnPolicyStatus(ctx, i)
 		if err != nil {
 			t.Fatal(err)
 		}
-		sums[m.Checksum] = true
+		checksums[status.Checksum] = true
 		lines += checkVersionOrder(t, fleet, i)
 	}
-	if len(sums) != 1 {
-		t.Errorf("got checksums %v, want the same at all instances", sums)
+	if len(checksums) != 1 {
+		t.Errorf("got checksums %v, want the same at all instances", checksums)
 	}
 	if lines == 0 {
 		t.Error("want log lines about applied versions, got none")
 	}
 }
 
+// appliedLine matches a log line about an applied version, with that version and the one before it.
 var appliedLine = regexp.MustCompile(`msg="policy applied".* version=(\d+) was=(\d+)`)
 
 // checkVersionOrder checks in an instance's log lines since its first start that each version it applied is newer than all
 // versions before it. It returns the number of these lines.
 func checkVersionOrder(t *testing.T, fleet *fleet.Fleet, i int) (lines int) {
 	t.Helper()
-	last := 0
+	newest := 0
 	for line := range strings.Lines(fleet.Process(i).Output()) {
-		m := appliedLine.FindStringSubmatch(line)
-		if m == nil {
+		match := appliedLine.FindStringSubmatch(line)
+		if match == nil {
 			continue
 		}
 		lines++
-		version, err := strconv.Atoi(m[1])
+		version, err := strconv.Atoi(match[1])
 		if err != nil {
 			t.Fatal(err)
 		}
-		if version <= last {
-			t.Errorf("%s applied version %d after %d, want ascending versions", fleet.Names()[i], version, last)
+		if version <= newest {
+			t.Errorf("%s applied version %d after %d, want ascending versions", fleet.Names()[i], version, newest)
 		}
-		last = version
+		newest = version
 	}
 	return lines
 }
 
-// logSince returns the log of an instance from the last line with a message on.
+// logSince returns the end of an instance's log, from the last line with the message on.
 func logSince(fleet *fleet.Fleet, i int, message string) string {
 	output := fleet.Process(i).Output()
 	return output[strings.LastIndex(output, `msg="`+message+`"`):]
@@ -224,7 +225,8 @@
 	}
 }
 
-// killLeaderDuringProposal runs one round. It expects as many versions as rounds were run before, and leaves one more.
+// killLeaderDuringProposal runs one round, counted from 0. Each round adds one version, so the newest version before a round
+// equals the number of the round.
 func killLeaderDuringProposal(t *testing.T, ctx context.Context, fleet *fleet.Fleet, round int) {
 	t.Helper()
 	before := policy.Version(round)
@@ -249,21 +251,21 @@
 			"most one", round, after, before, proposeErr)
 	}
 	// Proposed again with the same ID, the policy becomes one version in total: the existing version if there is one.
-	again := propose(t, ctx, fleet, proposer, text, requestID)
-	if after == before+1 && again != after || after == before && again != before+1 {
+	version := propose(t, ctx, fleet, proposer, text, requestID)
+	if after == before+1 && version != after || after == before && version != before+1 {
 		t.Errorf("round %d: proposed again, got version %d; newest version %d, %d before the round; want one more than before",
-			round, again, after, before)
+			round, version, after, before)
 	}
 	awaitSameVersion(t, ctx, fleet, before+1)
 }
 
 // awaitPolicyLeader polls an instance until it knows the leader, and returns the leader.
-func awaitPolicyLeader(t *testing.T, ctx context.Context, fleet *fleet.Fleet, asked int) (leader int) {
+func awaitPolicyLeader(t *testing.T, ctx context.Context, fleet *fleet.Fleet, instance int) (leader int) {
 	t.Helper()
 	await(t, ctx, 10*time.Second, func() error {
-		s, err := fleet.PolicyStatus(ctx, asked)
+		status, err := fleet.PolicyStatus(ctx, instance)
 		if err == nil {
-			leader, err = strconv.Atoi(strings.TrimPrefix(s.Log.Leader, "n")) // empty during an election
+			leader, err = strconv.Atoi(strings.TrimPrefix(status.Log.Leader, "n")) // Leader is empty during an election
 		}
 		return err
 	})
@@ -276,15 +278,15 @@
 	var agreed policy.Version
 	await(t, ctx, 20*time.Second, func() error {
 		for i := range fleet.Names() {
-			m, err := fleet.OwnPolicyStatus(ctx, i)
+			status, err := fleet.OwnPolicyStatus(ctx, i)
 			if err != nil {
 				return err
 			}
-			if !m.TrialsAdmitted || i > 0 && m.Version != agreed {
+			if !status.TrialsAdmitted || i > 0 && status.Version != agreed {
 				return fmt.Errorf("%s has version %d, trials admitted: %v; other instances have %d",
-					m.Name, m.Version, m.TrialsAdmitted, agreed)
+					status.Name, status.Version, status.TrialsAdmitted, agreed)
 			}
-			agreed = m.Version
+			agreed = status.Version
 		}
 		return nil
 	})
@@ -301,9 +303,9 @@
 	if v := propose(t, ctx, fleet, 3, policyText("second", 0.4), ""); v != 2 {
 		t.Errorf("got version %d, want 2", v)
 	}
-	short, cancel := context.WithTimeout(ctx, 4*time.Second)
-	if p, err := fleet.Propose(short, 0, policyText("from the minority", 1), "minority"); err == nil {
-		t.Errorf("the minority committed %+v, want an error", p)
+	proposeCtx, cancel := context.WithTimeout(ctx, 4*time.Second)
+	if result, err := fleet.Propose(proposeCtx, 0, policyText("from the minority", 1), "minority"); err == nil {
+		t.Errorf("the minority committed %+v, want an error", result)
 	}
 	cancel()
 	for _, i := range []int{0, 1} {
@@ -327,8 +329,8 @@
 		}
 		return err
 	})
-	if m, err := fleet.OwnPolicyStatus(ctx, 1); err != nil || m.TrialsAdmitted || m.Version != 1 {
-		t.Errorf("restarted in the minority: got %+v, error %v, want version 1 without trials", m, err)
+	if status, err := fleet.OwnPolicyStatus(ctx, 1); err != nil || status.TrialsAdmitted || status.Version != 1 {
+		t.Errorf("restarted in the minority: got %+v, error %v, want version 1 without trials", status, err)
 	}
 	fleet.Partition(false, 0, 1)
 	awaitVersion(t, ctx, 20*time.Second, fleet, 2)
@@ -427,21 +429,22 @@
 			t.Errorf("%s: want a log line \"store is corrupt\"", damage.name)
 		}
 	}
-	if v := propose(t, ctx, fleet, 2, policyText("after all", 1), ""); v != 6 {
+	if v := propose(t, ctx, fleet, 2, policyText("after all corruptions", 1), ""); v != 6 {
 		t.Errorf("got version %d, want 6", v)
 	}
 }
 
-// awaitVoterAgain waits until instance 2 has applied version 5 and the log has three voters again.
-func awaitVoterAgain(t *testing.T, ctx context.Context, fleet *fleet.Fleet, name string) {
+// awaitVoterAgain waits until instance 2 has applied version 5 and the log has three voters again. Its error names the
+// damage to the store.
+func awaitVoterAgain(t *testing.T, ctx context.Context, fleet *fleet.Fleet, damage string) {
 	t.Helper()
 	await(t, ctx, 20*time.Second, func() error {
 		if err := fleet.CheckPolicyVersion(ctx, 2, 5); err != nil {
-			return fmt.Errorf("%s: %w", name, err)
+			return fmt.Errorf("%s: %w", damage, err)
 		}
-		s, err := fleet.PolicyStatus(ctx, 2)
-		if err == nil && len(s.Log.Voters) != 3 {
-			err = fmt.Errorf("%s: got voters %v, want three", name, s.Log.Voters)
+		status, err := fleet.PolicyStatus(ctx, 2)
+		if err == nil && len(status.Log.Voters) != 3 {
+			err = fmt.Errorf("%s: got voters %v, want three", damage, status.Log.Voters)
 		}
 		return err
 	})
@@ -468,13 +471,13 @@
 			t.Errorf("%s: got error %v, want %q", text, err, want)
 		}
 	}
-	s, err := fleet.PolicyStatus(ctx, 4)
-	if err != nil || len(s.Members) != 5 {
-		t.Fatalf("got status %+v, error %v, want 5 members", s, err)
+	status, err := fleet.PolicyStatus(ctx, 4)
+	if err != nil || len(status.Members) != 5 {
+		t.Fatalf("got status %+v, error %v, want 5 members", status, err)
 	}
-	for _, m := range s.Members {
-		if m.Version != 1 || !m.TrialsAdmitted {
-			t.Errorf("got member %+v, want version 1 with trials admitted", m)
+	for _, member := range status.Members {
+		if member.Version != 1 || !member.TrialsAdmitted {
+			t.Errorf("got member %+v, want version 1 with trials admitted", member)
 		}
 	}
 	killAll(t, fleet, 4)
@@ -500,9 +503,9 @@
 	propose(t, ctx, fleet, 0, `{"note":"two stages","settings":{"domain":{"caps":[0.2,1]}}}`, "")
 	startAll(t, fleet, 2)
 	await(t, ctx, 20*time.Second, func() error {
-		m, err := fleet.OwnPolicyStatus(ctx, 2)
-		if err == nil && (m.TrialsAdmitted || m.Version != 1 || !strings.Contains(m.Failure, "settings.domain.caps")) {
-			err = fmt.Errorf("got %+v, want version 1 failed for settings.domain.caps, without trials", m)
+		status, err := fleet.OwnPolicyStatus(ctx, 2)
+		if err == nil && (status.TrialsAdmitted || status.Version != 1 || !strings.Contains(status.Failure, "settings.domain.caps")) {
+			err = fmt.Errorf("got %+v, want version 1 failed for settings.domain.caps, without trials", status)
 		}
 		return err
 	})
--- a/cmd/balancer/readiness_test.go
+++ b/cmd/balancer/readiness_test.go
@@ -27,7 +27,7 @@
 			<-r.Context().Done()
 			return
 		}
-		_, _ = io.WriteString(w, snapshot) // if it does not arrive, the test fails
+		_, _ = io.WriteString(w, snapshot) // the test fails if the snapshot does not arrive
 	}))
 	t.Cleanup(func() {
 		agent.CloseClientConnections()
--- a/cmd/balancer/reload.go
+++ b/cmd/balancer/reload.go
@@ -30,8 +30,8 @@
 }
 
 // reload applies the part of the configuration that a running instance can change: the addresses, and the settings. It
-// applies all settings or none: none if a request class, tenant, the clock granularity or a network setting differs, or if
-// the cluster's policy is incompatible with them. An invalid or incomplete file changes nothing.
+// applies all settings or none: none if a request class, a tenant, the clock granularity or a network setting has changed,
+// or if the cluster's policy is incompatible with the new settings. An invalid or incomplete file changes nothing.
 func (r *reloader) reload(ctx context.Context) {
 	inst := r.instance
 	next, err := r.reread()
@@ -46,7 +46,7 @@
 		inst.settings.reload(next)
 		inst.cluster.retryPolicy()
 	}
-	// The watcher accepts its address at once. The controller's client may block while it connects, so it comes last.
+	// The watcher accepts its address at once. The controller's client may block while it connects, so it is called last.
 	inst.watcher.SetAddress(ctx, next.Discovery)
 	inst.controller.SetAddress(ctx, next.Platform)
 	fields := logrus.Fields{"discovery": next.Discovery, "platform": next.Platform}
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -20,11 +20,11 @@
 // At SIGHUP an instance switches to the addresses in the file. A missing, incomplete or invalid file changes nothing, and
 // SIGHUP while the instance is draining does no harm.
 func TestReload(t *testing.T) {
-	one, two := newPlatformStub(t), newPlatformStub(t)
-	cfg, path := one.configFile(t)
+	first, second := newPlatformStub(t), newPlatformStub(t)
+	cfg, path := first.configFile(t)
 	original := readFile(t, path)
 	server := startReloadingServer(t, cfg, path)
-	awaitPlatformUsed(t, one, "first agent and controller are not used")
+	awaitPlatformUsed(t, first, "first agent and controller are not used")
 	removeFile(t, path)
 	if server.reload() == nil {
 		t.Error("missing file: got no error")
@@ -35,9 +35,9 @@
 			t.Errorf("file %q: got no error", text)
 		}
 	}
-	next := strings.Replace(original, one.agentAddress(), two.agentAddress(), 1)
-	next = strings.Replace(next, one.controllerAddress(), two.controllerAddress(), 1)
-	for _, text := range []string{next, original, next} { // without a pause in between
+	next := strings.Replace(original, first.agentAddress(), second.agentAddress(), 1)
+	next = strings.Replace(next, first.controllerAddress(), second.controllerAddress(), 1)
+	for _, text := range []string{next, original, next} { // one reload directly after the other
 		writeFile(t, path, text)
 		if err := server.reload(); err != nil {
 			t.Errorf("file %q: got error %v", text, err)
@@ -47,7 +47,7 @@
 	if err := server.reload(); err != nil {
 		t.Error(err)
 	}
-	awaitPlatformUsed(t, two, "second agent and controller are not used")
+	awaitPlatformUsed(t, second, "second agent and controller are not used")
 	if err := <-server.ended; err != nil {
 		t.Error(err)
 	}
--- a/cmd/balancer/restart_test.go
+++ b/cmd/balancer/restart_test.go
@@ -34,7 +34,7 @@
 type endpointHost struct {
 	server   *httptest.Server
 	mu       sync.Mutex
-	first    time.Time      // time of the first request
+	firstAt  time.Time      // time of the first request
 	requests map[string]int // number of requests by path
 }
 
@@ -46,23 +46,23 @@
 	return host
 }
 
-func (r *endpointHost) ServeHTTP(_ http.ResponseWriter, request *http.Request) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.requests) == 0 {
-		r.first = time.Now()
+func (h *endpointHost) ServeHTTP(_ http.ResponseWriter, r *http.Request) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.requests) == 0 {
+		h.firstAt = time.Now()
 	}
-	r.requests[request.URL.Path]++
+	h.requests[r.URL.Path]++
 }
 
 // received returns the time of the first request, and the number of requests by path.
-func (r *endpointHost) received() (first time.Time, requests map[string]int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.first, maps.Clone(r.requests)
+func (h *endpointHost) received() (firstAt time.Time, requests map[string]int) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.firstAt, maps.Clone(h.requests)
 }
 
-func (r *endpointHost) address() string { return r.server.Listener.Addr().String() }
+func (h *endpointHost) address() string { return h.server.Listener.Addr().String() }
 
 // unusedAddress returns an address that no process listens on. Clients dial it before the process listens, and must not reach
 // another listener that has got the same port. The port is therefore below the range that Linux assigns automatically.
@@ -112,7 +112,7 @@
 	done              chan struct{} // closed when all clients have stopped
 
 	// Set once done is closed.
-	lastUnready, firstReady time.Time // when the last unready /up was sent, and when the first ready /up was received
+	lastUnready, firstReady time.Time // last request to /up that found the instance unready; first response of /up with status 200
 	attempts                []clientAttempt
 	undelivered             []string // paths of requests that were still rejected at the end
 }
@@ -167,9 +167,10 @@
 	t.Helper()
 	endpoints := r.endpointPair("")
 	if huge {
-		one, two := r.withDraining(r.endpointPair("-0000")), r.withDraining(append(r.endpointPair("-0000"), r.endpointPair("-0001")...))
-		each := len(endpointList(t, 2, two)) - len(endpointList(t, 2, one))
-		for i := range (maxListBytes - 1000) / each {
+		onePair, twoPairs := r.withDraining(r.endpointPair("-0000")),
+			r.withDraining(append(r.endpointPair("-0000"), r.endpointPair("-0001")...))
+		bytesPerPair := len(endpointList(t, 2, twoPairs)) - len(endpointList(t, 2, onePair))
+		for i := range (maxListBytes - 1000) / bytesPerPair {
 			endpoints = append(endpoints, r.endpointPair(fmt.Sprintf("-%04d", i))...)
 		}
 	}
@@ -233,13 +234,13 @@
 				return attempts, append(undelivered, path)
 			}
 			respondedBefore := r.responded.Load()
-			sent := r.request(method, path, fmt.Sprintf("%s-%d-%d", class, n, len(attempts)))
-			if errors.Is(sent.err, syscall.ECONNREFUSED) && !respondedBefore { // the process does not listen yet
+			attempt := r.request(method, path, fmt.Sprintf("%s-%d-%d", class, n, len(attempts)))
+			if errors.Is(attempt.err, syscall.ECONNREFUSED) && !respondedBefore { // the process does not listen yet
 				time.Sleep(5 * time.Millisecond)
 				continue
 			}
-			attempts = append(attempts, sent)
-			if sent.err == nil && sent.status == http.StatusServiceUnavailable {
+			attempts = append(attempts, attempt)
+			if attempt.err == nil && attempt.status == http.StatusServiceUnavailable {
 				time.Sleep(20 * time.Millisecond)
 				continue
 			}
@@ -279,8 +280,8 @@
 	if r.firstReady.IsZero() {
 		t.Fatal("not ready until the clients stopped")
 	}
-	if took := r.firstReady.Sub(r.started); took > readinessLimit {
-		t.Errorf("ready %v after the start, want at most %v", took, readinessLimit)
+	if delay := r.firstReady.Sub(r.started); delay > readinessLimit {
+		t.Errorf("ready %v after the start, want at most %v", delay, readinessLimit)
 	}
 }
 
@@ -296,9 +297,9 @@
 			slowest = max(slowest, r.attempts[i].latency())
 		}
 	}
-	_, drainingRan := r.draining.received()
+	_, drainingRequests := r.draining.received()
 	t.Logf("ready %v after the start; %d attempts, %d rejected until then, the slowest in %v; %d requests to draining endpoints",
-		r.firstReady.Sub(r.started), len(r.attempts), rejected, slowest, len(drainingRan))
+		r.firstReady.Sub(r.started), len(r.attempts), rejected, slowest, len(drainingRequests))
 	for _, path := range r.undelivered {
 		t.Errorf("%s: still rejected at the end", path)
 	}
@@ -308,29 +309,30 @@
 
 func (r *restartRun) checkAttempt(t *testing.T, a *clientAttempt) {
 	t.Helper()
-	at := fmt.Sprintf("%s, sent %v after the start, took %v", a.path, a.sent.Sub(r.started), a.latency())
+	description := fmt.Sprintf("%s, sent %v after the start, took %v", a.path, a.sent.Sub(r.started), a.latency())
 	unready := a.responded.Before(r.lastUnready)
 	switch {
 	case a.err != nil:
-		t.Errorf("%s: request lost: %v", at, a.err)
+		t.Errorf("%s: request lost: %v", description, a.err)
 	case unready && !a.rejected():
-		t.Errorf("%s: got status %d, Retry-After %q while not ready, want 503, %q", at, a.status, a.retryAfter, retryAfter)
+		t.Errorf("%s: got status %d, Retry-After %q while not ready, want 503, %q", description, a.status, a.retryAfter, retryAfter)
 	case unready && a.latency() > rejectionLimit:
-		t.Errorf("%s: want a rejection within %v", at, rejectionLimit)
+		t.Errorf("%s: want a rejection within %v", description, rejectionLimit)
 	case a.status != http.StatusOK && !a.rejected():
-		t.Errorf("%s: got status %d, Retry-After %q, want 200, or 503 with %q", at, a.status, a.retryAfter, retryAfter)
+		t.Errorf("%s: got status %d, Retry-After %q, want 200, or 503 with %q", description, a.status, a.retryAfter, retryAfter)
 	}
 }
 
 // checkRuns fails the test if a non-idempotent request ran more than once, or a request that succeeded did not run.
 func (r *restartRun) checkRuns(t *testing.T) {
 	t.Helper()
-	_, drainingRan := r.draining.received()
-	_, stayingRan := r.staying.received()
+	_, drainingRequests := r.draining.received()
+	_, stayingRequests := r.staying.received()
 	for _, a := range r.attempts {
-		n := drainingRan[a.path] + stayingRan[a.path]
-		if strings.HasPrefix(a.path, "/pay/") && n > 1 || a.status == http.StatusOK && n == 0 {
-			t.Errorf("%s: status %d, ran %d times", a.path, a.status, n)
+		runs := drainingRequests[a.path] + stayingRequests[a.path]
+		if strings.HasPrefix(a.path, "/pay/") && runs > 1 || a.status == http.StatusOK && runs == 0 {
+			t.Errorf("%s: got status %d and %d runs, want at least one run for status 200, and at most one of /pay",
+				a.path, a.status, runs)
 		}
 	}
 }
@@ -338,9 +340,9 @@
 // checkNoRequestBefore fails the test if an endpoint received a request earlier than this time after the start.
 func (r *restartRun) checkNoRequestBefore(t *testing.T, earliest time.Duration) {
 	t.Helper()
-	for name, endpoints := range map[string]*endpointHost{"draining": r.draining, "staying": r.staying} {
-		first, ran := endpoints.received()
-		if after := first.Sub(r.started); len(ran) > 0 && after < earliest {
+	for name, host := range map[string]*endpointHost{"draining": r.draining, "staying": r.staying} {
+		firstAt, requests := host.received()
+		if after := firstAt.Sub(r.started); len(requests) > 0 && after < earliest {
 			t.Errorf("%s endpoints: got a request %v after the start, want none before %v", name, after, earliest)
 		}
 	}
@@ -358,11 +360,12 @@
 func (r *restartRun) checkListSource(t *testing.T, source endpointSource) {
 	t.Helper()
 	warned := strings.Contains(r.process.log.String(), "no endpoint list received since the start")
-	_, ran := r.draining.received()
+	_, requests := r.draining.received()
 	switch source {
 	case fromDiscovery:
-		if warned || len(ran) > 0 {
-			t.Errorf("got %d requests to draining endpoints, warning logged: %v, want neither with discovery's list", len(ran), warned)
+		if warned || len(requests) > 0 {
+			t.Errorf("got %d requests to draining endpoints, warning logged: %v, want neither with discovery's list",
+				len(requests), warned)
 		}
 	case fromConfiguration:
 		if !warned {
--- a/cmd/balancer/serve.go
+++ b/cmd/balancer/serve.go
@@ -19,7 +19,8 @@
 // serve implements the command `serve`: it reads the configuration and runs an instance until SIGTERM or an interrupt.
 //
 // It catches signals before it reads the configuration, so that a SIGHUP in between does not end the process. The command
-// `run` in the deploy file ignores an earlier SIGHUP, which loses nothing: the file is read after it.
+// `run` in the deploy file ignores a SIGHUP that comes even earlier. No change is lost then, since serve reads the file
+// afterwards.
 func serve(ctx context.Context, cmd *cli.Command) error {
 	stop, hup := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
@@ -34,7 +35,7 @@
 	}
 	log := logging.New(os.Stderr, level).WithField("marshal", cfg.Name)
 	for _, warning := range cfg.Warnings {
-		log.WithField("key", warning).Warn("configuration")
+		log.WithField("key", warning).Warn("configuration warning")
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(cfg.Limits.Cores))))
 	debug.SetMemoryLimit(cfg.Limits.MemoryLimit())
--- a/cmd/balancer/settings_source.go
+++ b/cmd/balancer/settings_source.go
@@ -11,7 +11,7 @@
 	"ottershed/internal/config"
 )
 
-// settingsSource derives the settings in force from the last configuration and the cluster's policy, and publishes them
+// settingsSource derives the settings in force from the newest configuration and the cluster's policy, and publishes them
 // when they change. No other code combines the two.
 type settingsSource struct {
 	log      logrus.FieldLogger
@@ -34,7 +34,7 @@
 // initial returns the settings at the start. It must not be called after the first reload or policy.
 func (s *settingsSource) initial() decision.Settings { return s.current }
 
-// resolve returns the settings under a policy, nil for none. The caller holds the lock.
+// resolve returns the settings of the configuration under a policy, nil for none. The caller holds mu.
 func (s *settingsSource) resolve(active *policy.Policy) (decision.Settings, error) {
 	settings := s.cfg.Settings
 	var err error
@@ -47,7 +47,7 @@
 	return settings, err
 }
 
-// publish calls onChange if settings differ from the last published ones. The caller holds the lock.
+// publish calls onChange if settings differ from the last published ones. The caller holds mu.
 func (s *settingsSource) publish(settings decision.Settings) {
 	if reflect.DeepEqual(s.current, settings) {
 		return
@@ -62,8 +62,8 @@
 	}).Info("settings applied")
 }
 
-// reload applies a new configuration. The cluster's policy takes precedence: a configuration that is incompatible with it
-// is not applied.
+// reload applies the settings of a new configuration. The cluster's policy takes precedence: settings that are incompatible
+// with it are not applied.
 func (s *settingsSource) reload(next *config.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +72,7 @@
 	settings, err := s.resolve(s.policy)
 	if err != nil {
 		s.cfg = previous
-		s.log.WithError(err).Error("configuration not reloaded: incompatible with the active policy")
+		s.log.WithError(err).Error("settings not reloaded: incompatible with the active policy")
 		return
 	}
 	s.publish(settings)
--- a/cmd/balancer/settings_source_test.go
+++ b/cmd/balancer/settings_source_test.go
@@ -15,15 +15,15 @@
 )
 
 // resolvePath returns the JSON object that has the last key of a path, and that key.
-func resolvePath(t *testing.T, tree any, path string) (parent map[string]any, last string) {
+func resolvePath(t *testing.T, tree any, path string) (parent map[string]any, lastKey string) {
 	t.Helper()
-	parts := strings.Split(path, ".")
-	for _, part := range parts[:len(parts)-1] {
+	keys := strings.Split(path, ".")
+	for _, key := range keys[:len(keys)-1] {
 		switch node := tree.(type) {
 		case map[string]any:
-			tree = node[part]
+			tree = node[key]
 		case []any:
-			i, err := strconv.Atoi(part)
+			i, err := strconv.Atoi(key)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -34,34 +34,34 @@
 	if !ok {
 		t.Fatalf("%s is not the path of a key", path)
 	}
-	return parent, parts[len(parts)-1]
+	return parent, keys[len(keys)-1]
 }
 
-// leafPaths lists the paths of all scalars and lists of scalars in a JSON value, below prefix.
-func leafPaths(tree any, prefix string) (keys []string) {
+// leafPaths lists the paths of all scalars and lists of scalars in a JSON value, with prefix before each path.
+func leafPaths(tree any, prefix string) (paths []string) {
 	switch node := tree.(type) {
 	case map[string]any:
-		for key, sub := range node {
-			keys = append(keys, leafPaths(sub, strings.TrimPrefix(prefix+"."+key, "."))...)
+		for key, value := range node {
+			paths = append(paths, leafPaths(value, strings.TrimPrefix(prefix+"."+key, "."))...)
 		}
 	case []any:
 		if len(node) > 0 {
 			if _, nested := node[0].(map[string]any); nested {
-				for i, sub := range node {
-					keys = append(keys, leafPaths(sub, fmt.Sprint(prefix, ".", i))...)
+				for i, item := range node {
+					paths = append(paths, leafPaths(item, fmt.Sprint(prefix, ".", i))...)
 				}
-				return keys
+				return paths
 			}
 		}
 		return []string{prefix}
 	default:
 		return []string{prefix}
 	}
-	return keys
+	return paths
 }
 
-// writeChangedFile writes a configuration with a listen address of its own and another value for a key. An empty value
-// removes the key. It returns an empty address if the key is listen.
+// writeChangedFile writes a configuration with a listen address of its own and another value for a key, or without the key if
+// value is empty. It returns an empty address if the key is listen.
 func writeChangedFile(t *testing.T, text, key, value string) (path, address string) {
 	t.Helper()
 	var tree map[string]any
@@ -69,11 +69,11 @@
 		t.Fatal(err)
 	}
 	tree["listen"] = closedAddress(t)
-	parent, last := resolvePath(t, tree, key)
+	parent, lastKey := resolvePath(t, tree, key)
 	if value == "" {
-		delete(parent, last)
+		delete(parent, lastKey)
 	} else {
-		parent[last] = json.RawMessage(value)
+		parent[lastKey] = json.RawMessage(value)
 	}
 	raw, err := json.Marshal(tree)
 	if err != nil {
@@ -165,8 +165,8 @@
 func checkRejected(t *testing.T, p *balancerProcess, key string) {
 	t.Helper()
 	lines := strings.Split(strings.TrimSpace(p.log.String()), "\n")
-	last := lines[len(lines)-1]
-	if p.command.ProcessState.ExitCode() != 1 || !mentionsKey(last, key) || strings.Contains(p.log.String(), "goroutine ") {
+	lastLine := lines[len(lines)-1]
+	if p.command.ProcessState.ExitCode() != 1 || !mentionsKey(lastLine, key) || strings.Contains(p.log.String(), "goroutine ") {
 		t.Errorf("got exit code %d, output %q, want exit code 1 and a last line with %s",
 			p.command.ProcessState.ExitCode(), p.log.String(), key)
 	}
@@ -193,7 +193,7 @@
 	return res.Body.Close()
 }
 
-// mentionsKey reports whether a line names the key. A key below settings may stand there without "settings.".
+// mentionsKey reports whether a line names the key. For a key below settings, the line may leave out "settings.".
 func mentionsKey(line, key string) bool {
 	return strings.Contains(line, strings.TrimPrefix(key, "settings."))
 }
--- a/cmd/balancer/signals_test.go
+++ b/cmd/balancer/signals_test.go
@@ -44,11 +44,11 @@
 func TestSignalsAtTheStart(t *testing.T) {
 	for name, test := range map[string]struct {
 		signals []os.Signal
-		line    string // text that the test waits for in the log before it sends SIGTERM
+		logText string // the test waits for this text in the log before it sends SIGTERM
 	}{
 		"SIGHUP": {[]os.Signal{syscall.SIGHUP, syscall.SIGHUP}, "msg=serving"},
-		// The signal may have reached the process and not the channel yet. Then the process serves for a moment and stops,
-		// so the line is either "stopped before serving" or "stopped".
+		// The signal may have reached the process but not yet its channel. Then the process serves for a moment and stops. The
+		// line is therefore either "stopped before serving" or "stopped".
 		"SIGTERM":            {[]os.Signal{syscall.SIGTERM}, "stopped"},
 		"SIGHUP and SIGTERM": {[]os.Signal{syscall.SIGHUP, syscall.SIGTERM}, "stopped"},
 	} {
@@ -70,9 +70,9 @@
 			if err := pipe.Close(); err != nil {
 				t.Error(err)
 			}
-			for end := time.Now().Add(10 * time.Second); !strings.Contains(process.log.String(), test.line); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(10 * time.Second); !strings.Contains(process.log.String(), test.logText); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("want a line with %q, got\n%s", test.line, process.log.String())
+					t.Fatalf("want a line with %q, got\n%s", test.logText, process.log.String())
 				}
 			}
 			_ = process.command.Process.Signal(syscall.SIGTERM) // fails if an earlier SIGTERM has ended the process
--- a/cmd/balancer/summary.go
+++ b/cmd/balancer/summary.go
@@ -17,7 +17,7 @@
 )
 
 // summaryLogger writes a log line with an instance's counters and gauges at each interval; interval 0: no lines. Counters
-// are totals since the start, so that a lost line costs a reader only the resolution at that time.
+// are totals since the start, so that a reader who misses a line loses resolution and no counts.
 type summaryLogger struct {
 	engine   *engine.Engine
 	pool     *upstream.Pool
