--- a/cmd/balancer/instance.go
+++ b/cmd/balancer/instance.go
@@ -116,7 +116,7 @@
 	}).Info("serving")
 	select {
 	case err := <-served:
-		return fmt.Errorf("serve: %w", err)
+		return fmt.Errorf("serve clients: %w", err)
 	case sig := <-stop:
 		i.log.WithField("signal", sig.String()).Info("draining")
 	}
@@ -146,7 +146,7 @@
 		i.cluster.leave(ctx)
 	})
 	if err := i.ingress.Drain(drainGrace); err != nil {
-		return fmt.Errorf("drain: %w", err)
+		return fmt.Errorf("drain the ingress: %w", err)
 	}
 	leaving.Wait()
 	i.summary.writeFinal()
--- a/cmd/balancer/lease_cluster_test.go
+++ b/cmd/balancer/lease_cluster_test.go
@@ -156,7 +156,7 @@
 	// An instance that shuts down releases its lease, and another instance takes it over without waiting for its expiry.
 	successor := regexp.MustCompile(`marshal=n(\d)`).FindStringSubmatch(lines[0])
 	if successor == nil {
-		t.Fatal(lines[0])
+		t.Fatalf("got log line %q, want one that names the new holder of the lease of n2", lines[0])
 	}
 	leaving, err := strconv.Atoi(successor[1])
 	if err != nil {
@@ -394,7 +394,7 @@
 	await(t, ctx, 10*time.Second, func() error { // until n0 has received its endpoint list
 		response, err := clients.Send(ctx, fleet.RequestAddress(0), "read", fmt.Sprint("back-", time.Now().UnixNano()))
 		if err == nil && response.Status != http.StatusOK {
-			err = fmt.Errorf("got response %+v, want status 200", response)
+			err = fmt.Errorf("restarted n0: got response %+v, want status 200", response)
 		}
 		return err
 	})
--- a/cmd/balancer/reload.go
+++ b/cmd/balancer/reload.go
@@ -40,7 +40,7 @@
 		return
 	}
 	if fixed := inst.cfg.KeysNeedingRestart(next); len(fixed) > 0 {
-		inst.log.WithField("keys", strings.Join(fixed, ",")).Warn("configuration: these keys need a restart")
+		inst.log.WithField("keys", strings.Join(fixed, ",")).Warn("configuration: changed keys not applied, they need a restart")
 	}
 	if inst.cfg.CanReloadSettings(next) {
 		inst.settings.reload(next)
--- a/cmd/balancer/restart_test.go
+++ b/cmd/balancer/restart_test.go
@@ -176,9 +176,10 @@
 	}
 	configured = endpointList(t, 1, endpoints)
 	announced = endpointList(t, 2, r.withDraining(endpoints))
-	if len(announced) > maxListBytes || huge && len(announced) < maxListBytes-2000 {
-		t.Fatalf("got a list of %d bytes with %d endpoints, want at most %d bytes, and a huge one close to that",
-			len(announced), len(endpoints), maxListBytes)
+	const minHugeBytes = maxListBytes - 2000
+	if len(announced) > maxListBytes || huge && len(announced) < minHugeBytes {
+		t.Fatalf("got a list of %d bytes with %d endpoints, want at most %d bytes, and at least %d if huge (%v)",
+			len(announced), len(endpoints), maxListBytes, minHugeBytes, huge)
 	}
 	return configured, announced
 }
--- a/decision/classes.go
+++ b/decision/classes.go
@@ -9,7 +9,7 @@
 // classTable holds the request classes of the settings and two additional pseudo-classes.
 type classTable struct {
 	byName  map[ClassName]*classState
-	ordered []*classState // as in the settings
+	ordered []*classState // in the order of Settings.Classes
 
 	// overall combines the outcomes of all classes, each relative to the mean response time of its class. An
 	// instance with little traffic would fill no groups by class alone.
@@ -25,7 +25,7 @@
 type classState struct {
 	RequestClass
 	index     int         // of the class in endpoint.outcomes
-	exposure  tokenBucket // with ExposurePerClass
+	exposure  tokenBucket // tokens of this class alone; used only if Settings.ExposurePerClass is set
 	slowShare *float64    // smoothed share of responses that were slow, by slowResponseShare
 	samples
 }
--- a/decision/fleetslowdown.go
+++ b/decision/fleetslowdown.go
@@ -11,7 +11,7 @@
 	maxRatioWeight    = 4    // maximum number of factors of slowRatio that one group counts for
 	slowdownFillTime  = 4000 // ms; a group that took this long to fill counts slowdownGroups times
 	arrivalRateMargin = 1.25 // ratio of the arrival rate to that before the trial from which no group is rejected
-	minPreCandidate   = 5    // outcomes in preCandidate from which they show that endpoints were slow before the candidate
+	minPreCandidate   = 5    // response times that show that endpoints were slow before the candidate
 )
 
 // fleetSlowdown compares the outcomes of both builds with those from before the trial. It detects a candidate
@@ -19,9 +19,9 @@
 // the trial and the candidate those of both builds since.
 type fleetSlowdown struct {
 	comparison
-	preCandidate    []float64 // outcomes since the offer of the build and before its first endpoint
-	slowBeforeTrial bool      // preCandidate is slower than the baseline; the candidate is not the cause
-	fillStartedAt   Millis    // time of the first outcome in the current group
+	preCandidate        []float64 // relative response times of the trial before an endpoint runs the candidate
+	slowBeforeCandidate bool      // preCandidate is slower than the baseline; the candidate is not the cause
+	fillStartedAt       Millis    // time of the first outcome in the current group
 }
 
 // compareBeforeTrial adds an outcome of either build to the comparison with the time before the trial, and evaluates
@@ -40,7 +40,7 @@
 	if len(slowdown.candidate.Partial) == 0 {
 		slowdown.fillStartedAt = b.now
 	}
-	if noCandidate || slowdown.slowBeforeTrial || !slowdown.candidate.Add(relative, groupSize) {
+	if noCandidate || slowdown.slowBeforeCandidate || !slowdown.candidate.Add(relative, groupSize) {
 		return
 	}
 	if b.slowdownHasOtherCause() || !slowdown.slower(slowdown.candidate.Last, slowRatio) {
@@ -57,10 +57,10 @@
 		b.trial.arrivalRate > arrivalRateMargin*b.trial.arrivalRateBefore
 }
 
-// addPreCandidate adds an outcome from before the candidate's first endpoint.
+// addPreCandidate adds a relative response time from before the first endpoint that runs the candidate.
 func (s *fleetSlowdown) addPreCandidate(relative float64) {
 	s.preCandidate = append(s.preCandidate[:min(len(s.preCandidate), groupSize)], relative)
-	s.slowBeforeTrial = len(s.preCandidate) >= minPreCandidate &&
+	s.slowBeforeCandidate = len(s.preCandidate) >= minPreCandidate &&
 		stats.Median(s.preCandidate) > slowRatio*stats.Median(s.baseline.Last)
 }
 
--- a/decision/fleetslowdown_test.go
+++ b/decision/fleetslowdown_test.go
@@ -75,7 +75,7 @@
 			sim.balancer.compareBeforeTrial(sim.balancer.classes.overall.slowdown, 3, 1)
 		}
 		if got := sim.balancer.classes.overall.slowdown.rejections > 0; got != test.rejected {
-			t.Errorf("%s: got rejected %v, want %v", test.name, got, test.rejected)
+			t.Errorf("%s: got a rejection of the slower group: %v, want %v", test.name, got, test.rejected)
 		}
 	}
 }
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -6,17 +6,17 @@
 	avoidSuspicion = 4.0 // suspicion from which an endpoint gets no new attempts
 	ejectSuspicion = 8.0 // suspicion from which an endpoint is ejected and its requests are migrated
 
-	failureWeight = 0.15        // weight of the newest outcome in an endpoint's share of failures
-	brokenWeight  = 0.15 * 0.15 // weight of the newest outcome in brokenShare
-	refusedWeight = 0.15        // weight of the newest outcome in refusedShare
+	failureWeight           = 0.15        // weight of the newest outcome in an endpoint's share of failures
+	connectionFailureWeight = 0.15 * 0.15 // weight of the newest outcome in connectionFailureShare
+	refusedWeight           = 0.15        // weight of the newest outcome in refusedShare
 
 	baseEjectionShare = 0.15 // of the longest latency objective; the nth consecutive ejection has a mean of 2^n times that
 	ejectionJitter    = 0.5  // an ejection lasts 0.5 to 1.5 times its mean
 	faultEjections    = 2    // consecutive ejections from which there is an infrastructure fault
 
-	immediateRefusalShare = 0.25 // of the base latency; a connection that failed sooner was refused by the host
-	closeIdleRefusedShare = 0.05 // refusedShare from which idle connections are closed
-	minBrokenShare        = 1e-9 // lower bound for the logarithm
+	immediateRefusalShare     = 0.25 // of the base latency; a connection that failed sooner was refused by the host
+	closeIdleRefusedShare     = 0.05 // refusedShare from which idle connections are closed
+	minConnectionFailureShare = 1e-9 // lower bound for the logarithm
 
 	capacityLossRatio = 1.25 // ratio of full to current capacity from which there is an infrastructure fault
 )
@@ -24,9 +24,9 @@
 // outliers holds the state for the detection of silent and unreachable endpoints, which works as a phi accrual
 // failure detector does.
 type outliers struct {
-	lastFaultAt  Millis  // time of the last infrastructure fault
-	brokenShare  float64 // smoothed share of attempts whose connection failed or broke
-	refusedShare float64 // smoothed share of attempts whose connection was refused at once
+	lastFaultAt            Millis  // time of the last infrastructure fault
+	connectionFailureShare float64 // smoothed share of attempts whose connection failed or broke
+	refusedShare           float64 // smoothed share of attempts whose connection was refused at once
 }
 
 // faultWithin reports whether an infrastructure fault occurred within the last span. Slowness during a fault is
@@ -111,9 +111,9 @@
 		// The endpoint may still work on the request after the timeout.
 		b.adjustEndpointLimit(target, max(event.After, target.latency))
 	case Unreachable, ConnectionBroken:
-		b.observeBroken(target, event)
+		b.observeConnectionFailure(target, event)
 	}
-	b.outliers.brokenShare -= brokenWeight * b.outliers.brokenShare
+	b.outliers.connectionFailureShare -= connectionFailureWeight * b.outliers.connectionFailureShare
 }
 
 // observeRefusal updates refusedShare. While endpoints refuse connections at once, it closes the idle connections to
@@ -138,16 +138,16 @@
 	}
 }
 
-// observeBroken ejects an endpoint whose connections fail. The network may break connections to healthy endpoints. If
-// one broken connection ejected an endpoint, all endpoints would be ejected and warm up again. So each consecutive
-// failure raises the suspicion by the negative logarithm of the share of failures at all endpoints.
-func (b *Balancer) observeBroken(ep *endpoint, event AttemptEnded) {
+// observeConnectionFailure ejects an endpoint whose connections fail. The network may break connections to healthy
+// endpoints. If one broken connection ejected an endpoint, all endpoints would be ejected and warm up again. So each
+// consecutive failure raises the suspicion by the negative logarithm of the share of failures at all endpoints.
+func (b *Balancer) observeConnectionFailure(ep *endpoint, event AttemptEnded) {
 	ep.connectFailures++
 	ep.failureShare += failureWeight * (1 - ep.failureShare)
 	connectTimedOut := event.Outcome == Unreachable && event.After >= b.load.baseLatency*immediateRefusalShare
-	suspicion := -math.Log(b.outliers.brokenShare+minBrokenShare) * float64(ep.connectFailures)
+	suspicion := -math.Log(b.outliers.connectionFailureShare+minConnectionFailureShare) * float64(ep.connectFailures)
 	failed := ep.ejections > 0 || connectTimedOut || suspicion >= ejectSuspicion
-	b.outliers.brokenShare += brokenWeight
+	b.outliers.connectionFailureShare += connectionFailureWeight
 	if failed && b.now >= ep.ejectedUntil {
 		b.outliers.lastFaultAt = b.now
 		b.eject(ep)
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -97,7 +97,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			sim := start(t, releasedUpdate(8), nil)
-			sim.balancer.outliers.brokenShare = test.share
+			sim.balancer.outliers.connectionFailureShare = test.share
 			endpoint := sim.balancer.endpoints.byID["a2"]
 			for _, e := range test.outcomes {
 				sim.balancer.observeEndpoint(endpoint, e)
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -92,7 +92,7 @@
 }
 
 // dispatch starts attempts of waiting requests, first attempts before retries, and sends the final response to
-// expired requests.
+// requests that must stop waiting.
 func (b *Balancer) dispatch() {
 	for queue, wait := range []float64{firstAttemptWait, retryWait} {
 		waiting := b.requests.queues[queue]
@@ -100,7 +100,7 @@
 		for _, req := range waiting {
 			switch {
 			case req.done || b.startAttempt(req):
-			case b.expired(req, wait):
+			case b.mustStopWaiting(req, wait):
 				b.giveUp(req)
 			default:
 				remaining = append(remaining, req)
@@ -111,9 +111,9 @@
 	}
 }
 
-// expired reports whether a waiting request must not wait any longer. That is the case if no further attempt is
+// mustStopWaiting reports whether a waiting request must not wait any longer. That is the case if no further attempt is
 // allowed, if its wait exceeds a share of its latency objective, or if its deadline is near.
-func (b *Balancer) expired(req *request, wait float64) bool {
+func (b *Balancer) mustStopWaiting(req *request, wait float64) bool {
 	noRetryAllowed := req.Idempotency == NonIdempotent && req.firstThatMayHaveRun() != nil
 	if noRetryAllowed || len(req.attempts) >= b.settings.MaxAttempts {
 		return true
--- a/decision/verdict.go
+++ b/decision/verdict.go
@@ -189,11 +189,12 @@
 	return b.settings.StageShares[max(next, 0)]
 }
 
-// suspectsSlowness reports whether few response times are reason enough not to vote to advance: their median is
-// above slowRatio to the power of 1.5 (1.40) times the baseline's. The margin is wider than elsewhere because the
-// median of few response times varies widely. No instance with little traffic can prove a slow build, but among
-// hundreds of instances most suspicions are right. In the last stage, response times during a fault are no evidence,
-// because the fault overloads the remaining endpoints.
+// suspectsSlowness reports whether few response times are reason enough not to vote to advance: the candidate's
+// median is above slowRatio to the power of 1.5 (1.40) times the baseline's. Where groups of the two builds are compared,
+// slowRatio itself is the limit; the margin is wider here because the median of few response times varies widely. No
+// instance with little traffic can prove a slow build, but among hundreds of instances most suspicions are right.
+// Nothing is suspected if outcomesWithoutGroups is above 0. In the last stage, response times during a fault are no
+// evidence, because the fault overloads the remaining endpoints.
 func (b *Balancer) suspectsSlowness() bool {
 	lastStage := b.trial.update.Stage+1 >= len(b.settings.StageShares)
 	if b.thresholds.outcomesWithoutGroups != 0 || lastStage && b.faultWithin(b.settings.SlowStartWindow) {
--- a/internal/cluster/lease/table.go
+++ b/internal/cluster/lease/table.go
@@ -15,7 +15,8 @@
 	now       Millis           // the highest time of a command
 }
 
-// List is the readable content of a table, as sent to instances and operators.
+// List is the part of a table that is sent to instances and operators: all leases without their checkpoints, and the
+// abandoned leases.
 type List struct {
 	Now       Millis           `json:"Now"`    // the log's time at its newest entry; may lag, but never leads
 	Leases    []Lease          `json:"Leases"` // sorted by ID, without checkpoints
--- a/internal/cluster/lease/table_test.go
+++ b/internal/cluster/lease/table_test.go
@@ -114,8 +114,8 @@
 	checkRestored(t, table)
 }
 
-// checkRestored expects a table whose highest token is 6 to be equal after Encode and Restore, and a snapshot whose
-// token counter is too low to be rejected.
+// checkRestored expects a table whose highest token is 6 to be equal after Encode and Restore, and a snapshot
+// whose last token is below a lease's token to be rejected.
 func checkRestored(t *testing.T, table *Table) {
 	t.Helper()
 	raw, err := table.Encode()
@@ -125,13 +125,15 @@
 	restored := NewTable()
 	if err := restored.Restore(raw); err != nil || fmt.Sprint(restored.Leases()) != fmt.Sprint(table.Leases()) ||
 		restored.lastToken != 6 || restored.now != table.now {
-		t.Errorf("got %v, restored table %+v, want the encoded table", err, restored)
+		t.Errorf("got error %v, restored table %+v, want the encoded table with last token 6", err, restored)
 	}
 	restored.lastToken = 1
-	raw, err = restored.Encode()
+	if raw, err = restored.Encode(); err != nil {
+		t.Fatal(err)
+	}
 	var tokenError *TokenError
-	if err != nil || !errors.As(NewTable().Restore(raw), &tokenError) {
-		t.Error("want a *TokenError for a snapshot with tokens above its counter")
+	if err := NewTable().Restore(raw); !errors.As(err, &tokenError) {
+		t.Errorf("snapshot with tokens above its last token: got error %v, want a *TokenError", err)
 	}
 }
 
--- a/internal/cluster/logclock/clock_test.go
+++ b/internal/cluster/logclock/clock_test.go
@@ -52,7 +52,8 @@
 		leaders[i] = leader{(random.Float64() - 0.5) * 7.2e6, 0.9 + 0.2*random.Float64()}
 	}
 	var clock Clock
-	var now, started, lastEntry, betweenLeaders Millis // in real time
+	var now, started, lastEntry Millis // real time, from which the leaders' clocks differ
+	var betweenLeaders Millis          // sum of the times between the last entry of a leader and the next leader's first
 	current := 0
 	for entry := range 500 {
 		now += 100 * random.Float64()
--- a/internal/cluster/membership/packet.go
+++ b/internal/cluster/membership/packet.go
@@ -52,7 +52,7 @@
 	Seq           uint64   // sequence number of a Ping or PingReq; Ack and Nack repeat it
 	Target        Name     // Ping, PingReq, Ack and Nack: the member that is probed
 	TargetAddress string   // PingReq: ip:port of the target
-	Checksums     []uint64 // Digest, and Records that ask for records in return: a checksum for each bucket
+	Checksums     []uint64 // Digest, and Records that ask for records in return: of the sender's member table, by bucketFor
 	Updates       []Update
 }
 
--- a/internal/cluster/membership/sim/sim_test.go
+++ b/internal/cluster/membership/sim/sim_test.go
@@ -120,8 +120,8 @@
 	if err := f.CheckAgreement(); err != nil {
 		t.Error(err)
 	}
-	if _, inc, _ := f.Member(0).Detector.StateOf("n2"); inc <= startUnix {
-		t.Errorf("incarnation of n2: got %d, want more than %d", inc, startUnix)
+	if _, incarnation, _ := f.Member(0).Detector.StateOf("n2"); incarnation <= startUnix {
+		t.Errorf("incarnation of n2: got %d, want more than %d", incarnation, startUnix)
 	}
 }
 
@@ -197,8 +197,8 @@
 		}
 		want := membership.Incarnation(startUnix + 3000 + down)
 		for i := range 5 {
-			if _, inc, _ := simulated.Member(i).Detector.StateOf("n1"); inc < want {
-				t.Errorf("down for %g ms: view of n%d: incarnation of n1 is %d, want %d or more", down, i, inc, want)
+			if _, incarnation, _ := simulated.Member(i).Detector.StateOf("n1"); incarnation < want {
+				t.Errorf("down for %g ms: view of n%d: incarnation of n1 is %d, want %d or more", down, i, incarnation, want)
 			}
 		}
 		simulated.Leave(4)
--- a/internal/cluster/membership/sync.go
+++ b/internal/cluster/membership/sync.go
@@ -5,7 +5,7 @@
 // maxSyncPackets is the maximum number of Records packets that a member sends in a probe period.
 const maxSyncPackets = 64
 
-// antiEntropy is the state of the periodic comparison of whole tables.
+// antiEntropy is the state of the periodic comparison of this member's table with those of other members.
 type antiEntropy struct {
 	nextSync    Millis // when the next digest is due
 	joined      bool   // a packet of another member was received, or an initial roster is given
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -150,16 +150,16 @@
 
 // errorKey returns the invalid key that an error names, "the file" for a syntax error, and otherwise an empty string.
 func errorKey(err error) string {
-	var key *KeyError
-	if errors.As(err, &key) {
-		return key.Key
+	var keyError *KeyError
+	if errors.As(err, &keyError) {
+		return keyError.Key
 	}
-	var setting settings.FieldError
-	if errors.As(err, &setting) {
-		return "settings." + setting.Key
+	var fieldError settings.FieldError
+	if errors.As(err, &fieldError) {
+		return "settings." + fieldError.Key
 	}
-	var syntax *json.SyntaxError
-	if errors.As(err, &syntax) {
+	var syntaxError *json.SyntaxError
+	if errors.As(err, &syntaxError) {
 		return "the file"
 	}
 	return ""
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -55,7 +55,7 @@
 			case test.want != "" && (err == nil || !strings.Contains(err.Error(), test.want)):
 				t.Errorf("got error %v, want %q", err, test.want)
 			case test.want == "" && (name == "off") != (operator.Membership == nil):
-				t.Errorf("got membership %+v in file %q", operator.Membership, name)
+				t.Errorf("got membership %+v, want it set: %v", operator.Membership, name != "off")
 			case test.want == "" && name != "off":
 				checkMembershipConfig(t, operator)
 			}
@@ -84,7 +84,8 @@
 	member := operator.Membership
 	if member.Bind != "127.0.0.1:7946" || len(member.Codec.Key) != 16 || member.Membership.ToleratedPause != 3000 ||
 		!strings.Contains(operator.String(), "packets sealed, 2 seeds") {
-		t.Errorf("got membership %+v, listed as\n%s", member, operator)
+		t.Errorf("got membership %+v, listed as\n%s\nwant bind 127.0.0.1:7946, a key of 16 bytes, a tolerated pause of 3000 ms, "+
+			"listed with \"packets sealed, 2 seeds\"", member, operator)
 	}
 }
 
--- a/internal/config/operatorfile.go
+++ b/internal/config/operatorfile.go
@@ -45,24 +45,24 @@
 }
 
 type membershipSection struct {
-	Enabled      bool           `toml:"enabled"`
-	Cluster      string         `toml:"cluster"`       // at most 32 bytes; packets of other clusters are dropped
-	Bind         string         `toml:"bind"`          // ip:port, UDP; default: advertise
-	Advertise    string         `toml:"advertise"`     // ip:port; default: the address of the instance's own entry in seeds, or bind
-	KeyFile      string         `toml:"key-file"`      // relative to this file; default empty: packets are not signed
-	BearPause    string         `toml:"bear-pause"`    // see membership.Settings.ToleratedPause
-	DetectWithin string         `toml:"detect-within"` // see membership.Settings.DetectionTimeout
-	MostMembers  int            `toml:"most-members"`  // see membership.Settings.MaxMembers
-	Seeds        []namedAddress `toml:"seeds"`         // one or more
+	Enabled          bool           `toml:"enabled"`
+	Cluster          string         `toml:"cluster"`       // at most 32 bytes; packets of other clusters are dropped
+	Bind             string         `toml:"bind"`          // ip:port, UDP; default: advertise
+	Advertise        string         `toml:"advertise"`     // ip:port; default: the address of the instance's own entry in seeds, or bind
+	KeyFile          string         `toml:"key-file"`      // relative to this file; default empty: packets are not signed
+	ToleratedPause   string         `toml:"bear-pause"`    // see membership.Settings.ToleratedPause
+	DetectionTimeout string         `toml:"detect-within"` // see membership.Settings.DetectionTimeout
+	MaxMembers       int            `toml:"most-members"`  // see membership.Settings.MaxMembers
+	Seeds            []namedAddress `toml:"seeds"`         // one or more
 }
 
 type policySection struct {
-	Enabled     bool           `toml:"enabled"`
-	Dir         string         `toml:"dir"`          // directory of the replicated log, relative to this file; required
-	Bind        string         `toml:"bind"`         // ip:port, TCP; default: the address of the instance's own entry in servers
-	KeyFile     string         `toml:"key-file"`     // relative to this file; default empty: the log accepts any connection
-	ElectWithin string         `toml:"elect-within"` // see raftlog.Config.ElectionTimeout
-	Servers     []namedAddress `toml:"servers"`      // 1 to 9
+	Enabled         bool           `toml:"enabled"`
+	Dir             string         `toml:"dir"`          // directory of the replicated log, relative to this file; required
+	Bind            string         `toml:"bind"`         // ip:port, TCP; default: the address of the instance's own entry in servers
+	KeyFile         string         `toml:"key-file"`     // relative to this file; default empty: the log accepts any connection
+	ElectionTimeout string         `toml:"elect-within"` // see raftlog.Config.ElectionTimeout
+	Servers         []namedAddress `toml:"servers"`      // 1 to 9
 }
 
 type takeoverSection struct {
@@ -85,7 +85,7 @@
 	}
 	encoded := operatorFile{
 		Membership: membershipSection{
-			BearPause: defaultToleratedPause, DetectWithin: defaultDetectionTimeout, MostMembers: defaultMaxMembers,
+			ToleratedPause: defaultToleratedPause, DetectionTimeout: defaultDetectionTimeout, MaxMembers: defaultMaxMembers,
 		},
 	}
 	decoder := toml.NewDecoder(bytes.NewReader(raw))
@@ -198,11 +198,11 @@
 	if advertise == "" {
 		return nil, keyErrorf("membership.bind", "missing, and membership.seeds has no entry for %q", name)
 	}
-	tolerated, err := parseDuration("membership.bear-pause", m.BearPause)
+	tolerated, err := parseDuration("membership.bear-pause", m.ToleratedPause)
 	if err != nil {
 		return nil, err
 	}
-	detection, err := parseDuration("membership.detect-within", m.DetectWithin)
+	detection, err := parseDuration("membership.detect-within", m.DetectionTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -216,7 +216,7 @@
 	config := &gossip.Config{
 		Bind: cmp.Or(m.Bind, advertise), Codec: membership.Codec{Cluster: m.Cluster, Key: secret},
 		Membership: membership.Settings{
-			Name: membership.Name(name), Address: advertise, Seeds: seeds, MaxMembers: m.MostMembers,
+			Name: membership.Name(name), Address: advertise, Seeds: seeds, MaxMembers: m.MaxMembers,
 			ToleratedPause: milliseconds(tolerated), DetectionTimeout: milliseconds(detection),
 		},
 	}
@@ -238,7 +238,7 @@
 	if config.Key, err = readKeyFile(path, "policy.key-file", p.KeyFile); err != nil {
 		return nil, err
 	}
-	config.ElectionTimeout, err = parseDuration("policy.elect-within", cmp.Or(p.ElectWithin, defaultElectionTimeout))
+	config.ElectionTimeout, err = parseDuration("policy.elect-within", cmp.Or(p.ElectionTimeout, defaultElectionTimeout))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -86,15 +86,15 @@
 	polls        bool   // the service has a queue and may reject calls
 	decode       func([]byte) (engine.EndpointUpdate, error)
 	log          logrus.FieldLogger
-	causes       logging.Limiter
-	calls        atomic.Int64 // number of calls sent since the start
+	causes       logging.Limiter // limits log lines about failed calls, by cause
+	calls        atomic.Int64    // number of calls sent since the start
 }
 
 // commands passes commands of other goroutines to the running watches.
 type commands struct {
 	snapshotRequests chan struct{} // the next call must request a full snapshot; buffer of 1
 	resume           chan struct{} // the next call may be sent after a rejection; buffer of 1
-	newAddress       chan string   // host:port
+	newAddress       chan string   // host:port from which the list is to be fetched from now on
 }
 
 // New creates a Watcher of the list at address (host:port). known is a list that is known already, nil for none. Only a
--- a/internal/ingress/floods_test.go
+++ b/internal/ingress/floods_test.go
@@ -61,27 +61,30 @@
 // get no responses. While the engine does not respond, the requests beyond the limit are rejected.
 func TestConnectionFloodIsBounded(t *testing.T) {
 	const limit, flood = 16, 100
-	for name, test := range map[string]struct{ silent, slow bool }{
-		"no requests":           {true, false},
-		"requests":              {false, false},
-		"requests, slow engine": {false, true},
+	for name, test := range map[string]struct {
+		clientsSilent bool // the clients send no requests
+		responsesLate bool // the engine responds only when all requests beyond the limit are rejected
+	}{
+		"no requests":              {true, false},
+		"requests":                 {false, false},
+		"requests, late responses": {false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			before := runtime.NumGoroutine()
 			server, fake, address, peak := startCounting(t, limit)
-			if !test.slow {
+			if !test.responsesLate {
 				respondToRequests(t, fake, failedResult)
 			}
 			var clients sync.WaitGroup
 			var responded atomic.Int64
 			for range flood {
 				conn := dial(t, address)
-				if !test.silent {
+				if !test.clientsSilent {
 					conn.send("GET /read/flood", "X-Time-Left: 2\r\n", "")
 					clients.Go(func() { conn.readFailedOrRejected(); responded.Add(1) })
 				}
 			}
-			if test.slow {
+			if test.responsesLate {
 				waitFor(t, "all other requests are rejected", func() bool {
 					return len(fake.requests)+int(responded.Load()) == flood
 				})
--- a/internal/testbed/chart/chart.go
+++ b/internal/testbed/chart/chart.go
@@ -59,8 +59,8 @@
 	return append(points, plotter.XY{X: sorted[len(sorted)-1], Y: 1})
 }
 
-// TimeSeries draws the values of each series in order, at one unit of the horizontal axis each. The extension of path,
-// .svg or .png, sets the format.
+// TimeSeries draws a curve for each series. The x coordinate of a value is its index in the series. The extension of
+// path, .svg or .png, sets the format.
 func TimeSeries(path, title, xLabel, yLabel string, series []Series) error {
 	drawing := plot.New()
 	drawing.Title.Text = title
--- a/internal/testbed/faultinject/process_test.go
+++ b/internal/testbed/faultinject/process_test.go
@@ -30,8 +30,8 @@
 	rule := environment.Rules.RuleFor(Link{"p", "q"})
 	if !errors.Is(process.Start(), ErrRunning) || process.StartCount() != 2 || process.PID() == 0 ||
 		!rule.Cut || rule.Drop != 0.1 {
-		t.Errorf("got %d starts and rule %+v, want 2 starts of a running process, a cut and a loss of 0.1",
-			process.StartCount(), rule)
+		t.Errorf("got %d starts, process ID %d, rule %+v, want 2 starts, a running process whose Start fails, a cut and a "+
+			"loss of 0.1", process.StartCount(), process.PID(), rule)
 	}
 	for end := time.Now().Add(5 * time.Second); strings.Count(process.Output(), "run") < 2 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
@@ -55,6 +55,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	if err := process.Terminate(ctx); err != nil || process.Running() || !strings.HasSuffix(process.Output(), "left\n") {
-		t.Errorf("Terminate: error %v, output %q, want it to end with \"left\"", err, process.Output())
+		t.Errorf("Terminate: got error %v, running %v, output %q, want no error, a stopped process, output that ends with \"left\"",
+			err, process.Running(), process.Output())
 	}
 }
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -145,7 +145,7 @@
 // RequestAddress returns the address at which an instance accepts requests.
 func (f *Fleet) RequestAddress(i int) string { return f.address(i, requestPort) }
 
-// RelayAddress returns the address at which other instances reach the membership of an instance.
+// RelayAddress returns the address of the relay through which other instances send membership packets to an instance.
 func (f *Fleet) RelayAddress(i int) string { return f.relayAddresses[i] }
 
 // FilePath returns the path of an instance's file with an extension: json or toml (configuration), log or store.
--- a/internal/testbed/platform/controller.go
+++ b/internal/testbed/platform/controller.go
@@ -54,8 +54,8 @@
 
 	mu           sync.Mutex
 	stage        Stage
-	stageSetAt   time.Time // time of the last SetStage
-	followers    map[net.Conn]bool
+	stageSetAt   time.Time         // time of the last SetStage
+	followers    map[net.Conn]bool // connections that have sent the follow call and get stages and pings
 	votes        []Vote
 	newestTokens map[string]uint64 // highest token seen, by lease
 }
@@ -94,7 +94,7 @@
 	return slices.Clone(ctl.votes)
 }
 
-// SetStage changes the stage and notifies all followers.
+// SetStage changes the stage and sends it to all followers.
 func (ctl *Controller) SetStage(s Stage) {
 	ctl.mu.Lock()
 	defer ctl.mu.Unlock()
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -115,14 +115,15 @@
 
 // observeReuse adjusts the idle limit after a connection was reused. An endpoint may close idle connections earlier
 // than configured and without notice, and a request written to one may have run. So the limit is halved if a connection
-// breaks that was idle for at least half of the limit, and grows again if it does not break.
-func (p *Pool) observeReuse(idleFor time.Duration, succeeded bool) {
+// breaks that was idle for at least half of the limit, and grows again if it does not break. intact reports that the
+// request was written, or a response came, and the connection did not break.
+func (p *Pool) observeReuse(idleFor time.Duration, intact bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
 	case idleFor < p.idleLimit/2:
 		return // a break after so short a time has another reason
-	case succeeded:
+	case intact:
 		p.growIdleLimit()
 	default:
 		p.idleLimit = max(p.idleLimit/2, p.timing.maxIdleTime/minIdleFraction)
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -714,9 +714,9 @@
 func TestIdleLimitAdaptsToBrokenReuse(t *testing.T) {
 	pool := newPool(4) // the longest idle time is 1 s
 	for _, test := range []struct {
-		idleFor   time.Duration
-		succeeded bool
-		want      time.Duration
+		idleFor time.Duration
+		intact  bool
+		want    time.Duration
 	}{
 		{100 * time.Millisecond, false, time.Second},
 		{600 * time.Millisecond, false, time.Second / 2},
@@ -724,9 +724,9 @@
 		{200 * time.Millisecond, true, 9 * time.Second / 32},
 		{100 * time.Millisecond, true, 9 * time.Second / 32},
 	} {
-		if pool.observeReuse(test.idleFor, test.succeeded); pool.idleLimit != test.want {
-			t.Errorf("idle for %v, succeeded %v: got limit %v, want %v",
-				test.idleFor, test.succeeded, pool.idleLimit, test.want)
+		if pool.observeReuse(test.idleFor, test.intact); pool.idleLimit != test.want {
+			t.Errorf("idle for %v, intact %v: got limit %v, want %v",
+				test.idleFor, test.intact, pool.idleLimit, test.want)
 		}
 	}
 	for range 100 {
