--- a/decision/action.go
+++ b/decision/action.go
@@ -14,7 +14,7 @@
 // Reject sends the final response to a request: the request was not served and may be sent again.
 type Reject struct {
 	Request    RequestID
-	RetryAfter Millis // 0: none
+	RetryAfter Millis // time after which the client may send the request again; 0: no Retry-After is sent
 }
 
 // Fail sends an error as the final response to a request. The request may have run.
--- a/decision/admission.go
+++ b/decision/admission.go
@@ -1,6 +1,6 @@
 package decision
 
-// timerMarginSteps is the margin before a time limit, in steps of the clock.
+// timerMarginSteps times the clock granularity is the time before the end of the DedupWindow at which retries end.
 const timerMarginSteps = 2
 
 // admits reports whether an attempt of a request may start at an endpoint now. Every attempt passes this check,
@@ -50,7 +50,7 @@
 }
 
 // withinExposureCap enforces the exposure cap of a build in trial, and restricts guarded stages to idempotent
-// requests.
+// requests. It allows every endpoint whose build is not in trial by trialOf.
 func (b *Balancer) withinExposureCap(req *request, ep *endpoint) bool {
 	trial := b.trialOf(ep.Build)
 	if !trial.active {
@@ -61,10 +61,10 @@
 }
 
 // allowedByStickyKey prevents a request from going to an earlier build once a newer build has responded to its
-// key.
+// key. It allows every endpoint without Settings.StickyKeys, or if the request has no key.
 func (b *Balancer) allowedByStickyKey(req *request, ep *endpoint) bool {
-	if !b.settings.StickyKeys || req.key == 0 || ep.Build >= b.sticky.build {
+	if !b.settings.StickyKeys || req.keyHash == 0 || ep.Build >= b.sticky.build {
 		return true
 	}
-	return !b.sticky.hashes[stickyHash(req.key)]
+	return !b.sticky.hashes[stickyHash(req.keyHash)]
 }
--- a/decision/admission_test.go
+++ b/decision/admission_test.go
@@ -13,8 +13,8 @@
 		class    ClassName
 		outcome  Outcome
 		after    Millis // the attempt's duration
-		zone     string // "": any, "-": none, "same": that of the first attempt
-		response string
+		zone     string // of the retry; "": any, "-": no retry, "same": that of the first attempt
+		response string // final response of the balancer if there is no retry
 	}{
 		{"read", EndpointFailed, 20, "", ""},
 		{"read", ConnectionBroken, 20, "", ""},
@@ -43,7 +43,7 @@
 				t.Errorf("first attempt at %q: got retry at %q, want zone %q", first, retried, test.zone)
 			}
 			if _, got := sim.responses(req); test.zone == "-" && got != test.response {
-				t.Errorf("got response %q, want %q", got, test.response)
+				t.Errorf("got final response %q of the balancer, want %q", got, test.response)
 			}
 		})
 	}
@@ -101,7 +101,8 @@
 		sim := start(t, trialUpdate(test.stage, 1), func(s *Settings) { s.GuardedStages = 1 })
 		sim.replaceEndpoints(newEndpoint("a2", 8))
 		if _, to := sim.request(test.class, ""); (to != "") != test.allowed {
-			t.Errorf("stage %d, class %s: got attempt at %q, want allowed %v", test.stage, test.class, to, test.allowed)
+			t.Errorf("stage %d, class %s: got attempt at %q, want an attempt at the candidate: %v", test.stage,
+				test.class, to, test.allowed)
 		}
 	}
 }
--- a/decision/balancer.go
+++ b/decision/balancer.go
@@ -26,8 +26,8 @@
 type Balancer struct {
 	settings     Settings
 	random       stats.Random
-	now          Millis // time of the current event
-	tickInterval Millis
+	now          Millis   // time of the current event
+	tickInterval Millis   // time between two ticks
 	started      bool     // the first event has been received
 	actions      []Action // emitted for the current event
 
@@ -123,7 +123,7 @@
 // scheduleTick schedules the next tick.
 func (b *Balancer) scheduleTick() { b.emit(WakeAt{At: b.now + b.tickInterval}) }
 
-// handleTimer starts attempts of waiting requests, and runs the periodic work on a tick.
+// handleTimer starts attempts of waiting requests, and runs the periodic work if the timer is the tick (token 0).
 func (b *Balancer) handleTimer(event TimerFired) {
 	b.dispatch()
 	if event.Token == 0 {
--- a/decision/classes.go
+++ b/decision/classes.go
@@ -24,7 +24,7 @@
 // classState is a request class with its outcomes by build.
 type classState struct {
 	RequestClass
-	index     int         // of the class in endpoint.outcomes
+	index     int         // index of the class in endpoint.outcomes; not used for controller
 	exposure  tokenBucket // tokens of this class alone; used only if Settings.ExposurePerClass is set
 	slowShare *float64    // smoothed share of responses that were slow, by slowResponseShare
 	samples
--- a/decision/comparison.go
+++ b/decision/comparison.go
@@ -10,7 +10,7 @@
 	groupSize            = 20   // outcomes in a group
 	rejectStatistic      = 3.84 // Kruskal-Wallis statistic (chi-squared, 1 degree of freedom, 5%) from which groups differ
 	slowRatio            = 1.25 // ratio of medians from which a group is clearly slower
-	rejectionsToRollback = 2    // consecutive rejections for a vote to roll back in a fleet of a few instances
+	rejectionsToRollback = 2    // consecutive rejected groups of the controller's counts for a vote to roll back
 )
 
 // comparison compares the candidate's outcomes with the baseline's by a rank test on each closed group. The
@@ -41,7 +41,8 @@
 	c.evaluateLastGroup()
 }
 
-// evaluateLastGroup compares the candidate's last group with the baseline. Two consecutive groups must agree
+// evaluateLastGroup compares the candidate's last group with the baseline. It does nothing while the baseline has no
+// full group. Two consecutive groups must agree
 // with each other before the last one can agree with the baseline. A rejection does not require that: with a
 // build that is too slow for its load, no two groups agree.
 func (c *comparison) evaluateLastGroup() {
@@ -64,6 +65,7 @@
 // slower reports whether outcomes are clearly slower than both of the baseline's last groups, because a single
 // group may be fast by chance. margin multiplies the required ratio of medians. A group whose median is a
 // failure is not slower: failures are evaluated by endpoint, because some endpoints fail fast with any build.
+// Without outcomes, or with fewer than two full groups of the baseline, it reports false.
 func (c *comparison) slower(outcomes []float64, margin float64) bool {
 	for _, baseline := range [][]float64{c.baseline.Previous, c.baseline.Last} {
 		if len(baseline) == 0 || len(outcomes) == 0 {
--- a/decision/comparison_test.go
+++ b/decision/comparison_test.go
@@ -28,7 +28,7 @@
 	} {
 		groups := &comparison{baseline: stats.Groups{Previous: fullGroup(test.previous), Last: fullGroup(test.last)}}
 		if got := groups.slower(fullGroup(test.candidate), 1); got != test.want {
-			t.Errorf("%+v: got slower %v, want %v", test, got, test.want)
+			t.Errorf("%+v: got outcomes reported as slower: %v, want %v", test, got, test.want)
 		}
 	}
 	if groups := (&comparison{baseline: stats.Groups{Last: fullGroup(1)}}); groups.slower(fullGroup(2), 1) {
--- a/decision/concurrency.go
+++ b/decision/concurrency.go
@@ -3,15 +3,17 @@
 import "math"
 
 const (
-	latencyWeight          = 0.15        // weight of the newest response in an endpoint's response time
-	meanLatencyWeight      = 0.15 * 0.15 // weight of the newest response in the mean over all endpoints
-	latencyTolerance       = 2.0         // ratio of response time to base latency from which an endpoint's limit falls
-	limitFallWeight        = 0.15        // weight of the newest response when it lowers an endpoint's limit
-	limitStep              = 0.15        // attempts; an endpoint's limit that is reached rises by at most half of this
-	queuedObjectiveDivisor = 2.0         // divisor: all instances together may queue half a latency objective of work
-	limitHeadroom          = 1.25        // ratio of an endpoint's limit to the attempts that it served concurrently
-	minEndpointLimit       = 0.15        // attempts; above 0, so that one attempt at a time may start
-	rejectionLimitFactor   = 1 - 0.15    // factor on an endpoint's limit when the endpoint rejects an attempt
+	latencyWeight     = 0.15        // weight of the newest response in an endpoint's response time
+	meanLatencyWeight = 0.15 * 0.15 // weight of the newest response in the mean over all endpoints
+	latencyTolerance  = 2.0         // ratio of response time to base latency from which an endpoint's limit falls
+	limitFallWeight   = 0.15        // weight of the newest response when it lowers an endpoint's limit
+	limitStep         = 0.15        // attempts; an endpoint's limit that is reached rises by at most half of this
+	// queuedObjectiveDivisor divides the longest latency objective. The quotient is the work that all instances
+	// together may queue at an endpoint.
+	queuedObjectiveDivisor = 2.0
+	limitHeadroom          = 1.25     // ratio of an endpoint's limit to the attempts that it served concurrently
+	minEndpointLimit       = 0.15     // attempts; above 0, so that one attempt at a time may start
+	rejectionLimitFactor   = 1 - 0.15 // factor on an endpoint's limit when the endpoint rejects an attempt
 
 	slowResponseShare   = 0.25 // a response that takes longer than this share of its objective is slow
 	slowShareWeight     = 0.15 // weight of the newest response in a share of slow responses
@@ -26,21 +28,21 @@
 // loadLimiter limits the attempts in flight at each endpoint and in total, by the ratio of response times to
 // the lowest mean response time seen.
 type loadLimiter struct {
-	limit        float64 // total limit on attempts in flight, without those at silent endpoints
-	recentPeak   float64 // decaying maximum of these attempts
+	totalLimit   float64 // limit on attempts in flight at all endpoints, without those at silent ones
+	recentPeak   float64 // decaying maximum of the attempts in flight, without those at silent endpoints
 	inFlight     int     // attempts in flight
-	unresponsive int     // of these, at silent endpoints
+	unresponsive int     // attempts in flight at silent endpoints, counted on each tick
 
 	meanLatency Millis // smoothed response time over all endpoints
 	baseLatency Millis // lowest value of meanLatency, rising slowly
 
-	serviceRate float64 // responses per millisecond and unit of warm capacity
-	succeeded   float64 // responses from warm endpoints since the last tick
+	serviceRate   float64 // responses per millisecond and unit of warm capacity
+	warmSuccesses float64 // successful responses from warm endpoints since the last tick
 
 	slowShare  float64    // smoothed share of slow responses
-	slowShares []*float64 // the same by class and by tenant
-	// tenants holds the same by tenant. It is bounded only if the settings list tenants, because requests of other
-	// tenants are rejected then.
+	slowShares []*float64 // smoothed share of slow responses of each class and of each tenant
+	// tenants holds the smoothed share of slow responses by tenant. It is bounded only if the settings list
+	// tenants, because requests of other tenants are rejected then.
 	tenants map[TenantID]*float64
 }
 
@@ -48,7 +50,7 @@
 // response.
 func newLoadLimiter(classes classTable, latency Millis) loadLimiter {
 	limiter := loadLimiter{
-		limit:       math.Inf(1),
+		totalLimit:  math.Inf(1),
 		meanLatency: latency,
 		baseLatency: latency,
 		tenants:     map[TenantID]*float64{},
@@ -72,7 +74,7 @@
 
 // full reports whether the total limit is reached. Attempts at silent endpoints do not count, because they may
 // never end.
-func (l *loadLimiter) full() bool { return float64(l.inFlight-l.unresponsive) >= l.limit }
+func (l *loadLimiter) full() bool { return float64(l.inFlight-l.unresponsive) >= l.totalLimit }
 
 // leastSlowShare returns the lowest share of slow responses of any class or tenant. Only if all of them are
 // slow is there a lack of capacity.
@@ -92,7 +94,8 @@
 
 // adjustEndpointLimit adjusts an endpoint's limit on attempts in flight by the ratio of the base latency to the
 // endpoint's response time. All instances together may queue half a latency objective of work at the endpoint,
-// or a quarter more than the attempts that it served concurrently. A limit that is not reached does not rise.
+// or a quarter more than the attempts that it served concurrently, but at least one attempt. A
+// limit that is not reached does not rise.
 func (b *Balancer) adjustEndpointLimit(ep *endpoint, after Millis) {
 	ep.latency += latencyWeight * (after - ep.latency)
 	objective := b.classes.overall.LatencyObjective
@@ -120,7 +123,7 @@
 // responses from each endpoint.
 func (b *Balancer) adjustTotalLimit(req *request, after Millis) {
 	slow := min(1, math.Floor(after/req.LatencyObjective/slowResponseShare))
-	for _, share := range []*float64{&b.load.slowShare, req.slowShare, req.tenantSlow} {
+	for _, share := range []*float64{&b.load.slowShare, req.slowShare, req.tenantSlowShare} {
 		*share += slowShareWeight * (slow - *share)
 	}
 	inFlight := float64(b.load.inFlight - b.load.unresponsive + 1)
@@ -130,9 +133,9 @@
 		// to nearly 0 by chance at an instance with little traffic. Unresponsive attempts may have ended since
 		// they were counted, so inFlight may be too low.
 		cutFactor := 1 - totalLimitCutWeight*(lowest-overloadedShare)/(1-overloadedShare)
-		b.load.limit = max(minTotalLimit, min(b.load.limit, max(inFlight, b.load.recentPeak))*cutFactor)
-	} else if inFlight >= b.load.limit {
-		b.load.limit += totalLimitStep
+		b.load.totalLimit = max(minTotalLimit, min(b.load.totalLimit, max(inFlight, b.load.recentPeak))*cutFactor)
+	} else if inFlight >= b.load.totalLimit {
+		b.load.totalLimit += totalLimitStep
 	}
 }
 
@@ -149,9 +152,9 @@
 func (b *Balancer) updateServiceRate(capacity capacitySum) {
 	if capacity.warm > 0 {
 		weight := min(1, b.tickInterval/b.settings.OverloadWindow)
-		b.load.serviceRate += weight * (b.load.succeeded/capacity.warm/b.tickInterval - b.load.serviceRate)
+		b.load.serviceRate += weight * (b.load.warmSuccesses/capacity.warm/b.tickInterval - b.load.serviceRate)
 	}
-	b.load.succeeded = 0
+	b.load.warmSuccesses = 0
 	b.load.baseLatency *= 1 + b.tickInterval/b.settings.SlowStartWindow/baseLatencyRiseDivisor
 }
 
@@ -162,6 +165,6 @@
 	decayed := b.load.recentPeak * (1 - b.tickInterval/b.settings.OverloadWindow)
 	b.load.recentPeak = max(float64(b.load.inFlight-b.load.unresponsive), decayed)
 	if len(b.requests.queues[firstAttempts]) > 0 && b.load.leastSlowShare() <= overloadedShare {
-		b.load.limit *= 1 + b.tickInterval/b.settings.SlowStartWindow
+		b.load.totalLimit *= 1 + b.tickInterval/b.settings.SlowStartWindow
 	}
 }
--- a/decision/concurrency_test.go
+++ b/decision/concurrency_test.go
@@ -9,7 +9,7 @@
 func TestOverloadLowersTotalLimit(t *testing.T) {
 	for _, test := range []struct {
 		slow    map[TenantID]bool
-		limited bool
+		limited bool // the total limit falls below 2
 	}{{nil, false}, {map[TenantID]bool{"x": true}, false}, {map[TenantID]bool{"x": true, "y": true}, true}} {
 		sim := start(t, releasedUpdate(8), nil)
 		for i := range 80 {
@@ -25,9 +25,9 @@
 				sim.endAttempt(sim.lastID, 0, Succeeded, after)
 			}
 		}
-		if (sim.balancer.load.limit < 2) != test.limited {
-			t.Errorf("slow tenants %v: got total limit %v, want below 2 only if all are slow", test.slow,
-				sim.balancer.load.limit)
+		if (sim.balancer.load.totalLimit < 2) != test.limited {
+			t.Errorf("slow tenants %v: got total limit %v, want below 2 only if all tenants are slow", test.slow,
+				sim.balancer.load.totalLimit)
 		}
 	}
 }
@@ -43,7 +43,8 @@
 	}
 	sim.endAttempt(req, 0, Succeeded, 1000)
 	sim.advance(sim.balancer.tickInterval) // counts the unresponsive attempts again
-	if _, to := sim.request("read", ""); sim.balancer.load.limit > 1 || to == "" {
-		t.Errorf("got limit %v and next attempt at %q, want at most 1 and an attempt", sim.balancer.load.limit, to)
+	if _, to := sim.request("read", ""); sim.balancer.load.totalLimit > 1 || to == "" {
+		t.Errorf("got total limit %v and next attempt at %q, want at most 1 and an attempt",
+			sim.balancer.load.totalLimit, to)
 	}
 }
--- a/decision/controllercounts.go
+++ b/decision/controllercounts.go
@@ -16,7 +16,7 @@
 // the reported mean.
 func (b *Balancer) addControllerCounts(event ControllerCounts) {
 	class := b.classes.byName[event.Class]
-	if class == nil || !b.trial.known || event.Build > b.trial.update.Build || event.Count <= 0 {
+	if class == nil || !b.trial.updateReceived || event.Build > b.trial.update.Build || event.Count <= 0 {
 		return
 	}
 	newest := event.Build == b.trial.update.Build
@@ -43,7 +43,7 @@
 // endpoints as failed, so its failed responses are scaled by the share of error responses among the instance's
 // own unsuccessful attempts. One error response is not counted, because a single one may be chance.
 func (b *Balancer) estimateErrors(event ControllerCounts) stats.Count {
-	own := b.trial.unsuccessful
+	own := b.trial.unsuccessfulAttempts
 	return stats.Count{
 		Successes: float64(event.Count - event.Failed),
 		Failures:  float64(event.Failed) * max(0, own.Failures-1) / (own.Total() + errorSharePrior),
--- a/decision/controllercounts_test.go
+++ b/decision/controllercounts_test.go
@@ -30,7 +30,7 @@
 		}
 		sim.replaceEndpoints(list...)
 		if test.errors {
-			sim.balancer.trial.unsuccessful.Failures = 40
+			sim.balancer.trial.unsuccessfulAttempts.Failures = 40
 		}
 		for i := range 10 {
 			if i == 4 {
--- a/decision/crosszone.go
+++ b/decision/crosszone.go
@@ -3,11 +3,13 @@
 import "math"
 
 const (
-	crossGainFactor     = 4.0  // ratio of the cross-zone share to the gain
-	maxCrossZoneShare   = 0.5  // share of requests
+	crossGainFactor     = 4.0  // ratio of the target of the cross-zone share to crossZone.gain
+	maxCrossZoneShare   = 0.5  // maximum of crossZone.share
 	zoneLatencyWeight   = 0.15 // weight of the newest response in a zone's response time
 	crossZoneCutDivisor = 2.0  // divides the cross-zone share for each failed connection in another zone
-	zoneRetryRate       = 0.15 // share of the gap to the base latency that closes per slow start window
+	// zoneRetryRate is the share of the gap between the other zone's response time and the base latency that closes
+	// per slow start window.
+	zoneRetryRate = 0.15
 )
 
 // crossZone determines the share of requests that is sent to other zones although endpoints in the home zone are
@@ -15,12 +17,13 @@
 // other zones, so the share follows from the response times of whole zones.
 type crossZone struct {
 	latency [2]Millis // smoothed response time by zone
-	gain    float64   // additional share of requests within the objective in another zone, less CrossZonePrice
-	share   float64   // of the requests, 0 to maxCrossZoneShare
+	gain    float64   // estimated share of requests that meet their objective only in another zone, less CrossZonePrice
+	share   float64   // cross-zone share: share of requests sent to other zones, 0 to maxCrossZoneShare
 }
 
 // observeZone updates the response time of a zone with the outcome of an attempt. When another zone is
-// unreachable, the cross-zone share falls to almost 0 within a few attempts.
+// unreachable, the cross-zone share falls to almost 0 within a few attempts. Successes and timeouts count with
+// their duration, failed connections and cancellations only in another zone, and other outcomes nowhere.
 func (b *Balancer) observeZone(ep *endpoint, event AttemptEnded) {
 	zone := b.zoneIndex(ep)
 	switch event.Outcome {
@@ -35,7 +38,8 @@
 	}
 }
 
-// drawCrossZone draws whether a request is sent to another zone. The probability is the cross-zone share.
+// drawCrossZone draws whether a request is sent to another zone. The probability is the cross-zone share,
+// or 0 if no endpoint in another zone is eligible.
 func (b *Balancer) drawCrossZone() bool {
 	if b.crossZone.share <= 0 || len(b.routing.eligible[otherZone]) == 0 {
 		return false
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -14,7 +14,7 @@
 	byID           map[EndpointID]*endpoint
 	ordered        []*endpoint                 // sorted by ID
 	byBuildAndZone [2][2][]*endpoint           // by side and zone
-	machineTypes   map[MachineType]*stats.Mean // response time ratio of each type of machine that was ever listed
+	machineTypes   map[MachineType]*stats.Mean // machineTypeRatio of each type that was ever listed
 }
 
 // endpoint is an entry of the endpoint list with the observations on it.
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -37,7 +37,7 @@
 // Evidence returns the evidence of this instance on the newest build. It returns false if no build is in trial.
 func (b *Balancer) Evidence() (Evidence, bool) {
 	evidence := Evidence{Build: b.trial.update.Build, Stage: b.trial.update.Stage}
-	if !b.trial.known || b.trial.update.Phase != InTrial {
+	if !b.trial.updateReceived || b.trial.update.Phase != InTrial {
 		return evidence, false
 	}
 	for _, class := range b.classes.withOverall {
@@ -81,7 +81,7 @@
 // same build, and the outcomes if they are of the same build and stage. The outcomes enter groups in the same
 // way as this instance's own outcomes.
 func (b *Balancer) acquireEvidence(evidence Evidence) {
-	if !b.trial.known || evidence.Build != b.trial.update.Build {
+	if !b.trial.updateReceived || evidence.Build != b.trial.update.Build {
 		return
 	}
 	for _, count := range evidence.Counts {
--- a/decision/evidence_test.go
+++ b/decision/evidence_test.go
@@ -25,7 +25,7 @@
 		for _, test := range []struct {
 			name   string
 			change func(*Evidence)
-			want   bool
+			want   bool // a vote to roll back
 		}{{"for another build", func(e *Evidence) { e.Build++ }, false}, {"as recorded", func(*Evidence) {}, true}} {
 			other := evidence
 			test.change(&other)
--- a/decision/exposure.go
+++ b/decision/exposure.go
@@ -9,7 +9,8 @@
 	refilledAt Millis
 }
 
-// exposureTokens returns the tokens for attempts of a request at builds in trial.
+// exposureTokens returns the tokens for attempts of a request at builds in trial: those of the request's class if
+// Settings.ExposurePerClass is set, else those of all classes. At each new instant, tokens above FreeAttempts expire.
 func (b *Balancer) exposureTokens(req *request) *float64 {
 	bucket := &b.exposure
 	if b.settings.ExposurePerClass {
@@ -24,24 +25,24 @@
 
 // buildTrial is the state of a build's trial.
 type buildTrial struct {
-	active      bool
-	stage       int
+	active      bool    // the build is not released; its attempts take exposure tokens
+	stage       int     // index, from 0
 	exposureCap float64 // share of the requests that may go to the build
 }
 
 // trialOf returns the state of a build's trial. A build that the rollout controller has not announced yet is
-// treated as in its first stage.
+// treated as in its first stage. A build older than the newest one is not in trial.
 func (b *Balancer) trialOf(build Build) buildTrial {
 	maxCap := 1 - b.settings.WithheldShare
 	update := &b.trial.update
-	if b.trial.known && build == update.Build {
+	if b.trial.updateReceived && build == update.Build {
 		return buildTrial{update.Phase != Released, update.Stage, min(update.ExposureCap, maxCap)}
 	}
-	return buildTrial{!b.trial.known || build > update.Build, 0, min(b.settings.ExposureCaps[0], maxCap)}
+	return buildTrial{!b.trial.updateReceived || build > update.Build, 0, min(b.settings.ExposureCaps[0], maxCap)}
 }
 
 // exposureRefill returns the tokens that one request adds: the lowest exposure cap of the listed builds in
-// trial.
+// trial, or 1 if none is in trial.
 func (b *Balancer) exposureRefill() float64 {
 	lowest := 1.0
 	for _, ep := range b.endpoints.ordered {
--- a/decision/exposure_test.go
+++ b/decision/exposure_test.go
@@ -10,7 +10,7 @@
 	for _, test := range []struct {
 		name   string
 		update StageUpdate
-		cap    float64 // exposure cap in effect
+		cap    float64 // share of requests that the candidate may get
 	}{
 		{"first stage", trialUpdate(0, 0.1), 0.1},
 		{"middle", trialUpdate(1, 0.5), 0.5},
@@ -95,21 +95,21 @@
 func TestWithheldShareLowersExposure(t *testing.T) {
 	for _, test := range []struct {
 		share       float64
-		least, most int
+		least, most int // requests of 200 at the candidate
 	}{{0, 80, 101}, {0.8, 30, 41}, {1, 0, 0}} {
 		sim := start(t, trialUpdate(1, 0.5), func(s *Settings) { s.WithheldShare = test.share })
-		n := 0
+		atCandidate := 0
 		for range 200 {
 			req, to := sim.request("read", "")
 			if to == "a2" || to == "b2" {
-				n++
+				atCandidate++
 			}
 			sim.advance(20)
 			sim.endAttempt(req, 0, Succeeded, 20)
 		}
-		if n < test.least || n > test.most {
-			t.Errorf("withheld share %g: got %d of 200 requests at the candidate, want %d to %d", test.share, n, test.least,
-				test.most)
+		if atCandidate < test.least || atCandidate > test.most {
+			t.Errorf("withheld share %g: got %d of 200 requests at the candidate, want %d to %d", test.share, atCandidate,
+				test.least, test.most)
 		}
 	}
 }
--- a/decision/failures.go
+++ b/decision/failures.go
@@ -30,10 +30,10 @@
 	// baseline includes the endpoints that were removed from the list. Without them there would be nothing to
 	// compare with once all baseline endpoints are replaced.
 	baseline           stats.Count
-	candidate          stats.Count // without the excluded endpoints
-	candidateAll       stats.Count
-	candidateOutcomes  float64 // total of candidateAll
-	candidateEndpoints float64
+	candidate          stats.Count // without the candidate's excluded endpoints
+	candidateAll       stats.Count // of all the candidate's endpoints
+	candidateOutcomes  float64     // total of candidateAll
+	candidateEndpoints float64     // number of listed endpoints that run the candidate
 }
 
 // failureEvidence compares the failures of both builds by a rank test on good and bad outcomes, in each class and
@@ -95,7 +95,8 @@
 
 // ownStrength returns the strength of the evidence from the instance's own outcomes. From singleFailureQuorum on
 // a single failure counts half. If each of hundreds of instances with little traffic waited for a second failure,
-// a failing build would advance.
+// a failing build would advance. The strength is 0 with fewer failures than required, or if the candidate's share of
+// failures is not above the baseline's.
 func (b *Balancer) ownStrength(counts failureCounts) float64 {
 	required := minFailures - math.Floor(min(1, float64(b.settings.RollbackQuorum)/singleFailureQuorum))
 	baseline, candidate := counts.baseline, counts.candidate
@@ -108,7 +109,8 @@
 
 // reportedStrength returns the strength of the evidence from the controller's counts. The counts of each build
 // are scaled down to one outcome per candidate endpoint, because the worst endpoints cannot be excluded from
-// them.
+// them. The strength is 0 with fewer than minReportedFailures, or if the candidate has no more failures than the
+// baseline.
 func reportedStrength(class *classState, counts failureCounts) float64 {
 	baseline, candidate := class.reported[baselineSide], class.reported[candidateSide]
 	if candidate.Failures < minReportedFailures || candidate.Failures <= baseline.Failures {
--- a/decision/failures_test.go
+++ b/decision/failures_test.go
@@ -34,7 +34,7 @@
 				sim.replaceEndpoints(list...)
 			}
 			if found := sim.balancer.failureEvidence(); (found.strength >= 1) != test.proof {
-				t.Errorf("failures %v, baseline removed %v: got strength %v, want proof %v", test.bad, removed,
+				t.Errorf("failures %v, baseline removed %v: got strength %v, want at least 1: %v", test.bad, removed,
 					found.strength, test.proof)
 			}
 		}
@@ -59,8 +59,8 @@
 			sim.balancer.endpoints.byID[id].outcomes[0] = stats.Count{Successes: 30 - bad, Failures: bad}
 		}
 		if found := sim.balancer.failureEvidence(); (found.strength >= 1) != test.proof {
-			t.Errorf("%v baseline failures, %d other endpoints: got strength %v, want proof %v", test.baseline, test.others,
-				found.strength, test.proof)
+			t.Errorf("%v baseline failures, %d other endpoints: got strength %v, want at least 1: %v", test.baseline,
+				test.others, found.strength, test.proof)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 			candidate.outcomes[overall.index] = stats.Count{Successes: test.each - bad, Failures: bad}
 		}
 		if found := sim.balancer.failureEvidence(); (found.strength >= 1) != test.proof {
-			t.Errorf("failures %v of %v outcomes each: got strength %v, want proof %v", test.bad, test.each,
+			t.Errorf("failures %v of %v outcomes each: got strength %v, want at least 1: %v", test.bad, test.each,
 				found.strength, test.proof)
 		}
 	}
--- a/decision/fleet_test.go
+++ b/decision/fleet_test.go
@@ -25,9 +25,9 @@
 
 // clientRequest is a request from the client's point of view.
 type clientRequest struct {
-	at, deadline Millis
-	inFlight     []bool // by index of the attempt
-	done         bool
+	sentAt, deadline Millis
+	inFlight         []bool // by index of the attempt
+	done             bool   // the client has the final response
 }
 
 // fakeEndpoint is a simulated endpoint with a queue and a few cores.
@@ -154,8 +154,8 @@
 }
 
 const (
-	fleetObjective   Millis = 700
-	clientTimeout    Millis = 2000
+	fleetObjective   Millis = 700   // latency objective of the only request class
+	clientTimeout    Millis = 2000  // time from a request until its client stops waiting
 	meanWork                = 110.0 // mean service time on one core, ms
 	coresPerEndpoint        = 3
 )
@@ -189,7 +189,7 @@
 		request.inFlight[attempt] = false
 		if outcome == Succeeded && !request.done {
 			request.done = true
-			if f.now <= request.at+fleetObjective {
+			if f.now <= request.sentAt+fleetObjective {
 				f.results["in time"]++
 			}
 		}
@@ -210,8 +210,8 @@
 // endpoints are slower.
 func (f *fleet) processRequest(endpoint *fakeEndpoint) Millis {
 	free := 0
-	for i, until := range endpoint.cores {
-		if until < endpoint.cores[free] {
+	for i, busyUntil := range endpoint.cores {
+		if busyUntil < endpoint.cores[free] {
 			free = i
 		}
 	}
@@ -246,7 +246,7 @@
 			return
 		}
 		f.lastID++
-		f.requests[f.lastID] = &clientRequest{at: f.now, deadline: f.now + clientTimeout}
+		f.requests[f.lastID] = &clientRequest{sentAt: f.now, deadline: f.now + clientTimeout}
 		f.results["received"]++
 		instance := int(f.random.Float64() * float64(len(f.balancers)))
 		f.deliver(instance, RequestReceived{Request: f.lastID, Class: "read", Remaining: clientTimeout})
@@ -284,15 +284,15 @@
 	fleet.run(fleet.now + 6000)
 	fleet.resetCounts()
 	fleet.run(fleet.now + 5000)
-	shares := [2]int{}
+	attemptsByHalf := [2]int{} // at restarted endpoints, and at the others
 	for i, endpoint := range list {
-		shares[i/30] += fleet.attempts[endpoint.ID]
+		attemptsByHalf[i/30] += fleet.attempts[endpoint.ID]
 	}
 	if share := float64(fleet.results["in time"]) / float64(fleet.results["received"]); share < 0.93 {
 		t.Errorf("share of requests in time 6 to 11 s after the restart: got %.2f, want at least 0.93; results %v",
 			share, fleet.results)
 	}
-	if share := float64(shares[0]) / float64(shares[0]+shares[1]); share < 0.4 {
+	if share := float64(attemptsByHalf[0]) / float64(attemptsByHalf[0]+attemptsByHalf[1]); share < 0.4 {
 		t.Errorf("share of attempts at restarted endpoints: got %.2f, want at least 0.4", share)
 	}
 }
@@ -331,7 +331,7 @@
 			attemptsPer[7] += float64(fleet.attempts[endpoint.ID]) / float64(len(list[36:]))
 		}
 		if attemptsPer[8] > 1.5*attemptsPer[7] || attemptsPer[8] > 30 {
-			t.Errorf("second %d: got %.0f attempts per warm endpoint of the candidate, want at most 30 and 1.5 times %.0f",
+			t.Errorf("second %d: got %.0f attempts per warm candidate endpoint, want at most 30 and 1.5 times those of the baseline, %.0f",
 				second, attemptsPer[8], attemptsPer[7])
 		}
 		attemptsPerWarming := 0.0
--- a/decision/fleetslowdown.go
+++ b/decision/fleetslowdown.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	slowdownGroups    = 8.0  // factor on rejectionsNeeded for a rollback by this rule
+	slowdownGroups    = 8.0  // factor on samples.rejectionsNeeded for a rollback because of a fleet slowdown
 	maxRatioWeight    = 4    // maximum number of factors of slowRatio that one group counts for
 	slowdownFillTime  = 4000 // ms; a group that took this long to fill counts slowdownGroups times
-	arrivalRateMargin = 1.25 // ratio of the arrival rate to that before the trial from which no group is rejected
-	minPreCandidate   = 5    // response times that show that endpoints were slow before the candidate
+	arrivalRateMargin = 1.25 // ratio of the arrival rate to that before the trial above which no group is rejected
+	minPreCandidate   = 5    // number of response times in preCandidate from which it is compared with the baseline
 )
 
 // fleetSlowdown compares the outcomes of both builds with those from before the trial. It detects a candidate
@@ -26,7 +26,8 @@
 
 // compareBeforeTrial adds an outcome of either build to the comparison with the time before the trial, and evaluates
 // a group once it is full. value is a response time in ms, and meanBefore the mean response time from before the
-// trial.
+// trial, or 0 if there is none. Failures are ignored, and so are all outcomes before the first trial or if there was no
+// full group before the trial. Until an endpoint runs the candidate, outcomes are added to preCandidate only.
 func (b *Balancer) compareBeforeTrial(slowdown *fleetSlowdown, value, meanBefore float64) {
 	if slowdown == nil || meanBefore == 0 || math.IsInf(value, 1) || len(slowdown.baseline.Last) == 0 {
 		return
@@ -57,7 +58,8 @@
 		b.trial.arrivalRate > arrivalRateMargin*b.trial.arrivalRateBefore
 }
 
-// addPreCandidate adds a relative response time from before the first endpoint that runs the candidate.
+// addPreCandidate adds a relative response time from before the first endpoint that runs the candidate. From
+// groupSize+1 of them on, each new one replaces the last.
 func (s *fleetSlowdown) addPreCandidate(relative float64) {
 	s.preCandidate = append(s.preCandidate[:min(len(s.preCandidate), groupSize)], relative)
 	s.slowBeforeCandidate = len(s.preCandidate) >= minPreCandidate &&
--- a/decision/fleetslowdown_test.go
+++ b/decision/fleetslowdown_test.go
@@ -110,7 +110,7 @@
 		}
 		rejections := overall.slowdown.rejections
 		if got := rejections >= slowdownGroups*overall.rejectionsNeeded; got != test.proof {
-			t.Errorf("%s: got %d rejections, proof %v, want %v", test.name, rejections, got, test.proof)
+			t.Errorf("%s: got %d rejections, enough for a rollback: %v, want %v", test.name, rejections, got, test.proof)
 		}
 	}
 }
--- a/decision/golden_test.go
+++ b/decision/golden_test.go
@@ -54,7 +54,7 @@
 	}
 	data, err := os.ReadFile(goldenFile)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the golden file: %v", err)
 	}
 	want := map[string]string{}
 	for line := range strings.Lines(string(data)) {
@@ -88,7 +88,7 @@
 		}
 	}
 	if err := os.WriteFile(goldenFile, []byte(out.String()), 0o644); err != nil {
-		t.Fatal(err)
+		t.Fatalf("write the golden file: %v", err)
 	}
 }
 
--- a/decision/healthcheck.go
+++ b/decision/healthcheck.go
@@ -9,9 +9,11 @@
 	missedSharePerPrice = 2                  // ratio of missedShare to HealthCheckPrice from which endpoints are checked
 	checkTimeoutSteps   = 2                  // steps of the clock that a request waits for a health check
 	checkTimerToken     = 1                  // token of the timer for the timeout of a check; 0 is the tick
-	minIdleCoreShare    = 1e-9               // lower bound for a divisor
+	minIdleCoreShare    = 1e-9               // lower bound of the reported idle share of cores, which is a divisor
 	idleDurationRise    = 0.15 * 0.15 * 0.25 // share by which idleDuration rises with each check
-	idleDurationFall    = 0.15 * 0.15        // share by which it falls with each faster check; it settles where 1 in 4 checks is faster
+	// idleDurationFall is the share by which idleDuration falls with each faster check. With idleDurationRise, it settles
+	// where 1 in 4 checks is faster.
+	idleDurationFall = 0.15 * 0.15
 )
 
 // healthChecks holds the observations by which endpoints are checked before attempts.
@@ -74,7 +76,8 @@
 }
 
 // handleHealthCheck records the result of a health check. Endpoints respond to checks ahead of queued requests,
-// so the reported utilisation counts as well as the duration.
+// so the reported utilisation counts as well as the duration. A check that failed, or of an endpoint that is no longer
+// listed, is ignored.
 func (b *Balancer) handleHealthCheck(event HealthCheckEnded) {
 	ep := b.endpoints.byID[event.Endpoint]
 	if ep == nil || event.Outcome != Succeeded {
--- a/decision/healthcheck_test.go
+++ b/decision/healthcheck_test.go
@@ -10,9 +10,9 @@
 func TestHealthChecksFindIdleEndpoint(t *testing.T) {
 	for _, test := range []struct {
 		name      string
-		missed    float64
+		missed    float64  // share of attempts that may have run and failed or were late
 		durations []Millis // durations of the health checks; negative: no response
-		checks    int
+		checks    int      // health checks before the attempt
 	}{
 		{"few misses", 0.01, nil, 0},
 		{"idle", 0.3, []Millis{1}, 1},
@@ -52,7 +52,7 @@
 func TestReportedUtilisationRaisesHealthCheckRatio(t *testing.T) {
 	for _, test := range []struct {
 		utilisation float64 // reported utilisation; -1: none
-		idle        bool
+		idle        bool    // the ratio is that of an idle endpoint
 	}{{-1, true}, {0.1, true}, {0.5, false}, {0.95, false}} {
 		sim := start(t, releasedUpdate(8), nil)
 		sim.balancer.checks.idleDuration = [2]Millis{1, 1}
@@ -60,7 +60,8 @@
 			Endpoint: "a1", Outcome: Succeeded, After: 1, Load: &Load{Utilisation: test.utilisation, Queue: -1},
 		})
 		if endpoint := sim.balancer.endpoints.byID["a1"]; (endpoint.healthCheckRatio <= idleRatio) != test.idle {
-			t.Errorf("%+v: got ratio %v, want idle %v", test, endpoint.healthCheckRatio, test.idle)
+			t.Errorf("%+v: got health check ratio %v, want one of an idle endpoint: %v", test,
+				endpoint.healthCheckRatio, test.idle)
 		}
 	}
 }
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -10,13 +10,19 @@
 	connectionFailureWeight = 0.15 * 0.15 // weight of the newest outcome in connectionFailureShare
 	refusedWeight           = 0.15        // weight of the newest outcome in refusedShare
 
-	baseEjectionShare = 0.15 // of the longest latency objective; the nth consecutive ejection has a mean of 2^n times that
-	ejectionJitter    = 0.5  // an ejection lasts 0.5 to 1.5 times its mean
-	faultEjections    = 2    // consecutive ejections from which there is an infrastructure fault
-
-	immediateRefusalShare     = 0.25 // of the base latency; a connection that failed sooner was refused by the host
-	closeIdleRefusedShare     = 0.05 // refusedShare from which idle connections are closed
-	minConnectionFailureShare = 1e-9 // lower bound for the logarithm
+	// baseEjectionShare times the longest latency objective is the base of the mean duration of ejections. The nth
+	// consecutive ejection has a mean of 2^n times that base.
+	baseEjectionShare = 0.15
+	ejectionJitter    = 0.5 // an ejection lasts 0.5 to 1.5 times its mean
+	faultEjections    = 2   // consecutive ejections from which there is an infrastructure fault
+
+	// immediateRefusalShare times the base latency is the time within which a failed connection counts as refused by
+	// the host.
+	immediateRefusalShare = 0.25
+	closeIdleRefusedShare = 0.05 // refusedShare from which idle connections are closed
+	// minConnectionFailureShare is added to connectionFailureShare before its logarithm is taken, so that the logarithm
+	// is finite.
+	minConnectionFailureShare = 1e-9
 
 	capacityLossRatio = 1.25 // ratio of full to current capacity from which there is an infrastructure fault
 )
@@ -34,7 +40,7 @@
 func (b *Balancer) faultWithin(span Millis) bool { return b.now-b.outliers.lastFaultAt < span }
 
 // suspicion returns the negative logarithm of the probability that an endpoint which responds at its usual rate is
-// silent for as long as this one has been.
+// silent for as long as this one has been. It is 0 if no attempt is in flight at the endpoint.
 func (b *Balancer) suspicion(ep *endpoint) float64 {
 	return float64(ep.inFlight) * (b.now - ep.lastResponseAt) / max(ep.latency, b.load.meanLatency)
 }
@@ -134,21 +140,23 @@
 	b.adjustEndpointLimit(ep, event.After)
 	ep.failureShare -= failureWeight * ep.failureShare
 	if !b.warmingUp(ep) {
-		b.load.succeeded++
+		b.load.warmSuccesses++
 	}
 }
 
 // observeConnectionFailure ejects an endpoint whose connections fail. The network may break connections to healthy
 // endpoints. If one broken connection ejected an endpoint, all endpoints would be ejected and warm up again. So each
-// consecutive failure raises the suspicion by the negative logarithm of the share of failures at all endpoints.
+// consecutive failure raises the suspicion by the negative logarithm of the share of failures at all endpoints. A
+// connection that is not established in time, or a failure after an ejection, ejects the endpoint whatever its
+// suspicion.
 func (b *Balancer) observeConnectionFailure(ep *endpoint, event AttemptEnded) {
 	ep.connectFailures++
 	ep.failureShare += failureWeight * (1 - ep.failureShare)
 	connectTimedOut := event.Outcome == Unreachable && event.After >= b.load.baseLatency*immediateRefusalShare
 	suspicion := -math.Log(b.outliers.connectionFailureShare+minConnectionFailureShare) * float64(ep.connectFailures)
-	failed := ep.ejections > 0 || connectTimedOut || suspicion >= ejectSuspicion
+	mustEject := ep.ejections > 0 || connectTimedOut || suspicion >= ejectSuspicion
 	b.outliers.connectionFailureShare += connectionFailureWeight
-	if failed && b.now >= ep.ejectedUntil {
+	if mustEject && b.now >= ep.ejectedUntil {
 		b.outliers.lastFaultAt = b.now
 		b.eject(ep)
 	}
--- a/decision/outlier_test.go
+++ b/decision/outlier_test.go
@@ -103,7 +103,7 @@
 				sim.balancer.observeEndpoint(endpoint, e)
 			}
 			if endpoint.ejections > 0 != test.ejected {
-				t.Errorf("got %d ejections, want ejected %v", endpoint.ejections, test.ejected)
+				t.Errorf("endpoint a2: got %d ejections, want ejected: %v", endpoint.ejections, test.ejected)
 			}
 		})
 	}
--- a/decision/polling.go
+++ b/decision/polling.go
@@ -34,7 +34,8 @@
 	b.polling.nextAt = b.now + b.polling.backoff*(1+b.random.Float64())/2
 }
 
-// pollIfDue sends the next poll when it is due. Another poll follows only after a rejection.
+// pollIfDue sends the next poll when it is due. Another poll follows only after a rejection. Without
+// Settings.PollEndpoints it does nothing.
 func (b *Balancer) pollIfDue() {
 	if !b.settings.PollEndpoints || b.now < b.polling.nextAt {
 		return
--- a/decision/proof.go
+++ b/decision/proof.go
@@ -9,7 +9,8 @@
 const (
 	rejectProbability           = 0.05 // probability that rejectStatistic rejects a group without a difference
 	outcomesWithoutGroupsFactor = 5    // outcomes for a vote without full groups, per ln(instances / AdvanceQuorum)
-	noOutcomesQuorum            = 40   // AdvanceQuorum from which such a vote requires no outcomes of this instance
+	// noOutcomesQuorum is the AdvanceQuorum from which a vote without full groups requires no outcomes of this instance.
+	noOutcomesQuorum = 40
 )
 
 // evidenceThresholds holds the evidence that one instance requires for its votes. If one vote among hundreds of
--- a/decision/retry.go
+++ b/decision/retry.go
@@ -7,10 +7,13 @@
 )
 
 const (
-	firstAttemptWait = 0.25 // of the latency objective: maximum wait for the first attempt
-	retryWait        = 1.0  // of the latency objective, since the request was received: maximum wait for a retry
-	expiryTicks      = 2    // ticks before the deadline at which a waiting request expires
-	retryAfterShare  = 0.25 // of the latency objective: Retry-After of a rejection
+	// firstAttemptWait is the share of its latency objective that a request waits at most for its first attempt.
+	firstAttemptWait = 0.25
+	// retryWait is the share of its latency objective, from its arrival on, until which a request waits for a retry.
+	retryWait   = 1.0
+	expiryTicks = 2 // ticks before the deadline at which a waiting request expires
+	// retryAfterShare is the share of the latency objective that a rejection returns as Retry-After.
+	retryAfterShare = 0.25
 )
 
 // requestTable holds the open requests. A request is removed once it has its final response and no attempt is
@@ -23,18 +26,18 @@
 // request is an open request with its attempts.
 type request struct {
 	*classState
-	id           RequestID
-	key          uint32   // hash of the key; 0 without a key
-	placement    float64  // 0 to 1; below candidateShare: meant for the candidate
-	tenantSlow   *float64 // the tenant's share of slow responses
-	receivedAt   Millis
-	deadline     Millis
-	attempts     []attempt
-	inFlight     int
-	done         bool // final response sent, or client disconnected
-	healthChecks int  // health checks sent before the next attempt
+	id              RequestID
+	keyHash         uint32   // 0: the request has no key
+	placement       float64  // 0 to 1; below candidateShare: meant for the candidate
+	tenantSlowShare *float64 // the tenant's share of slow responses
+	receivedAt      Millis
+	deadline        Millis
+	attempts        []attempt
+	inFlight        int
+	done            bool // final response sent, or client disconnected
+	healthChecks    int  // health checks sent before the next attempt
 
-	healthCheckSentAt Millis // time of the newest of these checks
+	healthCheckSentAt Millis // time at which the newest of these checks was sent
 }
 
 // attempt is an attempt to serve a request at an endpoint.
@@ -42,7 +45,7 @@
 	*endpoint
 	startedAt   Millis
 	inFlight    bool
-	mayHaveRun  bool
+	mayHaveRun  bool // the endpoint may have run the request; assumed while the attempt is in flight
 	noMigration bool // not to be cancelled or hedged, because it already was, or because its response is being streamed
 }
 
@@ -70,17 +73,17 @@
 func (b *Balancer) handleRequest(event RequestReceived) {
 	_, b.routing.lastPlacement = math.Modf(b.routing.lastPlacement + math.Phi)
 	req := &request{
-		id:         event.Request,
-		key:        hashKey(event.Key),
-		placement:  b.routing.lastPlacement,
-		tenantSlow: b.load.tenantShare(event.Tenant),
-		receivedAt: b.now,
-		deadline:   b.now + event.Remaining,
-		classState: b.classes.find(event.Class),
+		id:              event.Request,
+		keyHash:         hashKey(event.Key),
+		placement:       b.routing.lastPlacement,
+		tenantSlowShare: b.load.tenantShare(event.Tenant),
+		receivedAt:      b.now,
+		deadline:        b.now + event.Remaining,
+		classState:      b.classes.find(event.Class),
 	}
-	if b.settings.StickyKeys && req.key != 0 {
+	if b.settings.StickyKeys && req.keyHash != 0 {
 		// Placement by key, so that few keys change sides while the candidate's share grows with the stage.
-		req.placement = float64(req.key) / (1 << 32)
+		req.placement = float64(req.keyHash) / (1 << 32)
 	}
 	b.requests.open[req.id] = req
 	if !event.Retried {
@@ -94,13 +97,13 @@
 // dispatch starts attempts of waiting requests, first attempts before retries, and sends the final response to
 // requests that must stop waiting.
 func (b *Balancer) dispatch() {
-	for queue, wait := range []float64{firstAttemptWait, retryWait} {
+	for queue, waitShare := range []float64{firstAttemptWait, retryWait} {
 		waiting := b.requests.queues[queue]
 		remaining := waiting[:0]
 		for _, req := range waiting {
 			switch {
 			case req.done || b.startAttempt(req):
-			case b.mustStopWaiting(req, wait):
+			case b.mustStopWaiting(req, waitShare):
 				b.giveUp(req)
 			default:
 				remaining = append(remaining, req)
@@ -112,13 +115,13 @@
 }
 
 // mustStopWaiting reports whether a waiting request must not wait any longer. That is the case if no further attempt is
-// allowed, if its wait exceeds a share of its latency objective, or if its deadline is near.
-func (b *Balancer) mustStopWaiting(req *request, wait float64) bool {
+// allowed, if its wait exceeds waitShare times its latency objective, or if its deadline is near.
+func (b *Balancer) mustStopWaiting(req *request, waitShare float64) bool {
 	noRetryAllowed := req.Idempotency == NonIdempotent && req.firstThatMayHaveRun() != nil
 	if noRetryAllowed || len(req.attempts) >= b.settings.MaxAttempts {
 		return true
 	}
-	return b.now >= min(req.receivedAt+req.LatencyObjective*wait, req.deadline-expiryTicks*b.tickInterval)
+	return b.now >= min(req.receivedAt+req.LatencyObjective*waitShare, req.deadline-expiryTicks*b.tickInterval)
 }
 
 // giveUp sends the final response to a request: a rejection with Retry-After if the client may safely send the
@@ -205,7 +208,7 @@
 }
 
 // handleAttemptEnd updates all observations with the outcome of an attempt, and queues the request for a retry
-// unless the request is done.
+// unless the request is done. An attempt that is unknown or has already ended is ignored.
 func (b *Balancer) handleAttemptEnd(event AttemptEnded) {
 	req, att := b.attemptOf(event.Request, event.Attempt)
 	if att == nil || !att.inFlight {
@@ -241,7 +244,7 @@
 }
 
 // migrateFromSilent migrates requests that may run again from silent endpoints. It hedges a request if that is
-// allowed, and otherwise cancels the attempt, so that a retry follows.
+// allowed, and otherwise cancels the attempt, so that a retry follows. If neither is allowed, it does nothing.
 func (b *Balancer) migrateFromSilent() {
 	for _, id := range slices.Sorted(maps.Keys(b.requests.open)) {
 		req := b.requests.open[id]
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	minExpectedLatency = 1e-9 // ms; lower bound for a divisor
-	minCapacity        = 1e-9 // lower bound for a divisor
+	minExpectedLatency = 1e-9 // ms; lower bound of the expected response time, which is a divisor
+	minCapacity        = 1e-9 // lower bound of the total capacity, which is a divisor
 )
 
 // routingState holds the state of endpoint selection between requests, and its buffers.
@@ -73,7 +73,7 @@
 	balancer    *Balancer
 	request     *request
 	best        *endpoint
-	lowestRisk  float64
+	lowestRisk  float64 // risk of best, with homePenalty; +Inf while best is nil
 	homePenalty float64 // added to the risk in the home zone, for a request drawn to cross zones
 }
 
@@ -125,7 +125,8 @@
 }
 
 // considerTwo draws two of a zone's eligible endpoints by weight. The second one is considered only if both are
-// warm or both are warming: a warming endpoint would always lose against a warm one and get no requests.
+// warm or both are warming: a warming endpoint would always lose against a warm one and get no requests. If the first
+// draw is the nil entry for warming endpoints without credit, neither draw is considered.
 func (b *Balancer) considerTwo(search *endpointSearch, zone int) {
 	eligible, weights := b.routing.eligible[zone], b.routing.weights[zone]
 	if len(eligible) == 0 {
--- a/decision/samples.go
+++ b/decision/samples.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	latencySamples      = 40       // memory of the mean response times, in outcomes
-	unsuccessfulSamples = 40       // maximum total of trial.unsuccessful
+	latencySamples      = 40       // number of outcomes over which mean response times are smoothed
+	unsuccessfulSamples = 40       // maximum total of trial.unsuccessfulAttempts
 	comparableWeight    = 1 / 1.25 // 0.8; slow start weight from which an endpoint's response times are compared
 )
 
@@ -70,7 +70,7 @@
 // countUnsuccessful updates the counts of unsuccessful attempts. outcome counts a success or an error response,
 // and is zero for any other outcome.
 func (b *Balancer) countUnsuccessful(outcome stats.Count) {
-	counts := &b.trial.unsuccessful
+	counts := &b.trial.unsuccessfulAttempts
 	counts.Add(stats.Count{Successes: 1 - outcome.Total(), Failures: outcome.Failures}, 1)
 	*counts = counts.ScaledTo(unsuccessfulSamples)
 }
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -14,12 +14,12 @@
 // Settings holds the settings of a deployment. All instances have the same settings except Zone.
 type Settings struct {
 	Instances        int    // number of instances that share the traffic, 1 or more
-	Zone             Zone   // of this instance
+	Zone             Zone   // zone in which this instance runs
 	ClockGranularity Millis // smallest step of timers; time limits are kept with a margin of two steps
 	Classes          []RequestClass
-	Tenants          []TenantID
-	PollEndpoints    bool   // the endpoint list is polled through a queue instead of being pushed
-	MaxPollInterval  Millis // with PollEndpoints: maximum time from a rejected poll to the next
+	Tenants          []TenantID // if not empty, only requests of these tenants reach the balancer
+	PollEndpoints    bool       // the endpoint list is polled through a queue instead of being pushed
+	MaxPollInterval  Millis     // with PollEndpoints: maximum time from a rejected poll to the next
 
 	CrossZonePrice   float64 // cost of sending a request to another zone, as a share of its value, 0 to 1
 	HealthCheckPrice float64 // cost of a health check, as a share of the value of a request, 0 to 1
@@ -35,26 +35,27 @@
 	OverloadFactor  float64 // multiple of its current capacity that a warming endpoint can serve for OverloadWindow
 	OverloadWindow  Millis  // time for which a warming endpoint can serve OverloadFactor times its capacity
 
-	Control          Control
-	InPlace          bool      // endpoints of the candidate replace those of the baseline, which drain
-	ExposureCaps     []float64 // share of requests that may go to a build in trial, by stage
-	StageShares      []float64 // share of endpoints that run the candidate, by stage
-	FreeAttempts     float64   // attempts at a build in trial beyond the exposure cap
-	ExposurePerClass bool      // the exposure cap applies to each request class separately
-	GuardedStages    int       // number of first stages in which the candidate gets only idempotent requests
-	StickyKeys       bool      // a key that the candidate has responded to does not go back to the baseline
-	FlagShare        float64   // share of wrong responses that clients report, 0 to 1
-	VoteTTL          Millis    // time to live of a vote
-	VoteRetryWait    Millis    // maximum time after which a vote that was not accepted is cast again
-	AdvanceQuorum    int       // number of votes that advance a stage
-	RollbackQuorum   int       // number of votes that roll a build back
-	HoldQuorum       int       // number of votes that hold the clock; 0: unknown, treated as 1
-	CountInterval    Millis    // interval of the rollout controller's counts; 0: it sends none
+	Control      Control   // whether votes or a clock advance the stages
+	InPlace      bool      // endpoints of the candidate replace those of the baseline, which drain
+	ExposureCaps []float64 // share of requests that may go to a build in trial, by stage
+	StageShares  []float64 // share of endpoints that run the candidate, by stage
+	// FreeAttempts is the number of attempts at builds in trial beyond the exposure cap, in any time window.
+	FreeAttempts     float64
+	ExposurePerClass bool    // the exposure cap applies to each request class separately
+	GuardedStages    int     // number of first stages in which the candidate gets only idempotent requests
+	StickyKeys       bool    // a key that the candidate has responded to does not go back to the baseline
+	FlagShare        float64 // share of wrong responses that clients report, 0 to 1
+	VoteTTL          Millis  // time to live of a vote
+	VoteRetryWait    Millis  // maximum time after which a vote that was not accepted is cast again
+	AdvanceQuorum    int     // number of votes that advance a stage
+	RollbackQuorum   int     // number of votes that roll a build back
+	HoldQuorum       int     // number of votes that hold the clock; 0: unknown, treated as 1
+	CountInterval    Millis  // interval of the rollout controller's counts; 0: it sends none
 
 	// Settings of the operators:
 
 	WithheldShare float64 // the exposure cap is at most 1 minus this share; 0: no effect
-	Halt          bool    // no votes to advance, and votes to hold a clock; votes to roll back are still cast
+	Halt          bool    // no vote to advance is cast, and a clock is held by votes; votes to roll back are still cast
 }
 
 // tickFraction times the shortest latency objective is the tick interval, unless that is below the clock granularity
--- a/decision/settings_test.go
+++ b/decision/settings_test.go
@@ -19,7 +19,7 @@
 	balancer, open := sim.balancer, len(sim.balancer.requests.open)
 	hold, rollback := balancer.thresholds.holdRejections, balancer.classes.overall.rejectionsNeeded
 	if hold != 3 || rollback != 1 || balancer.settings.Control != ByClock || open != 1 {
-		t.Errorf("after the change: got hold after %d, rollback after %d, control %v, %d open, want 3, 1, ByClock and 1",
+		t.Errorf("after the change: got rejections to hold %d, to roll back %d, control %v, %d open requests, want 3, 1, ByClock and 1",
 			hold, rollback, balancer.settings.Control, open)
 	}
 	sim.endAttempt(request, 0, Succeeded, 30)
@@ -35,7 +35,7 @@
 	settings := balancer.settings
 	restored := settings.Control == ByVotes && settings.SlowStartWindow == before.SlowStartWindow
 	if hold != 2 || rollback != 2 || !restored {
-		t.Errorf("after the restoration: got hold after %d, rollback after %d, control %v, want 2, 2 and ByVotes", hold,
+		t.Errorf("after the restoration: got rejections to hold %d, to roll back %d, control %v, want 2, 2 and ByVotes", hold,
 			rollback, settings.Control)
 	}
 }
--- a/decision/slowstart.go
+++ b/decision/slowstart.go
@@ -3,7 +3,7 @@
 import "math"
 
 // slowStartWeight returns the current capacity of an endpoint as a share of its full capacity. It rises linearly
-// from SlowStartFloor at the start of the endpoint to 1 after SlowStartWindow.
+// from SlowStartFloor at the start of the endpoint to 1 after SlowStartWindow, and is 1 if the start time is unknown.
 func (b *Balancer) slowStartWeight(ep *endpoint) float64 {
 	age := b.now - ep.warmingSince
 	if ep.warmingSince <= 0 || age >= b.settings.SlowStartWindow {
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -36,7 +36,7 @@
 		weight := sim.balancer.slowStartWeight(sim.balancer.endpoints.byID["a9"])
 		most := settings.OverloadFactor * rate * weight * (sim.now - from + settings.OverloadWindow)
 		if rate <= 0 || sent == 0 || float64(sent) > most+1 {
-			t.Errorf("only warming %v: got %d attempts, want at least 1 and at most %v", onlyWarming, sent, most)
+			t.Errorf("only warming endpoints %v: got %d attempts at a9, want at least 1 and at most %v", onlyWarming, sent, most)
 		}
 	}
 }
@@ -63,7 +63,7 @@
 		}
 	}
 	if most := rate * 0.4 * 2.5 * 1000; sent == 0 || float64(sent) > most {
-		t.Errorf("got %d attempts, want at least 1 and at most %v", sent, most)
+		t.Errorf("got %d attempts at warming endpoints, want at least 1 and at most %v", sent, most)
 	}
 }
 
--- a/decision/stickykeys.go
+++ b/decision/stickykeys.go
@@ -15,22 +15,23 @@
 }
 
 // stickyHash returns the 16 bits of a key's hash that stickyKeys stores.
-func stickyHash(key uint32) uint16 { return uint16(key >> 16) }
+func stickyHash(keyHash uint32) uint16 { return uint16(keyHash >> 16) }
 
-// record adds a key that a build has responded to. A newer build discards the keys of earlier builds.
-func (s *stickyKeys) record(build Build, key uint32) {
+// record adds the hash of a key that a build has responded to. A newer build discards the keys of earlier builds.
+func (s *stickyKeys) record(build Build, keyHash uint32) {
 	if build > s.build {
 		s.build, s.hashes = build, map[uint16]bool{}
 	}
-	s.hashes[stickyHash(key)] = true
+	s.hashes[stickyHash(keyHash)] = true
 }
 
 // clear removes all keys, so that they may go to any build again, for example after a rollback.
 func (s *stickyKeys) clear() { s.build, s.hashes = 0, map[uint16]bool{} }
 
-// recordStickyKey records the key of a request that succeeded at the newest build.
+// recordStickyKey records the key of a request that succeeded at the newest build or a later one. It does nothing
+// without Settings.StickyKeys, before the first stage update, or if the request has no key.
 func (b *Balancer) recordStickyKey(req *request, ep *endpoint) {
-	if req.key != 0 && b.settings.StickyKeys && b.trial.known && ep.Build >= b.trial.update.Build {
-		b.sticky.record(ep.Build, req.key)
+	if req.keyHash != 0 && b.settings.StickyKeys && b.trial.updateReceived && ep.Build >= b.trial.update.Build {
+		b.sticky.record(ep.Build, req.keyHash)
 	}
 }
--- a/decision/stream_test.go
+++ b/decision/stream_test.go
@@ -36,8 +36,8 @@
 	evidence         decision.Evidence // evidence of the instance at an earlier time
 }
 
-// scenario holds the environment's parameters for a seed. The times with suffix At start a condition that lasts for
-// faultDuration; 0 means never.
+// scenario holds the environment's parameters for a seed. Each field with suffix At is the start of a condition that
+// lasts for faultDuration; with 0 the condition never occurs.
 type scenario struct {
 	arrivalRate           float64         // requests per millisecond
 	serviceTime           decision.Millis // at an idle, warm endpoint
@@ -53,17 +53,17 @@
 	candidateSlowdown     float64         // factor on the service time of a bad candidate
 	candidateFailureShare float64         // share of failed requests at a bad candidate
 	badCandidateShare     float64         // share of bad candidates
-	otherZoneDownAt       decision.Millis // the other zone is unreachable
-	fleetSlowdownAt       decision.Millis // all endpoints are slower
-	fleetSlowdownFactor   float64         // factor on the service time at fleetSlowdownAt
+	otherZoneDownAt       decision.Millis // from then on the other zone is unreachable
+	fleetSlowdownAt       decision.Millis // from then on all endpoints are slower
+	fleetSlowdownFactor   float64         // factor on the service time during the condition of fleetSlowdownAt
 	slowdownAtOffer       bool            // a fleet slowdown starts with the offer of half of the candidates
-	homeSlowdownAt        decision.Millis // endpoints in the instance's zone are slower
-	homeSlowdownFactor    float64         // factor on the service time at homeSlowdownAt
+	homeSlowdownAt        decision.Millis // from then on endpoints in the instance's zone are slower
+	homeSlowdownFactor    float64         // factor on the service time during the condition of homeSlowdownAt
 	releasePause          decision.Millis // time from the release of a build to the offer of the next build
 	replacementInterval   decision.Millis // mean time between replacements of endpoints by the rollout
 	candidateSlowsAll     bool            // a bad candidate slows all endpoints while any of them runs it
-	burstAt               decision.Millis // the arrival rate is four times as high
-	faultDuration         decision.Millis // duration of the conditions above
+	burstAt               decision.Millis // from then on the arrival rate is four times as high
+	faultDuration         decision.Millis // duration of each condition whose start is a field with suffix At
 }
 
 // controller is the state of the simulated rollout controller, which rolls out one build after another.
@@ -72,7 +72,7 @@
 	phase          decision.Phase
 	stage          int
 	stageStartedAt decision.Millis // start of the current stage or phase
-	bad            bool            // the build is slow or failing
+	badCandidate   bool            // the build is slow or fails requests
 }
 
 // endpoint is a simulated endpoint.
@@ -81,8 +81,8 @@
 	inFlight         int
 	slowdown         float64 // factor on the service time
 	errorShare       float64 // share of requests that get an error response
-	silent           bool    // accepts requests and never responds
-	down             bool    // refuses connections
+	neverResponds    bool    // accepts requests and does not respond
+	unreachable      bool    // connections to it fail
 	runsBadCandidate bool    // its build is a bad candidate
 }
 
@@ -515,15 +515,15 @@
 
 // drawOutcome draws the outcome and the duration of an attempt at an endpoint.
 func (s *simulation) drawOutcome(e *endpoint) (decision.Outcome, decision.Millis) {
-	unreachable := e.Zone != s.settings.Zone && s.isActive(s.otherZoneDownAt)
+	zoneUnreachable := e.Zone != s.settings.Zone && s.isActive(s.otherZoneDownAt)
 	switch {
-	case e.down && s.random.IntN(2) == 0:
+	case e.unreachable && s.random.IntN(2) == 0:
 		return decision.Unreachable, 0.5
-	case e.down, unreachable && s.random.IntN(2) == 0:
+	case e.unreachable, zoneUnreachable && s.random.IntN(2) == 0:
 		return decision.Unreachable, 300
-	case unreachable:
+	case zoneUnreachable:
 		return decision.ConnectionBroken, 100 * s.random.Float64()
-	case e.silent:
+	case e.neverResponds:
 		return decision.TimedOut, 1e9
 	case e.inFlight > s.endpointCapacity:
 		return decision.EndpointRejected, 1
@@ -617,7 +617,7 @@
 	e := s.byID[id]
 	after := 0.5 + s.random.Float64()*(1+float64(e.inFlight))/2
 	outcome := decision.Succeeded
-	if e.down || e.silent {
+	if e.unreachable || e.neverResponds {
 		outcome, after = decision.Unreachable, 20
 	}
 	s.scheduleAt(s.now+after, func() {
@@ -658,7 +658,7 @@
 	i := s.startedEndpoints
 	s.startedEndpoints++
 	e := &endpoint{
-		slowdown: 1, runsBadCandidate: s.controller.bad && build == s.controller.build,
+		slowdown: 1, runsBadCandidate: s.controller.badCandidate && build == s.controller.build,
 		Endpoint: decision.Endpoint{
 			ID: decision.EndpointID(fmt.Sprintf("endpoint%02d", i)), Cell: decision.Cell(i % 3), StartedAt: at, Build: build,
 			Zone: decision.Zone("ab"[i%2 : i%2+1]), MachineType: []decision.MachineType{"new", "old"}[i%5/4],
@@ -677,8 +677,9 @@
 func (s *simulation) restartEndpoint(e *endpoint, build decision.Build) {
 	restarted := *e
 	restarted.StartedAt, restarted.Build, restarted.State = s.now, build, decision.Serving
-	restarted.inFlight, restarted.slowdown, restarted.errorShare, restarted.silent, restarted.down = 0, 1, 0, false, false
-	if restarted.runsBadCandidate = s.controller.bad && build == s.controller.build; restarted.runsBadCandidate {
+	restarted.inFlight, restarted.slowdown, restarted.errorShare,
+		restarted.neverResponds, restarted.unreachable = 0, 1, 0, false, false
+	if restarted.runsBadCandidate = s.controller.badCandidate && build == s.controller.build; restarted.runsBadCandidate {
 		restarted.errorShare = s.candidateFailureShare
 	}
 	s.endpoints[slices.Index(s.endpoints, e)] = &restarted
@@ -707,9 +708,9 @@
 	before := *target
 	switch s.random.IntN(6) {
 	case 0:
-		target.silent = true
+		target.neverResponds = true
 	case 1:
-		target.down = true
+		target.unreachable = true
 		s.scheduleAt(s.now+300, func() { s.restartIfListed(target) })
 	case 2:
 		target.slowdown = 2 + 6*s.random.Float64()
@@ -724,7 +725,8 @@
 		}
 	}
 	s.scheduleAt(s.now+500+2500*s.random.Float64(), func() {
-		target.silent, target.down, target.slowdown, target.errorShare = false, false, before.slowdown, before.errorShare
+		target.neverResponds, target.unreachable,
+			target.slowdown, target.errorShare = false, false, before.slowdown, before.errorShare
 	})
 }
 
@@ -772,7 +774,7 @@
 // offerBuild starts the rollout of the next build.
 func (s *simulation) offerBuild() {
 	bad := s.random.Float64() < s.badCandidateShare
-	s.controller = controller{build: s.controller.build + 1, stageStartedAt: s.now, bad: bad}
+	s.controller = controller{build: s.controller.build + 1, stageStartedAt: s.now, badCandidate: bad}
 	if s.slowdownAtOffer && s.random.IntN(2) == 0 {
 		s.fleetSlowdownAt = s.now
 	}
@@ -827,7 +829,7 @@
 	if s.now-s.controller.stageStartedAt < s.maxStageDuration {
 		return
 	}
-	if s.controller.bad && s.random.IntN(2) == 0 {
+	if s.controller.badCandidate && s.random.IntN(2) == 0 {
 		s.rollBack()
 	} else {
 		s.advanceStage()
@@ -863,7 +865,7 @@
 				counts.Mean *= s.fleetSlowdownFactor
 			}
 			failedShare := 0.01
-			if build == s.controller.build && s.controller.bad {
+			if build == s.controller.build && s.controller.badCandidate {
 				counts.Mean *= s.candidateSlowdown
 				failedShare = s.candidateFailureShare
 			}
--- a/decision/trial.go
+++ b/decision/trial.go
@@ -13,20 +13,21 @@
 
 // trial is the state of the newest build's rollout.
 type trial struct {
-	known          bool        // at least one update was received
+	updateReceived bool        // at least one update was received
 	update         StageUpdate // newest update
-	stageStartedAt Millis
+	stageStartedAt Millis      // start of the stage or phase of the newest update
 
 	arrivalRate       float64 // smoothed rate of new requests, without those sent before, per ms
 	arrivalRateBefore float64 // arrivalRate when the build was offered
 
-	// unsuccessful counts the unsuccessful attempts of this instance, scaled to a total of at most 40. Failures
+	// unsuccessfulAttempts counts the unsuccessful attempts of this instance, scaled to a total of at most 40. Failures
 	// counts those with an error response, Successes all others.
-	unsuccessful stats.Count
+	unsuccessfulAttempts stats.Count
 }
 
 // handleStageUpdate applies an update from the rollout controller. A new stage or phase starts new groups, and a
-// new build new counts.
+// new build new counts. Of the response to a vote that was not accepted, only the
+// result is recorded.
 func (b *Balancer) handleStageUpdate(update StageUpdate) {
 	if update.IsVoteResult {
 		b.handleVoteResult(update.VoteResult)
@@ -38,10 +39,10 @@
 	b.trial.update = update
 	b.trial.stageStartedAt = b.now - update.Age
 	sameStage := previous.Build == update.Build && previous.Stage == update.Stage
-	if b.trial.known && sameStage && previous.Phase == update.Phase {
+	if b.trial.updateReceived && sameStage && previous.Phase == update.Phase {
 		return
 	}
-	b.trial.known = true
+	b.trial.updateReceived = true
 	b.voting.vote = Vote{}
 	b.partitionEndpoints()
 	if update.Phase == RollingBack || update.Phase == RolledBack {
--- a/decision/verdict.go
+++ b/decision/verdict.go
@@ -55,11 +55,11 @@
 	inTrial     bool
 	fullGroups  int  // classes with full groups of both builds; the overall class only if no other has them
 	groupsAgree bool // the builds agree in all of these classes
-	rejected    bool // a class has a rejection
+	anyRejected bool // a class has a rejection
 	holdReached bool // a class has the rejections to hold the clock
 
-	slower      *classState    // a class with the rejections to roll the build back, or nil
-	fleetSlower *fleetSlowdown // the same compared with the time before the trial
+	slowerClass *classState    // a class with the rejections to roll the build back, or nil
+	fleetSlower *fleetSlowdown // comparison with the time before the trial that proves a slow build, or nil
 }
 
 // assess evaluates the outcomes of all classes.
@@ -74,7 +74,7 @@
 		}
 		assessed.addRejections(class.rejections, b.thresholds.holdRejections)
 		if class.rejections >= class.rejectionsNeeded && !fault {
-			assessed.slower = class
+			assessed.slowerClass = class
 		}
 		slowdown := class.slowdown
 		if slowdown == nil {
@@ -90,7 +90,7 @@
 
 // addRejections adds the consecutive rejections of one class. toHold is the number of rejections that hold the clock.
 func (a *assessment) addRejections(rejections, toHold int) {
-	a.rejected = a.rejected || rejections > 0
+	a.anyRejected = a.anyRejected || rejections > 0
 	a.holdReached = a.holdReached || rejections >= toHold
 }
 
@@ -106,10 +106,10 @@
 
 // rollbackForSlowness applies in trial once a class has the consecutive rejections that prove a slow build.
 func rollbackForSlowness(_ *Balancer, assessed *assessment) (decidedVote, bool) {
-	if !assessed.inTrial || assessed.slower == nil {
+	if !assessed.inTrial || assessed.slowerClass == nil {
 		return decidedVote{}, false
 	}
-	class := assessed.slower
+	class := assessed.slowerClass
 	reason := fmt.Sprintf("request class %q clearly slower again, last by %.2f", class.Name, class.medianRatio)
 	return decidedVote{VoteRollback, reason}, true
 }
@@ -144,7 +144,7 @@
 // blockAdvance applies if no vote to advance may be cast, or if there is evidence against the build.
 func blockAdvance(b *Balancer, assessed *assessment) (decidedVote, bool) {
 	blocked := !assessed.inTrial || b.settings.Control == ByClock || b.settings.Halt ||
-		assessed.failures.strength >= blockingFailureShare || assessed.rejected
+		assessed.failures.strength >= blockingFailureShare || assessed.anyRejected
 	return undecided, blocked
 }
 
@@ -164,17 +164,17 @@
 	if assessed.fullGroups > 0 || b.now-b.trial.stageStartedAt < noGroupsVoteDelay {
 		return decidedVote{}, false
 	}
-	next := b.nextStageShare()
-	tooFew := assessed.failures.outcomes < b.thresholds.outcomesWithoutGroups*next
-	if tooFew || assessed.failures.suspected || b.suspectsSlowness() {
+	nextShare := b.nextStageShare()
+	tooFewOutcomes := assessed.failures.outcomes < b.thresholds.outcomesWithoutGroups*nextShare
+	if tooFewOutcomes || assessed.failures.suspected || b.suspectsSlowness() {
 		return decidedVote{}, false
 	}
 	overall, controller := b.classes.overall, b.classes.controller
 	if overall.slower(overall.candidate.Partial, 1) || controller.slower(controller.candidate.Partial, 1) {
 		return decidedVote{}, false
 	}
-	warm := float64(len(overall.candidate.Partial) + len(overall.candidate.Last))
-	if next >= 1 && warm < max(1, 2*b.thresholds.outcomesWithoutGroups) {
+	warmOutcomes := float64(len(overall.candidate.Partial) + len(overall.candidate.Last))
+	if nextShare >= 1 && warmOutcomes < max(1, 2*b.thresholds.outcomesWithoutGroups) {
 		return decidedVote{}, false
 	}
 	return decidedVote{VoteAdvance, fmt.Sprintf("%.0f s without full groups", noGroupsVoteDelay/1000)}, true
@@ -190,8 +190,8 @@
 }
 
 // suspectsSlowness reports whether few response times are reason enough not to vote to advance: the candidate's
-// median is above slowRatio to the power of 1.5 (1.40) times the baseline's. Where groups of the two builds are compared,
-// slowRatio itself is the limit; the margin is wider here because the median of few response times varies widely. No
+// median is above slowRatio to the power of 1.5 (1.40) times the baseline's. Where groups of the two builds are
+// compared, slowRatio itself is the limit; the margin is wider here because the median of few response times varies widely. No
 // instance with little traffic can prove a slow build, but among hundreds of instances most suspicions are right.
 // Nothing is suspected if outcomesWithoutGroups is above 0. In the last stage, response times during a fault are no
 // evidence, because the fault overloads the remaining endpoints.
@@ -201,8 +201,8 @@
 		return false
 	}
 	overall := b.classes.overall
-	before := slices.Concat(overall.baselineAtStageStart, overall.baseline.Partial)
-	now := slices.Concat(overall.candidate.Last, overall.candidate.Partial)
-	return len(before) > 0 && len(now) > 0 &&
-		stats.Median(now) > slowRatio*math.Sqrt(slowRatio)*stats.Median(before)
+	baseline := slices.Concat(overall.baselineAtStageStart, overall.baseline.Partial)
+	candidate := slices.Concat(overall.candidate.Last, overall.candidate.Partial)
+	return len(baseline) > 0 && len(candidate) > 0 &&
+		stats.Median(candidate) > slowRatio*math.Sqrt(slowRatio)*stats.Median(baseline)
 }
--- a/decision/verdict_test.go
+++ b/decision/verdict_test.go
@@ -26,7 +26,7 @@
 		overall.candidate.Partial = make([]float64, test.warm)
 		sim.balancer.now += noGroupsVoteDelay
 		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
-			t.Errorf("%+v: got verdict %v, %s", test, got.verdict, got.reason)
+			t.Errorf("%+v: got verdict %v (%s), want %v", test, got.verdict, got.reason, test.want)
 		}
 	}
 }
@@ -41,7 +41,7 @@
 		sim := start(t, StageUpdate{Build: 8, Phase: test.phase, Stage: 2, ExposureCap: 1, Age: test.age}, nil)
 		sim.balancer.classes.overall.slowdown.rejections = 8 * rejectionsToRollback
 		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
-			t.Errorf("%+v: got verdict %v, %s", test, got.verdict, got.reason)
+			t.Errorf("%+v: got verdict %v (%s), want %v", test, got.verdict, got.reason, test.want)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 			sim.balancer.tick()
 		}
 		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
-			t.Errorf("%+v: got verdict %v, %s", test, got.verdict, got.reason)
+			t.Errorf("%+v: got verdict %v (%s), want %v", test, got.verdict, got.reason, test.want)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 		}
 		sim.balancer.tick()
 		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
-			t.Errorf("%+v: got verdict %v, %s", test, got.verdict, got.reason)
+			t.Errorf("%+v: got verdict %v (%s), want %v", test, got.verdict, got.reason, test.want)
 		}
 	}
 }
@@ -174,7 +174,7 @@
 			sim.balancer.outliers.lastFaultAt = sim.balancer.now - 1
 		}
 		if got := sim.balancer.decideVerdict(); got.verdict != test.want {
-			t.Errorf("%+v: got verdict %v, %s", test, got.verdict, got.reason)
+			t.Errorf("%+v: got verdict %v (%s), want %v", test, got.verdict, got.reason, test.want)
 		}
 	}
 }
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -14,7 +14,7 @@
 type votingState struct {
 	vote           Vote   // newest vote
 	castAt         Millis // time of that vote
-	accepted       bool   // by the rollout controller
+	voteAccepted   bool   // the rollout controller has accepted that vote
 	nextAt         Millis // no verdict before this time
 	partialGroupAt Millis // no evaluation of a partial group before this time
 }
@@ -22,19 +22,20 @@
 // handleVoteResult records the rollout controller's response to a vote. A vote that was not accepted is cast again
 // after a random part of the retry wait.
 func (b *Balancer) handleVoteResult(result VoteResult) {
-	b.voting.accepted = result == VoteAccepted
+	b.voting.voteAccepted = result == VoteAccepted
 	wait := b.settings.VoteRetryWait * b.random.Float64()
-	if b.voting.accepted {
+	if b.voting.voteAccepted {
 		wait = 0
 	}
 	b.voting.nextAt = b.now + wait
 }
 
 // castVote casts the instance's vote when the verdict has changed or the vote is about to expire. A vote to roll
-// back stands until the next stage.
+// back stands until the next stage. It does nothing before the first stage update, before votingState.nextAt,
+// and during or after a rollback.
 func (b *Balancer) castVote() {
 	update := &b.trial.update
-	if !b.trial.known || b.now < b.voting.nextAt || update.Phase == RollingBack || update.Phase == RolledBack {
+	if !b.trial.updateReceived || b.now < b.voting.nextAt || update.Phase == RollingBack || update.Phase == RolledBack {
 		return
 	}
 	b.voting.nextAt = b.now + min(b.classes.overall.LatencyObjective*voteCheckIntervalShare, maxVoteCheckInterval)
@@ -54,18 +55,19 @@
 	}
 	b.voting.vote = Vote{Build: update.Build, Stage: update.Stage, Verdict: decided.verdict}
 	b.voting.castAt = b.now
-	b.voting.accepted = false
+	b.voting.voteAccepted = false
 	b.voting.nextAt = b.now + b.settings.VoteRetryWait
 	b.emit(b.voting.vote)
 }
 
 // voteStands reports whether the current vote was accepted and is not about to expire.
 func (b *Balancer) voteStands() bool {
-	return b.voting.accepted && b.now-b.voting.castAt < b.settings.VoteTTL*voteRenewalShare
+	return b.voting.voteAccepted && b.now-b.voting.castAt < b.settings.VoteTTL*voteRenewalShare
 }
 
 // evaluatePartialGroup evaluates the candidate's current overall group before it is full, because an instance with
-// little traffic does not fill a group in time.
+// little traffic does not fill a group in time. It does so at most once per partialGroupInterval, and not before
+// noGroupsVoteDelay after the start of the stage.
 func (b *Balancer) evaluatePartialGroup() {
 	if b.now < b.voting.partialGroupAt || b.now-b.trial.stageStartedAt < noGroupsVoteDelay {
 		return
