--- a/decision/admission.go
+++ b/decision/admission.go
@@ -50,7 +50,7 @@
 }
 
 // withinExposureCap enforces the exposure cap of a build in trial, and restricts guarded stages to idempotent
-// requests. It allows every endpoint whose build is not in trial by trialOf.
+// requests. It allows every endpoint whose build is not in trial.
 func (b *Balancer) withinExposureCap(req *request, ep *endpoint) bool {
 	trial := b.trialOf(ep.Build)
 	if !trial.active {
@@ -60,8 +60,8 @@
 	return trial.exposureCap > 0 && *b.exposureTokens(req) >= 1 && !guarded
 }
 
-// allowedByStickyKey prevents a request from going to an earlier build once a newer build has responded to its
-// key. It allows every endpoint without Settings.StickyKeys, or if the request has no key.
+// allowedByStickyKey prevents a request from going to an earlier build once a newer build has responded to its key.
+// It allows every endpoint without Settings.StickyKeys, or if the request has no key.
 func (b *Balancer) allowedByStickyKey(req *request, ep *endpoint) bool {
 	if !b.settings.StickyKeys || req.keyHash == 0 || ep.Build >= b.sticky.build {
 		return true
--- a/decision/comparison.go
+++ b/decision/comparison.go
@@ -41,10 +41,9 @@
 	c.evaluateLastGroup()
 }
 
-// evaluateLastGroup compares the candidate's last group with the baseline. It does nothing while the baseline has no
-// full group. Two consecutive groups must agree
-// with each other before the last one can agree with the baseline. A rejection does not require that: with a
-// build that is too slow for its load, no two groups agree.
+// evaluateLastGroup compares the candidate's last group with the baseline. It does nothing while the baseline has
+// no full group. Two consecutive groups must agree with each other before the last one can agree with the baseline.
+// A rejection does not require that: with a build that is too slow for its load, no two groups agree.
 func (c *comparison) evaluateLastGroup() {
 	if c.baseline.Last == nil {
 		return
@@ -63,9 +62,9 @@
 }
 
 // slower reports whether outcomes are clearly slower than both of the baseline's last groups, because a single
-// group may be fast by chance. margin multiplies the required ratio of medians. A group whose median is a
-// failure is not slower: failures are evaluated by endpoint, because some endpoints fail fast with any build.
-// Without outcomes, or with fewer than two full groups of the baseline, it reports false.
+// group may be fast by chance. margin multiplies the required ratio of medians. A group whose median is a failure
+// is not slower: failures are evaluated by endpoint, because some endpoints fail fast with any build. Without
+// outcomes, or with fewer than two full groups of the baseline, it reports false.
 func (c *comparison) slower(outcomes []float64, margin float64) bool {
 	for _, baseline := range [][]float64{c.baseline.Previous, c.baseline.Last} {
 		if len(baseline) == 0 || len(outcomes) == 0 {
--- a/decision/concurrency.go
+++ b/decision/concurrency.go
@@ -36,7 +36,7 @@
 	meanLatency Millis // smoothed response time over all endpoints
 	baseLatency Millis // lowest value of meanLatency, rising slowly
 
-	serviceRate   float64 // responses per millisecond and unit of warm capacity
+	serviceRate   float64 // successful responses of warm endpoints per millisecond and unit of capacity
 	warmSuccesses float64 // successful responses from warm endpoints since the last tick
 
 	slowShare  float64    // smoothed share of slow responses
@@ -93,9 +93,9 @@
 }
 
 // adjustEndpointLimit adjusts an endpoint's limit on attempts in flight by the ratio of the base latency to the
-// endpoint's response time. All instances together may queue half a latency objective of work at the endpoint,
-// or a quarter more than the attempts that it served concurrently, but at least one attempt. A
-// limit that is not reached does not rise.
+// endpoint's response time. All instances together may queue half a latency objective of work at the endpoint, or a
+// quarter more than the attempts that it served concurrently, but at least one attempt. A limit that is not reached
+// does not rise.
 func (b *Balancer) adjustEndpointLimit(ep *endpoint, after Millis) {
 	ep.latency += latencyWeight * (after - ep.latency)
 	objective := b.classes.overall.LatencyObjective
@@ -105,9 +105,9 @@
 	if float64(ep.inFlight+1) < ep.concurrencyLimit {
 		return
 	}
-	raised := ep.concurrencyLimit + limitStep*min(1, queueShare)/queuedObjectiveDivisor
-	served := limitHeadroom * b.load.serviceRate * ep.Capacity * b.load.baseLatency
-	ep.concurrencyLimit = min(raised, max(1, queueShare, served))
+	raisedLimit := ep.concurrencyLimit + limitStep*min(1, queueShare)/queuedObjectiveDivisor
+	servedLimit := limitHeadroom * b.load.serviceRate * ep.Capacity * b.load.baseLatency
+	ep.concurrencyLimit = min(raisedLimit, max(1, queueShare, servedLimit))
 }
 
 // backOffEndpoint lowers the limit of an endpoint that rejected an attempt, and stops sending to the endpoint for
@@ -122,9 +122,9 @@
 // limit when it is reached. The limits by endpoint do not suffice: an instance with little traffic has too few
 // responses from each endpoint.
 func (b *Balancer) adjustTotalLimit(req *request, after Millis) {
-	slow := min(1, math.Floor(after/req.LatencyObjective/slowResponseShare))
+	slowness := min(1, math.Floor(after/req.LatencyObjective/slowResponseShare)) // 1 for a slow response, else 0
 	for _, share := range []*float64{&b.load.slowShare, req.slowShare, req.tenantSlowShare} {
-		*share += slowShareWeight * (slow - *share)
+		*share += slowShareWeight * (slowness - *share)
 	}
 	inFlight := float64(b.load.inFlight - b.load.unresponsive + 1)
 	lowest := b.load.leastSlowShare()
--- a/decision/crosszone.go
+++ b/decision/crosszone.go
@@ -21,9 +21,9 @@
 	share   float64   // cross-zone share: share of requests sent to other zones, 0 to maxCrossZoneShare
 }
 
-// observeZone updates the response time of a zone with the outcome of an attempt. When another zone is
-// unreachable, the cross-zone share falls to almost 0 within a few attempts. Successes and timeouts count with
-// their duration, failed connections and cancellations only in another zone, and other outcomes nowhere.
+// observeZone updates the response time of a zone with the outcome of an attempt. When another zone is unreachable,
+// the cross-zone share falls to almost 0 within a few attempts. Successes and timeouts count with their duration,
+// failed connections and cancellations only in another zone, and other outcomes nowhere.
 func (b *Balancer) observeZone(ep *endpoint, event AttemptEnded) {
 	zone := b.zoneIndex(ep)
 	switch event.Outcome {
@@ -38,8 +38,8 @@
 	}
 }
 
-// drawCrossZone draws whether a request is sent to another zone. The probability is the cross-zone share,
-// or 0 if no endpoint in another zone is eligible.
+// drawCrossZone draws whether a request is sent to another zone. The probability is the cross-zone share, or 0 if
+// no endpoint in another zone is eligible.
 func (b *Balancer) drawCrossZone() bool {
 	if b.crossZone.share <= 0 || len(b.routing.eligible[otherZone]) == 0 {
 		return false
--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -37,7 +37,7 @@
 	ejectedUntil    Millis // no attempt starts at it before this time; outlier.go
 
 	healthCheckRatio float64 // duration of its last health check, divided by that of an idle endpoint; healthcheck.go
-	healthCheckedAt  Millis  // end of that check; 0 once an attempt has started at it since
+	healthCheckedAt  Millis  // end of its last health check; 0 once an attempt has started at it since
 }
 
 // newEndpointTable returns an empty table.
--- a/decision/event.go
+++ b/decision/event.go
@@ -100,7 +100,7 @@
 	Build  Build
 	Class  ClassName
 	Count  int    // responses
-	Failed int    // of these, the failed ones
+	Failed int    // of the Count responses, those that failed
 	Mean   Millis // mean response time
 	Age    Millis // time since the counts were taken
 }
--- a/decision/exposure.go
+++ b/decision/exposure.go
@@ -41,8 +41,8 @@
 	return buildTrial{!b.trial.updateReceived || build > update.Build, 0, min(b.settings.ExposureCaps[0], maxCap)}
 }
 
-// exposureRefill returns the tokens that one request adds: the lowest exposure cap of the listed builds in
-// trial, or 1 if none is in trial.
+// exposureRefill returns the tokens that one request adds: the lowest exposure cap of the listed builds in trial,
+// or 1 if none is in trial.
 func (b *Balancer) exposureRefill() float64 {
 	lowest := 1.0
 	for _, ep := range b.endpoints.ordered {
--- a/decision/fleetslowdown.go
+++ b/decision/fleetslowdown.go
@@ -20,7 +20,7 @@
 type fleetSlowdown struct {
 	comparison
 	preCandidate        []float64 // relative response times of the trial before an endpoint runs the candidate
-	slowBeforeCandidate bool      // preCandidate is slower than the baseline; the candidate is not the cause
+	slowBeforeCandidate bool      // preCandidate is slower than the baseline, so the candidate is not the cause
 	fillStartedAt       Millis    // time of the first outcome in the current group
 }
 
--- a/decision/outlier.go
+++ b/decision/outlier.go
@@ -145,10 +145,10 @@
 }
 
 // observeConnectionFailure ejects an endpoint whose connections fail. The network may break connections to healthy
-// endpoints. If one broken connection ejected an endpoint, all endpoints would be ejected and warm up again. So each
-// consecutive failure raises the suspicion by the negative logarithm of the share of failures at all endpoints. A
-// connection that is not established in time, or a failure after an ejection, ejects the endpoint whatever its
-// suspicion.
+// endpoints. If one broken connection ejected an endpoint, all endpoints would be ejected and warm up again. So
+// each consecutive failure raises the suspicion by the negative logarithm of the share of failures at all
+// endpoints. A connection that is not established in time, or a failure after an ejection, ejects the endpoint
+// whatever its suspicion.
 func (b *Balancer) observeConnectionFailure(ep *endpoint, event AttemptEnded) {
 	ep.connectFailures++
 	ep.failureShare += failureWeight * (1 - ep.failureShare)
--- a/decision/polling.go
+++ b/decision/polling.go
@@ -29,8 +29,8 @@
 func (b *Balancer) pollRejected() {
 	maxInterval := b.settings.MaxPollInterval
 	waited := min(b.now-b.polling.lastAt, maxInterval*pollWaitShare)
-	shortest := maxInterval * minPollBackoffFactor * minPollBackoffFactor
-	b.polling.backoff = min(2*max(b.polling.backoff, waited, shortest), maxInterval)
+	minBackoff := maxInterval * minPollBackoffFactor * minPollBackoffFactor
+	b.polling.backoff = min(2*max(b.polling.backoff, waited, minBackoff), maxInterval)
 	b.polling.nextAt = b.now + b.polling.backoff*(1+b.random.Float64())/2
 }
 
--- a/decision/proof.go
+++ b/decision/proof.go
@@ -17,7 +17,7 @@
 // instances decides, each instance must have a low rate of false alarms, because a single false alarm decides.
 // If many votes must agree, each instance may vote on less evidence.
 type evidenceThresholds struct {
-	statistic             float64 // of the test on failures, from which a build is rolled back
+	statistic             float64 // statistic of the rank test on failures from which a build is rolled back
 	rejections            int     // consecutive rejections for a vote to roll back
 	holdRejections        int     // consecutive rejections for a vote to hold the clock
 	outcomesWithoutGroups float64 // outcomes of the candidate for a vote to advance without full groups
@@ -43,8 +43,8 @@
 // exp(-4/sqrt(votes)) keeps the number of votes by chance clearly below the quorum: the smaller the quorum, the
 // more that number varies relative to the quorum.
 func allowedFalseAlarms(votes int, instances float64) (probability float64, rejections int) {
-	needed := float64(max(1, votes))
-	probability = min(rejectProbability, needed/instances*math.Exp(-4/math.Sqrt(needed)))
+	neededVotes := float64(max(1, votes))
+	probability = min(rejectProbability, neededVotes/instances*math.Exp(-4/math.Sqrt(neededVotes)))
 	rejections = max(1, int(math.Round(math.Log(probability)/math.Log(rejectProbability))))
 	return probability, rejections
 }
--- a/decision/proof_test.go
+++ b/decision/proof_test.go
@@ -19,8 +19,8 @@
 		rejections, statistic := sim.balancer.classes.overall.rejectionsNeeded, sim.balancer.thresholds.statistic
 		oneDecides := statistic > 1.9*rejectStatistic
 		if rejections != test.rejections || statistic < rejectStatistic || (test.quorum == 1) != oneDecides {
-			t.Errorf("%+v: got %d rejections and statistic %v, want a statistic of at least %v, and above 1.9 times that only with quorum 1",
-				test, rejections, statistic, rejectStatistic)
+			t.Errorf("%+v: got %d required rejections and statistic %v, want %d, and at least %v, above 1.9 times that only with quorum 1",
+				test, rejections, statistic, test.rejections, rejectStatistic)
 		}
 	}
 }
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -51,27 +51,27 @@
 	for _, test := range []struct {
 		class   ClassName
 		hedging bool
-		want    string
+		want    string // the kind of migration; empty: none
 	}{{"read", false, "cancel"}, {"read", true, "hedge"}, {"pay", false, ""}, {"pay", true, ""}} {
 		sim := start(t, releasedUpdate(8), func(s *Settings) { s.HedgingAllowed = test.hedging })
-		silent, at := sim.request(test.class, "")
+		silentReq, silentEndpoint := sim.request(test.class, "")
 		for sim.now < 10950 { // other requests avoid the silent endpoint and succeed
-			if req, to := sim.request("read", ""); to != "" && to != at {
+			if req, to := sim.request("read", ""); to != "" && to != silentEndpoint {
 				sim.endAttempt(req, 0, Succeeded, 20)
 			}
 			sim.advance(20)
 		}
 		got := ""
 		for _, a := range sim.actions {
-			if canceled, ok := a.(Cancel); ok && canceled.Request == silent {
+			if canceled, ok := a.(Cancel); ok && canceled.Request == silentReq {
 				got = "cancel"
 			}
 		}
-		if sim.attemptedAt(silent, 1) != "" {
+		if sim.attemptedAt(silentReq, 1) != "" {
 			got = "hedge"
 		}
 		if got != test.want {
-			t.Errorf("%s, hedging %v: got %q, want %q", test.class, test.hedging, got, test.want)
+			t.Errorf("%s, hedging %v: got the request migrated by %q, want %q", test.class, test.hedging, got, test.want)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 		class       ClassName
 		outcome     Outcome
 		maxAttempts int
-		last        string
+		last        string // last final response of the balancer; empty: none
 	}{
 		"may have run":           {"pay", ConnectionBroken, 4, "fail"},
 		"may run again":          {"read", ConnectionBroken, 4, ""},
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -73,7 +73,7 @@
 	balancer    *Balancer
 	request     *request
 	best        *endpoint
-	lowestRisk  float64 // risk of best, with homePenalty; +Inf while best is nil
+	lowestRisk  float64 // risk of best; +Inf while best is nil
 	homePenalty float64 // added to the risk in the home zone, for a request drawn to cross zones
 }
 
@@ -162,12 +162,12 @@
 // risk returns the probability that a request fails or misses its latency objective at an endpoint, plus
 // CrossZonePrice in another zone. Response times are assumed to be exponential.
 func (b *Balancer) risk(req *request, ep *endpoint) float64 {
-	expected := max(ep.latency*float64(ep.inFlight+1), (b.now-ep.lastResponseAt)*float64(min(1, ep.inFlight)))
+	expectedLatency := max(ep.latency*float64(ep.inFlight+1), (b.now-ep.lastResponseAt)*float64(min(1, ep.inFlight)))
 	if b.recentlyChecked(ep) {
-		expected = b.load.baseLatency * ep.healthCheckRatio
+		expectedLatency = b.load.baseLatency * ep.healthCheckRatio
 	}
-	late := math.Exp(-req.LatencyObjective / max(expected, minExpectedLatency))
-	return ep.failureShare + (1-ep.failureShare)*late + float64(b.zoneIndex(ep))*b.settings.CrossZonePrice
+	lateProbability := math.Exp(-req.LatencyObjective / max(expectedLatency, minExpectedLatency))
+	return ep.failureShare + (1-ep.failureShare)*lateProbability + float64(b.zoneIndex(ep))*b.settings.CrossZonePrice
 }
 
 // updateCandidateShare updates the share of requests that are meant for the candidate. In an in-place rollout,
--- a/decision/samples.go
+++ b/decision/samples.go
@@ -26,7 +26,7 @@
 
 	removedEndpoints stats.Count // outcomes of baseline endpoints removed since the build was offered
 
-	reported       [2]stats.Count // controller counts since the offer by side, with equal totals
+	reported       [2]stats.Count // controller counts by side since the build was offered, with equal totals
 	baselineReport stats.Count    // newest controller counts of the baseline, not yet paired
 }
 
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -39,7 +39,7 @@
 	InPlace      bool      // endpoints of the candidate replace those of the baseline, which drain
 	ExposureCaps []float64 // share of requests that may go to a build in trial, by stage
 	StageShares  []float64 // share of endpoints that run the candidate, by stage
-	// FreeAttempts is the number of attempts at builds in trial beyond the exposure cap, in any time window.
+	// FreeAttempts is the number of attempts at builds in trial that are allowed beyond the exposure cap in any time window.
 	FreeAttempts     float64
 	ExposurePerClass bool    // the exposure cap applies to each request class separately
 	GuardedStages    int     // number of first stages in which the candidate gets only idempotent requests
--- a/decision/slowstart_test.go
+++ b/decision/slowstart_test.go
@@ -36,7 +36,8 @@
 		weight := sim.balancer.slowStartWeight(sim.balancer.endpoints.byID["a9"])
 		most := settings.OverloadFactor * rate * weight * (sim.now - from + settings.OverloadWindow)
 		if rate <= 0 || sent == 0 || float64(sent) > most+1 {
-			t.Errorf("only warming endpoints %v: got %d attempts at a9, want at least 1 and at most %v", onlyWarming, sent, most)
+			t.Errorf("only warming endpoints %v: got %d attempts at a9, want at least 1 and at most %v", onlyWarming, sent,
+				most)
 		}
 	}
 }
@@ -75,6 +76,6 @@
 	sim.now += 100
 	sim.balancer.recordResponse(endpoint)
 	if weight := sim.balancer.slowStartWeight(endpoint); weight != 0.4 || endpoint.ejections != 0 {
-		t.Errorf("got slow start weight %v and %d ejections, want 0.4 and 0", weight, endpoint.ejections)
+		t.Errorf("endpoint a1: got slow start weight %v and %d ejections, want 0.4 and 0", weight, endpoint.ejections)
 	}
 }
--- a/decision/status.go
+++ b/decision/status.go
@@ -3,8 +3,8 @@
 // Status is a summary of an instance's state for logs and operators. No decision depends on it.
 type Status struct {
 	Serving     int // endpoints in the state Serving
-	WarmingUp   int // of these, warming up
-	Unavailable int // of these, ejected as silent or unreachable
+	WarmingUp   int // of the Serving ones, those that are warming up
+	Unavailable int // of the Serving ones, those that are ejected as silent or unreachable
 
 	InFlight int // attempts in flight
 	Queued   int // requests that wait for an attempt
--- a/decision/stickykeys_test.go
+++ b/decision/stickykeys_test.go
@@ -17,7 +17,7 @@
 	sim.replaceEndpoints(newEndpoint("a1", 7))
 	for _, test := range []struct {
 		update  StageUpdate
-		allowed bool
+		allowed bool // a request with the key may go to a1, at the earlier build
 	}{
 		{trialUpdate(2, 1), false},
 		{releasedUpdate(8), false},
--- a/decision/stream_test.go
+++ b/decision/stream_test.go
@@ -602,14 +602,14 @@
 
 // drawLoad draws the load report of an endpoint. Some reports are absent or incomplete.
 func (s *simulation) drawLoad(e *endpoint) *decision.Load {
-	util := min(1, float64(e.inFlight)/float64(s.endpointCapacity)+0.3*s.random.Float64())
+	utilisation := min(1, float64(e.inFlight)/float64(s.endpointCapacity)+0.3*s.random.Float64())
 	switch s.random.IntN(3) {
 	case 0:
 		return nil
 	case 1:
 		return &decision.Load{Utilisation: -1, Queue: float64(e.inFlight)}
 	}
-	return &decision.Load{Utilisation: util, Queue: float64(e.inFlight)}
+	return &decision.Load{Utilisation: utilisation, Queue: float64(e.inFlight)}
 }
 
 // startHealthCheck schedules the result of a health check.
@@ -773,8 +773,8 @@
 
 // offerBuild starts the rollout of the next build.
 func (s *simulation) offerBuild() {
-	bad := s.random.Float64() < s.badCandidateShare
-	s.controller = controller{build: s.controller.build + 1, stageStartedAt: s.now, badCandidate: bad}
+	badCandidate := s.random.Float64() < s.badCandidateShare
+	s.controller = controller{build: s.controller.build + 1, stageStartedAt: s.now, badCandidate: badCandidate}
 	if s.slowdownAtOffer && s.random.IntN(2) == 0 {
 		s.fleetSlowdownAt = s.now
 	}
@@ -839,8 +839,8 @@
 // handleVote responds to a vote as the controller, and follows some of the accepted votes.
 func (s *simulation) handleVote(vote decision.Vote) {
 	voteResult := decision.VoteResult(max(0, s.random.IntN(16)-11))
-	current := vote.Build == s.controller.build && vote.Stage == s.controller.stage
-	if voteResult == decision.VoteAccepted && current && s.random.Float64() < s.followedVoteShare {
+	currentStage := vote.Build == s.controller.build && vote.Stage == s.controller.stage
+	if voteResult == decision.VoteAccepted && currentStage && s.random.Float64() < s.followedVoteShare {
 		switch vote.Verdict {
 		case decision.VoteAdvance:
 			s.advanceStage()
--- a/decision/trial.go
+++ b/decision/trial.go
@@ -17,7 +17,7 @@
 	update         StageUpdate // newest update
 	stageStartedAt Millis      // start of the stage or phase of the newest update
 
-	arrivalRate       float64 // smoothed rate of new requests, without those sent before, per ms
+	arrivalRate       float64 // smoothed requests per ms, without those that their clients had sent before
 	arrivalRateBefore float64 // arrivalRate when the build was offered
 
 	// unsuccessfulAttempts counts the unsuccessful attempts of this instance, scaled to a total of at most 40. Failures
@@ -26,8 +26,7 @@
 }
 
 // handleStageUpdate applies an update from the rollout controller. A new stage or phase starts new groups, and a
-// new build new counts. Of the response to a vote that was not accepted, only the
-// result is recorded.
+// new build new counts. Of the response to a vote that was not accepted, only the result is recorded.
 func (b *Balancer) handleStageUpdate(update StageUpdate) {
 	if update.IsVoteResult {
 		b.handleVoteResult(update.VoteResult)
--- a/decision/verdict.go
+++ b/decision/verdict.go
@@ -54,8 +54,8 @@
 	failures    failureEvidence
 	inTrial     bool
 	fullGroups  int  // classes with full groups of both builds; the overall class only if no other has them
-	groupsAgree bool // the builds agree in all of these classes
-	anyRejected bool // a class has a rejection
+	groupsAgree bool // the builds agree in all classes with full groups
+	anyRejected bool // a class has at least one rejected group
 	holdReached bool // a class has the rejections to hold the clock
 
 	slowerClass *classState    // a class with the rejections to roll the build back, or nil
@@ -65,15 +65,15 @@
 // assess evaluates the outcomes of all classes.
 func (b *Balancer) assess() assessment {
 	assessed := assessment{failures: b.failureEvidence(), inTrial: b.trial.update.Phase == InTrial, groupsAgree: true}
-	fault := b.faultWithin(b.settings.SlowStartWindow)
+	recentFault := b.faultWithin(b.settings.SlowStartWindow)
 	for _, class := range b.classes.all {
-		full := class.baseline.Last != nil && len(class.candidate.Last) == groupSize
-		if full && (class != b.classes.overall || assessed.fullGroups == 0) {
+		hasFullGroups := class.baseline.Last != nil && len(class.candidate.Last) == groupSize
+		if hasFullGroups && (class != b.classes.overall || assessed.fullGroups == 0) {
 			assessed.fullGroups++
 			assessed.groupsAgree = assessed.groupsAgree && class.agrees
 		}
 		assessed.addRejections(class.rejections, b.thresholds.holdRejections)
-		if class.rejections >= class.rejectionsNeeded && !fault {
+		if class.rejections >= class.rejectionsNeeded && !recentFault {
 			assessed.slowerClass = class
 		}
 		slowdown := class.slowdown
@@ -117,8 +117,8 @@
 // rollbackForFleetSlowdown applies once all endpoints are slower than before the trial, in trial and for some time
 // after the release.
 func rollbackForFleetSlowdown(b *Balancer, assessed *assessment) (decidedVote, bool) {
-	recent := b.now-b.trial.stageStartedAt < slowdownWindowsAfterRelease*b.settings.SlowStartWindow
-	if assessed.fleetSlower == nil || !assessed.inTrial && !recent {
+	recentlyReleased := b.now-b.trial.stageStartedAt < slowdownWindowsAfterRelease*b.settings.SlowStartWindow
+	if assessed.fleetSlower == nil || !assessed.inTrial && !recentlyReleased {
 		return decidedVote{}, false
 	}
 	ratio := assessed.fleetSlower.medianRatio
@@ -191,10 +191,10 @@
 
 // suspectsSlowness reports whether few response times are reason enough not to vote to advance: the candidate's
 // median is above slowRatio to the power of 1.5 (1.40) times the baseline's. Where groups of the two builds are
-// compared, slowRatio itself is the limit; the margin is wider here because the median of few response times varies widely. No
-// instance with little traffic can prove a slow build, but among hundreds of instances most suspicions are right.
-// Nothing is suspected if outcomesWithoutGroups is above 0. In the last stage, response times during a fault are no
-// evidence, because the fault overloads the remaining endpoints.
+// compared, slowRatio itself is the limit; the margin is wider here because the median of few response times
+// varies widely. No instance with little traffic can prove a slow build, but among hundreds of instances most
+// suspicions are right. Nothing is suspected if outcomesWithoutGroups is above 0. In the last stage, response
+// times during a fault are no evidence, because the fault overloads the remaining endpoints.
 func (b *Balancer) suspectsSlowness() bool {
 	lastStage := b.trial.update.Stage+1 >= len(b.settings.StageShares)
 	if b.thresholds.outcomesWithoutGroups != 0 || lastStage && b.faultWithin(b.settings.SlowStartWindow) {
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -4,7 +4,7 @@
 
 const (
 	voteCheckIntervalShare = 0.25   // interval between verdicts, as a share of the longest latency objective
-	maxVoteCheckInterval   = 200.0  // ms; upper bound of that interval
+	maxVoteCheckInterval   = 200.0  // ms; upper bound of the interval between verdicts
 	voteRenewalShare       = 0.85   // share of VoteTTL after which a vote is renewed
 	minPartialGroupSize    = 2      // outcomes from which a group may be evaluated before it is full
 	partialGroupInterval   = 4000.0 // ms between two evaluations of a group that is not full
@@ -13,7 +13,7 @@
 // votingState is the state of the instance's vote.
 type votingState struct {
 	vote           Vote   // newest vote
-	castAt         Millis // time of that vote
+	castAt         Millis // time at which the vote was cast
 	voteAccepted   bool   // the rollout controller has accepted that vote
 	nextAt         Millis // no verdict before this time
 	partialGroupAt Millis // no evaluation of a partial group before this time
@@ -31,8 +31,8 @@
 }
 
 // castVote casts the instance's vote when the verdict has changed or the vote is about to expire. A vote to roll
-// back stands until the next stage. It does nothing before the first stage update, before votingState.nextAt,
-// and during or after a rollback.
+// back stands until the next stage. It does nothing before the first stage update, before votingState.nextAt, and
+// during or after a rollback.
 func (b *Balancer) castVote() {
 	update := &b.trial.update
 	if !b.trial.updateReceived || b.now < b.voting.nextAt || update.Phase == RollingBack || update.Phase == RolledBack {
