--- a/decision/endpoints.go
+++ b/decision/endpoints.go
@@ -14,7 +14,7 @@
 	byID           map[EndpointID]*endpoint
 	ordered        []*endpoint                 // sorted by ID
 	byBuildAndZone [2][2][]*endpoint           // by side and zone
-	machineTypes   map[MachineType]*stats.Mean // response time ratio of each type of machine that was ever listed
+	machineTypes   map[MachineType]*stats.Mean // machineTypeRatio of each type that was ever listed
 }
 
 // endpoint is an entry of the endpoint list with the observations on it.
@@ -37,7 +37,7 @@
 	ejectedUntil    Millis // no attempt starts at it before this time; outlier.go
 
 	healthCheckRatio float64 // duration of its last health check, divided by that of an idle endpoint; healthcheck.go
-	healthCheckedAt  Millis  // end of that check; 0 once an attempt has started at it since
+	healthCheckedAt  Millis  // end of its last health check; 0 once an attempt has started at it since
 }
 
 // newEndpointTable returns an empty table.
--- a/decision/polling.go
+++ b/decision/polling.go
@@ -29,12 +29,13 @@
 func (b *Balancer) pollRejected() {
 	maxInterval := b.settings.MaxPollInterval
 	waited := min(b.now-b.polling.lastAt, maxInterval*pollWaitShare)
-	shortest := maxInterval * minPollBackoffFactor * minPollBackoffFactor
-	b.polling.backoff = min(2*max(b.polling.backoff, waited, shortest), maxInterval)
+	minBackoff := maxInterval * minPollBackoffFactor * minPollBackoffFactor
+	b.polling.backoff = min(2*max(b.polling.backoff, waited, minBackoff), maxInterval)
 	b.polling.nextAt = b.now + b.polling.backoff*(1+b.random.Float64())/2
 }
 
-// pollIfDue sends the next poll when it is due. Another poll follows only after a rejection.
+// pollIfDue sends the next poll when it is due. Another poll follows only after a rejection. Without
+// Settings.PollEndpoints it does nothing.
 func (b *Balancer) pollIfDue() {
 	if !b.settings.PollEndpoints || b.now < b.polling.nextAt {
 		return
