--- a/cmd/simadapter/batches.go
+++ b/cmd/simadapter/batches.go
@@ -13,7 +13,7 @@
 	"ottershed/internal/simwire"
 )
 
-const bufferSize = 1 << 20 // bytes; large enough for most batches and replies
+const bufferSize = 1 << 20 // bytes, each for input and output; large enough for most batches and replies
 
 // server handles the lines of batches. A batch is open from its sync line to its commit line:
 //
@@ -24,8 +24,8 @@
 	out       *bufio.Writer
 	instances instances
 	decoder   simwire.Decoder
-	open      bool
-	now       float64 // time of the batch, in milliseconds
+	inBatch   bool    // a batch is open
+	now       float64 // TIME of the last sync line, in milliseconds
 	reply     []byte  // reply to the batch so far
 }
 
@@ -37,7 +37,7 @@
 	for number := 1; ; number++ {
 		line, err := lines.ReadString('\n')
 		switch {
-		case errors.Is(err, io.EOF) && line == "" && !s.open:
+		case errors.Is(err, io.EOF) && line == "" && !s.inBatch:
 			return nil
 		case errors.Is(err, io.EOF) && line == "":
 			return fmt.Errorf("line %d: input ended inside a batch", number)
@@ -60,7 +60,7 @@
 func (s *server) handleLine(line string) error {
 	timeField, isSync := strings.CutPrefix(line, "sync\t")
 	switch {
-	case isSync == s.open:
+	case isSync == s.inBatch:
 		return fmt.Errorf("unexpected line %q: a batch starts with sync and ends with commit", line)
 	case isSync:
 		return s.openBatch(timeField)
@@ -76,7 +76,7 @@
 	if err != nil {
 		return fmt.Errorf("sync: %q is not a time in milliseconds", timeField)
 	}
-	s.open = true
+	s.inBatch = true
 	s.now = now
 	s.reply = s.reply[:0]
 	return nil
@@ -86,7 +86,7 @@
 	if s.decoder.Pending() {
 		return errors.New("commit: endpoint list is incomplete")
 	}
-	s.open = false
+	s.inBatch = false
 	if _, err := s.out.Write(append(s.reply, "end\n"...)); err != nil {
 		return writeError{err}
 	}
--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -25,9 +25,9 @@
 func TestGoldenReplies(t *testing.T) {
 	var out bytes.Buffer
 	if err := serve(strings.NewReader(goldenBatches), &out); err != nil {
-		t.Fatal(err)
+		t.Fatalf("serve the batches: %v", err)
 	}
 	if err := golden.CheckFile("testdata/replies.golden", []byte(golden.Quote(out.Bytes()))); err != nil {
-		t.Error(err)
+		t.Errorf("replies to the batches: %v", err)
 	}
 }
--- a/cmd/simadapter/instances.go
+++ b/cmd/simadapter/instances.go
@@ -53,13 +53,14 @@
 	return reply
 }
 
-// panicLocation returns file and line of the innermost frame of the project's own code under a panic. Only the deferred
-// function that recovers may call it, because the number of skipped frames depends on the caller.
+// panicLocation returns file and line of the innermost frame of the project's own code under a panic, or "an unknown
+// place" if none of the innermost maxFrames frames is the project's. Only the deferred function that recovers may call
+// it, because the number of skipped frames depends on the caller.
 func panicLocation() string {
 	const maxFrames = 32
-	const skipped = 3 // runtime.Callers, panicLocation and the deferred function
+	const skippedFrames = 3 // runtime.Callers, panicLocation and the deferred function
 	pcs := make([]uintptr, maxFrames)
-	frames := runtime.CallersFrames(pcs[:runtime.Callers(skipped, pcs)])
+	frames := runtime.CallersFrames(pcs[:runtime.Callers(skippedFrames, pcs)])
 	for {
 		frame, more := frames.Next()
 		if strings.HasPrefix(frame.Function, "ottershed/") {
--- a/internal/cluster/failover/checkpoint_golden_test.go
+++ b/internal/cluster/failover/checkpoint_golden_test.go
@@ -24,15 +24,15 @@
 		Merged: []lease.Grant{{ID: "trial/n1", Token: 3}},
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the checkpoint: %v", err)
 	}
 	summary, err := json.Marshal(EvidenceSummary{Build: 42, Stage: 1, Responses: 23})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the evidence summary: %v", err)
 	}
 	observed := golden.Section("checkpoint", golden.Quote(checkpointBytes)+"\n") +
 		golden.Section("seen", string(summary)+"\n")
 	if err := golden.CheckFile("testdata/checkpoint.golden", []byte(observed)); err != nil {
-		t.Error(err)
+		t.Errorf("encodings of the checkpoint and the evidence summary: %v", err)
 	}
 }
--- a/internal/cluster/failover/manager.go
+++ b/internal/cluster/failover/manager.go
@@ -49,7 +49,7 @@
 // Config holds the operator's settings and the identity of the process.
 type Config struct {
 	Name        string        // name of the instance
-	Incarnation uint64        // identifies the process; chosen at its start
+	Incarnation uint64        // identifies the process among those that ran under Name; chosen at its start
 	TTL         time.Duration // TTL of a lease; a higher TTL writes less to the log and delays takeover
 }
 
@@ -73,7 +73,7 @@
 	// checkpointMutex is held while a checkpoint is collected and written. Two checkpoints at once could be written in
 	// the wrong order, and evidence that was collected before a merge would overwrite the merged evidence.
 	checkpointMutex contextMutex
-	manualTakeovers chan manualTakeover // requests of operators
+	manualTakeovers chan manualTakeover // received by takeoverLoop
 }
 
 // manualTakeover is an operator's request to take a lease over.
--- a/internal/cluster/failover/manager_test.go
+++ b/internal/cluster/failover/manager_test.go
@@ -59,7 +59,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r := l.machine.table.Apply(&c, l.now); r.Rejection != "" {
-		t.Fatalf("%+v: %s", c, r.Rejection)
+		t.Fatalf("command %+v rejected: %s", c, r.Rejection)
 	}
 }
 
@@ -183,23 +183,23 @@
 func TestRenewalsDuringMergeWriteNoCheckpoint(t *testing.T) {
 	deadCheckpoint, err := msgpack.Marshal(&checkpoint{Evidence: []decision.Evidence{evidenceWith(40)}})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the dead instance's checkpoint: %v", err)
 	}
 	log, engine, _ := startManager(t, 400*time.Millisecond, deadCheckpoint)
-	merging, unblock, once := make(chan struct{}), make(chan struct{}), sync.Once{}
+	mergeStarted, unblockMerge, once := make(chan struct{}), make(chan struct{}), sync.Once{}
 	renewals := make(chan int, 1000) // length of each renewal's checkpoint in bytes
 	log.setIntercept(func(c *lease.Command) error {
 		switch c.Operation {
 		case lease.Merge:
-			once.Do(func() { close(merging) })
-			<-unblock
+			once.Do(func() { close(mergeStarted) })
+			<-unblockMerge
 		case lease.Renew:
 			renewals <- len(c.Checkpoint)
 		}
 		return nil
 	})
 	log.expire() // the dead instance's lease has expired
-	<-merging
+	<-mergeStarted
 	for len(renewals) > 0 {
 		<-renewals
 	}
@@ -208,14 +208,14 @@
 			t.Errorf("renewal during the merge: got a checkpoint of %d bytes, want none", n)
 		}
 	}
-	close(unblock)
+	close(unblockMerge)
 	waitFor(t, "lease of a merged", func() bool { _, exists := log.get("trial/a"); return !exists })
 	waitFor(t, "evidence of a delivered to the engine", func() bool { return engine.responseCount() == 43 })
 	waitFor(t, "a renewal with a checkpoint", func() bool { return <-renewals > 0 })
 	l, _ := log.get("trial/b")
 	combined, err := decodeCheckpoint(l.Checkpoint)
 	if err != nil || len(combined.Merged) != 1 {
-		t.Errorf("got %v, checkpoint %+v, want one merged lease", err, combined)
+		t.Errorf("got decoding error %v, checkpoint %+v, want one merged lease", err, combined)
 	}
 	responses := 0
 	for _, e := range combined.Evidence {
@@ -230,10 +230,10 @@
 // if the first command is lost, and listed with the reason.
 func TestUnreadableCheckpointIsAbandonedOnce(t *testing.T) {
 	log, engine, manager := startManager(t, 200*time.Millisecond, []byte("not a checkpoint"))
-	lost := false
+	commandLost := false
 	log.setIntercept(func(c *lease.Command) error {
-		if c.Operation == lease.Abandon && !lost {
-			lost = true
+		if c.Operation == lease.Abandon && !commandLost {
+			commandLost = true
 			return errCommandLost
 		}
 		return nil
@@ -243,13 +243,13 @@
 	leases, err := manager.Status(t.Context())
 	if err != nil || len(leases) != 2 || leases[1].Holder != "b" ||
 		!strings.Contains(leases[1].AbandonReason, "can't be read") {
-		t.Errorf("got %v, leases %+v, want the lease of a abandoned by b in second place", err, leases)
+		t.Errorf("lease status: got error %v, %+v, want the lease of a abandoned by b in second place", err, leases)
 	}
 	if n := engine.responseCount(); n != 3 {
-		t.Errorf("got %v responses, want 3", n)
+		t.Errorf("got evidence on %v responses, want 3", n)
 	}
 	if l, _ := log.get("trial/b"); l.Token != 2 {
-		t.Errorf("own lease: got %+v, want token 2", l)
+		t.Errorf("own lease of b: got %+v, want token 2", l)
 	}
 }
 
@@ -273,12 +273,12 @@
 func TestTakeOverErrorTypes(t *testing.T) {
 	_, _, manager := startManager(t, 200*time.Millisecond, []byte("not a checkpoint"))
 	if err := manager.TakeOver(t.Context(), "trial/b"); !errors.Is(err, ErrOwnLease) {
-		t.Errorf("own lease: got %v, want ErrOwnLease", err)
+		t.Errorf("takeover of the own lease: got error %v, want ErrOwnLease", err)
 	}
 	var rejection *RejectedError
 	if err := manager.TakeOver(t.Context(), "trial/a"); !errors.As(err, &rejection) ||
 		!strings.Contains(rejection.Reason, "for 1000 ms more") {
-		t.Errorf("lease that has not expired: got %v, want a *RejectedError with 1000 ms left", err)
+		t.Errorf("takeover of a lease that has not expired: got error %v, want a *RejectedError with 1000 ms left", err)
 	}
 }
 
@@ -290,6 +290,6 @@
 	var abandoned *AbandonedError
 	if err := manager.TakeOver(t.Context(), "trial/a"); !errors.As(err, &abandoned) ||
 		!strings.Contains(abandoned.Reason, "can't be read") {
-		t.Errorf("got %v, want an *AbandonedError for an unreadable checkpoint", err)
+		t.Errorf("got takeover error %v, want an *AbandonedError for an unreadable checkpoint", err)
 	}
 }
--- a/internal/cluster/failover/ownlease.go
+++ b/internal/cluster/failover/ownlease.go
@@ -16,7 +16,7 @@
 	session lease.Session
 	seq     uint64         // number of the newest checkpoint
 	merged  []lease.Grant  // leases whose evidence on the candidate this instance has merged
-	build   decision.Build // the candidate
+	build   decision.Build // the candidate that the evidence of merged is about
 }
 
 // current returns a copy of the session.
--- a/internal/cluster/failover/release.go
+++ b/internal/cluster/failover/release.go
@@ -9,7 +9,7 @@
 )
 
 // ReleaseLease writes a last checkpoint and releases this instance's lease, so that a successor need not wait for the
-// lease to expire. It does nothing without a valid lease.
+// lease to expire. It does nothing without a valid lease, or if ctx ends before checkpointMutex is free.
 func (mgr *Manager) ReleaseLease(ctx context.Context) {
 	if mgr.checkpointMutex.lock(ctx) != nil {
 		return
--- a/internal/cluster/failover/renew.go
+++ b/internal/cluster/failover/renew.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// handleAcquired resumes from the checkpoint of the granted lease.
+// handleAcquired resumes from the checkpoint of the granted lease. If that is unreadable, the instance keeps the lease
+// and does not resume.
 func (mgr *Manager) handleAcquired(l *lease.Lease) {
 	mgr.logger.WithFields(logrus.Fields{
 		"work": mgr.own.current().ID, "token": uint64(l.Token), "bytes": len(l.Checkpoint),
--- a/internal/cluster/failover/renew_test.go
+++ b/internal/cluster/failover/renew_test.go
@@ -17,11 +17,11 @@
 		manager.renew(t.Context())
 	}
 	if l, held := log.get("trial/b"); !held || l.Token != 1 || l.CheckpointSeq < 3 {
-		t.Errorf("got %+v, want token 1 and checkpoint number 3 or higher", l)
+		t.Errorf("got lease %+v, want token 1 and checkpoint number 3 or higher", l)
 	}
 	manager.own.addMerged(lease.Grant{ID: "trial/a", Token: 7})
 	if _, fences := manager.own.mayVote(decision.VoteAdvance, manager.clock.Now()); len(fences) != 2 {
-		t.Errorf("got fences %+v, want two", fences)
+		t.Errorf("got vote fences %+v, want two", fences)
 	}
 	log.expire()
 	successor := lease.Holder{Name: "c", Incarnation: 1}
--- a/internal/cluster/failover/takeover_test.go
+++ b/internal/cluster/failover/takeover_test.go
@@ -19,7 +19,7 @@
 		Evidence: []decision.Evidence{evidenceWith(40)}, Merged: []lease.Grant{earlier},
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the dead instance's checkpoint: %v", err)
 	}
 	log, _, _ := startManager(t, 200*time.Millisecond, deadCheckpoint)
 	takeovers := 0
@@ -39,13 +39,13 @@
 	log.expire()
 	waitFor(t, "lease of a merged", func() bool { _, exists := log.get("trial/a"); return !exists })
 	if len(merges) != 2 || takeovers != 1 {
-		t.Errorf("got %d merges, %d takeovers, want 2, 1", len(merges), takeovers)
+		t.Errorf("commands in the log: got %d merges, %d takeovers, want 2, 1", len(merges), takeovers)
 	}
 	first := <-merges
 	combined, err := decodeCheckpoint(first.Checkpoint)
 	if err != nil || len(combined.Evidence) != 2 ||
 		countResponses(&combined.Evidence[0])+countResponses(&combined.Evidence[1]) != 43 {
-		t.Errorf("got %v, checkpoint %+v, want evidence of two instances with 43 responses", err, combined)
+		t.Errorf("got decoding error %v, checkpoint %+v, want evidence of two instances with 43 responses", err, combined)
 	}
 	want := []lease.Grant{earlier, {ID: "trial/a", Token: first.Token}}
 	if !slices.Equal(combined.Merged, want) {
--- a/internal/cluster/lease/clockskew_test.go
+++ b/internal/cluster/lease/clockskew_test.go
@@ -12,9 +12,10 @@
 // skewedInstance is an instance whose local clock differs from true time by up to an hour and whose clock rate differs
 // by up to a tenth.
 type skewedInstance struct {
-	offset, rate Millis // offset in ms; rate in local ms per true ms
-	session      Session
-	dead         bool
+	offset  Millis  // local time at true time 0
+	rate    float64 // local ms per true ms
+	session Session
+	dead    bool // the process has ended, so the instance sends no more commands
 }
 
 func (m *skewedInstance) localTime(at Millis) Millis { return m.offset + at*m.rate }
@@ -118,7 +119,7 @@
 	// The lease expired because step did not pick the victim in time. Releasing the lease lets the victim acquire it
 	// again.
 	s.apply(&Command{Operation: Release, ID: victim.session.ID, Holder: instance.session.Holder, Token: reply.Lease.Token})
-	victim.session.token, victim.session.lost = 0, false
+	victim.session.token, victim.session.leaseLost = 0, false
 }
 
 // Guards against a takeover while the holder still trusts its lease. Local clocks that differ in offset and rate, and a
--- a/internal/cluster/lease/golden_test.go
+++ b/internal/cluster/lease/golden_test.go
@@ -59,12 +59,12 @@
 	golden.AssertFieldsSet(t, "ended", stored.abandoned)
 	raw, err := stored.Encode()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the lease table: %v", err)
 	}
 	golden.AssertFixture(t, "book.msgpack", raw)
 	restored := NewTable()
 	if err := restored.Restore(golden.Read(t, "book.msgpack")); err != nil {
-		t.Fatal(err)
+		t.Fatalf("restore the lease table from the fixture: %v", err)
 	}
 	golden.AssertDecoded(t, "book.msgpack", restored, stored)
 }
--- a/internal/cluster/lease/log_golden_test.go
+++ b/internal/cluster/lease/log_golden_test.go
@@ -24,7 +24,7 @@
 	table.abandoned = []AbandonedLease{{ID: "trial/n4", Token: 2, Holder: "n0", Reason: "unreadable", At: 900.5}}
 	snapshot, err := table.Encode()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the lease table: %v", err)
 	}
 	observed := golden.Section("command", encodeMsgpack(t, &Command{
 		Operation: Merge, ID: "trial/n1", Holder: Holder{Name: "n0", Incarnation: 5}, Token: 3,
@@ -34,7 +34,7 @@
 		golden.Section("snapshot", golden.Quote(snapshot)) +
 		golden.Section("list", encodeJSON(t, List{Now: 2000.5, Leases: []Lease{wireLease}, Abandoned: table.abandoned}))
 	if err := golden.CheckFile("testdata/log.golden", []byte(observed)); err != nil {
-		t.Error(err)
+		t.Errorf("encodings of the lease table and its commands: %v", err)
 	}
 }
 
@@ -43,7 +43,7 @@
 	t.Helper()
 	raw, err := msgpack.Marshal(value)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode %T as msgpack: %v", value, err)
 	}
 	return golden.Quote(raw) + "\n"
 }
@@ -53,7 +53,7 @@
 	t.Helper()
 	raw, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode %T as JSON: %v", value, err)
 	}
 	return string(raw) + "\n"
 }
--- a/internal/cluster/lease/resume_test.go
+++ b/internal/cluster/lease/resume_test.go
@@ -24,7 +24,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := DecideResume(&test.class); got != test.want {
-				t.Errorf("got %v, want %v", got, test.want)
+				t.Errorf("got resume decision %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/cluster/lease/session.go
+++ b/internal/cluster/lease/session.go
@@ -28,7 +28,7 @@
 
 	token        Token  // the newest granted token; stays set while the lease is lost
 	trustedUntil Millis // time by the instance's local clock, see trustedShare
-	lost         bool   // whether the lease granted under token was lost
+	leaseLost    bool   // whether the lease granted under token was lost
 }
 
 type sessionState int
@@ -41,7 +41,7 @@
 
 func (s *Session) state() sessionState {
 	switch {
-	case s.lost:
+	case s.leaseLost:
 		return lost
 	case s.token == 0:
 		return unheld
@@ -74,12 +74,12 @@
 	case c.Operation == Acquire && applied:
 		s.token = r.Lease.Token
 		s.trustedUntil = s.trustLimit(sent)
-		s.lost = false
+		s.leaseLost = false
 	case c.Operation == Renew && applied && c.Token == s.token:
 		s.trustedUntil = max(s.trustedUntil, s.trustLimit(sent))
 	case s.invalidatedBy(c) && !applied:
 		revoked = s.state() != lost
-		s.lost = true
+		s.leaseLost = true
 	}
 	return revoked
 }
--- a/internal/cluster/lease/session_test.go
+++ b/internal/cluster/lease/session_test.go
@@ -17,7 +17,7 @@
 	command := session.Next(nil)
 	rejected := &Reply{Rejection: "held"}
 	if command.Operation != Acquire || session.HandleReply(&command, 100, rejected) || session.Valid(100) {
-		t.Errorf("after a rejected acquisition: got %+v, want a session without a valid lease", session)
+		t.Errorf("after command %+v was rejected: got session %+v, want Acquire and no valid lease", command, session)
 	}
 	session.HandleReply(&command, 100, &Reply{Lease: Lease{Token: 7}})
 	checkTrusted(t, &session)
@@ -40,7 +40,8 @@
 	command := session.Next([]byte("x"))
 	session.HandleReply(&command, 900, &Reply{})
 	if command.Operation != Renew || command.Token != 7 || !session.Valid(1600) || session.Valid(1700) {
-		t.Errorf("got %+v after command %+v, want a lease under token 7 that is trusted until 1700 ms", session, command)
+		t.Errorf("after renewal %+v: got session %+v, want a lease under token 7 that is trusted until 1700 ms", command,
+			session)
 	}
 }
 
--- a/internal/cluster/lease/table.go
+++ b/internal/cluster/lease/table.go
@@ -10,7 +10,7 @@
 // back. A Table is not safe for concurrent use.
 type Table struct {
 	leases    map[ID]*Lease
-	abandoned []AbandonedLease // the newest last, up to maxAbandoned
+	abandoned []AbandonedLease // the newest last; the oldest are dropped beyond maxAbandoned
 	lastToken Token            // the highest granted token
 	now       Millis           // the highest time of a command
 }
--- a/internal/cluster/lease/table_test.go
+++ b/internal/cluster/lease/table_test.go
@@ -19,7 +19,7 @@
 func checkReply(t *testing.T, step string, r Reply, want string) {
 	t.Helper()
 	if (r.Rejection == "") != (want == "") || !strings.Contains(r.Rejection, want) {
-		t.Errorf("%s: got rejection %q, want %q", step, r.Rejection, want)
+		t.Errorf("%s: got rejection %q, want one that contains %q, or none if that is empty", step, r.Rejection, want)
 	}
 }
 
@@ -120,7 +120,7 @@
 	t.Helper()
 	raw, err := table.Encode()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the lease table: %v", err)
 	}
 	restored := NewTable()
 	if err := restored.Restore(raw); err != nil || fmt.Sprint(restored.Leases()) != fmt.Sprint(table.Leases()) ||
@@ -129,7 +129,7 @@
 	}
 	restored.lastToken = 1
 	if raw, err = restored.Encode(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the lease table with last token 1: %v", err)
 	}
 	var tokenError *TokenError
 	if err := NewTable().Restore(raw); !errors.As(err, &tokenError) {
@@ -252,7 +252,7 @@
 		}
 	}
 	if l, _ := table.Get(own); string(l.Checkpoint) != "both" || l.ExpiresAt != 2005 {
-		t.Errorf("got %+v, want checkpoint both and expiry at 2005 ms", l)
+		t.Errorf("got lease %+v, want checkpoint both and expiry at 2005 ms", l)
 	}
 }
 
@@ -292,6 +292,6 @@
 	}
 	list, want := restored.List(), AbandonedLease{own, 2, "b", "torn", 1500}
 	if err != nil || len(list.Abandoned) != 1 || list.Abandoned[0] != want || len(list.Leases) != 1 {
-		t.Errorf("restored table: got %v, %+v, want one lease, and one abandoned by b under token 2", err, list)
+		t.Errorf("restored table: got error %v, %+v, want one lease, and one abandoned by b under token 2", err, list)
 	}
 }
--- a/internal/cluster/policy/admission_test.go
+++ b/internal/cluster/policy/admission_test.go
@@ -12,7 +12,7 @@
 	var state State
 	for i := range count {
 		if out := state.Apply(&Proposal{ID: fmt.Sprint(i), Body: encodedPolicy(t, fmt.Sprint(i))}); out.Rejection != "" {
-			t.Fatal(out.Rejection)
+			t.Fatalf("version %d: got rejection %q, want none", i+1, out.Rejection)
 		}
 	}
 	return state.Since(0)
@@ -21,7 +21,8 @@
 func checkDecision(t *testing.T, admission *TrialAdmission, version Version, admitted bool) {
 	t.Helper()
 	if d := admission.Current(); d.Record.Version != version || d.TrialsAdmitted != admitted {
-		t.Errorf("got version %d, trials admitted %v, want %d, %v", d.Record.Version, d.TrialsAdmitted, version, admitted)
+		t.Errorf("got applied version %d, trials admitted %v, want %d, %v", d.Record.Version, d.TrialsAdmitted, version,
+			admitted)
 	}
 }
 
@@ -32,11 +33,11 @@
 	var admission TrialAdmission
 	raw, err := EncodeRecord(&records[1])
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the record of version 2: %v", err)
 	}
 	stored, err := DecodeRecord(raw)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("decode the record of version 2: %v", err)
 	}
 	admission.Restore(stored)
 	checkDecision(t, &admission, 2, false)
--- a/internal/cluster/policy/golden_test.go
+++ b/internal/cluster/policy/golden_test.go
@@ -50,7 +50,7 @@
 	golden.RoundTrip(t, "policy.json", policy, json.Marshal, json.Unmarshal)
 	parsed, body, err := Parse(golden.Read(t, "policy.json"))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the policy fixture: %v", err)
 	}
 	golden.AssertFixture(t, "policy.json", body)
 	golden.AssertDecoded(t, "policy.json", *parsed, policy)
@@ -62,12 +62,12 @@
 	golden.AssertFieldsSet(t, "record", record)
 	raw, err := EncodeRecord(&record)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the record: %v", err)
 	}
 	golden.AssertFixture(t, "record.bin", raw)
 	decoded, err := DecodeRecord(golden.Read(t, "record.bin"))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("decode the record fixture: %v", err)
 	}
 	golden.AssertDecoded(t, "record.bin", *decoded, record)
 }
@@ -78,12 +78,12 @@
 	golden.AssertFieldsSet(t, "records", state.records)
 	raw, err := state.Encode()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the state: %v", err)
 	}
 	golden.AssertFixture(t, "state.msgpack", raw)
 	restored := &State{}
 	if err := restored.Restore(golden.Read(t, "state.msgpack")); err != nil {
-		t.Fatal(err)
+		t.Fatalf("restore the state from the fixture: %v", err)
 	}
 	golden.AssertDecoded(t, "state.msgpack", restored, state)
 }
--- a/internal/cluster/policy/policy_test.go
+++ b/internal/cluster/policy/policy_test.go
@@ -12,7 +12,7 @@
 	t.Helper()
 	_, body, err := Parse([]byte(fmt.Sprintf(`{ "note": %q, "trial-share": 0.5 }`, note)))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse a policy with a note and a trial share: %v", err)
 	}
 	return body
 }
@@ -38,13 +38,13 @@
 			_, _, err := Parse([]byte(testCase.text))
 			if testCase.want == "" {
 				if err != nil {
-					t.Errorf("%.60s: got %v, want no error", testCase.text, err)
+					t.Errorf("parse %.60s: got error %v, want none", testCase.text, err)
 				}
 				return
 			}
 			var keyError *KeyError
 			if !errors.As(err, &keyError) || !strings.Contains(err.Error(), testCase.want) {
-				t.Errorf("%.60s: want a *KeyError with %q, got %v", testCase.text, testCase.want, err)
+				t.Errorf("parse %.60s: got error %v, want a *KeyError with %q", testCase.text, err, testCase.want)
 			}
 		})
 	}
--- a/internal/cluster/policy/record.go
+++ b/internal/cluster/policy/record.go
@@ -21,8 +21,8 @@
 	Proposer    string  `msgpack:"By"`    // the process that proposes the policy
 	ProposedAt  float64 `msgpack:"At"`    // Unix time in milliseconds by the proposer's clock
 	RequireBase bool    `msgpack:"Based"` // reject the proposal unless the base is still the latest version
-	BaseVersion Version `msgpack:"Base"`
-	Body        []byte  `msgpack:"Body"` // the policy's encoding for the log, see Parse
+	BaseVersion Version `msgpack:"Base"`  // the base, if RequireBase is set
+	Body        []byte  `msgpack:"Body"`  // the policy's encoding for the log, see Parse
 }
 
 // Record is a committed version. The fields that it shares with Proposal have the proposal's values.
--- a/internal/cluster/policy/record_test.go
+++ b/internal/cluster/policy/record_test.go
@@ -10,23 +10,23 @@
 	stored := committedRecords(t, 2)[1]
 	raw, err := EncodeRecord(&stored)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the record of version 2: %v", err)
 	}
 	decoded, err := DecodeRecord(raw)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("decode the record of version 2: %v", err)
 	}
 	if decoded.Version != 2 || decoded.Checksum != stored.Checksum {
-		t.Errorf("got %+v, want %+v", decoded, stored)
+		t.Errorf("got decoded record %+v, want %+v", decoded, stored)
 	}
 	for i := range raw {
 		corrupt := append([]byte(nil), raw...)
 		corrupt[i] ^= 1
 		if _, err := DecodeRecord(corrupt); !errors.Is(err, ErrCorruptRecord) {
-			t.Fatalf("byte %d changed: got %v, want ErrCorruptRecord", i, err)
+			t.Fatalf("byte %d changed: got decoding error %v, want ErrCorruptRecord", i, err)
 		}
 		if _, err := DecodeRecord(raw[:i]); !errors.Is(err, ErrCorruptRecord) {
-			t.Fatalf("truncated after %d bytes: got %v, want ErrCorruptRecord", i, err)
+			t.Fatalf("truncated after %d bytes: got decoding error %v, want ErrCorruptRecord", i, err)
 		}
 	}
 }
--- a/internal/cluster/policy/state_test.go
+++ b/internal/cluster/policy/state_test.go
@@ -37,7 +37,7 @@
 		{"equal body", Proposal{ID: "5", Body: encodedPolicy(t, "two")}, Outcome{Version: 3}},
 	} {
 		if got := state.Apply(&testCase.proposal); got != testCase.want {
-			t.Errorf("%s: got %+v, want %+v", testCase.name, got, testCase.want)
+			t.Errorf("%s: got outcome %+v, want %+v", testCase.name, got, testCase.want)
 		}
 		replica.Apply(&testCase.proposal)
 	}
@@ -61,14 +61,15 @@
 func TestStateDropsOldestBeyondLimits(t *testing.T) {
 	state := fullState(t)
 	if len(state.records) != maxRecords || state.Version() != 3*maxRecords {
-		t.Errorf("got %d records, version %d, want maxRecords, 3*maxRecords", len(state.records), state.Version())
+		t.Errorf("got %d records, version %d, want %d, %d", len(state.records), state.Version(),
+			maxRecords, 3*maxRecords)
 	}
 	large := fmt.Sprintf(`{"note":"x","settings":{"a":%q}}`, strings.Repeat("a", 60000))
 	for i := range 60 {
 		state.Apply(&Proposal{ID: fmt.Sprint("large", i), Body: []byte(large)})
 	}
 	if state.bytes > maxRecordBytes {
-		t.Errorf("got %d bytes kept, want at most maxRecordBytes", state.bytes)
+		t.Errorf("got %d bytes of bodies kept, want at most %d", state.bytes, maxRecordBytes)
 	}
 }
 
@@ -77,11 +78,12 @@
 	state := fullState(t)
 	raw, err := state.Encode()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the state: %v", err)
 	}
 	var restored State
 	if err := restored.Restore(raw); err != nil || restored.Version() != state.Version() || restored.bytes != state.bytes {
-		t.Errorf("got %v, version %d, want the encoded state", err, restored.Version())
+		t.Errorf("restored state: got error %v, version %d, %d bytes of bodies, want none, %d, %d", err, restored.Version(),
+			restored.bytes, state.Version(), state.bytes)
 	}
 	restored.records[3].Version++
 	if raw, err = restored.Encode(); err != nil || !errors.Is((&State{}).Restore(raw), ErrBrokenChain) {
@@ -95,22 +97,23 @@
 	state := fullState(t)
 	raw, err := state.Encode()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the state: %v", err)
 	}
 	var equal State
 	if err := equal.Restore(raw); err != nil {
-		t.Fatal(err)
+		t.Fatalf("restore the encoded state: %v", err)
 	}
 	broken := state.Since(3*maxRecords - 3)
 	broken[1].Body = encodedPolicy(t, "another")
 	if _, err := equal.Append(broken); !errors.Is(err, ErrBrokenChain) {
-		t.Errorf("records that do not follow: got %v, want ErrBrokenChain", err)
+		t.Errorf("append of records that do not follow: got error %v, want ErrBrokenChain", err)
 	}
 	var empty State
 	if changed, err := empty.Append(state.Since(0)); !changed || err != nil || empty.Version() != state.Version() {
-		t.Errorf("without versions: got %v, %v, version %d, want true, no error, the latest", changed, err, empty.Version())
+		t.Errorf("append without versions: got changed %v, error %v, version %d, want true, none, %d", changed, err,
+			empty.Version(), state.Version())
 	}
 	if changed, err := empty.Append(state.Since(700)); changed || err != nil {
-		t.Errorf("known records: got %v, %v, want false and no error", changed, err)
+		t.Errorf("append of known records: got changed %v, error %v, want false, none", changed, err)
 	}
 }
--- a/internal/cluster/policy/wire_golden_test.go
+++ b/internal/cluster/policy/wire_golden_test.go
@@ -16,7 +16,7 @@
 	settings := json.RawMessage(`{"zone":"a"}`)
 	body, err := json.Marshal(Policy{Note: "why", Halt: true, TrialShare: &share, Settings: settings})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode the policy: %v", err)
 	}
 	proposal := Proposal{ID: "id", Proposer: "n0", ProposedAt: 1.7e12, RequireBase: true, BaseVersion: 0, Body: body}
 	state := &State{}
@@ -37,11 +37,11 @@
 	} {
 		raw, err := encoding.encode()
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encode the %s: %v", encoding.title, err)
 		}
 		observed += golden.Section(encoding.title, golden.Quote(raw)+"\n")
 	}
 	if err := golden.CheckFile("testdata/log.golden", []byte(observed)); err != nil {
-		t.Error(err)
+		t.Errorf("encodings of policies in the log: %v", err)
 	}
 }
--- a/internal/cluster/policysync/applier.go
+++ b/internal/cluster/policysync/applier.go
@@ -17,7 +17,7 @@
 // applier holds the versions that are known to the process and applies the latest version that policy.TrialAdmission
 // permits. It is safe for concurrent use.
 type applier struct {
-	apply func(policy.Decision) error // see Hooks
+	apply func(policy.Decision) error // Hooks.Apply
 	store *raftlog.Store
 	log   logrus.FieldLogger
 
@@ -216,7 +216,7 @@
 type appliedState struct {
 	latest   policy.Version // the latest known version, applied or not
 	decision policy.Decision
-	failure  string // see policy.TrialAdmission.Failure
+	failure  string // why the latest version can't be applied here; empty if it is applied
 }
 
 func (a *applier) current() appliedState {
--- a/internal/cluster/policysync/applier_test.go
+++ b/internal/cluster/policysync/applier_test.go
@@ -19,8 +19,8 @@
 type testApplier struct {
 	*applier
 	store           *raftlog.Store
-	decisions       []string // each as "VERSION ADMITTED", in order
-	rejectedVersion policy.Version
+	decisions       []string       // each as "VERSION ADMITTED", in order
+	rejectedVersion policy.Version // the hook fails for this version; 0: for none
 }
 
 var errDoesNotFit = errors.New("policy does not fit the configuration")
@@ -29,11 +29,11 @@
 	t.Helper()
 	store, _, err := raftlog.OpenStore(t.TempDir())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open the applier's store: %v", err)
 	}
 	t.Cleanup(func() {
 		if err := store.Close(); err != nil {
-			t.Error(err)
+			t.Errorf("close the applier's store: %v", err)
 		}
 	})
 	log := logrus.New()
@@ -77,12 +77,12 @@
 	tested.markCaughtUp()
 	tested.expectDecisions(t)
 	if out := tested.applyProposal(nil); out.Rejection != "not a proposal" {
-		t.Errorf("entry that is no proposal: got %+v, want it rejected", out)
+		t.Errorf("entry that is no proposal: got outcome %+v, want the rejection \"not a proposal\"", out)
 	}
 	tested.expectDecisions(t)
 	stored, err := tested.readStored()
 	if err != nil || stored == nil || stored.Version != 2 {
-		t.Errorf("stored version: got %+v, %v, want version 2", stored, err)
+		t.Errorf("stored record: got %+v, error %v, want version 2", stored, err)
 	}
 }
 
@@ -98,7 +98,7 @@
 	tested.applyProposal(testProposal("two"))
 	tested.expectDecisions(t, "2 true", "1 false")
 	if state := tested.current(); state.failure != errDoesNotFit.Error() || state.decision.TrialsAdmitted {
-		t.Errorf("after the failure: got %+v, want the failure's text and trials closed", state)
+		t.Errorf("after the failure: got state %+v, want the failure's text and trials closed", state)
 	}
 	tested.retry()
 	tested.expectDecisions(t, "2 true")
@@ -106,7 +106,7 @@
 	tested.retry()
 	tested.expectDecisions(t, "2 true")
 	if state := tested.current(); state.failure != "" || !state.decision.TrialsAdmitted {
-		t.Errorf("after the retry: got %+v, want no failure and trials admitted", state)
+		t.Errorf("after the retry: got state %+v, want no failure and trials admitted", state)
 	}
 	tested.retry()
 	tested.expectDecisions(t)
@@ -124,11 +124,11 @@
 	restarted.applyStored()
 	restarted.expectDecisions(t, "1 false")
 	if err := tested.store.SetUserValue(appliedKey, []byte("corrupt record")); err != nil {
-		t.Fatal(err)
+		t.Fatalf("store a corrupt record of the applied version: %v", err)
 	}
 	restarted.applier = newApplier(restarted.recordDecision, tested.store, tested.log)
 	if _, err := restarted.readStored(); !errors.Is(err, policy.ErrCorruptRecord) {
-		t.Errorf("corrupt record: got %v, want ErrCorruptRecord", err)
+		t.Errorf("corrupt record: got error %v, want ErrCorruptRecord", err)
 	}
 	restarted.applyStored()
 	restarted.expectDecisions(t, "0 false")
@@ -142,7 +142,7 @@
 	go func() {
 		records, latest, err := tested.awaitSince(t.Context(), 0, time.Minute)
 		if err != nil || len(records) != 1 {
-			t.Errorf("newer version: got %d records, %v, want 1, no error", len(records), err)
+			t.Errorf("newer version: got %d records, error %v, want 1, none", len(records), err)
 		}
 		ended <- latest
 	}()
@@ -152,11 +152,11 @@
 	}
 	records, latest, err := tested.awaitSince(t.Context(), 1, time.Millisecond)
 	if err != nil || len(records) != 0 || latest != 1 {
-		t.Errorf("no newer version: got %d records, latest version %d, %v, want 0, 1, no error", len(records), latest, err)
+		t.Errorf("no newer version: got %d records, latest version %d, error %v, want 0, 1, none", len(records), latest, err)
 	}
 	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, _, err := tested.awaitSince(canceled, 1, time.Minute); !errors.Is(err, context.Canceled) {
-		t.Errorf("canceled: got %v, want context.Canceled", err)
+		t.Errorf("canceled context: got error %v, want context.Canceled", err)
 	}
 }
--- a/internal/cluster/policysync/follow.go
+++ b/internal/cluster/policysync/follow.go
@@ -31,8 +31,8 @@
 
 // sinceResponse is a server's response to a poll.
 type sinceResponse struct {
-	Records   []policy.Record `msgpack:"Records"` // newer than the watcher's version, oldest first
-	Newest    policy.Version  `msgpack:"Newest"`
+	Records   []policy.Record `msgpack:"Records"`   // newer than the watcher's version, oldest first
+	Newest    policy.Version  `msgpack:"Newest"`    // the latest version that the server knows
 	Confirmed bool            `msgpack:"Confirmed"` // all that was committed when the poll arrived is applied
 }
 
--- a/internal/cluster/policysync/node.go
+++ b/internal/cluster/policysync/node.go
@@ -33,7 +33,7 @@
 // Node keeps the policy of one process up to date and proposes policies to the log. It is safe for concurrent use.
 type Node struct {
 	cfg      raftlog.Config
-	check    func(body []byte) error // see Hooks
+	check    func(body []byte) error // Hooks.Check
 	clock    *clock.Clock
 	log      logrus.FieldLogger
 	store    *raftlog.Store
--- a/internal/cluster/policysync/propose_test.go
+++ b/internal/cluster/policysync/propose_test.go
@@ -18,7 +18,7 @@
 		{"longer than the limit", 60_000, 15 * time.Second},
 	} {
 		if got := (&ProposeRequest{WaitMS: request.waitMS}).wait(); got != request.want {
-			t.Errorf("%s: got %v, want %v", request.name, got, request.want)
+			t.Errorf("%s: got wait %v, want %v", request.name, got, request.want)
 		}
 	}
 }
--- a/internal/cluster/policysync/server_test.go
+++ b/internal/cluster/policysync/server_test.go
@@ -17,11 +17,11 @@
 	ttl := float64(watcherTTL / time.Millisecond)
 	registry.record(MemberStatus{Name: "new"}, now+ttl)
 	if _, exists := registry.members["new"]; exists || len(registry.list()) != maxWatchers {
-		t.Errorf("at the limit: got %d watchers, new one kept: %v, want maxWatchers, false", len(registry.list()), exists)
+		t.Errorf("at the limit: got %d watchers, new one kept: %v, want %d, false", len(registry.list()), exists, maxWatchers)
 	}
 	registry.record(MemberStatus{Name: "w0", Version: 3}, now+ttl)
 	if m := registry.members["w0"]; m.Version != 3 || m.ReportedAt != now+ttl {
-		t.Errorf("known watcher: got %+v, want version 3 reported now", m)
+		t.Errorf("known watcher: got %+v, want version 3 reported at %.0f ms", m, now+ttl)
 	}
 	registry.record(MemberStatus{Name: "new"}, now+ttl+1)
 	if _, exists := registry.members["new"]; !exists || len(registry.list()) != 2 {
--- a/internal/cluster/policysync/wire_golden_test.go
+++ b/internal/cluster/policysync/wire_golden_test.go
@@ -36,11 +36,11 @@
 	} {
 		raw, err := message.encode(message.value)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encode the %s: %v", message.title, err)
 		}
 		observed += golden.Section(message.title, golden.Quote(raw)+"\n")
 	}
 	if err := golden.CheckFile("testdata/messages.golden", []byte(observed)); err != nil {
-		t.Error(err)
+		t.Errorf("encodings of messages between processes: %v", err)
 	}
 }
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -47,16 +47,18 @@
 	c.endpoints[endpoint.ID] = endpoint
 }
 
+// removeEndpoint removes an endpoint and reports it as unreachable to the upstream. It ignores an unknown endpoint.
 func (c *core) removeEndpoint(id decision.EndpointID) {
-	if _, known := c.endpoints[id]; !known {
+	if _, exists := c.endpoints[id]; !exists {
 		return
 	}
 	delete(c.endpoints, id)
 	c.upstream.SetAddress(id, "")
 }
 
-// cancelUnsentForBuild cancels unsent attempts to endpoints of a build. A lower exposure cap applies after a grace
-// period. Where connecting takes longer than that, attempts that the earlier cap allowed would exceed the new one.
+// cancelUnsentForBuild cancels unsent attempts to the endpoints of a build that have an address. A lower exposure cap
+// applies after a grace period. Where connecting takes longer than that, attempts that the earlier cap allowed would
+// exceed the new one.
 func (c *core) cancelUnsentForBuild(build decision.Build) {
 	for id, endpoint := range c.endpoints {
 		if endpoint.Build == build && endpoint.Address != "" {
--- a/internal/engine/endpoints_test.go
+++ b/internal/engine/endpoints_test.go
@@ -11,7 +11,7 @@
 	for name, test := range map[string]struct {
 		update    EndpointUpdate
 		calls     string
-		remaining int
+		remaining int // endpoints after the update
 	}{
 		"unchanged": {delta(newEndpoint("a", "a:1", decision.Serving)), "", 2},
 		"address":   {delta(newEndpoint("a", "a:2", decision.Serving)), "set address a a:2", 2},
@@ -38,12 +38,13 @@
 			got := h.module.received[0].(decision.EndpointsChanged)
 			if calls != test.calls || len(h.endpoints) != test.remaining || got.Kind != test.update.Kind ||
 				got.Version != test.update.Version || len(got.Endpoints) != len(test.update.Endpoints) {
-				t.Errorf("calls: got %q, want %q; endpoints: got %d, want %d; event: got %+v", calls, test.calls,
-					len(h.endpoints), test.remaining, got)
+				t.Errorf("calls: got %q, want %q; endpoints: got %d, want %d; event: got %+v, want that of update %+v", calls,
+					test.calls, len(h.endpoints), test.remaining, got, test.update)
 			}
 			h.request(decision.StartAttempt{Request: 1, Endpoint: "a"})
 			if started := len(h.attempts) == 1; started != (h.endpoints["a"].Address != "") {
-				t.Errorf("attempt to endpoint a: got started %v with address %q", started, h.endpoints["a"].Address)
+				t.Errorf("attempt at endpoint a with address %q: got started %v, want %v", h.endpoints["a"].Address, started,
+					!started)
 			}
 		})
 	}
--- a/internal/engine/golden_test.go
+++ b/internal/engine/golden_test.go
@@ -56,6 +56,6 @@
 			fields["open"], fields["panic"])
 	}
 	if err := golden.CheckFile("testdata/panics.golden", []byte(observed)); err != nil {
-		t.Error(err)
+		t.Errorf("names of events in the log line of a panic: %v", err)
 	}
 }
--- a/internal/engine/messages.go
+++ b/internal/engine/messages.go
@@ -67,7 +67,8 @@
 }
 
 // recordStageUpdate logs a stage update and saves the stage for a restart of the module. The result of a vote that was
-// not accepted has no stage.
+// not accepted has no stage. If the exposure cap of the same build has decreased, recordStageUpdate cancels the unsent
+// attempts to that build.
 func (c *core) recordStageUpdate(now decision.Millis, update decision.StageUpdate) {
 	c.log.WithFields(logrus.Fields{
 		"build": update.Build, "stage": update.Stage, "phase": update.Phase, "cap": update.ExposureCap,
--- a/internal/engine/queue.go
+++ b/internal/engine/queue.go
@@ -63,17 +63,18 @@
 	return msg, len(q.regular)
 }
 
+// takeFirst removes the oldest message and returns it, or false if there is none.
 func takeFirst(messages *[]queuedMessage) (first queuedMessage, ok bool) {
-	list := *messages
-	if len(list) == 0 {
+	waiting := *messages
+	if len(waiting) == 0 {
 		return queuedMessage{}, false
 	}
-	first = list[0]
-	list[0] = queuedMessage{} // lets the garbage collector free the message while the array is in use
-	list = list[1:]
-	if len(list) == 0 {
-		list = nil // lets the garbage collector free the array
+	first = waiting[0]
+	waiting[0] = queuedMessage{} // lets the garbage collector free the message while the array is in use
+	waiting = waiting[1:]
+	if len(waiting) == 0 {
+		waiting = nil // lets the garbage collector free the array
 	}
-	*messages = list
+	*messages = waiting
 	return first, true
 }
--- a/internal/engine/queue_test.go
+++ b/internal/engine/queue_test.go
@@ -35,6 +35,6 @@
 		}
 	}
 	if got != "2413" {
-		t.Errorf("order: got %s, want 2413", got)
+		t.Errorf("order of the messages: got %s, want 2413", got)
 	}
 }
--- a/internal/engine/recovery.go
+++ b/internal/engine/recovery.go
@@ -19,8 +19,8 @@
 	seed        uint64          // seed of the running module; each restart increments it
 	restartedAt decision.Millis // time of the last restart, or neverRestarted
 
-	stage           *decision.StageUpdate // newest update with a stage; nil before the first
-	stageReceivedAt decision.Millis
+	stage           *decision.StageUpdate     // newest update with a stage; nil before the first
+	stageReceivedAt decision.Millis           // time at which stage arrived, by the engine's clock
 	settings        *decision.SettingsChanged // newest settings; nil until the settings of the start change
 }
 
@@ -40,7 +40,8 @@
 	return c.module.Handle(now, event)
 }
 
-// restart fails all open requests, cancels their attempts, and starts a new module with the newest state.
+// restart fails all open requests, cancels their attempts, and starts a new module. The module receives the newest
+// state, unless the previous restart was at the same time.
 func (c *core) restart(now decision.Millis) {
 	for id, open := range c.requests.open {
 		c.respond(now, open, Result{Kind: Failed})
--- a/internal/engine/recovery_test.go
+++ b/internal/engine/recovery_test.go
@@ -11,7 +11,7 @@
 // After a panic the open requests fail, and a new module gets the endpoint list and the stage. After a second panic at
 // the same time that state is not replayed again, because it may be the cause of the panic.
 func TestPanicFailsRequestsAndRestartsModule(t *testing.T) {
-	for name, twice := range map[string]bool{"one panic": false, "second panic at the same time": true} {
+	for name, panicsAgain := range map[string]bool{"one panic": false, "second panic at the same time": true} {
 		t.Run(name, func(t *testing.T) {
 			core := newHarness()
 			core.deliver(eventReceived{decision.StageUpdate{Age: 5, Build: 7, IsVoteResult: true}})
@@ -21,7 +21,7 @@
 			newModule := core.recovery.newModule
 			core.recovery.newModule = func(seed uint64) module {
 				m := newModule(seed).(*fakeModule)
-				m.panicNext = twice && core.starts == 2
+				m.panicNext = panicsAgain && core.starts == 2
 				return m
 			}
 			core.deliver(eventReceived{decision.ResponseFlagged{}})
@@ -29,7 +29,7 @@
 				t.Errorf("result: got %q, want 2;0;false; calls: got %q, want cancel 1 last", core.results[0], core.calls)
 			}
 			want := "[]"
-			if !twice {
+			if !panicsAgain {
 				want = "[{2 0 [{a 0 0  0  0 0} {b 0 0  0  0 0}]} {105 7 0 false 0 0 0}]"
 			}
 			got := fmt.Sprint(core.module.received)
--- a/internal/engine/requests.go
+++ b/internal/engine/requests.go
@@ -15,7 +15,7 @@
 	request  *ClientRequest
 	deadline decision.Millis // time at which the client gives up
 	finished bool            // the result was sent, or the client has disconnected
-	attempts []attempt       // indexed as in the module's events
+	attempts []attempt       // in the order of their start; decision.AttemptEnded.Attempt is the index
 	inFlight int             // attempts that have not ended
 }
 
@@ -53,6 +53,7 @@
 	})
 }
 
+// handleDisconnect reports to the module that a client has disconnected, unless the request has its result.
 func (c *core) handleDisconnect(now decision.Millis, request *ClientRequest) {
 	open := c.requests.open[request.id]
 	if open == nil || open.request != request || open.finished {
@@ -64,8 +65,8 @@
 	c.requests.removeIfDone(request.id, open)
 }
 
-// startAttempt starts an attempt. An attempt that cannot be sent ends with NotSent, reported through the queue like any
-// other outcome.
+// startAttempt starts an attempt, unless the request was removed. An attempt that cannot be sent ends with NotSent,
+// reported through the queue like any other outcome.
 func (c *core) startAttempt(now decision.Millis, start decision.StartAttempt) {
 	open := c.requests.open[start.Request]
 	if open == nil {
@@ -92,6 +93,7 @@
 	})
 }
 
+// cancelAttempt cancels an attempt, unless it has ended or its request was removed.
 func (c *core) cancelAttempt(action decision.Cancel) {
 	open := c.requests.open[action.Request]
 	if open == nil || action.Attempt >= len(open.attempts) {
@@ -102,7 +104,8 @@
 	}
 }
 
-// handleAttemptEnd handles the outcome of an attempt. The first successful response is the request's result.
+// handleAttemptEnd handles the outcome of an attempt. The first successful response is the request's result, unless the
+// request already has one. The outcome of an attempt that has already ended, or whose request was removed, is ignored.
 func (c *core) handleAttemptEnd(now decision.Millis, msg attemptEnded) {
 	open := c.requests.open[msg.id]
 	if open == nil || msg.attempt >= len(open.attempts) || open.attempts[msg.attempt].ended {
@@ -143,7 +146,7 @@
 	}
 }
 
-// finish ends an open request with a result that has no response.
+// finish ends a request with a result that has no response. It ignores a request that was removed.
 func (c *core) finish(now decision.Millis, id decision.RequestID, result Result) {
 	if open := c.requests.open[id]; open != nil {
 		c.respond(now, open, result)
--- a/internal/engine/requests_test.go
+++ b/internal/engine/requests_test.go
@@ -18,7 +18,7 @@
 		calls    string
 		result   string
 		received decision.Event // last event that the module received; not compared if nil
-		open     int
+		open     int            // number of open requests
 	}{
 		"no action": {
 			received: decision.RequestReceived{Request: 1, Class: "read", Tenant: "t", Remaining: 490},
@@ -105,16 +105,16 @@
 func TestAttemptOutcomeReachesClientAndModule(t *testing.T) {
 	response := &Response{}
 	for name, test := range map[string]struct {
-		end     AttemptResult
-		actions actions
-		result  string
-		ended   bool // RequestEnded of the module's event
-		open    int
+		end        AttemptResult
+		actions    actions
+		result     string
+		resultSent bool // RequestEnded of the module's event
+		open       int  // number of open requests
 	}{
 		"succeeded": {
-			end:    AttemptResult{Outcome: decision.Succeeded, EndedAt: 1040, Response: response},
-			result: "0;0;true",
-			ended:  true,
+			end:        AttemptResult{Outcome: decision.Succeeded, EndedAt: 1040, Response: response},
+			result:     "0;0;true",
+			resultSent: true,
 		},
 		"failed, no action": {AttemptResult{Outcome: decision.EndpointFailed, EndedAt: 1040}, nil, "", false, 1},
 		"failed, request failed": {
@@ -146,11 +146,11 @@
 			core.deliver(msg, test.actions...)
 			want := decision.AttemptEnded{
 				Request: 1, Outcome: test.end.Outcome, Endpoint: "a", After: max(0, test.end.EndedAt-1000),
-				RequestEnded: test.ended,
+				RequestEnded: test.resultSent,
 				Load:         load,
 			}
 			if got := core.module.received[1]; !reflect.DeepEqual(got, want) {
-				t.Errorf("event: got %+v, want %+v", got, want)
+				t.Errorf("event of the module: got %+v, want %+v", got, want)
 			}
 			if core.results[0] != test.result || len(core.requests.open) != test.open {
 				t.Errorf("result: got %q, want %q; open requests: got %d, want %d", core.results[0], test.result,
@@ -190,8 +190,8 @@
 	_, disconnected := received[1].(decision.ClientDisconnected)
 	_, ended := received[2].(decision.AttemptEnded)
 	if !disconnected || !ended || len(h.requests.open) != 0 || h.results[0] != "" {
-		t.Errorf("got events %T and %T, %d open requests, results %q, want disconnect, end, 0, none", received[1],
-			received[2], len(h.requests.open), h.results)
+		t.Errorf("events: got %T, %T, want decision.ClientDisconnected, decision.AttemptEnded", received[1], received[2])
+		t.Errorf("open requests: got %d, want 0; results: got %q, want none", len(h.requests.open), h.results)
 	}
 }
 
--- a/internal/engine/simulation_test.go
+++ b/internal/engine/simulation_test.go
@@ -15,7 +15,7 @@
 	sentRequests []*simulatedRequest
 	pending      []pendingAttempt
 	mayHaveRun   map[*Request]bool // non-idempotent requests that an endpoint may have run
-	inFlight     map[*Request]int
+	inFlight     map[*Request]int  // attempts in flight of each request
 	violations   []string
 }
 
@@ -26,8 +26,8 @@
 
 type pendingAttempt struct {
 	Attempt
-	endsAt decision.Millis
-	ended  *bool
+	endsAt decision.Millis // time at which the attempt ends unless it is canceled earlier
+	ended  *bool           // shared by all copies of the attempt
 }
 
 func (s *simulation) StartAttempt(attempt Attempt) func() {
@@ -147,7 +147,8 @@
 	open := len(sim.requests.open)
 	if len(sim.violations) > 0 || open > 0 || len(sim.timers) > 1 || len(sim.pending) > 0 || starts != 2 ||
 		len(sim.sentRequests) < 1000 {
-		t.Errorf("violations %v, %d open, %d timers, %d attempts, %d starts, %d requests, want none, 0, <=1, 0, 2, >=1000",
+		t.Errorf("got violations %v, %d open requests, %d timers, %d attempts in flight, %d module starts, %d requests sent, "+
+			"want none, 0, at most 1, 0, 2, at least 1000",
 			sim.violations, open, len(sim.timers), len(sim.pending), starts, len(sim.sentRequests))
 	}
 }
--- a/internal/engine/stats.go
+++ b/internal/engine/stats.go
@@ -48,13 +48,13 @@
 	return stats
 }
 
-// countResult counts the result of a request, and whether the request missed its latency objective.
+// countResult counts the result of a request. It also counts a missed latency objective if the request succeeded.
 func (s *statsCounter) countResult(now decision.Millis, kind ResultKind, request *ClientRequest) {
 	switch kind {
 	case Succeeded:
 		s.counters.RequestsSucceeded++
-		objective, known := s.objectives[request.Class]
-		if known && now > request.ReceivedAt+objective {
+		objective, hasObjective := s.objectives[request.Class]
+		if hasObjective && now > request.ReceivedAt+objective {
 			s.counters.ObjectivesMissed++
 		}
 	case Rejected:
--- a/internal/engine/stats_test.go
+++ b/internal/engine/stats_test.go
@@ -40,9 +40,9 @@
 	go engine.Run(ctx)
 	stats, ok := engine.Stats(ctx)
 	if !ok || stats.Status.Serving != 2 || stats.Status.Build != 8 {
-		t.Errorf("stats: got %v, %+v, want true, two serving endpoints and build 8", ok, stats.Status)
+		t.Errorf("stats: got ok %v, status %+v, want true, two serving endpoints and build 8", ok, stats.Status)
 	}
 	if evidence, ok := engine.Evidence(ctx); !ok || evidence.Build != 8 {
-		t.Errorf("evidence: got %v, %+v, want true, build 8", ok, evidence)
+		t.Errorf("evidence: got ok %v, %+v, want true, build 8", ok, evidence)
 	}
 }
--- a/internal/engine/timers_test.go
+++ b/internal/engine/timers_test.go
@@ -14,8 +14,8 @@
 	)
 	for _, test := range []struct {
 		now      decision.Millis
-		received int
-		next     decision.Millis
+		received int             // events that the module has received so far
+		next     decision.Millis // time of the next timer; 0 if none is set
 	}{{1005, 1, 1010}, {1020, 3, 1030}, {1031, 4, 0}} {
 		h.fireTimers(test.now)
 		if next, _ := h.timers.next(); next != test.next || len(h.module.received) != test.received {
@@ -24,6 +24,6 @@
 		}
 	}
 	if got := fmt.Sprint(h.module.received[1:]); got != "[{1} {2} {3}]" {
-		t.Errorf("timers: got %s, want [{1} {2} {3}]", got)
+		t.Errorf("tokens of the fired timers: got %s, want [{1} {2} {3}]", got)
 	}
 }
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -48,8 +48,8 @@
 // Result is the final result of a client's request.
 type Result struct {
 	Kind       ResultKind
-	RetryAfter decision.Millis // if rejected; 0 for a rejection without Retry-After
-	Response   *Response       // if succeeded; otherwise nil
+	RetryAfter decision.Millis // set if Kind is Rejected; 0 for a rejection without Retry-After
+	Response   *Response       // nil unless Kind is Succeeded
 }
 
 // Attempt describes one attempt to send a request to an endpoint.
@@ -68,8 +68,8 @@
 type AttemptResult struct {
 	Outcome  decision.Outcome
 	EndedAt  decision.Millis // time by the engine's clock
-	Response *Response       // if succeeded; otherwise nil
-	Load     *decision.Load  // reported by the endpoint; nil without a report
+	Response *Response       // nil unless Outcome is decision.Succeeded
+	Load     *decision.Load  // load report in the endpoint's response; nil without a report
 }
 
 // Endpoint is an entry of the endpoint list with the address at which this instance reaches the endpoint.
--- a/internal/rollout/client.go
+++ b/internal/rollout/client.go
@@ -136,7 +136,8 @@
 	}
 }
 
-// handleCurrentReceived closes the next connection, unless that one leads to a new address.
+// handleCurrentReceived handles a message on the current connection. It closes the next connection, unless the current
+// connection leads to an earlier address of the controller.
 func (c *Client) handleCurrentReceived(open *connections) {
 	c.setUnavailable(false)
 	if open.current.address == c.address {
@@ -145,7 +146,8 @@
 	}
 }
 
-// handleHeartbeatTimeout replaces the next connection by a new one.
+// handleHeartbeatTimeout handles maxMissedHeartbeats heartbeat intervals without an event. It replaces the next
+// connection by a new one.
 func (c *Client) handleHeartbeatTimeout(ctx context.Context, open *connections) {
 	c.setUnavailable(true)
 	open.next.close()
--- a/internal/rollout/client_test.go
+++ b/internal/rollout/client_test.go
@@ -56,7 +56,7 @@
 	conn := moveToNewController(t, client)
 	lines := bufio.NewReader(conn)
 	if _, err := lines.ReadString('\n'); err != nil {
-		t.Fatal(err)
+		t.Fatalf("read the subscription on the connection to the new address: %v", err)
 	}
 	old.send(`{"method":"flag","params":{"host":"host-1"}}`)
 	if got := fmt.Sprint(nextEvent(t, events)); !strings.Contains(got, "host-1") {
@@ -85,14 +85,14 @@
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen at the new address of the controller: %v", err)
 	}
 	t.Cleanup(func() { closeQuietly(listener) })
 	client.SetAddress(t.Context(), "127.0.0.1:1") // dialing it fails until the next change
 	client.SetAddress(t.Context(), listener.Addr().String())
 	conn, err := listener.Accept()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("accept the connection to the new address of the controller: %v", err)
 	}
 	t.Cleanup(func() { closeQuietly(conn) })
 	return conn
--- a/internal/rollout/connection.go
+++ b/internal/rollout/connection.go
@@ -13,7 +13,7 @@
 	"ottershed/decision"
 )
 
-const maxLineBytes = 8 << 10 // a longer line ends the connection
+const maxLineBytes = 8 << 10 // a longer line from the rollout controller ends the connection
 
 // connection is one connection to the rollout controller. Its reader goroutine owns it. The methods that Run calls
 // treat a nil connection as one that never receives a message.
@@ -21,7 +21,7 @@
 	client   *Client
 	address  string
 	conn     net.Conn
-	number   int // starts at 1; a newer connection has a higher number
+	number   int // counts the client's connections from 1, so a newer one has a higher number
 	openedAt time.Time
 	followID uint64        // id of the call that subscribes to events
 	received chan struct{} // signals a received message
--- a/internal/rollout/helpers_test.go
+++ b/internal/rollout/helpers_test.go
@@ -43,7 +43,7 @@
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen as the rollout controller: %v", err)
 	}
 	calls, events := make(chan call, 100), make(chan decision.Event, 100)
 	go func() {
@@ -96,7 +96,7 @@
 				return received
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatalf("got no %s call within 5s, want one", method)
+			t.Fatalf("got no %s call from the client within 5s, want one", method)
 		}
 	}
 }
@@ -108,7 +108,7 @@
 	case event := <-events:
 		return event
 	case <-time.After(5 * time.Second):
-		t.Fatal("got no event within 5s, want one")
+		t.Fatal("got no event from the client within 5s, want one")
 		return nil
 	}
 }
--- a/internal/rollout/votes_test.go
+++ b/internal/rollout/votes_test.go
@@ -40,11 +40,11 @@
 			want := fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"castBallot",`+
 				`"params":{"image":42,"ring":1,"opinion":"on"}}`, vote.ID)
 			if vote.text != want {
-				t.Errorf("call: got %s, want %s", vote.text, want)
+				t.Errorf("vote on the wire: got %s, want %s", vote.text, want)
 			}
 			test.response(vote)
 			if got := nextEvent(t, events); got != test.want {
-				t.Errorf("event: got %+v, want %+v", got, test.want)
+				t.Errorf("event after the response: got %+v, want %+v", got, test.want)
 			}
 			select {
 			case event := <-events:
@@ -61,16 +61,16 @@
 	client, calls, events := startClient(t)
 	client.Vote(decision.Vote{})
 	if got := nextEvent(t, events); got != (decision.StageUpdate{IsVoteResult: true, VoteResult: decision.VoteFailed}) {
-		t.Errorf("event: got %+v, want a vote result VoteFailed", got)
+		t.Errorf("vote without a connection: got event %+v, want a vote result VoteFailed", got)
 	}
 	sendHeartbeats(t, awaitSubscription(t, calls, events))
 	client.Vote(decision.Vote{})
 	vote := nextCall(t, calls, "castBallot")
 	if got := nextEvent(t, events); got != (decision.StageUpdate{IsVoteResult: true, VoteResult: decision.VoteTimedOut}) {
-		t.Errorf("event: got %+v, want a vote result VoteTimedOut", got)
+		t.Errorf("vote without a response: got event %+v, want a vote result VoteTimedOut", got)
 	}
 	vote.respond(stageJSON)
 	if got := nextEvent(t, events); got != (decision.StageUpdate{Age: 310, Build: 42, Stage: 1, ExposureCap: 0.28}) {
-		t.Errorf("event: got %+v, want a stage update of build 42", got)
+		t.Errorf("response after the timeout: got event %+v, want a stage update of build 42", got)
 	}
 }
--- a/internal/rollout/wire_golden_test.go
+++ b/internal/rollout/wire_golden_test.go
@@ -43,7 +43,7 @@
 		receiveText(t, results)
 	}
 	if err := golden.CheckFile("testdata/calls.golden", []byte(observed)); err != nil {
-		t.Error(err)
+		t.Errorf("calls to the rollout controller: %v", err)
 	}
 }
 
@@ -53,7 +53,7 @@
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen as the rollout controller: %v", err)
 	}
 	t.Cleanup(func() { closeQuietly(listener) })
 	calls, results = make(chan string, 100), make(chan string, 100)
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -24,8 +24,8 @@
 // Input is one input to an instance: its start, its stop or an event.
 type Input struct {
 	Instance int
-	Start    *Start // nil unless the instance starts
-	Stop     bool
+	Start    *Start         // nil unless the instance starts
+	Stop     bool           // the instance stops
 	Event    decision.Event // nil for a start or stop
 }
 
@@ -39,13 +39,13 @@
 // Decoder decodes lines. It holds the numbered endpoint lists that later lines refer to. The zero value is ready to
 // use.
 type Decoder struct {
-	lists     [maxLists][]decision.Endpoint
-	current   int // number of the list that is being read
-	remaining int // entries of that list that have not been read
+	lists            [maxLists][]decision.Endpoint
+	currentList      int // number of the list that is being read
+	remainingEntries int // entries of currentList that have not been read
 }
 
 // Pending returns whether the current list has entries that have not been read.
-func (d *Decoder) Pending() bool { return d.remaining > 0 }
+func (d *Decoder) Pending() bool { return d.remainingEntries > 0 }
 
 // DecodeLine decodes one line of a batch. It returns nil for a line that belongs to an endpoint list. The error of a
 // malformed line names the line's kind, the field and what was expected.
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	if kind.isEntry != d.Pending() {
-		return nil, fmt.Errorf("%s: the list has %d nodes to come", parsed.name(), d.remaining)
+		return nil, fmt.Errorf("%s: the list has %d nodes to come", parsed.name(), d.remainingEntries)
 	}
 	if kind.decodeList != nil {
 		kind.decodeList(d, parsed)
@@ -72,21 +72,21 @@
 
 // decodeListHeader decodes the header of an endpoint list: its number and the number of entries that follow.
 func (d *Decoder) decodeListHeader(f *fields) {
-	number, entries := f.integer(1), f.integer(2)
-	if f.err == nil && (!validListNumber(number) || entries < 0) {
+	listNumber, entries := f.integer(1), f.integer(2)
+	if f.err == nil && (!validListNumber(listNumber) || entries < 0) {
 		f.fail(1, "a list number with its size")
 	}
 	if f.err == nil {
-		d.current = int(number)
-		d.remaining = int(entries)
-		d.lists[number] = nil
+		d.currentList = int(listNumber)
+		d.remainingEntries = int(entries)
+		d.lists[listNumber] = nil
 	}
 }
 
 // decodeListEntry decodes an entry and appends it to the current endpoint list.
 func (d *Decoder) decodeListEntry(f *fields) {
-	d.remaining--
-	d.lists[d.current] = append(d.lists[d.current], decision.Endpoint{
+	d.remainingEntries--
+	d.lists[d.currentList] = append(d.lists[d.currentList], decision.Endpoint{
 		Cell:        decision.Cell(f.integer(1)),
 		StartedAt:   f.number(2),
 		Zone:        decision.Zone(f.text(3)),
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -14,7 +14,7 @@
 type lineKind struct {
 	fieldCount int  // number of fields, including the name
 	openEnded  bool // the last field may be missing or repeated
-	isEntry    bool // the line is an entry of an endpoint list
+	isEntry    bool // the line is an entry of an endpoint list, which follows the list's header
 	decodeList func(*Decoder, *fields)
 	decode     func(*Decoder, *fields, *Input) // nil if decodeList is set
 }
@@ -64,12 +64,12 @@
 
 func decodeEndpointsChanged(d *Decoder, f *fields, input *Input) {
 	changed := decision.EndpointsChanged{Kind: enumValue(f, 2, snapshotKinds)}
-	number := f.integer(4)
+	listNumber := f.integer(4)
 	changed.Version = f.integer(3)
 	switch {
 	case changed.Kind == decision.PollRejected:
-	case validListNumber(number):
-		changed.Endpoints = d.lists[number]
+	case validListNumber(listNumber):
+		changed.Endpoints = d.lists[listNumber]
 	default:
 		f.fail(4, "a list number")
 	}
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -100,16 +100,17 @@
 	return value
 }
 
-// load decodes a load report of name:value pairs. It ignores unknown names, and missing values are -1.
+// load decodes a load report of name:value pairs. It returns nil for an absent or malformed report. It ignores unknown
+// names, and missing values are -1.
 func (f *fields) load(i int) *decision.Load {
 	if f.parts[i] == absent {
 		return nil
 	}
 	load := &decision.Load{Utilisation: -1, Queue: -1}
 	for pair := range strings.SplitSeq(f.parts[i], ",") {
-		name, text, found := strings.Cut(pair, ":")
-		value, err := strconv.ParseFloat(text, 64)
-		if !found || err != nil {
+		name, valueText, hasColon := strings.Cut(pair, ":")
+		value, err := strconv.ParseFloat(valueText, 64)
+		if !hasColon || err != nil {
 			f.fail(i, "a load report")
 			return nil
 		}
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -67,12 +67,12 @@
 	for _, line := range goldenLines() {
 		input, err := decoder.DecodeLine(line)
 		if err != nil {
-			t.Fatalf("%q: %v", line, err)
+			t.Fatalf("decode line %q: %v", line, err)
 		}
 		fmt.Fprintf(&observed, "%s  %s\n", golden.Quote([]byte(line)), describe(input))
 	}
 	if err := golden.CheckFile("testdata/events.golden", []byte(observed.String())); err != nil {
-		t.Error(err)
+		t.Errorf("decoded input lines: %v", err)
 	}
 }
 
@@ -102,7 +102,7 @@
 	}
 	lines = AppendFault(lines, 3, "what\tfailed\n")
 	if err := golden.CheckFile("testdata/actions.golden", []byte(golden.Quote(lines))); err != nil {
-		t.Error(err)
+		t.Errorf("encoded output lines: %v", err)
 	}
 }
 
--- a/internal/simwire/lines_test.go
+++ b/internal/simwire/lines_test.go
@@ -43,7 +43,7 @@
 	} {
 		got, err := new(Decoder).DecodeLine(test.line)
 		if err != nil || got.Instance != 3 || fmt.Sprintf("%#v", got.Event) != fmt.Sprintf("%#v", test.want) {
-			t.Errorf("%q: got %+v, error %v, want %+v", test.line, got, err, test.want)
+			t.Errorf("line %q: got input %+v, error %v, want %+v", test.line, got, err, test.want)
 		}
 	}
 	input, err := new(Decoder).DecodeLine("ping_result\t3\tn1\toverdue\t250\tcpu:0.5,waiting:3")
@@ -58,7 +58,7 @@
 	var decoder Decoder
 	for i, line := range []string{"sheet\t1\t1", "node\t2\t7000\ta\t42\tk\tdraining\t1.5\tn1"} {
 		if got, err := decoder.DecodeLine(line); got != nil || err != nil || decoder.Pending() != (i == 0) {
-			t.Fatalf("%q: got %+v, error %v, want no event, and pending after the first line only", line, got, err)
+			t.Fatalf("line %q: got input %+v, error %v, want no event, and pending after the first line only", line, got, err)
 		}
 	}
 	got, err := decoder.DecodeLine("backends_changed\t3\tall\t5\t1")
@@ -85,7 +85,7 @@
 		"message\t3\t2\tzz":                        "hex",
 	} {
 		if _, err := new(Decoder).DecodeLine(line); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: got error %v, want %q", line, err, want)
+			t.Errorf("line %q: got error %v, want %q", line, err, want)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 		{decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteRollback}, "cast_vote\t3\t42\t1\t3\n"},
 	} {
 		if got := string(AppendAction(nil, 3, test.action)); got != test.want {
-			t.Errorf("%#v: got %q, want %q", test.action, got, test.want)
+			t.Errorf("action %#v: got line %q, want %q", test.action, got, test.want)
 		}
 	}
 }
