--- a/internal/cluster/lease/session.go
+++ b/internal/cluster/lease/session.go
@@ -27,7 +27,7 @@
 	TTL    Millis // TTL of the lease, requested in each command
 
 	token        Token  // the newest granted token; stays set while the lease is lost
-	trustedUntil Millis // time by the instance's local clock, see trustedShare
+	trustedUntil Millis // end of the trusted part of the TTL, see trustedShare; by the instance's local clock
 	leaseLost    bool   // whether the lease granted under token was lost
 }
 
--- a/internal/cluster/policy/state.go
+++ b/internal/cluster/policy/state.go
@@ -10,7 +10,7 @@
 // always kept.
 const (
 	maxRecords     = 256
-	maxRecordBytes = 1 << 20 // total length of the bodies
+	maxRecordBytes = 1 << 20 // total length of the bodies of the kept records
 )
 
 // State holds the sequence of versions; the oldest are dropped beyond the limits. The zero State has no version. A
--- a/internal/cluster/policy/wire_golden_test.go
+++ b/internal/cluster/policy/wire_golden_test.go
@@ -21,7 +21,7 @@
 	proposal := Proposal{ID: "id", Proposer: "n0", ProposedAt: 1.7e12, RequireBase: true, BaseVersion: 0, Body: body}
 	state := &State{}
 	if out := state.Apply(&proposal); out.Rejection != "" {
-		t.Fatal(out.Rejection)
+		t.Fatalf("apply the proposal: got rejection %q, want none", out.Rejection)
 	}
 	record, _ := state.Latest()
 	proposal.BaseVersion = 7
--- a/internal/cluster/policysync/status.go
+++ b/internal/cluster/policysync/status.go
@@ -18,7 +18,7 @@
 // MemberStatus is the policy status of one process.
 type MemberStatus struct {
 	Name           string         `json:"name" msgpack:"Name"`
-	Role           string         `json:"role" msgpack:"Role"` // leader, follower, candidate, placing, watcher
+	Role           string         `json:"role" msgpack:"Role"` // roleWatcher, or that of raftlog.Status at a server
 	Version        policy.Version `json:"version" msgpack:"Version"`
 	Checksum       string         `json:"sum" msgpack:"Sum"`                   // covers Version and all earlier, hexadecimal
 	TrialsAdmitted bool           `json:"open" msgpack:"Open"`                 // whether requests may go to a candidate
@@ -31,7 +31,7 @@
 type FleetStatus struct {
 	Members     []MemberStatus  `json:"marshals"`      // sorted by name
 	Log         *raftlog.Status `json:"log,omitempty"` // nil at a watcher
-	StoredBytes int64           `json:"stored_bytes"`  // size of this process's store
+	StoredBytes int64           `json:"stored_bytes"`  // size of this process's store in bytes
 }
 
 // localStatus is the status of a server and of the watchers that poll it.
--- a/internal/engine/endpoints.go
+++ b/internal/engine/endpoints.go
@@ -8,6 +8,8 @@
 	"ottershed/decision"
 )
 
+// handleEndpoints applies an update and passes it to the module. A full or cached snapshot also removes the endpoints
+// that it does not list.
 func (c *core) handleEndpoints(now decision.Millis, update EndpointUpdate) {
 	c.log.WithFields(logrus.Fields{
 		"how": update.Kind, "index": update.Version, "entries": len(update.Endpoints),
--- a/internal/engine/queue.go
+++ b/internal/engine/queue.go
@@ -9,7 +9,8 @@
 )
 
 // queue holds the messages that wait for the event loop. It has no limit of its own: each open request, attempt and
-// received event accounts for at most one message, and their numbers are limited elsewhere.
+// received event accounts for at most one message, and their numbers are limited elsewhere: config.Limits.Connections
+// limits the open requests, and decision.Settings.MaxAttempts the attempts of each.
 //
 // Endpoint lists, events of the rollout controller and queries have priority over messages about requests, so that
 // decisions use the newest state even under load. Messages of one priority keep their order.
@@ -17,13 +18,13 @@
 	notify chan struct{} // signals a new message; holds at most one signal
 
 	mu       sync.Mutex
-	priority []queuedMessage
-	regular  []queuedMessage
+	priority []queuedMessage // messages for which hasPriority holds, the oldest first
+	regular  []queuedMessage // all others, the oldest first
 }
 
 type queuedMessage struct {
 	message
-	queuedAt decision.Millis
+	queuedAt decision.Millis // time of post, by the engine's clock
 }
 
 func newQueue() *queue { return &queue{notify: make(chan struct{}, 1)} }
--- a/internal/rollout/votes.go
+++ b/internal/rollout/votes.go
@@ -96,6 +96,7 @@
 	p.closeIfEmpty()
 }
 
+// closeIfEmpty calls onEmpty if it is set and no vote is pending. The caller holds mu.
 func (p *pendingVotes) closeIfEmpty() {
 	if p.onEmpty != nil && len(p.timers) == 0 {
 		p.onEmpty()
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -17,7 +17,7 @@
 // fields decodes the fields of one line. The first error is kept in err, and the values of a line with an error must
 // not be used. An absent number, integer or text has the zero value.
 type fields struct {
-	parts []string // the first part is the name of the line
+	parts []string // parts[0] is the name of the line, parts[i] its field i
 	err   error
 }
 
--- a/internal/simwire/lines_test.go
+++ b/internal/simwire/lines_test.go
@@ -49,7 +49,7 @@
 	input, err := new(Decoder).DecodeLine("ping_result\t3\tn1\toverdue\t250\tcpu:0.5,waiting:3")
 	got, ok := input.Event.(decision.HealthCheckEnded)
 	if err != nil || !ok || got.Outcome != decision.TimedOut || *got.Load != *load {
-		t.Errorf("health check: got %+v, error %v, want TimedOut with its load", input, err)
+		t.Errorf("line ping_result: got input %+v, error %v, want TimedOut with its load", input, err)
 	}
 }
 
@@ -67,7 +67,7 @@
 		Build: 42, MachineType: "k", State: decision.Draining, Capacity: 1.5,
 	}}}
 	if err != nil || fmt.Sprint(got.Event) != fmt.Sprint(want) {
-		t.Errorf("endpoint list: got %+v, error %v, want %+v", got, err, want)
+		t.Errorf("line backends_changed: got input %+v, error %v, want event %+v", got, err, want)
 	}
 }
 
@@ -85,7 +85,7 @@
 		"message\t3\t2\tzz":                        "hex",
 	} {
 		if _, err := new(Decoder).DecodeLine(line); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("line %q: got error %v, want %q", line, err, want)
+			t.Errorf("line %q: got error %v, want one that contains %q", line, err, want)
 		}
 	}
 }
