--- a/internal/engine/queue.go
+++ b/internal/engine/queue.go
@@ -9,7 +9,8 @@
 )
 
 // queue holds the messages that wait for the event loop. It has no limit of its own: each open request, attempt and
-// received event accounts for at most one message, and their numbers are limited elsewhere.
+// received event accounts for at most one message, and their numbers are limited elsewhere: config.Limits.Connections
+// limits the open requests, and decision.Settings.MaxAttempts the attempts of each.
 //
 // Endpoint lists, events of the rollout controller and queries have priority over messages about requests, so that
 // decisions use the newest state even under load. Messages of one priority keep their order.
@@ -17,13 +18,13 @@
 	notify chan struct{} // signals a new message; holds at most one signal
 
 	mu       sync.Mutex
-	priority []queuedMessage
-	regular  []queuedMessage
+	priority []queuedMessage // messages for which hasPriority holds, the oldest first
+	regular  []queuedMessage // all others, the oldest first
 }
 
 type queuedMessage struct {
 	message
-	queuedAt decision.Millis
+	queuedAt decision.Millis // time of post, by the engine's clock
 }
 
 func newQueue() *queue { return &queue{notify: make(chan struct{}, 1)} }
@@ -63,17 +64,18 @@
 	return msg, len(q.regular)
 }
 
+// takeFirst removes the oldest message and returns it, or false if there is none.
 func takeFirst(messages *[]queuedMessage) (first queuedMessage, ok bool) {
-	list := *messages
-	if len(list) == 0 {
+	waiting := *messages
+	if len(waiting) == 0 {
 		return queuedMessage{}, false
 	}
-	first = list[0]
-	list[0] = queuedMessage{} // lets the garbage collector free the message while the array is in use
-	list = list[1:]
-	if len(list) == 0 {
-		list = nil // lets the garbage collector free the array
+	first = waiting[0]
+	waiting[0] = queuedMessage{} // lets the garbage collector free the message while the array is in use
+	waiting = waiting[1:]
+	if len(waiting) == 0 {
+		waiting = nil // lets the garbage collector free the array
 	}
-	*messages = list
+	*messages = waiting
 	return first, true
 }
--- a/internal/simwire/lines_test.go
+++ b/internal/simwire/lines_test.go
@@ -43,13 +43,13 @@
 	} {
 		got, err := new(Decoder).DecodeLine(test.line)
 		if err != nil || got.Instance != 3 || fmt.Sprintf("%#v", got.Event) != fmt.Sprintf("%#v", test.want) {
-			t.Errorf("%q: got %+v, error %v, want %+v", test.line, got, err, test.want)
+			t.Errorf("line %q: got input %+v, error %v, want %+v", test.line, got, err, test.want)
 		}
 	}
 	input, err := new(Decoder).DecodeLine("ping_result\t3\tn1\toverdue\t250\tcpu:0.5,waiting:3")
 	got, ok := input.Event.(decision.HealthCheckEnded)
 	if err != nil || !ok || got.Outcome != decision.TimedOut || *got.Load != *load {
-		t.Errorf("health check: got %+v, error %v, want TimedOut with its load", input, err)
+		t.Errorf("line ping_result: got input %+v, error %v, want TimedOut with its load", input, err)
 	}
 }
 
@@ -58,7 +58,7 @@
 	var decoder Decoder
 	for i, line := range []string{"sheet\t1\t1", "node\t2\t7000\ta\t42\tk\tdraining\t1.5\tn1"} {
 		if got, err := decoder.DecodeLine(line); got != nil || err != nil || decoder.Pending() != (i == 0) {
-			t.Fatalf("%q: got %+v, error %v, want no event, and pending after the first line only", line, got, err)
+			t.Fatalf("line %q: got input %+v, error %v, want no event, and pending after the first line only", line, got, err)
 		}
 	}
 	got, err := decoder.DecodeLine("backends_changed\t3\tall\t5\t1")
@@ -67,7 +67,7 @@
 		Build: 42, MachineType: "k", State: decision.Draining, Capacity: 1.5,
 	}}}
 	if err != nil || fmt.Sprint(got.Event) != fmt.Sprint(want) {
-		t.Errorf("endpoint list: got %+v, error %v, want %+v", got, err, want)
+		t.Errorf("line backends_changed: got input %+v, error %v, want event %+v", got, err, want)
 	}
 }
 
@@ -85,7 +85,7 @@
 		"message\t3\t2\tzz":                        "hex",
 	} {
 		if _, err := new(Decoder).DecodeLine(line); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: got error %v, want %q", line, err, want)
+			t.Errorf("line %q: got error %v, want one that contains %q", line, err, want)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 		{decision.Vote{Build: 42, Stage: 1, Verdict: decision.VoteRollback}, "cast_vote\t3\t42\t1\t3\n"},
 	} {
 		if got := string(AppendAction(nil, 3, test.action)); got != test.want {
-			t.Errorf("%#v: got %q, want %q", test.action, got, test.want)
+			t.Errorf("action %#v: got line %q, want %q", test.action, got, test.want)
 		}
 	}
 }
