--- a/cmd/testbed/main_test.go
+++ b/cmd/testbed/main_test.go
@@ -16,7 +16,7 @@
 			program := newProgram()
 			program.Writer = &out
 			if err := program.Run(t.Context(), []string{"testbed", command.Name, "--help"}); err != nil {
-				t.Fatal(err)
+				t.Fatalf("testbed %s --help: %v", command.Name, err)
 			}
 			help := out.String()
 			if !strings.Contains(help, "bin/testbed "+command.Name+" ") || !strings.Contains(help, command.Usage) {
--- a/internal/cluster/membership/detector.go
+++ b/internal/cluster/membership/detector.go
@@ -36,7 +36,7 @@
 	table      *table
 	rejected   int    // updates about unknown members that were rejected because the table was full
 	suspects   []Name // members under suspicion
-	nextSweep  Millis // when sweep is due
+	nextSweep  Millis // Unix time at which Detector.sweep is due
 	probing    prober
 	broadcasts broadcastQueue
 	sync       antiEntropy
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -36,12 +36,12 @@
 		s := settings("a")
 		change(&s)
 		if err := s.Check(); err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("got %v, want an error that begins with %q", err, want)
+			t.Errorf("Check of invalid settings: got %v, want an error that begins with %q", err, want)
 		}
 	}
 	valid := settings("a")
 	if err := valid.Check(); err != nil {
-		t.Error(err)
+		t.Errorf("Check of valid settings: got %v, want no error", err)
 	}
 }
 
@@ -71,11 +71,11 @@
 	}
 	checkSignature(t, signed, raw)
 	if raw, err = (Codec{Cluster: "other"}).Encode(full); err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode packet of cluster \"other\": %v", err)
 	}
 	unsigned := Codec{Cluster: "c"}
 	if _, err := unsigned.Decode(raw); !errors.Is(err, ErrCluster) {
-		t.Errorf("packet of another cluster: got %v, want %v", err, ErrCluster)
+		t.Errorf("packet of another cluster: got error %v, want %v", err, ErrCluster)
 	}
 	checkMalformed(t, unsigned)
 	for i := range raw {
@@ -92,7 +92,7 @@
 		changed := append([]byte(nil), raw...)
 		changed[i]++
 		if _, err := signed.Decode(changed); !errors.Is(err, ErrSignature) {
-			t.Fatalf("byte %d changed: got %v, want %v", i, err, ErrSignature)
+			t.Fatalf("decode with byte %d changed: got error %v, want %v", i, err, ErrSignature)
 		}
 	}
 }
@@ -118,10 +118,10 @@
 		change(p)
 		raw, err := unsigned.Encode(p)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("%s: encode packet: %v", name, err)
 		}
 		if _, err := unsigned.Decode(raw); !errors.Is(err, ErrMalformed) {
-			t.Errorf("%s: got %v, want %v", name, err, ErrMalformed)
+			t.Errorf("%s: got error %v, want %v", name, err, ErrMalformed)
 		}
 	}
 }
@@ -174,20 +174,20 @@
 	dead.State, dead.Accuser = Dead, "b"
 	detector.Receive(1002, packetFromB(dead))
 	if s, _, _ := detector.StateOf("c"); s != Suspect {
-		t.Errorf("after the first Dead: got %v, want %v", s, Suspect)
+		t.Errorf("state of c after the first Dead: got %v, want %v", s, Suspect)
 	}
 	detector.Receive(1003, packetFromB(dead))
 	if s, _, _ := detector.StateOf("c"); s != Dead {
-		t.Errorf("after the second Dead: got %v, want %v", s, Dead)
+		t.Errorf("state of c after the second Dead: got %v, want %v", s, Dead)
 	}
 	detector.Receive(1004, packetFromB(member))
 	if s, _, _ := detector.StateOf("c"); s != Dead {
-		t.Errorf("after a late Alive: got %v, want %v", s, Dead)
+		t.Errorf("state of c after a late Alive: got %v, want %v", s, Dead)
 	}
 	member.Incarnation++
 	detector.Receive(1005, packetFromB(member))
-	if s, inc, _ := detector.StateOf("c"); s != Alive || inc != 6 {
-		t.Errorf("after its refutation: got %v at incarnation %d, want %v at 6", s, inc, Alive)
+	if s, incarnation, _ := detector.StateOf("c"); s != Alive || incarnation != 6 {
+		t.Errorf("state of c after its refutation: got %v at incarnation %d, want %v at 6", s, incarnation, Alive)
 	}
 }
 
@@ -200,7 +200,7 @@
 		detector.Receive(1001, packetFromB(Update{Name: n, Address: "127.0.0.3:1", Incarnation: 5}))
 	}
 	if v := detector.View(); len(v.Members) != 4 || v.Rejected != 2 {
-		t.Errorf("got %d members and %d rejected, want 4 and 2", len(v.Members), v.Rejected)
+		t.Errorf("full table: got %d members and %d rejected updates, want 4 and 2", len(v.Members), v.Rejected)
 	}
 	detector.Receive(1002, packetFromB(Update{Name: "c", Address: "127.0.0.3:1", Incarnation: 5, State: Left}))
 	for now := 1002.0; now < 200000; now = max(now+1, detector.Next()) {
@@ -210,7 +210,7 @@
 		t.Error("a member that left was not removed from the table")
 	}
 	if detector.table.size() != 1 || len(detector.broadcasts.levels) > 20 || detector.broadcasts.size > 1 {
-		t.Errorf("got %d members and %d queued updates in %d levels, want 1, at most 1 and at most 20",
+		t.Errorf("after the retention: got %d members and %d queued updates in %d levels, want 1, at most 1 and at most 20",
 			detector.table.size(), detector.broadcasts.size, len(detector.broadcasts.levels))
 	}
 }
@@ -227,10 +227,10 @@
 	}
 	d.Tick(now + 60000)
 	if s, _, _ := d.StateOf("b"); s != Suspect {
-		t.Errorf("after its own pause: got %v, want %v", s, Suspect)
+		t.Errorf("state of b after the detector's own pause: got %v, want %v", s, Suspect)
 	}
 	if d.awareness == 0 {
-		t.Error("awareness after its own pause: got 0, want more")
+		t.Error("awareness after the detector's own pause: got 0, want more")
 	}
 }
 
--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -10,7 +10,7 @@
 
 // prober is the state of this member's own probes and of the pings that it relays.
 type prober struct {
-	nextProbe Millis // when the next periodic probe is due
+	nextProbe Millis // Unix time at which the next periodic probe is due
 	order     walk   // the random order of the current round
 	seq       uint64 // sequence number of the last ping
 	probes    []*probe
--- a/internal/cluster/membership/sim/sim.go
+++ b/internal/cluster/membership/sim/sim.go
@@ -22,8 +22,8 @@
 	Members          int     // number of members
 	Seeds            int     // number of seeds; the members with the lowest indices are seeds
 	RandomSeed       uint64  // seed of the random number generators
-	ToleratedPause   Millis  // as in membership.Settings
-	DetectionTimeout Millis  // as in membership.Settings
+	ToleratedPause   Millis  // longest silence for which no member may be declared dead; see membership.Settings
+	DetectionTimeout Millis  // longest time until all members have declared a dead member dead
 	Loss             float64 // probability that a packet is lost, 0 to 1, independent of other packets
 	Delay            Millis  // the longest delay of a packet; the shortest is a tenth of it
 	Prejoined        bool    // all members know each other from the start
@@ -54,7 +54,7 @@
 	now       Millis // Unix time
 	random    stats.Random
 	members   []*Member
-	byAddress map[string]int // indices of members
+	byAddress map[string]int // indices of the members, by ip:port
 	roster    *membership.Roster
 	cuts      map[[2]int]bool // links that carry no packets, by sender and receiver
 	queue     eventQueue
--- a/internal/cluster/membership/sim/sim_test.go
+++ b/internal/cluster/membership/sim/sim_test.go
@@ -16,7 +16,7 @@
 	set.Delay, set.Seeds = 20, min(3, set.Members)
 	simulated, err := New(set)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("new fleet of %d members: %v", set.Members, err)
 	}
 	return simulated
 }
@@ -118,7 +118,7 @@
 	f.Resume(2)
 	f.Run(12000)
 	if err := f.CheckAgreement(); err != nil {
-		t.Error(err)
+		t.Errorf("agreement after n2 has rejoined: %v", err)
 	}
 	if _, incarnation, _ := f.Member(0).Detector.StateOf("n2"); incarnation <= startUnix {
 		t.Errorf("incarnation of n2: got %d, want more than %d", incarnation, startUnix)
@@ -175,7 +175,7 @@
 	setPartition(false)
 	simulated.Run(30000)
 	if err := simulated.CheckAgreement(); err != nil {
-		t.Error(err)
+		t.Errorf("agreement after the partition has healed: %v", err)
 	}
 }
 
@@ -189,7 +189,7 @@
 		simulated.Kill(1)
 		simulated.Run(down)
 		if err := simulated.Start(1); err != nil {
-			t.Fatal(err)
+			t.Fatalf("restart n1 after %g ms: %v", down, err)
 		}
 		simulated.Run(15000)
 		if err := simulated.CheckAgreement(); err != nil {
@@ -277,6 +277,6 @@
 func start(t *testing.T, f *Fleet, i int) {
 	t.Helper()
 	if err := f.Start(i); err != nil {
-		t.Fatal(err)
+		t.Fatalf("start n%d: %v", i, err)
 	}
 }
--- a/internal/cluster/membership/sync.go
+++ b/internal/cluster/membership/sync.go
@@ -7,7 +7,7 @@
 
 // antiEntropy is the state of the periodic comparison of this member's table with those of other members.
 type antiEntropy struct {
-	nextSync    Millis // when the next digest is due
+	nextSync    Millis // Unix time at which the next digest is due
 	joined      bool   // a packet of another member was received, or an initial roster is given
 	packetsLeft int    // Records packets that may still be sent in this period
 }
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -16,8 +16,8 @@
 	suspicion   *suspicion // nil unless the state is Suspect
 	lastAliveAt Millis     // while Suspect: when this member itself last saw a sign of life
 	notifiedAt  Millis     // while Dead: when the member was last sent the update about itself
-	transmits   int        // how often its newest update was sent
-	queued      bool       // its newest update is still to be disseminated
+	transmits   int        // how often the newest update about this member was sent
+	queued      bool       // the newest update about this member is still to be disseminated
 }
 
 // Roster is an immutable list of members that many detectors can start from and share.
--- a/internal/cluster/membership/view_test.go
+++ b/internal/cluster/membership/view_test.go
@@ -16,11 +16,11 @@
 	v := d.View()
 	raw, err := json.Marshal(v)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode view: %v", err)
 	}
 	var back View
 	if err := json.Unmarshal(raw, &back); err != nil {
-		t.Fatal(err)
+		t.Fatalf("decode view: %v", err)
 	}
 	c, known := back.Get("c")
 	if want, _ := v.Get("c"); !known || c != want || c.State != Suspect || c.Accuser != "b" {
--- a/internal/cluster/membership/wire_golden_test.go
+++ b/internal/cluster/membership/wire_golden_test.go
@@ -24,14 +24,14 @@
 	}{{"signed", Codec{Cluster: "town", Key: []byte("0123456789abcdef")}}, {"not signed", Codec{Cluster: "town"}}} {
 		raw, err := c.codec.Encode(packet)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encode packet, %s: %v", c.title, err)
 		}
 		if _, err := c.codec.Decode(raw); err != nil {
-			t.Error(err)
+			t.Errorf("decode packet, %s: %v", c.title, err)
 		}
 		observed += golden.Section(c.title, golden.Quote(raw)+"\n")
 	}
 	if err := golden.CheckFile("testdata/packets.golden", []byte(observed)); err != nil {
-		t.Error(err)
+		t.Errorf("encoding of packets: %v", err)
 	}
 }
--- a/internal/cluster/raftlog/golden_test.go
+++ b/internal/cluster/raftlog/golden_test.go
@@ -117,7 +117,7 @@
 	for i, c := range goldenCommands() {
 		raw, err := msgpack.Marshal(c.command)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encode command %s: %v", c.name, err)
 		}
 		kind := leaseKind
 		if _, ok := c.command.(policy.Proposal); ok {
@@ -177,11 +177,11 @@
 	t.Helper()
 	snapshot, err := m.Snapshot()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("create snapshot: %v", err)
 	}
 	var sink buffer
 	if err := snapshot.Persist(&sink); err != nil {
-		t.Fatal(err)
+		t.Fatalf("persist snapshot: %v", err)
 	}
 	return sink.Bytes()
 }
@@ -192,11 +192,11 @@
 	t.Helper()
 	plain, err := verifyChecksum(raw)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("verify checksum of the snapshot: %v", err)
 	}
 	var parts map[string][]byte
 	if err := msgpack.Unmarshal(plain, &parts); err != nil {
-		t.Fatal(err)
+		t.Fatalf("decode parts of the snapshot: %v", err)
 	}
 	var out bytes.Buffer
 	encoder := msgpack.NewEncoder(&out)
@@ -223,7 +223,7 @@
 	}
 	got, _, _ := goldenMachine()
 	if err := got.Restore(io.NopCloser(bytes.NewReader(golden.Read(t, name)))); err != nil {
-		t.Fatal(err)
+		t.Fatalf("restore %s: %v", name, err)
 	}
 	golden.AssertDecoded(t, name, got.logClock, want.logClock)
 	golden.AssertDecoded(t, name, got.lastApplied.Load(), want.lastApplied.Load())
@@ -238,7 +238,7 @@
 		Body: []byte(`{"note":"another"}`), Checksum: 0xfedcba9876543210,
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encode policy record: %v", err)
 	}
 	return raw
 }
@@ -268,7 +268,7 @@
 		store.Set([]byte("LastVoteCand"), []byte("a")), store.SetUserValue("policy", goldenUserValue(t)),
 	} {
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("write golden content to the store: %v", err)
 		}
 	}
 }
@@ -287,7 +287,7 @@
 func closeStore(t *testing.T, store *Store) {
 	t.Helper()
 	if err := store.Close(); err != nil {
-		t.Error(err)
+		t.Errorf("close store: %v", err)
 	}
 }
 
@@ -302,7 +302,7 @@
 			})
 		})
 	}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("list content of the store: %v", err)
 	}
 	return lines
 }
@@ -312,7 +312,7 @@
 	t.Helper()
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, storeFile), golden.Read(t, "store.db"), 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("copy fixture store.db: %v", err)
 	}
 	return dir
 }
@@ -324,7 +324,7 @@
 	if golden.Updating() {
 		raw, err := os.ReadFile(filepath.Join(dir, storeFile))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("read the written store file: %v", err)
 		}
 		golden.Write(t, "store.db", raw)
 	}
@@ -345,7 +345,7 @@
 	for _, want := range goldenStoredEntries(t) {
 		var entry raft.Log
 		if err := store.GetLog(want.Index, &entry); err != nil {
-			t.Fatal(err)
+			t.Fatalf("read entry %d of store.db: %v", want.Index, err)
 		}
 		entry.AppendedAt = entry.AppendedAt.UTC()
 		golden.AssertDecoded(t, "entry of store.db", &entry, want)
@@ -355,7 +355,7 @@
 	value, valueErr := store.UserValue("policy")
 	if err := errors.Join(termErr, voteErr, valueErr); err != nil || term != 2 || string(vote) != "a" ||
 		!bytes.Equal(value, goldenUserValue(t)) {
-		t.Errorf("got term %d, vote %q, user value %q, %v, want 2, \"a\", %q", term, vote, value, err, goldenUserValue(t))
+		t.Errorf("store.db: got term %d, vote %q, user value %q, %v, want 2, \"a\", %q", term, vote, value, err, goldenUserValue(t))
 	}
 }
 
--- a/internal/cluster/raftlog/propose_test.go
+++ b/internal/cluster/raftlog/propose_test.go
@@ -62,7 +62,7 @@
 	}
 	snap, err := machine.Snapshot()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("snapshot of the state machine: %v", err)
 	}
 	restored := &fsm{machines: map[byte]StateMachine{'x': &timeRecorder{}}}
 	err = restored.Restore(io.NopCloser(bytes.NewReader(snap.(snapshot))))
@@ -109,7 +109,7 @@
 			http.Error(w, "deadline passed", http.StatusGone)
 		default:
 			if _, err := io.WriteString(w, "done"); err != nil {
-				t.Error(err)
+				t.Errorf("write the leader's reply: %v", err)
 			}
 		}
 	}
--- a/internal/cluster/raftlog/store_test.go
+++ b/internal/cluster/raftlog/store_test.go
@@ -17,7 +17,7 @@
 	dir := t.TempDir()
 	store, _, err := OpenStore(dir)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open new store: %v", err)
 	}
 	// hashicorp/raft recognizes a missing key by this text.
 	if _, err := store.GetUint64([]byte("term")); err == nil || err.Error() != "not found" {
@@ -32,11 +32,11 @@
 	}
 	if err := errors.Join(store.StoreLogs(logs), store.SetUint64([]byte("term"), 7), store.SetUserValue("k", []byte("v")),
 		store.DeleteRange(9, 10)); err != nil {
-		t.Fatal(err)
+		t.Fatalf("write to the store: %v", err)
 	}
 	closeStore(t, store)
 	if store, _, err = OpenStore(dir); err != nil {
-		t.Fatal(err)
+		t.Fatalf("reopen store: %v", err)
 	}
 	defer closeStore(t, store)
 	checkReopened(t, store)
@@ -56,11 +56,11 @@
 	term, termErr := store.GetUint64([]byte("term"))
 	value, valueErr := store.UserValue("k")
 	if err := errors.Join(termErr, valueErr); err != nil || term != 7 || string(value) != "v" {
-		t.Errorf("got term %d, user value %q, %v, want 7 and \"v\"", term, value, err)
+		t.Errorf("reopened store: got term %d, user value %q, %v, want 7 and \"v\"", term, value, err)
 	}
 	var entry raft.Log
 	if err := store.GetLog(8, &entry); err != nil || entry.Data[0] != 7 {
-		t.Errorf("entry 8: got %+v, %v, want data 7", entry, err)
+		t.Errorf("entry 8 of the reopened store: got %+v, %v, want data [7]", entry, err)
 	}
 }
 
@@ -69,19 +69,19 @@
 	t.Helper()
 	snapshots, err := raft.NewFileSnapshotStore(dir, snapshotsRetained, os.Stderr)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open snapshot store: %v", err)
 	}
 	sink, err := snapshots.Create(raft.SnapshotVersionMax, 5, 2, raft.Configuration{}, 1, nil)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("create snapshot: %v", err)
 	}
 	_, err = sink.Write([]byte("committed state"))
 	if err := errors.Join(err, sink.Close()); err != nil {
-		t.Fatal(err)
+		t.Fatalf("write snapshot: %v", err)
 	}
 	state := filepath.Join(dir, snapshotsDir, sink.ID(), "state.bin")
 	if err := os.Truncate(state, 5); err != nil {
-		t.Fatal(err)
+		t.Fatalf("truncate snapshot: %v", err)
 	}
 }
 
@@ -90,7 +90,7 @@
 	return func(t *testing.T, _ string, store *Store) {
 		t.Helper()
 		if err := store.DeleteRange(from, to); err != nil {
-			t.Error(err)
+			t.Errorf("delete entries %d to %d: %v", from, to, err)
 		}
 	}
 }
@@ -107,22 +107,22 @@
 		dir := t.TempDir()
 		store, _, err := OpenStore(dir)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("%s: open new store: %v", name, err)
 		}
 		for i := range uint64(5) {
 			if err := store.StoreLog(&raft.Log{Index: i + 1, Term: 1}); err != nil {
-				t.Fatal(err)
+				t.Fatalf("%s: store entry %d: %v", name, i+1, err)
 			}
 		}
 		corrupt(t, dir, store)
 		closeStore(t, store)
 		store, quarantined, err := OpenStore(dir)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("%s: reopen store: %v", name, err)
 		}
 		last, err := store.LastIndex()
 		if err != nil {
-			t.Error(err)
+			t.Errorf("%s: last index of the reopened store: %v", name, err)
 		}
 		if want := name != intact; (quarantined != "") != want || (last == 0) != want {
 			t.Errorf("%s: got quarantined %q, last index %d, want quarantined and empty %v", name, quarantined, last, want)
@@ -146,7 +146,7 @@
 	} {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("%s: listen: %v", name, err)
 		}
 		shared := newMux(listener, []byte(test.serverKey))
 		from := shared.http
--- a/internal/cluster/raftlog/wire_golden_test.go
+++ b/internal/cluster/raftlog/wire_golden_test.go
@@ -34,13 +34,13 @@
 	} {
 		raw, err := json.Marshal(message.value)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encode message %q: %v", message.title, err)
 		}
 		observed += golden.Section(message.title, golden.Quote(raw)+"\n")
 	}
 	observed += golden.Section("the parts of a snapshot", snapshotParts(t, stamp))
 	if err := golden.CheckFile("testdata/messages.golden", []byte(observed)); err != nil {
-		t.Error(err)
+		t.Errorf("encoding of messages: %v", err)
 	}
 }
 
@@ -51,15 +51,15 @@
 	m.lastApplied.Store(7)
 	encoded, err := m.Snapshot()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("create snapshot: %v", err)
 	}
 	raw, err := verifyChecksum(encoded.(snapshot))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("verify checksum of the snapshot: %v", err)
 	}
 	var parts map[string][]byte
 	if err := msgpack.Unmarshal(raw, &parts); err != nil {
-		t.Fatal(err)
+		t.Fatalf("decode parts of the snapshot: %v", err)
 	}
 	text := ""
 	for _, name := range slices.Sorted(maps.Keys(parts)) {
--- a/internal/conventions/conventions_test.go
+++ b/internal/conventions/conventions_test.go
@@ -96,7 +96,7 @@
 		return nil
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse the Go files of the repository: %v", err)
 	}
 	if len(files) == 0 {
 		t.Fatal("no Go files found")
@@ -236,7 +236,7 @@
 	t.Helper()
 	file, err := os.Open(path)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("open list %s: %v", path, err)
 	}
 	defer func() { _ = file.Close() }() // the file was only read
 	lines := map[string]bool{}
@@ -248,7 +248,7 @@
 		}
 	}
 	if err := scanner.Err(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("read list %s: %v", path, err)
 	}
 	return lines
 }
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -33,7 +33,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := emptyFields("v", reflect.ValueOf(test.value)); !reflect.DeepEqual(got, test.want) {
-				t.Errorf("got empty fields %v, want %v", got, test.want)
+				t.Errorf("emptyFields: got %v, want %v", got, test.want)
 			}
 		})
 	}
--- a/internal/golden/text_test.go
+++ b/internal/golden/text_test.go
@@ -16,7 +16,7 @@
 		t.Error("CheckFile with a missing file returns no error")
 	}
 	if err := os.WriteFile(path, []byte("one\ntwo\n"), 0o600); err != nil {
-		t.Fatal(err)
+		t.Fatalf("write the stored file: %v", err)
 	}
 	for name, test := range map[string]struct {
 		observed string
@@ -39,6 +39,6 @@
 // Quote makes every byte visible, including line endings and invalid UTF-8.
 func TestQuoteShowsEveryByte(t *testing.T) {
 	if got, want := Quote([]byte("a\r\nb\xff")), "\"a\\r\\n\"\n\"b\\xff\"\n"; got != want {
-		t.Errorf("got %q, want %q", got, want)
+		t.Errorf("Quote: got %q, want %q", got, want)
 	}
 }
--- a/internal/testbed/days/day_test.go
+++ b/internal/testbed/days/day_test.go
@@ -36,7 +36,7 @@
 	dir := t.TempDir()
 	for name, lines := range logs {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(strings.Join(lines, "\n")+"\n"), 0o600); err != nil {
-			t.Fatal(err)
+			t.Fatalf("write log %s: %v", name, err)
 		}
 	}
 	return dir
@@ -60,7 +60,7 @@
 		"notes.txt": {"skipped"},
 	}))
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("read day of two instances: %v", err)
 	}
 	return day
 }
@@ -82,8 +82,8 @@
 	}
 	if day.Instances != 2 || day.Skipped != 1 || day.Seconds[5].Starts != 1 ||
 		math.Abs(day.Seconds[2].Counts["opened"]-2) > 1e-9 {
-		t.Errorf("got %d instances, %d skipped lines, second 2 %+v; want 2, 1 and 2 opened",
-			day.Instances, day.Skipped, day.Seconds[2])
+		t.Errorf("day: got %d instances, %d skipped lines, second 2 %+v, second 5 %+v; want 2, 1, 2 opened and 1 start",
+			day.Instances, day.Skipped, day.Seconds[2], day.Seconds[5])
 	}
 	t.Run("table", func(t *testing.T) { checkTable(t, day) })
 	t.Run("chart", func(t *testing.T) { checkChart(t, day) })
@@ -95,11 +95,11 @@
 	var table, lines strings.Builder
 	if err := day.WriteTable(&table, 4); err != nil || strings.Count(table.String(), "\n") != 4 ||
 		!strings.Contains(table.String(), "| 0 | 2 | 2 | 7/1 | 0 | 1 | 10 |") {
-		t.Errorf("WriteTable: error %v, table:\n%s", err, &table)
+		t.Errorf("WriteTable: error %v, want 4 lines and the row of second 0 in the table:\n%s", err, &table)
 	}
 	if err := day.WriteOtherLines(&lines); err != nil || !strings.Contains(lines.String(),
 		"| 2 | 3 | 2 | vote # on build # stage #: slower, by # at last |") {
-		t.Errorf("WriteOtherLines: error %v, lines:\n%s", err, &lines)
+		t.Errorf("WriteOtherLines: error %v, want both votes counted in one line, in the lines:\n%s", err, &lines)
 	}
 }
 
@@ -108,7 +108,7 @@
 	t.Helper()
 	chart := filepath.Join(t.TempDir(), "day.svg")
 	if err := day.WriteChart(chart, []string{"taken", "cold"}); err != nil {
-		t.Error(err)
+		t.Errorf("WriteChart with known columns: %v", err)
 	}
 	if info, err := os.Stat(chart); err != nil || info.Size() == 0 {
 		t.Errorf("chart file is missing or empty: %v", err)
@@ -145,6 +145,6 @@
 		}
 	}
 	if _, err := Read(filepath.Join(t.TempDir(), "none")); err == nil || !strings.Contains(err.Error(), "does not exist") {
-		t.Errorf("missing directory: got error %v", err)
+		t.Errorf("missing directory: got error %v, want one with \"does not exist\"", err)
 	}
 }
--- a/internal/testbed/faultinject/process_test.go
+++ b/internal/testbed/faultinject/process_test.go
@@ -22,15 +22,15 @@
 	environment := &Environment{Rules: NewRules(1), Processes: map[string]*Process{"p": process}}
 	script, err := ParseScript("0s start p\n20ms stall p\n30ms restart p\n40ms cut p > q\n50ms loss 10%")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("parse script: %v", err)
 	}
 	if err := environment.Play(t.Context(), script); err != nil {
-		t.Fatal(err)
+		t.Fatalf("play script: %v", err)
 	}
 	rule := environment.Rules.RuleFor(Link{"p", "q"})
 	if !errors.Is(process.Start(), ErrRunning) || process.StartCount() != 2 || process.PID() == 0 ||
 		!rule.Cut || rule.Drop != 0.1 {
-		t.Errorf("got %d starts, process ID %d, rule %+v, want 2 starts, a running process whose Start fails, a cut and a "+
+		t.Errorf("after the script: got %d starts, process ID %d, rule %+v, want 2 starts, a running process whose Start fails, a cut and a "+
 			"loss of 0.1", process.StartCount(), process.PID(), rule)
 	}
 	for end := time.Now().Add(5 * time.Second); strings.Count(process.Output(), "run") < 2 && time.Now().Before(end); {
@@ -45,7 +45,7 @@
 		t.Error("Start of a missing program returns no error")
 	}
 	if _, err := os.Stat(process.Log); err != nil {
-		t.Error(err)
+		t.Errorf("log file of the process: %v", err)
 	}
 }
 
--- a/internal/testbed/faultinject/relay_test.go
+++ b/internal/testbed/faultinject/relay_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen on a UDP socket: %v", err)
 	}
 	t.Cleanup(func() { _ = conn.Close() }) // a failed close leaves nothing to clean up
 	return conn
@@ -22,7 +22,7 @@
 func mustSend(t *testing.T, from *net.UDPConn, text string, to *net.UDPAddr) {
 	t.Helper()
 	if _, err := from.WriteToUDP([]byte(text), to); err != nil {
-		t.Fatal(err)
+		t.Fatalf("send packet %q to %v: %v", text, to, err)
 	}
 }
 
@@ -33,7 +33,7 @@
 	raw := make([]byte, 100)
 	n, _, err := conn.ReadFromUDP(raw)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("receive packet: %v", err)
 	}
 	return string(raw[:n])
 }
@@ -42,7 +42,7 @@
 func setReadTimeout(t *testing.T, conn net.Conn, timeout time.Duration) {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
-		t.Fatal(err)
+		t.Fatalf("set read deadline: %v", err)
 	}
 }
 
@@ -54,11 +54,11 @@
 	receiver, cut, delayed := listenUDP(t), listenUDP(t), listenUDP(t)
 	relayAddress, err := relays.AddRelay("a", receiver.LocalAddr().String())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("add relay to a: %v", err)
 	}
 	for name, conn := range map[string]*net.UDPConn{"b": cut, "c": delayed} {
 		if _, err := relays.AddRelay(name, conn.LocalAddr().String()); err != nil {
-			t.Fatal(err)
+			t.Fatalf("add relay to %s: %v", name, err)
 		}
 	}
 	if _, err := relays.AddRelay("x", "192.0.2.1:1"); !errors.Is(err, ErrNotLoopback) {
@@ -66,7 +66,7 @@
 	}
 	target, err := net.ResolveUDPAddr("udp", relayAddress)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("resolve relay address %s: %v", relayAddress, err)
 	}
 	rules.SetCut(Link{"b", "a"}, true)
 	rules.Set(Link{"c", "a"}, Rule{Delay: 20 * time.Millisecond, Duplicate: 1})
@@ -75,7 +75,7 @@
 	mustSend(t, delayed, "from c", target)
 	first, second := mustReceive(t, receiver), mustReceive(t, receiver)
 	if first != "from c" || second != "from c" || time.Since(start) < 20*time.Millisecond {
-		t.Errorf("got %q and %q after %v, want two copies of \"from c\" after 20ms", first, second, time.Since(start))
+		t.Errorf("packets received: got %q and %q after %v, want two copies of \"from c\" after 20ms", first, second, time.Since(start))
 	}
 	rules.Heal()
 	mustSend(t, cut, "healed", target)
@@ -99,24 +99,24 @@
 	t.Cleanup(relays.Close)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listen on a TCP socket: %v", err)
 	}
 	t.Cleanup(func() { _ = listener.Close() }) // the test may have closed it
 	address, err := relays.AddRelay("a", "b", listener.Addr().String())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("add relay from a to b: %v", err)
 	}
 	if _, err := relays.AddRelay("a", "b", "192.0.2.1:1"); !errors.Is(err, ErrNotLoopback) {
 		t.Errorf("AddRelay outside loopback: got error %v, want ErrNotLoopback", err)
 	}
 	opened, err := net.Dial("tcp", address)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("connect to the relay: %v", err)
 	}
 	t.Cleanup(func() { _ = opened.Close() }) // it may have been reset
 	accepted, err := listener.Accept()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("accept the connection of the relay: %v", err)
 	}
 	return streamPair{rules: rules, relay: address, listener: listener, a: opened, b: accepted}
 }
@@ -166,13 +166,13 @@
 	}
 	pair.rules.Heal()
 	if err := pair.b.Close(); err != nil {
-		t.Error(err)
+		t.Errorf("close the connection of b: %v", err)
 	}
 	if ended, err := connectionEnds(t, pair.a); !ended {
 		t.Errorf("the end of the peer is not relayed: %v", err)
 	}
 	if err := pair.listener.Close(); err != nil {
-		t.Error(err)
+		t.Errorf("close the listener of b: %v", err)
 	}
 	if conn, err := net.Dial("tcp", pair.relay); err == nil {
 		if ended, err := connectionEnds(t, conn); !ended {
--- a/internal/testbed/faultinject/rules_test.go
+++ b/internal/testbed/faultinject/rules_test.go
@@ -38,7 +38,7 @@
 			duplicated++
 		}
 		if delivery.Copies > 0 && (delivery.Delay < time.Millisecond || delivery.Delay > 2*time.Millisecond) {
-			t.Errorf("got delivery %+v, want a delay of 1ms to 2ms", delivery)
+			t.Errorf("packet on a > b: got delivery %+v, want a delay of 1ms to 2ms", delivery)
 		}
 	}
 	if lost < 20 || lost > 60 || duplicated < 5 || duplicated > 40 {
--- a/internal/testbed/faultinject/script_test.go
+++ b/internal/testbed/faultinject/script_test.go
@@ -23,7 +23,7 @@
 10s heal all`
 	s, err := ParseScript(text)
 	if err != nil || len(s) != 11 || s[0].Verb != Cut || !s[2].Both || s[3].Share != 0.2 {
-		t.Fatalf("got script %v, error %v, want 11 steps in the order of their times", s, err)
+		t.Fatalf("parsed script: got %v, error %v, want 11 steps in the order of their times, a cut first and a loss of 0.2", s, err)
 	}
 	if again, err := ParseScript(s.String()); err != nil || again.String() != s.String() {
 		t.Errorf("parse of the formatted script: got %v, error %v, want the same script", again, err)
--- a/internal/testbed/load/golden_test.go
+++ b/internal/testbed/load/golden_test.go
@@ -15,6 +15,6 @@
 func TestResultStringMatchesGoldenFile(t *testing.T) {
 	got := fmt.Sprintf("hits: %+v\n", goldenLoadResult)
 	if err := golden.CheckFile("testdata/load-result.golden", []byte(got)); err != nil {
-		t.Error(err)
+		t.Errorf("text of the load result: %v", err)
 	}
 }
