--- a/cmd/testbed/members.go
+++ b/cmd/testbed/members.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	simulatedDelay    experiment.Millis = 2      // delay of each simulated packet
-	maxSimulatedWatch experiment.Millis = 10_000 // sufficient because simulated clusters are large
+	simulatedDelay    experiment.Millis = 2      // longest delay of a simulated packet, in milliseconds
+	maxSimulatedWatch experiment.Millis = 10_000 // maximum of --watch, in ms: with many members, rates need less time
 )
 
 func membersCommand() *cli.Command {
--- a/internal/cluster/gossip/changes.go
+++ b/internal/cluster/gossip/changes.go
@@ -14,9 +14,9 @@
 // publisher holds what other goroutines can read of the detector: the view and the changes.
 type publisher struct {
 	view      atomic.Pointer[membership.View]
-	version   uint64 // of the published view; used by the goroutine of Run only
+	version   uint64 // Detector.Version of the published view; used by the goroutine of Run only
 	changes   chan membership.Change
-	hasReader atomic.Bool // Changes was called
+	hasReader atomic.Bool // set by the first call of Changes; changes are queued from then on
 }
 
 // View returns the current view. It is never nil and immutable. Any goroutine may call View.
@@ -70,7 +70,8 @@
 	}
 }
 
-// queueChange queues a change for the reader of Changes, or counts it as dropped if the queue is full.
+// queueChange queues a change for the reader of Changes, or counts it as dropped if the queue is full. It does
+// nothing before the first call of Changes.
 func (t *Transport) queueChange(change membership.Change) {
 	if !t.published.hasReader.Load() {
 		return
--- a/internal/cluster/gossip/counters.go
+++ b/internal/cluster/gossip/counters.go
@@ -6,7 +6,7 @@
 type Counters struct {
 	PacketsIn      uint64 `json:"packets_in"` // valid packets received
 	PacketsOut     uint64 `json:"packets_out"`
-	BytesIn        uint64 `json:"bytes_in"` // of valid packets
+	BytesIn        uint64 `json:"bytes_in"` // bytes of the valid packets received
 	BytesOut       uint64 `json:"bytes_out"`
 	Rejected       uint64 `json:"refused"` // packets rejected: wrong signature, another cluster or malformed
 	DroppedChanges uint64 `json:"missed"`  // changes dropped because the reader of Changes fell behind
--- a/internal/cluster/logclock/clock.go
+++ b/internal/cluster/logclock/clock.go
@@ -27,7 +27,7 @@
 // as a leader's clock runs fast. It never goes back.
 type Clock struct {
 	Now  Millis `msgpack:"Now"`  // the log's time
-	Last Stamp  `msgpack:"Last"` // of the last entry that advanced the clock or came from another process
+	Last Stamp  `msgpack:"Last"` // stamp of the last entry that advanced the clock or came from another process
 }
 
 // Advance advances the clock by the stamp of the next entry, and returns the log's time at that entry.
--- a/internal/cluster/logclock/clock_test.go
+++ b/internal/cluster/logclock/clock_test.go
@@ -29,7 +29,7 @@
 		}
 	}
 	if got := clock.AdvanceTo(1.8e12); got != 1.8e12 || clock.Advance(Stamp{3, 10}) != 1.8e12+10 {
-		t.Errorf("after an entry without a stamp at 1.8e12 and 10 ms more: got %v", clock)
+		t.Errorf("clock after an entry without a stamp at 1.8e12 and 10 ms more: got %+v, want 1.8e12+10", clock)
 	}
 }
 
--- a/internal/cluster/logclock/reading.go
+++ b/internal/cluster/logclock/reading.go
@@ -6,8 +6,8 @@
 
 // LeaderReading is a reading of a leader's clock that a proposer has received. The zero value means no reading.
 type LeaderReading struct {
-	Stamp             // the leader's clock when it wrote a response
-	ReceivedAt Millis // when the response was received, by the proposer's own monotonic clock
+	Stamp             // reading of the leader's clock when the leader wrote a response
+	ReceivedAt Millis // reading of the proposer's own monotonic clock when it received that response
 }
 
 // Deadline returns the reading of the leader's clock after which a proposal must not be committed. now and end are
--- a/internal/cluster/membership/broadcast.go
+++ b/internal/cluster/membership/broadcast.go
@@ -17,7 +17,7 @@
 	levels        [][]*member // by number of transmits; a requeued or removed member leaves a stale entry
 	size          int         // members queued
 	transmitLimit int         // an update is removed after this many transmits
-	nextGossip    Millis      // when the next gossip round is due
+	nextGossip    Millis      // Unix time at which the next gossip round is due
 }
 
 // enqueue queues a member's newest update and resets its transmit count.
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -37,12 +37,12 @@
 		file := "packet_" + name + suffix + ".bin"
 		raw, err := codec.Encode(packet)
 		if err != nil {
-			t.Fatalf("%s: %v", file, err)
+			t.Fatalf("%s: encode packet: %v", file, err)
 		}
 		golden.AssertFixture(t, file, raw)
 		back, err := codec.Decode(golden.Read(t, file))
 		if err != nil {
-			t.Fatalf("%s: %v", file, err)
+			t.Fatalf("%s: decode packet: %v", file, err)
 		}
 		golden.AssertDecoded(t, file, back, packet)
 	}
--- a/internal/cluster/membership/packet.go
+++ b/internal/cluster/membership/packet.go
@@ -58,14 +58,14 @@
 
 // Send is a packet that the caller must send.
 type Send struct {
-	To     string // ip:port
+	To     string // ip:port of the receiver
 	Packet Packet
 }
 
 // Change reports a member's new state, or a new process of the member.
 type Change struct {
-	At        Millis // Unix time
-	Previous  State  // Dead for a member that was not known
+	At        Millis // Unix time of the change
+	Previous  State  // state before the change; Dead for a member that was not known
 	NewMember bool   // the member was not known before
 	Member           // the member after the change
 }
--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -32,9 +32,10 @@
 	directDeadline Millis // without an Ack by then, other members are asked to ping the target
 	deadline       Millis // without an Ack by then, the probe has failed
 	relays, nacks  int    // members that were asked to ping the target, and Nacks received from them
-	indirect       bool   // other members were asked to ping the target
+	indirectSent   bool   // other members were asked to ping the target
 	acked          bool
-	retry          bool // not a periodic probe: its failure leads to suspicion at once
+	// suspectOnFailure is set for a probe that is not periodic: its failure leads to suspicion at once.
+	suspectOnFailure bool
 }
 
 // relay is a ping in flight on behalf of another member, the origin.
@@ -44,7 +45,7 @@
 	origin    string // ip:port of the origin
 	target    Name
 	nackAt    Millis // without an Ack by then, the origin is sent a Nack
-	expiresAt Millis // when the relay is removed
+	expiresAt Millis // Unix time at which the relay is removed
 	nacked    bool
 }
 
@@ -52,7 +53,7 @@
 func (p *prober) nextDue() Millis {
 	next := p.nextProbe
 	for _, probe := range p.probes {
-		if !probe.indirect {
+		if !probe.indirectSent {
 			next = min(next, probe.directDeadline)
 		}
 		next = min(next, probe.deadline)
@@ -66,7 +67,8 @@
 	return next
 }
 
-// probeNext probes the next member of the round. A round probes each member once, in random order.
+// probeNext probes the next member of the round. A round probes each alive or suspected member once, in random order. It
+// does nothing if there is no such member but this one.
 func (d *Detector) probeNext() {
 	for range 2 { // the rest of this round, then a new round
 		for m := d.probing.order.next(d.table); m != nil; m = d.probing.order.next(d.table) {
@@ -80,19 +82,20 @@
 }
 
 // startProbe sends a Ping to a member, unless maxProbes probes are in flight. The timeouts of the probe grow with
-// awareness. retry tells whether a failure of the probe leads to suspicion at once.
-func (d *Detector) startProbe(m *member, retry bool) {
+// awareness. suspectOnFailure tells whether a failure of the probe leads to suspicion at once, or first to a second
+// probe.
+func (d *Detector) startProbe(m *member, suspectOnFailure bool) {
 	if len(d.probing.probes) >= maxProbes {
 		return
 	}
 	d.probing.seq++
 	factor := d.awareness.timeoutFactor()
 	d.probing.probes = append(d.probing.probes, &probe{
-		seq:            d.probing.seq,
-		target:         m.Name,
-		retry:          retry,
-		directDeadline: d.now + d.timing.directTimeout*factor,
-		deadline:       d.now + d.timing.period*factor,
+		seq:              d.probing.seq,
+		target:           m.Name,
+		suspectOnFailure: suspectOnFailure,
+		directDeadline:   d.now + d.timing.directTimeout*factor,
+		deadline:         d.now + d.timing.period*factor,
 	})
 	d.send(m, Packet{Kind: Ping, Seq: d.probing.seq, Target: m.Name})
 }
@@ -109,7 +112,7 @@
 		return p.acked
 	})
 	for _, p := range d.probing.probes {
-		if m := d.table.get(p.target); m != nil && !p.indirect && d.now >= p.directDeadline {
+		if m := d.table.get(p.target); m != nil && !p.indirectSent && d.now >= p.directDeadline {
 			d.probeIndirectly(p, m)
 		}
 	}
@@ -120,7 +123,7 @@
 
 // probeIndirectly repeats the direct ping, which may have been lost, and asks other members to ping the target.
 func (d *Detector) probeIndirectly(p *probe, target *member) {
-	p.indirect = true
+	p.indirectSent = true
 	d.send(target, Packet{Kind: Ping, Seq: p.seq, Target: target.Name})
 	relays := d.sample(indirectProbes, func(m *member) bool { return isAlive(m) && m.Name != p.target })
 	for _, m := range relays {
@@ -143,7 +146,7 @@
 	m := d.table.get(p.target)
 	switch {
 	case m == nil: // removed from the table since the probe started
-	case m.State == Alive && !p.retry:
+	case m.State == Alive && !p.suspectOnFailure:
 		d.startProbe(m, true)
 	default:
 		d.suspectMember(m.Name, m.Incarnation, d.settings.Name)
@@ -158,7 +161,8 @@
 	}
 }
 
-// handleAck ends a probe, or forwards the Ack to the member for which the ping was relayed.
+// handleAck ends a probe, or forwards the Ack to the member for which the ping was relayed. It ignores an Ack that
+// matches neither.
 func (d *Detector) handleAck(p *Packet) {
 	for _, probe := range d.probing.probes {
 		if probe.seq == p.Seq && probe.target == p.Target {
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -1,6 +1,8 @@
 package membership
 
-// receive handles a packet: first the sender's own state, then the updates, then the packet according to its kind.
+// receive handles a packet: first the sender's own state, then the updates, then the packet according to its kind. Of a
+// packet that has this member's own name as sender, only the state is handled. A packet from a member that a full table
+// rejects is not handled according to its kind.
 func (d *Detector) receive(packet *Packet) {
 	self := Update{
 		Name: packet.From, Address: packet.Address, State: Alive, Incarnation: packet.Incarnation, Run: packet.Run,
--- a/internal/cluster/membership/sim/events.go
+++ b/internal/cluster/membership/sim/events.go
@@ -8,7 +8,7 @@
 
 // event is the arrival of a packet at a member, or a wake-up of the member.
 type event struct {
-	due    Millis             // Unix time
+	due    Millis             // Unix time of the arrival or the wake-up
 	seq    uint64             // position in the order of scheduling, which breaks ties
 	member int                // index of the member
 	packet *membership.Packet // nil: a wake-up
@@ -17,7 +17,7 @@
 // eventQueue yields events in order of time. Events of the same time are yielded in the order of scheduling.
 type eventQueue struct {
 	heap    eventHeap
-	lastSeq uint64 // of the event that was scheduled last
+	lastSeq uint64 // event.seq of the event that was scheduled last
 }
 
 // push schedules an event.
--- a/internal/cluster/membership/state.go
+++ b/internal/cluster/membership/state.go
@@ -139,7 +139,7 @@
 }
 
 // setState updates a member in the table and queues the update for dissemination. Any state but Suspect ends a
-// suspicion of the member.
+// suspicion of the member. A change of the state or of the run is added to the output.
 func (d *Detector) setState(target *member, update Update) {
 	previous := target.State
 	run := target.Run
@@ -161,7 +161,8 @@
 }
 
 // handleSelfUpdate handles an update about this member: it refutes a false statement, or stops the protocol if a newer
-// process of this name runs at another address.
+// process of this name runs at another address. It ignores an update at an earlier incarnation, and any update while
+// the detector is not in the phase running.
 func (d *Detector) handleSelfUpdate(update Update) {
 	if d.phase != running || update.Incarnation < d.self.Incarnation {
 		return
@@ -188,7 +189,7 @@
 	d.announce(Alive)
 }
 
-// announce increments this member's incarnation and queues the update for dissemination.
+// announce sets this member's state, increments its incarnation and queues the update for dissemination.
 func (d *Detector) announce(s State) {
 	d.self.Incarnation++
 	d.self.State = s
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -13,8 +13,8 @@
 
 // suspicion is the state of a member that is accused of a failure and can still refute the accusation.
 type suspicion struct {
-	startedAt           Millis
-	endsAt              Millis
+	startedAt           Millis // Unix time of the start
+	endsAt              Millis // Unix time at which the member is declared dead if it has not shown a sign of life
 	accusers            []Name // distinct, at most confirmationsWanted+1
 	confirmationsWanted int    // further accusers that shorten the suspicion to its minimum timeout
 	finalChecks         int    // number of final checks made
@@ -46,16 +46,16 @@
 // suspectMember handles an accusation by another member, or by a failed probe of this member. It starts a suspicion or
 // confirms the one in progress. Accusations of this member, of dead or left members and at an earlier incarnation are
 // ignored.
-func (d *Detector) suspectMember(name Name, inc Incarnation, accuser Name) {
+func (d *Detector) suspectMember(name Name, incarnation Incarnation, accuser Name) {
 	m := d.table.writable(name)
-	if m == nil || m.State >= Dead || inc < m.Incarnation || name == d.settings.Name {
+	if m == nil || m.State >= Dead || incarnation < m.Incarnation || name == d.settings.Name {
 		return
 	}
-	if m.State == Suspect && inc == m.Incarnation && m.suspicion != nil {
+	if m.State == Suspect && incarnation == m.Incarnation && m.suspicion != nil {
 		d.confirmSuspicion(m, accuser)
 		return
 	}
-	d.startSuspicion(m, inc, accuser)
+	d.startSuspicion(m, incarnation, accuser)
 	// A single accuser may have lost its connection in one direction. So other members probe the suspect themselves: all
 	// members of a small cluster, but only a few of a large cluster, so that the suspect is not flooded with pings.
 	if accuser != d.settings.Name && d.random.Float64() < confirmingProbes/float64(d.table.present()) {
@@ -64,11 +64,11 @@
 }
 
 // startSuspicion makes a member suspect and queues the accusation for dissemination.
-func (d *Detector) startSuspicion(target *member, inc Incarnation, accuser Name) {
+func (d *Detector) startSuspicion(target *member, incarnation Incarnation, accuser Name) {
 	previous := target.State
 	update := target.Update
 	update.State = Suspect
-	update.Incarnation = inc
+	update.Incarnation = incarnation
 	update.Accuser = accuser
 	d.table.set(target, update)
 	d.broadcasts.enqueue(target)
@@ -88,7 +88,8 @@
 	}
 }
 
-// confirmSuspicion counts a further accuser, which shortens the suspicion, and queues the accusation again.
+// confirmSuspicion counts a further accuser, which shortens the suspicion, and queues the accusation again. It does
+// nothing for an accuser that is counted already, or if no further accusers are wanted.
 func (d *Detector) confirmSuspicion(m *member, accuser Name) {
 	s := m.suspicion
 	if len(s.accusers) > s.confirmationsWanted || slices.Contains(s.accusers, accuser) {
--- a/internal/cluster/membership/sync.go
+++ b/internal/cluster/membership/sync.go
@@ -63,7 +63,7 @@
 func (d *Detector) checksums() []uint64 { return slices.Clone(d.table.checksums[:]) }
 
 // handleDigest sends the records of the buckets that differ. It adds this member's own checksums, by which the receiver
-// sends its records in return.
+// sends its records in return. It sends nothing if no bucket differs, or if the number of checksums is wrong.
 func (d *Detector) handleDigest(p *Packet, sender *member) {
 	if len(p.Checksums) != bucketCount {
 		return
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -51,7 +51,7 @@
 	added     []Name              // members that are not in the roster, in the order of their addition
 	checksums [bucketCount]uint64 // by bucket: XOR of the checksums of its members
 	removed   int                 // members of the roster that were removed
-	version   uint64              // increases with each change
+	version   uint64              // increases with each change of the table
 	count     [4]int              // members by State
 }
 
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -47,7 +47,7 @@
 func (d *Detector) Count() (byState [4]int) { return d.table.count }
 
 // StateOf returns the state and incarnation of a member; known is false if it is not in the table.
-func (d *Detector) StateOf(name Name) (s State, inc Incarnation, known bool) {
+func (d *Detector) StateOf(name Name) (s State, incarnation Incarnation, known bool) {
 	m := d.table.get(name)
 	if m == nil {
 		return Dead, 0, false
--- a/internal/cluster/membership/wire.go
+++ b/internal/cluster/membership/wire.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	protocolVersion = 1
+	protocolVersion = 1    // version of the wire format; packets of other versions are rejected
 	maxWireBytes    = 2048 // maximum size of a datagram; longer ones are rejected
 	signatureBytes  = 16   // length of the truncated HMAC-SHA-256, and the minimum length of a key
 	maxClusterBytes = 32   // maximum length of a cluster's name
@@ -139,24 +139,24 @@
 	}
 	sender := Update{Name: p.From, Address: p.Address, State: Alive, Incarnation: p.Incarnation}
 	if err := sender.check(); err != nil {
-		return fmt.Errorf("sender: %w", err)
+		return fmt.Errorf("check sender: %w", err)
 	}
 	if n := len(p.Checksums); n != 0 && n != bucketCount {
 		return fmt.Errorf("want 0 or %d checksums, got %d", bucketCount, n)
 	}
 	if p.Kind <= Nack {
 		if err := p.Target.Check(); err != nil {
-			return fmt.Errorf("target: %w", err)
+			return fmt.Errorf("check target: %w", err)
 		}
 	}
 	if p.Kind == PingReq {
 		if err := checkAddress(p.TargetAddress); err != nil {
-			return fmt.Errorf("target address: %w", err)
+			return fmt.Errorf("check target address: %w", err)
 		}
 	}
 	for i := range p.Updates {
 		if err := p.Updates[i].check(); err != nil {
-			return fmt.Errorf("update %d: %w", i, err)
+			return fmt.Errorf("check update %d: %w", i, err)
 		}
 	}
 	return nil
--- a/internal/cluster/raftlog/client.go
+++ b/internal/cluster/raftlog/client.go
@@ -27,10 +27,11 @@
 // Client accesses the log from a process that may not be a server. It remembers the last leader. All exported fields
 // are required. Its methods may be called from any goroutine.
 type Client struct {
-	Servers         []Server
-	HTTP            *http.Client  // from NewHTTPClient
-	ElectionTimeout time.Duration // as in Config
-	Clock           *clock.Clock
+	Servers []Server
+	HTTP    *http.Client // from NewHTTPClient
+	// ElectionTimeout is that of the servers' Config. Time limits of attempts and pauses between them are derived from it.
+	ElectionTimeout time.Duration
+	Clock           *clock.Clock // clock of this process
 	readings        leaderReadings
 }
 
@@ -47,8 +48,8 @@
 	}}
 }
 
-// Get sends a GET request to one server after another until one succeeds, and decodes the response as Call does. It
-// returns the error of the last server.
+// Get sends a GET request to one server after another until one succeeds or ctx ends, and decodes the response as Call
+// does. It returns the error of the last server.
 func (c *Client) Get(ctx context.Context, path string, reply any) (err error) {
 	for _, s := range c.Servers {
 		attemptCtx, cancel := context.WithTimeout(ctx, c.ElectionTimeout)
@@ -71,7 +72,8 @@
 	return ""
 }
 
-// callLeader sends a POST request to the current leader, again and again until it succeeds or ctx ends.
+// callLeader sends a POST request to the current leader, again and again until it succeeds or ctx ends. After
+// the end of ctx, the error wraps ErrNoLeader.
 func (n *Node) callLeader(ctx context.Context, path string, request, reply any) error {
 	raw, err := json.Marshal(request)
 	if err != nil {
--- a/internal/cluster/raftlog/config.go
+++ b/internal/cluster/raftlog/config.go
@@ -14,10 +14,10 @@
 
 // Config configures a server, or a process that is no server and accesses the log.
 type Config struct {
-	Name    string   // of this process
+	Name    string   // name of this process
 	Dir     string   // directory of the store; must persist across restarts
 	Bind    string   // ip:port of the TCP listener; empty for a process that is no server
-	Servers []Server // 1 to 9
+	Servers []Server // all servers of the log, 1 to 9
 	Key     []byte   // 16 bytes or more, the same on all servers; nil: anyone who reaches the port can propose
 
 	// ElectionTimeout is how long a follower waits for a sign of its leader before it starts an election; 50 ms or more,
--- a/internal/cluster/raftlog/fsm.go
+++ b/internal/cluster/raftlog/fsm.go
@@ -40,7 +40,8 @@
 	lastApplied atomic.Uint64
 }
 
-// Apply implements raft.FSM. It returns the reply of the state machine, a []byte.
+// Apply implements raft.FSM. It returns the reply of the state machine, a []byte; nil for an entry that is no command,
+// has an invalid stamp or is of a kind without a state machine.
 func (f *fsm) Apply(entry *raft.Log) any {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/cluster/raftlog/join.go
+++ b/internal/cluster/raftlog/join.go
@@ -41,7 +41,7 @@
 	return sleepContext(ctx, n.cfg.ElectionTimeout/joinIntervalDivisor)
 }
 
-// peerStates requests the states of the other servers.
+// peerStates requests the states of the other servers. A server that does not respond is returned as not reachable.
 func (n *Node) peerStates(ctx context.Context) []quorum.PeerState {
 	var peers []quorum.PeerState
 	for _, s := range n.cfg.Servers {
@@ -142,7 +142,7 @@
 	return step, nil
 }
 
-// membershipOf returns a server's role in a configuration.
+// membershipOf returns a server's role in a configuration; quorum.Absent if it has none.
 func membershipOf(configuration raft.Configuration, id raft.ServerID) quorum.Membership {
 	membership := quorum.Absent
 	for _, s := range configuration.Servers {
--- a/internal/cluster/raftlog/listener.go
+++ b/internal/cluster/raftlog/listener.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	maxHandshakes    = 64 // concurrent handshakes; further connections are closed
-	acceptRetryDelay = 10 * time.Millisecond
+	maxHandshakes    = 64                    // maximum number of concurrent handshakes; further connections are closed
+	acceptRetryDelay = 10 * time.Millisecond // pause after a failed Accept
 )
 
 // mux shares one listener between raft and HTTP. The handshake of a connection states its kind.
 type mux struct {
 	listener  net.Listener
 	key       []byte
-	raft      chan net.Conn
-	http      chan net.Conn
-	closed    chan struct{}
+	raft      chan net.Conn // connections for raft, after their handshake
+	http      chan net.Conn // connections for HTTP, after their handshake
+	closed    chan struct{} // closed by close
 	closeOnce sync.Once
 }
 
--- a/internal/cluster/raftlog/node.go
+++ b/internal/cluster/raftlog/node.go
@@ -20,11 +20,11 @@
 
 const (
 	snapshotsDir         = "snapshots" // below the store's directory; the name is that of raft's file snapshot store
-	snapshotsRetained    = 2
-	snapshotThreshold    = 256 // entries since the last snapshot that cause a new one
-	trailingLogs         = 256 // entries that stay in the log after a snapshot
-	commitTimeoutDivisor = 200 // a follower learns of a commit within ElectionTimeout divided by this number
-	raftPoolSize         = 3   // idle connections to each server
+	snapshotsRetained    = 2           // newest snapshots that are not deleted
+	snapshotThreshold    = 256         // entries since the last snapshot that cause a new one
+	trailingLogs         = 256         // entries that stay in the log after a snapshot
+	commitTimeoutDivisor = 200         // a follower learns of a commit within ElectionTimeout divided by this number
+	raftPoolSize         = 3           // idle connections to each server
 )
 
 // Node is one server of the log.
@@ -41,7 +41,7 @@
 	fsm            *fsm
 	processID      uint64                    // identifies this process in the stamps that it writes as leader
 	raft           atomic.Pointer[raft.Raft] // nil until the server has bootstrapped, restarted or rejoined
-	hadExistingLog atomic.Bool               // the store had a log at the start
+	hadExistingLog atomic.Bool               // the store had a log when Run was called
 }
 
 // Open opens the port of a server and starts to serve HTTP requests. Run starts raft. The caller retains the store and
@@ -95,8 +95,9 @@
 	return "", fmt.Errorf("unknown server %q", name)
 }
 
-// Run bootstraps, restarts or rejoins the log, and replicates it until ctx ends. Then it shuts the server down. Call it
-// once.
+// Run bootstraps, restarts or rejoins the log, and replicates it until ctx ends. Then it shuts the server down. It logs
+// an error of the start, after which the server takes no part in the log; it returns at once if the store cannot be
+// read. Call it once.
 func (n *Node) Run(ctx context.Context) {
 	defer n.shutdown()
 	existing, err := n.hasExistingLog()
@@ -213,7 +214,7 @@
 	Voters       []string `json:"voters"`        // names of the voters
 }
 
-// Status returns the current status. Any goroutine may call it.
+// Status returns the current status; before raft has started, only its Role. Any goroutine may call it.
 func (n *Node) Status() Status {
 	r := n.raft.Load()
 	if r == nil {
--- a/internal/cluster/raftlog/store.go
+++ b/internal/cluster/raftlog/store.go
@@ -25,7 +25,7 @@
 const (
 	storeFile     = "store.db"
 	lockTimeout   = 5 * time.Second // maximum wait for another process to release its lock on the file
-	indexBytes    = 8               // size of an index or a number, which is big-endian
+	indexBytes    = 8               // size of an index, or of a number that raft stores, such as a term; both are big-endian
 	checksumBytes = 8               // size of a checksum, which is a big-endian xxhash64
 )
 
@@ -107,7 +107,7 @@
 func (s *Store) put(bucket, key, value []byte) error {
 	err := s.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put(key, appendChecksum(value)) })
 	if err != nil {
-		return fmt.Errorf("write store: %w", err)
+		return fmt.Errorf("write value to the store: %w", err)
 	}
 	return nil
 }
@@ -193,7 +193,7 @@
 		return nil
 	})
 	if err != nil {
-		return fmt.Errorf("write entries: %w", err)
+		return fmt.Errorf("write entries to the store: %w", err)
 	}
 	return nil
 }
--- a/internal/cluster/raftlog/verify.go
+++ b/internal/cluster/raftlog/verify.go
@@ -111,7 +111,7 @@
 // entryOrder verifies that the indices of entries follow one another without a gap. The first index may be lower than
 // next, because snapshots can cover entries that are still in the log.
 type entryOrder struct {
-	next    uint64 // the next index expected
+	next    uint64 // index that the next entry must have
 	started bool   // at least one entry was checked
 }
 
--- a/internal/conventions/conventions_test.go
+++ b/internal/conventions/conventions_test.go
@@ -20,7 +20,7 @@
 // sourceFile is a parsed file of the module.
 type sourceFile struct {
 	packageDir string // path of its package, relative to the root
-	path       string
+	path       string // path of the file, relative to this package
 	syntax     *ast.File
 }
 
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -41,10 +41,10 @@
 func Write(tb testing.TB, name string, raw []byte) {
 	tb.Helper()
 	if err := os.MkdirAll(filepath.Dir(Path(name)), 0o755); err != nil {
-		tb.Fatal(err)
+		tb.Fatalf("create directory of fixture %s: %v", name, err)
 	}
 	if err := os.WriteFile(Path(name), raw, 0o644); err != nil {
-		tb.Fatal(err)
+		tb.Fatalf("write fixture %s: %v", name, err)
 	}
 }
 
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -7,29 +7,29 @@
 
 // Unset fields are found at any depth, and a value with all fields set has none.
 func TestEmptyFieldsAtAnyDepth(t *testing.T) {
-	type inner struct{ Number int }
+	type inner struct{ Size int }
 	type outer struct {
-		Text    string
-		Pointer *inner
-		List    []inner
-		hidden  int
+		Name   string
+		Next   *inner
+		Items  []inner
+		hidden int
 	}
 	// The names come from the types by reflection, because the fields may be renamed.
 	fieldPath := func(i int) string { return "v." + reflect.TypeFor[outer]().Field(i).Name }
-	textPath, pointerPath, listPath := fieldPath(0), fieldPath(1), fieldPath(2)
-	numberSuffix := "." + reflect.TypeFor[inner]().Field(0).Name
-	filled := outer{Text: "x", Pointer: &inner{1}, List: []inner{{1}}}
+	namePath, nextPath, itemsPath := fieldPath(0), fieldPath(1), fieldPath(2)
+	sizeSuffix := "." + reflect.TypeFor[inner]().Field(0).Name
+	filled := outer{Name: "x", Next: &inner{1}, Items: []inner{{1}}}
 	for name, test := range map[string]struct {
 		value outer
 		want  []string
 	}{
 		"filled":                  {filled, nil},
-		"unset, hidden field set": {outer{hidden: 1}, []string{textPath, pointerPath, listPath}},
+		"unset, hidden field set": {outer{hidden: 1}, []string{namePath, nextPath, itemsPath}},
 		"unset nested fields": {
-			outer{Text: "x", Pointer: &inner{}, List: []inner{{1}, {0}}},
-			[]string{pointerPath + numberSuffix, listPath + numberSuffix},
+			outer{Name: "x", Next: &inner{}, Items: []inner{{1}, {0}}},
+			[]string{nextPath + sizeSuffix, itemsPath + sizeSuffix},
 		},
-		"empty list": {outer{Text: "x", Pointer: &inner{1}, List: []inner{}}, []string{listPath}},
+		"empty slice": {outer{Name: "x", Next: &inner{1}, Items: []inner{}}, []string{itemsPath}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := emptyFields("v", reflect.ValueOf(test.value)); !reflect.DeepEqual(got, test.want) {
--- a/internal/testbed/chart/chart.go
+++ b/internal/testbed/chart/chart.go
@@ -81,10 +81,10 @@
 // save adds the curves, given as alternating names and points, and writes the file.
 func save(drawing *plot.Plot, curves []any, width, height vg.Length, path string) error {
 	if err := plotutil.AddLines(drawing, curves...); err != nil {
-		return fmt.Errorf("chart: add curves: %w", err)
+		return fmt.Errorf("chart: add curves to %s: %w", path, err)
 	}
 	if err := drawing.Save(width, height, path); err != nil {
-		return fmt.Errorf("chart: write file: %w", err)
+		return fmt.Errorf("chart: write %s: %w", path, err)
 	}
 	return nil
 }
--- a/internal/testbed/days/day.go
+++ b/internal/testbed/days/day.go
@@ -39,9 +39,9 @@
 )
 
 const (
-	maxSeconds = 1 << 17 // length limit of a day; later lines are skipped
+	maxSeconds = 1 << 17 // maximum length of a day in seconds; lines of later seconds are skipped
 
-	verdictCount    = 4 // summary line values: 0 none, 1 advance, 2 hold, 3 rollback
+	verdictCount    = 4 // number of verdicts; their values in a summary line: 0 none, 1 advance, 2 hold, 3 rollback
 	verdictAdvance  = 1
 	verdictRollback = 3
 )
@@ -50,7 +50,7 @@
 type Second struct {
 	Instances  int                // instances with a summary in this second
 	Counts     map[string]float64 // events in this second, summed over instances, by counterFields name
-	Gauges     map[string]float64 // mean over instances, by gaugeFields name
+	Gauges     map[string]float64 // gauges in the last summary of this second, mean over instances, by gaugeFields name
 	Build      int                // newest build that any instance reports
 	Stage      int                // highest stage that any instance reports for that build
 	Verdicts   [verdictCount]int  // instances by their verdict on that build, indexed by verdict
@@ -60,7 +60,7 @@
 
 // Day holds the activity of a cluster, second by second.
 type Day struct {
-	Instances int
+	Instances int // number of log files, one per instance
 	Skipped   int // lines that could not be parsed or lie outside the day
 	Seconds   []Second
 }
@@ -194,7 +194,8 @@
 	}
 }
 
-// distribute adds a count to the seconds of a time span, in proportion to the overlap with each second.
+// distribute adds a count to the seconds of a time span, in proportion to the overlap with each second. An empty span
+// adds the whole count to its second.
 func (d *Day) distribute(key string, count, from, until float64) {
 	span := until - from
 	for at := from; ; {
--- a/internal/testbed/days/logline.go
+++ b/internal/testbed/days/logline.go
@@ -85,7 +85,7 @@
 }
 
 // alignByTimestamp sets the second of every line by its timestamp, relative to the earliest line without a second. It
-// does nothing if all lines start with their second.
+// does nothing if all lines start with their second. A line whose timestamp cannot be parsed keeps its second.
 func alignByTimestamp(logs []logFile) {
 	var first time.Time
 	for _, log := range logs {
--- a/internal/testbed/days/report.go
+++ b/internal/testbed/days/report.go
@@ -11,7 +11,7 @@
 )
 
 // WriteTable writes the day as a Markdown table with one row per step seconds. Counters are rates per second, summed
-// over all instances. Gauges are means over instances at the end of the row.
+// over all instances. Gauges are means over instances at the end of the row. A step below 1 counts as 1.
 func (d *Day) WriteTable(out io.Writer, step int) error {
 	step = max(1, step)
 	header := slices.Concat([]string{"second", "marshals", "starts", "build", "on", "back"}, counterFields, gaugeFields)
@@ -65,7 +65,8 @@
 	count       int
 }
 
-// WriteOtherLines writes the other log lines as a Markdown table: first second, last second, count and text.
+// WriteOtherLines writes the log lines in Second.OtherLines as a Markdown table: first second, last second, count and
+// text. It writes nothing if there are none.
 func (d *Day) WriteOtherLines(out io.Writer) error {
 	all := d.occurrences()
 	if len(all) > 0 {
@@ -106,6 +107,7 @@
 }
 
 // WriteChart draws columns over the seconds of the day to a file. The extension of path, .svg or .png, sets the format.
+// It returns an error for a column that is no counter or gauge of the summary line.
 func (d *Day) WriteChart(path string, columns []string) error {
 	curves := make([]chart.Series, 0, len(columns))
 	for _, key := range columns {
--- a/internal/testbed/experiment/membership.go
+++ b/internal/testbed/experiment/membership.go
@@ -30,8 +30,8 @@
 	Undetected        int       // pairs of an observer and a killed member that the observer did not declare dead in time
 	FalseDeaths       int       // declarations of a running member as dead
 	WatchedMemberTime Millis    // member time over which FalseDeaths was counted: members x milliseconds
-	BytesPerSecond    float64   // sent by one member
-	PacketsPerSecond  float64   // sent by one member
+	BytesPerSecond    float64   // bytes that one member sends per second, mean over all members
+	PacketsPerSecond  float64   // packets that one member sends per second, mean over all members
 	DetectionTimeout  Millis
 	Elapsed           time.Duration
 }
@@ -41,7 +41,7 @@
 	fleet                           *fleet.Fleet
 	detectionTimeout                time.Duration
 	result                          *MembershipResult
-	firstDetections, fullDetections []float64 // one per kill
+	firstDetections, fullDetections []float64 // per kill: milliseconds to the first and to the last declaration
 }
 
 // MeasureProcessMembership starts a fleet of processes, kills and restarts one instance per round, and then counts
@@ -72,7 +72,7 @@
 	for round := range rounds {
 		progress.report("%d processes: kill %d of %d", settings.Instances, round+1, rounds)
 		if err := run.measureKill(ctx, round); err != nil {
-			return nil, fmt.Errorf("round %d: %w", round, err)
+			return nil, fmt.Errorf("kill in round %d: %w", round, err)
 		}
 	}
 	run.result.FirstDetection, run.result.FullDetection = QuantilesOf(run.firstDetections), QuantilesOf(run.fullDetections)
@@ -84,7 +84,8 @@
 	return run.result, nil
 }
 
-// awaitAgreement waits until all running instances have the same view.
+// awaitAgreement waits until the view of each running instance agrees with the processes that run, see
+// fleet.Fleet.CheckViews.
 func (r *processRun) awaitAgreement(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, agreementTimeoutFactor*r.detectionTimeout)
 	defer cancel()
--- a/internal/testbed/experiment/simulated.go
+++ b/internal/testbed/experiment/simulated.go
@@ -15,8 +15,8 @@
 	fleet                           *sim.Fleet
 	result                          *MembershipResult
 	victims                         map[membership.Name]int // index of each killed member
-	killed                          Millis                  // time of the kills, which are simultaneous
-	firstDetections, fullDetections []float64               // time to the first and to the last declaration, by victim
+	killed                          Millis                  // simulated time of the kills, which are simultaneous
+	firstDetections, fullDetections []float64               // milliseconds to the first and to the last declaration, by victim
 	declared                        []int                   // number of declarations, by victim
 }
 
--- a/internal/testbed/experiment/takeover.go
+++ b/internal/testbed/experiment/takeover.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	requestsPerRound  = 40          // sent to an instance before its kill
+	requestsPerRound  = 40          // requests sent to an instance before its kill
 	loadClients       = 6           // clients that send requests during the random kills
-	baseHeldTimeout   = time.Minute // time limit until all leases are held, plus heldTimeoutFactor detection timeouts
-	heldTimeoutFactor = 4
+	baseHeldTimeout   = time.Minute // constant part of the time limit of awaitLeasesHeld
+	heldTimeoutFactor = 4           // further part of that time limit, in detection timeouts
 )
 
 // TakeoverResult holds the measurements of a takeover experiment. Times are in milliseconds.
@@ -26,7 +26,7 @@
 	Instances           int
 	LeaseTTL            Millis
 	DetectionTimeout    Millis
-	Deaths              int
+	Deaths              int         // merges of the lease of a killed holder
 	MergeTime           Quantiles   // from the death of a holder until another instance has merged its lease
 	MergeTimes          []float64   // one MergeTime per death
 	EvidenceResponses   int         // responses in the evidence of all instances after all deaths
--- a/internal/testbed/faultinject/packets.go
+++ b/internal/testbed/faultinject/packets.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxDelayed     = 1 << 14 // limit of packets in delay; further packets are lost
+	maxDelayed     = 1 << 14 // maximum number of packets whose delay has not ended, in all relays; further ones are lost
 	maxPacketBytes = 1 << 16
 )
 
--- a/internal/testbed/faultinject/parse.go
+++ b/internal/testbed/faultinject/parse.go
@@ -14,7 +14,7 @@
 // SyntaxError reports a syntax error in a script and its position.
 type SyntaxError struct {
 	Line   int // counted from 1
-	Column int // of the wrong word, in characters from 1; if a word is missing, the column after the last word
+	Column int // column of the wrong word, in characters from 1; if a word is missing, the column after the last word
 	Err    error
 }
 
--- a/internal/testbed/faultinject/play.go
+++ b/internal/testbed/faultinject/play.go
@@ -17,7 +17,8 @@
 	OnStep    func(Step) // called after each successful step; may be nil
 }
 
-// Play runs a script in real time, starting now. It returns the error of the first step that fails, or that of ctx.
+// Play runs each step of a script when the time Step.At has passed since the call of Play. It returns the error of the
+// first step that fails, or that of ctx if ctx ends first.
 func (e *Environment) Play(ctx context.Context, script Script) error {
 	start := time.Now()
 	for _, step := range script {
--- a/internal/testbed/faultinject/process.go
+++ b/internal/testbed/faultinject/process.go
@@ -26,12 +26,13 @@
 //	stalled -> running: Resume
 //	stalled -> stopped: Kill
 //
-// The exported fields must be set before the first start.
+// Stall, Resume, Reload, Kill and Terminate return ErrNotRunning if the process is stopped. The exported fields must be
+// set before the first start.
 type Process struct {
-	Name string   // used in errors and scripts
+	Name string   // name of the process in errors and scripts
 	Path string   // path of the program
 	Args []string // arguments without the program name
-	Env  []string // added to the environment of the calling process
+	Env  []string // variables (NAME=value) that are added to the environment of the calling process
 	Log  string   // path of the file to which the output of all runs is appended
 
 	mu         sync.Mutex
--- a/internal/testbed/faultinject/rules.go
+++ b/internal/testbed/faultinject/rules.go
@@ -16,14 +16,14 @@
 	Cut       bool          // no packet is delivered
 	Drop      float64       // share of packets that are lost, 0 to 1
 	Duplicate float64       // share of packets that arrive twice, 0 to 1
-	Delay     time.Duration // added to each packet
+	Delay     time.Duration // delay of each packet
 	Jitter    time.Duration // maximum random addition to Delay; it may reorder packets
 }
 
 // Delivery is the outcome for one packet.
 type Delivery struct {
-	Copies int // 0 if the packet is lost
-	Delay  time.Duration
+	Copies int           // number of copies that arrive: 0 if the packet is lost, 2 if it is duplicated
+	Delay  time.Duration // delay of all copies
 }
 
 // Rules holds the rule of each link. It is safe for concurrent use.
@@ -37,7 +37,7 @@
 
 type linkState struct {
 	rule   *Rule // nil: the default rule applies
-	cut    bool
+	cut    bool  // set by SetCut; blocks the link whatever its rule is
 	random stats.Random
 }
 
--- a/internal/testbed/faultinject/rules_test.go
+++ b/internal/testbed/faultinject/rules_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// drawDeliveries draws the deliveries of 400 packets on the link a > b, of which the last 200 follow a rule. If other
-// is set, a packet on the opposite link is drawn before each of them.
-func drawDeliveries(seed uint64, other bool) (deliveries []Delivery) {
+// drawDeliveries draws the deliveries of 400 packets on the link a > b, of which the last 200 follow a rule. If
+// oppositeTraffic is set, a packet on the link b > a is drawn before each of them.
+func drawDeliveries(seed uint64, oppositeTraffic bool) (deliveries []Delivery) {
 	rules := NewRules(seed)
 	for i := range 400 {
-		if other {
+		if oppositeTraffic {
 			rules.NextDelivery(Link{"b", "a"})
 		}
 		if i == 200 {
@@ -25,8 +25,8 @@
 // The same seed gives each packet of a link the same delivery, independent of traffic on other links and of earlier
 // rules.
 func TestDeliveriesFollowFromSeed(t *testing.T) {
-	first, withOtherLink, otherSeed := drawDeliveries(1, false), drawDeliveries(1, true), drawDeliveries(2, false)
-	if fmt.Sprint(first) != fmt.Sprint(withOtherLink) || fmt.Sprint(first) == fmt.Sprint(otherSeed) {
+	first, withOppositeLink, otherSeed := drawDeliveries(1, false), drawDeliveries(1, true), drawDeliveries(2, false)
+	if fmt.Sprint(first) != fmt.Sprint(withOppositeLink) || fmt.Sprint(first) == fmt.Sprint(otherSeed) {
 		t.Error("deliveries depend on other links, or not on the seed")
 	}
 	lost, duplicated := 0, 0
--- a/internal/testbed/faultinject/script.go
+++ b/internal/testbed/faultinject/script.go
@@ -24,13 +24,13 @@
 
 // Step is one action of a script: a fault or its end.
 type Step struct {
-	At     time.Duration // since the start of the script
+	At     time.Duration // time of the step, since the start of the script
 	Verb   Verb
 	Target string        // the process, or the first process of the link; empty for Heal of all links
 	Peer   string        // the second process of the link
-	Both   bool          // both directions of the link
+	Both   bool          // for Cut and Heal: the step applies to both directions of the link
 	Share  float64       // for Loss: share of packets lost, 0 to 1
-	Delay  time.Duration // for Delay
+	Delay  time.Duration // for Delay: delay of each packet
 	Jitter time.Duration // for Delay: maximum random addition
 }
 
--- a/internal/testbed/fleet/files.go
+++ b/internal/testbed/fleet/files.go
@@ -47,8 +47,8 @@
 	if err != nil {
 		return err
 	}
-	for kind, text := range map[string]string{"json": f.configuration(i), "toml": operator} {
-		if err := os.WriteFile(f.FilePath(i, kind), []byte(text), filePermissions); err != nil {
+	for extension, text := range map[string]string{"json": f.configuration(i), "toml": operator} {
+		if err := os.WriteFile(f.FilePath(i, extension), []byte(text), filePermissions); err != nil {
 			return fmt.Errorf("write configuration of %s: %w", f.names[i], err)
 		}
 	}
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -29,10 +29,10 @@
 
 // Ports of each instance at its own loopback address.
 const (
-	requestPort = 8080
-	adminPort   = 8081
-	memberPort  = 7946
-	policyPort  = 7947
+	requestPort = 8080 // HTTP requests of clients
+	adminPort   = 8081 // admin interface
+	memberPort  = 7946 // membership packets, UDP
+	policyPort  = 7947 // policy log, TCP
 )
 
 // fleetCount numbers the fleets of this process. Each fleet uses its own network in 127.0.0.0/8 with fixed ports. Free
--- a/internal/testbed/load/clients.go
+++ b/internal/testbed/load/clients.go
@@ -23,7 +23,7 @@
 const (
 	clientDeadline     = time.Second        // deadline that a request carries to the balancer
 	clientTimeout      = 3 * clientDeadline // time limit of the client, independent of the balancer
-	maxIdleConnections = 64                 // per client set and balancer
+	maxIdleConnections = 64                 // maximum of idle connections from one Clients to one balancer
 )
 
 // ErrMismatchedResponse reports a response that belongs to another request.
@@ -51,7 +51,8 @@
 	Latency    time.Duration
 }
 
-// Send sends a request of a class to a balancer. A non-2xx response is not an error.
+// Send sends a request of a class, ClassRead or ClassSendText, to a balancer. A non-2xx response is not an error. A
+// response that belongs to another request is an error that wraps ErrMismatchedResponse.
 func (c *Clients) Send(ctx context.Context, address, class, id string) (Response, error) {
 	return c.send(ctx, address, class, id, false)
 }
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -40,13 +40,13 @@
 // Result counts requests by outcome.
 type Result struct {
 	Requests        int
-	Succeeded       int
-	Rejected        int
-	Failed          int
-	Resumed         int // sent again because their balancer was lost
+	Succeeded       int // requests with status 200
+	Rejected        int // requests with status 503
+	Failed          int // requests with any other status
+	Resumed         int // requests that were sent again because their balancer was lost
 	ResumesRejected int // the part of Resumed that is non-idempotent, which a balancer never forwards again
-	Lost            int // no response from any balancer within resumeTimeout
-	Mismatched      int // response to another request
+	Lost            int // requests without a response from any balancer within resumeTimeout
+	Mismatched      int // requests that got the response to another request
 }
 
 // String formats all counts. The names are part of the output of `testbed fleet` and must not change.
--- a/internal/testbed/platform/controller.go
+++ b/internal/testbed/platform/controller.go
@@ -57,7 +57,7 @@
 	stageSetAt   time.Time         // time of the last SetStage
 	followers    map[net.Conn]bool // connections that have sent the follow call and get stages and pings
 	votes        []Vote
-	newestTokens map[string]uint64 // highest token seen, by lease
+	newestTokens map[string]uint64 // highest fencing token that a vote carried, by lease name
 }
 
 func newController() (*Controller, error) {
@@ -94,7 +94,7 @@
 	return slices.Clone(ctl.votes)
 }
 
-// SetStage changes the stage and sends it to all followers.
+// SetStage changes the stage and sends it to all followers, the connections on which a balancer has sent the follow call.
 func (ctl *Controller) SetStage(s Stage) {
 	ctl.mu.Lock()
 	defer ctl.mu.Unlock()
--- a/internal/testbed/platform/endpoint.go
+++ b/internal/testbed/platform/endpoint.go
@@ -11,14 +11,14 @@
 // Endpoint is a fake server behind the balancers. It counts the requests that it runs, by their ids.
 type Endpoint struct {
 	Name  string
-	Build int // set with Platform.SetBuild
+	Build int // number of the build that the endpoint runs; set with Platform.SetBuild
 
 	server   *http.Server
 	address  string
 	platform *Platform
 
 	mu                sync.Mutex
-	nonIdempotentRuns map[string]int // executions by request id
+	nonIdempotentRuns map[string]int // executions of non-idempotent requests, by request id
 	requests          int
 	latency           time.Duration
 	fail              bool
