--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -131,9 +131,9 @@
 // the current incarnation.
 func TestSelfUpdateSupersedesOrIsRefuted(t *testing.T) {
 	for name, test := range map[string]struct {
-		update     Update
-		superseded bool
-		refuted    bool // by a higher incarnation
+		update         Update
+		wantSuperseded bool
+		wantRefuted    bool // the detector raises its incarnation above that of the update
 	}{
 		"newer, at another address":   {Update{Address: "127.0.0.9:1", Incarnation: 2000, Run: 8}, true, false},
 		"older, at another address":   {Update{Address: "127.0.0.9:1", Incarnation: 900, Run: 8}, false, false},
@@ -150,14 +150,14 @@
 		test.update.Name = "a"
 		d.Tick(1000)
 		d.Receive(1001, packetFromB(test.update))
-		if got := d.View().SupersededBy != ""; got != test.superseded {
-			t.Errorf("%s: got superseded %v, want %v", name, got, test.superseded)
+		if got := d.View().SupersededBy != ""; got != test.wantSuperseded {
+			t.Errorf("%s: got superseded %v, want %v", name, got, test.wantSuperseded)
 		}
 		refuted := d.self.Incarnation > 1000
-		if refuted != test.refuted || test.refuted && d.self.Incarnation <= test.update.Incarnation {
-			t.Errorf("%s: got incarnation %d, want refuted %v", name, d.self.Incarnation, test.refuted)
+		if refuted != test.wantRefuted || test.wantRefuted && d.self.Incarnation <= test.update.Incarnation {
+			t.Errorf("%s: got incarnation %d, want refuted %v", name, d.self.Incarnation, test.wantRefuted)
 		}
-		if out := d.Tick(100000); test.superseded && len(out.Sends) > 0 {
+		if out := d.Tick(100000); test.wantSuperseded && len(out.Sends) > 0 {
 			t.Errorf("%s: got %d packets after it was superseded, want none", name, len(out.Sends))
 		}
 	}
--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -29,8 +29,8 @@
 type probe struct {
 	seq            uint64
 	target         Name
-	directDeadline Millis // without an Ack by then, other members are asked to ping the target
-	deadline       Millis // without an Ack by then, the probe has failed
+	directDeadline Millis // Unix time; without an Ack by then, other members are asked to ping the target
+	deadline       Millis // Unix time; without an Ack by then, the probe has failed
 	relays, nacks  int    // members that were asked to ping the target, and Nacks received from them
 	indirectSent   bool   // other members were asked to ping the target
 	acked          bool
@@ -44,7 +44,7 @@
 	originSeq uint64 // sequence number of the origin's ping
 	origin    string // ip:port of the origin
 	target    Name
-	nackAt    Millis // without an Ack by then, the origin is sent a Nack
+	nackAt    Millis // Unix time; without an Ack by then, the origin is sent a Nack
 	expiresAt Millis // Unix time at which the relay is removed
 	nacked    bool
 }
--- a/internal/cluster/membership/settings.go
+++ b/internal/cluster/membership/settings.go
@@ -124,10 +124,10 @@
 
 // timing holds the detector's intervals, derived from the two durations that an operator sets.
 type timing struct {
-	period         Millis // between two probes
+	period         Millis // time between two periodic probes
 	directTimeout  Millis // wait for the Ack to a ping before other members are asked to ping
-	gossipInterval Millis // between two gossip rounds
-	minSuspicion   Millis // timeout of a suspicion with enough confirmations
+	gossipInterval Millis // time between two gossip rounds
+	minSuspicion   Millis // timeout of a suspicion with all wanted confirmations, see suspicion
 	maxSuspicion   Millis // timeout of a suspicion without confirmations
 	syncInterval   Millis // maximum time between two digests
 	deadRetention  Millis // how long a dead or left member stays in the table
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -7,7 +7,7 @@
 
 const (
 	maxConfirmations = 3 // further accusers that shorten a suspicion to its minimum timeout
-	maxFinalChecks   = 3 // one in each of the last periods of a suspicion, because the packets of a check can be lost
+	maxFinalChecks   = 3 // one in each of a suspicion's last periods, because the packets of a final check can be lost
 	confirmingProbes = 8 // average number of members that start a probe when they learn of another member's accusation
 )
 
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -12,10 +12,10 @@
 // member is an entry of the table.
 type member struct {
 	Update
-	stateSince  Millis     // when the member entered its state
+	stateSince  Millis     // Unix time at which the member entered its state
 	suspicion   *suspicion // nil unless the state is Suspect
-	lastAliveAt Millis     // while Suspect: when this member itself last saw a sign of life
-	notifiedAt  Millis     // while Dead: when the member was last sent the update about itself
+	lastAliveAt Millis     // while Suspect: Unix time of the last sign of life that this process received; 0: none
+	notifiedAt  Millis     // while Dead: Unix time at which the member was last sent the update about itself
 	transmits   int        // how often the newest update about this member was sent
 	queued      bool       // the newest update about this member is still to be disseminated
 }
--- a/internal/cluster/raftlog/client.go
+++ b/internal/cluster/raftlog/client.go
@@ -28,7 +28,7 @@
 // are required. Its methods may be called from any goroutine.
 type Client struct {
 	Servers []Server
-	HTTP    *http.Client // from NewHTTPClient
+	HTTP    *http.Client // client for calls to servers, created by NewHTTPClient
 	// ElectionTimeout is that of the servers' Config. Time limits of attempts and pauses between them are derived from it.
 	ElectionTimeout time.Duration
 	Clock           *clock.Clock // clock of this process
--- a/internal/cluster/raftlog/propose.go
+++ b/internal/cluster/raftlog/propose.go
@@ -60,7 +60,7 @@
 type leaderReadings struct {
 	mu        sync.Mutex
 	byAddress map[string]logclock.LeaderReading
-	leader    string // name of the server that accepted the last proposal
+	leader    string // name of the server that accepted the last proposal; empty before the first
 }
 
 func (r *leaderReadings) lastLeader() string {
@@ -105,8 +105,8 @@
 	client     *Client
 	target     string // name of the current server; if it is unknown, the servers are tried in turn
 	lastFailed string // the last server that failed and named no leader
-	redirects  int    // successive redirects
-	nextServer int    // index of the next server in turn, modulo their number
+	redirects  int    // number of redirects followed in a row
+	nextServer int    // index in Client.Servers of the next server in turn, modulo the number of servers
 }
 
 // next returns the name of the server to propose to.
--- a/internal/cluster/raftlog/store_test.go
+++ b/internal/cluster/raftlog/store_test.go
@@ -136,7 +136,7 @@
 	for name, test := range map[string]struct {
 		kind                 byte
 		serverKey, clientKey string
-		accepted             bool
+		wantAccepted         bool
 	}{
 		"no keys":                {httpKind, "", "", true},
 		"same key":               {raftKind, "0123456789abcdef", "0123456789abcdef", true},
@@ -167,8 +167,8 @@
 			}
 			_ = conn.Close() // the server may have closed it
 		}
-		if accepted != test.accepted {
-			t.Errorf("%s: got accepted %v, %v, want %v", name, accepted, err, test.accepted)
+		if accepted != test.wantAccepted {
+			t.Errorf("%s: got accepted %v, %v, want %v", name, accepted, err, test.wantAccepted)
 		}
 		cancel()
 		shared.close()
--- a/internal/golden/text_test.go
+++ b/internal/golden/text_test.go
@@ -19,8 +19,8 @@
 		t.Fatalf("write the stored file: %v", err)
 	}
 	for name, test := range map[string]struct {
-		observed string
-		same     bool
+		observed  string
+		wantEqual bool
 	}{
 		"same":                  {"one\ntwo\n", true},
 		"missing final newline": {"one\ntwo", false},
@@ -29,8 +29,8 @@
 		"empty":                 {"", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if err := CheckFile(path, []byte(test.observed)); (err == nil) != test.same {
-				t.Errorf("CheckFile(%q): got error %v, want equal %v", test.observed, err, test.same)
+			if err := CheckFile(path, []byte(test.observed)); (err == nil) != test.wantEqual {
+				t.Errorf("CheckFile(%q): got error %v, want equal %v", test.observed, err, test.wantEqual)
 			}
 		})
 	}
--- a/internal/testbed/experiment/policy.go
+++ b/internal/testbed/experiment/policy.go
@@ -24,13 +24,13 @@
 type PolicyResult struct {
 	Instances       int
 	Versions        int       // number of proposals, made one after another
-	CommitTime      Quantiles // from a proposal to the commit notification at the proposer
-	ApplyTime       Quantiles // from a proposal until the last instance ran it
-	ApplyTimes      []float64 // one ApplyTime per version
-	BytesPerVersion float64   // stored by one instance, including its share of the log
+	CommitTime      Quantiles // time from a proposal to the commit notification at the proposer
+	ApplyTime       Quantiles // time from a proposal until the last instance ran it
+	ApplyTimes      []float64 // the time of ApplyTime for each version, in the order of the versions
+	BytesPerVersion float64   // bytes stored by one instance per version, the version's entry in the log included
 	StoreFileBytes  int64     // size of one instance's store file at the end
-	CatchUpTime     Quantiles // from the start of an instance until it has caught up
-	FailoverTime    Quantiles // from the death of a leader to the commit of the next proposal
+	CatchUpTime     Quantiles // time from the start of an instance until it has caught up
+	FailoverTime    Quantiles // time from the death of a leader to the commit of the next proposal
 }
 
 // Log lines that show when an instance runs a version, and when it has caught up after a start.
--- a/internal/testbed/experiment/takeover.go
+++ b/internal/testbed/experiment/takeover.go
@@ -27,8 +27,8 @@
 	LeaseTTL            Millis
 	DetectionTimeout    Millis
 	Deaths              int         // merges of the lease of a killed holder
-	MergeTime           Quantiles   // from the death of a holder until another instance has merged its lease
-	MergeTimes          []float64   // one MergeTime per death
+	MergeTime           Quantiles   // time from the death of a holder until another instance has merged its lease
+	MergeTimes          []float64   // the time of MergeTime for each merge
 	EvidenceResponses   int         // responses in the evidence of all instances after all deaths
 	ReceivedResponses   int         // responses that clients received from instances that were killed afterwards
 	Kills               int         // number of random kills under load
--- a/internal/testbed/fleet/settings.go
+++ b/internal/testbed/fleet/settings.go
@@ -10,7 +10,7 @@
 type Settings struct {
 	Dir       string             // existing directory for the files, logs and stores of the instances
 	Program   string             // path of the balancer program
-	Env       []string           // added to the environment of each instance
+	Env       []string           // variables (NAME=value) that are added to the environment of each instance
 	Clocks    []string           // values of clock.TestbedEnv, assigned in turn, such as "-1h 1.1"; empty: exact clocks
 	Instances int                // 1 to 200
 	Seed      uint64             // seed of the faults and of the instances' random choices
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -21,7 +21,7 @@
 	resumeTimeout      = 5 * time.Second      // time limit of the search for a balancer that accepts the request
 	resumeInterval     = 5 * time.Millisecond // pause between two attempts at different balancers
 	maxThinkTimeMillis = 20                   // maximum of the random pause between two requests of a client
-	sendTextOneIn      = 3                    // one of this many requests is non-idempotent
+	sendTextOneIn      = 3                    // on average, one of this many requests is non-idempotent
 )
 
 // Generator runs clients that each send requests in sequence to the balancers of a fleet. A client resumes a request at
@@ -44,7 +44,7 @@
 	Rejected        int // requests with status 503
 	Failed          int // requests with any other status
 	Resumed         int // requests that were sent again because their balancer was lost
-	ResumesRejected int // the part of Resumed that is non-idempotent, which a balancer never forwards again
+	ResumesRejected int // non-idempotent requests among Resumed, which a balancer never forwards again
 	Lost            int // requests without a response from any balancer within resumeTimeout
 	Mismatched      int // requests that got the response to another request
 }
--- a/internal/testbed/platform/endpoint.go
+++ b/internal/testbed/platform/endpoint.go
@@ -20,8 +20,8 @@
 	mu                sync.Mutex
 	nonIdempotentRuns map[string]int // executions of non-idempotent requests, by request id
 	requests          int
-	latency           time.Duration
-	fail              bool
+	latency           time.Duration // time from a request to its response
+	respondsWithError bool          // responses have status 500
 }
 
 func newEndpoint(p *Platform, name string) (*Endpoint, error) {
@@ -35,7 +35,7 @@
 func (e *Endpoint) SetBehavior(latency time.Duration, fail bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.latency, e.fail = latency, fail
+	e.latency, e.respondsWithError = latency, fail
 }
 
 // Requests returns the number of requests that the endpoint has received in full.
@@ -81,5 +81,5 @@
 	if r.Method == http.MethodPost && r.Header.Get("Idempotency-Key") == "" {
 		e.nonIdempotentRuns[id]++
 	}
-	return e.latency, e.fail
+	return e.latency, e.respondsWithError
 }
