--- a/internal/cluster/membership/state.go
+++ b/internal/cluster/membership/state.go
@@ -59,34 +59,34 @@
 		d.handleSelfUpdate(update)
 		return
 	}
-	known := d.table.get(update.Name)
-	if known == nil {
+	current := d.table.get(update.Name)
+	if current == nil {
 		d.addMember(update)
 		return
 	}
-	if known.Run != update.Run && update.Incarnation == known.Incarnation {
-		return // two processes of one name started at the same time: the known one is kept until one is superseded
+	if current.Run != update.Run && update.Incarnation == current.Incarnation {
+		return // two processes of one name started at the same time: the one in the table is kept until one is superseded
 	}
 	// A member that no longer receives any packets declares all others dead. So another member's Dead is only an
 	// accusation if the subject is not suspected here, or has shown a sign of life since the suspicion started.
-	accusation := update.State == Dead && (known.State == Alive || d.aliveSinceAccusation(known))
+	accusation := update.State == Dead && (current.State == Alive || d.aliveSinceAccusation(current))
 	if update.State == Suspect || accusation {
-		d.applyAccusation(update, known, from)
+		d.applyAccusation(update, current, from)
 		return
 	}
-	if update.supersedes(&known.Update) {
+	if update.supersedes(&current.Update) {
 		d.setState(d.table.writable(update.Name), update)
 	}
 }
 
 // applyAccusation handles an update that accuses a known member. An accusation at a higher incarnation implies that the
 // member was alive at that incarnation.
-func (d *Detector) applyAccusation(update Update, known *member, from Name) {
+func (d *Detector) applyAccusation(update Update, current *member, from Name) {
 	accuser := update.Accuser
 	if accuser == "" {
 		accuser = from
 	}
-	if update.Incarnation > known.Incarnation {
+	if update.Incarnation > current.Incarnation {
 		alive := update
 		alive.State = Alive
 		alive.Accuser = ""
--- a/internal/cluster/raftlog/propose.go
+++ b/internal/cluster/raftlog/propose.go
@@ -204,8 +204,8 @@
 }
 
 // expired reports whether the deadline of a proposal has passed. process and until are the query parameters of the
-// request; without them there is no deadline. known is false if the deadline is invalid or not by this process's clock.
-func (n *Node) expired(process, until string) (late, known bool) {
+// request; without them there is no deadline. usable is false if the deadline is invalid or not by this process's clock.
+func (n *Node) expired(process, until string) (late, usable bool) {
 	if process == "" {
 		return false, true
 	}
@@ -232,9 +232,9 @@
 	}
 	// A proposal that was delayed by a partition can arrive minutes after its proposer has reported a failure. The wall
 	// clocks of two machines cannot detect that, so the proposer states its deadline by this process's clock.
-	late, known := n.expired(req.URL.Query().Get("process"), req.URL.Query().Get("until"))
+	late, usable := n.expired(req.URL.Query().Get("process"), req.URL.Query().Get("until"))
 	switch {
-	case !known:
+	case !usable:
 		http.Error(w, "say by this process's clock until when the answer is waited for", http.StatusConflict)
 		return
 	case late:
--- a/internal/cluster/raftlog/propose_test.go
+++ b/internal/cluster/raftlog/propose_test.go
@@ -101,9 +101,9 @@
 		requests["c"]++
 		s := node.stamp()
 		w.Header().Set(clockHeader, fmt.Sprintf("%x:%.3f", s.Process, s.Uptime))
-		late, known := node.expired(r.URL.Query().Get("process"), r.URL.Query().Get("until"))
+		late, usable := node.expired(r.URL.Query().Get("process"), r.URL.Query().Get("until"))
 		switch {
-		case !known:
+		case !usable:
 			http.Error(w, "deadline by another clock", http.StatusConflict)
 		case late:
 			http.Error(w, "deadline passed", http.StatusGone)
@@ -152,7 +152,8 @@
 	now := n.clock.Uptime()
 	for _, test := range []struct {
 		process, until string
-		late, known    bool
+		wantLate       bool
+		wantUsable     bool
 	}{
 		{"", "", false, true}, // no deadline
 		{"9", fmt.Sprint(now + 60_000), false, true},
@@ -161,9 +162,9 @@
 		{"0", "0", false, false},
 		{"9", "soon", false, false},
 	} {
-		if late, known := n.expired(test.process, test.until); late != test.late || known != test.known {
-			t.Errorf("process %q, until %q: got late %v, known %v, want %v, %v",
-				test.process, test.until, late, known, test.late, test.known)
+		if late, usable := n.expired(test.process, test.until); late != test.wantLate || usable != test.wantUsable {
+			t.Errorf("process %q, until %q: got late %v, usable %v, want %v, %v",
+				test.process, test.until, late, usable, test.wantLate, test.wantUsable)
 		}
 	}
 }
