--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -251,19 +251,19 @@
 			d.Tick(now)
 			raw, err := codec.Encode(&Packet{Kind: Ping, From: "n1", Address: "127.0.0.1:2", Incarnation: 1, Target: "n0"})
 			if err != nil {
-				b.Fatal(err)
+				b.Fatalf("encode ping: %v", err)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				now += 0.01
 				p, err := codec.Decode(raw)
 				if err != nil {
-					b.Fatal(err)
+					b.Fatalf("decode ping: %v", err)
 				}
 				out := d.Receive(now, p)
 				for i := range out.Sends {
 					if _, err := codec.Encode(&out.Sends[i].Packet); err != nil {
-						b.Fatal(err)
+						b.Fatalf("encode response: %v", err)
 					}
 				}
 			}
