--- a/internal/cluster/membership/state.go
+++ b/internal/cluster/membership/state.go
@@ -59,34 +59,34 @@
 		d.handleSelfUpdate(update)
 		return
 	}
-	known := d.table.get(update.Name)
-	if known == nil {
+	current := d.table.get(update.Name)
+	if current == nil {
 		d.addMember(update)
 		return
 	}
-	if known.Run != update.Run && update.Incarnation == known.Incarnation {
-		return // two processes of one name started at the same time: the known one is kept until one is superseded
+	if current.Run != update.Run && update.Incarnation == current.Incarnation {
+		return // two processes of one name started at the same time: the one in the table is kept until one is superseded
 	}
 	// A member that no longer receives any packets declares all others dead. So another member's Dead is only an
 	// accusation if the subject is not suspected here, or has shown a sign of life since the suspicion started.
-	accusation := update.State == Dead && (known.State == Alive || d.aliveSinceAccusation(known))
+	accusation := update.State == Dead && (current.State == Alive || d.aliveSinceAccusation(current))
 	if update.State == Suspect || accusation {
-		d.applyAccusation(update, known, from)
+		d.applyAccusation(update, current, from)
 		return
 	}
-	if update.supersedes(&known.Update) {
+	if update.supersedes(&current.Update) {
 		d.setState(d.table.writable(update.Name), update)
 	}
 }
 
 // applyAccusation handles an update that accuses a known member. An accusation at a higher incarnation implies that the
 // member was alive at that incarnation.
-func (d *Detector) applyAccusation(update Update, known *member, from Name) {
+func (d *Detector) applyAccusation(update Update, current *member, from Name) {
 	accuser := update.Accuser
 	if accuser == "" {
 		accuser = from
 	}
-	if update.Incarnation > known.Incarnation {
+	if update.Incarnation > current.Incarnation {
 		alive := update
 		alive.State = Alive
 		alive.Accuser = ""
@@ -139,7 +139,7 @@
 }
 
 // setState updates a member in the table and queues the update for dissemination. Any state but Suspect ends a
-// suspicion of the member.
+// suspicion of the member. A change of the state or of the run is added to the output.
 func (d *Detector) setState(target *member, update Update) {
 	previous := target.State
 	run := target.Run
@@ -161,7 +161,8 @@
 }
 
 // handleSelfUpdate handles an update about this member: it refutes a false statement, or stops the protocol if a newer
-// process of this name runs at another address.
+// process of this name runs at another address. It ignores an update at an earlier incarnation, and any update while
+// the detector is not in the phase running.
 func (d *Detector) handleSelfUpdate(update Update) {
 	if d.phase != running || update.Incarnation < d.self.Incarnation {
 		return
@@ -188,7 +189,7 @@
 	d.announce(Alive)
 }
 
-// announce increments this member's incarnation and queues the update for dissemination.
+// announce sets this member's state, increments its incarnation and queues the update for dissemination.
 func (d *Detector) announce(s State) {
 	d.self.Incarnation++
 	d.self.State = s
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -12,12 +12,12 @@
 // member is an entry of the table.
 type member struct {
 	Update
-	stateSince  Millis     // when the member entered its state
+	stateSince  Millis     // Unix time at which the member entered its state
 	suspicion   *suspicion // nil unless the state is Suspect
-	lastAliveAt Millis     // while Suspect: when this member itself last saw a sign of life
-	notifiedAt  Millis     // while Dead: when the member was last sent the update about itself
-	transmits   int        // how often its newest update was sent
-	queued      bool       // its newest update is still to be disseminated
+	lastAliveAt Millis     // while Suspect: Unix time of the last sign of life that this process received; 0: none
+	notifiedAt  Millis     // while Dead: Unix time at which the member was last sent the update about itself
+	transmits   int        // how often the newest update about this member was sent
+	queued      bool       // the newest update about this member is still to be disseminated
 }
 
 // Roster is an immutable list of members that many detectors can start from and share.
@@ -51,7 +51,7 @@
 	added     []Name              // members that are not in the roster, in the order of their addition
 	checksums [bucketCount]uint64 // by bucket: XOR of the checksums of its members
 	removed   int                 // members of the roster that were removed
-	version   uint64              // increases with each change
+	version   uint64              // increases with each change of the table
 	count     [4]int              // members by State
 }
 
--- a/internal/testbed/platform/endpoint.go
+++ b/internal/testbed/platform/endpoint.go
@@ -11,17 +11,17 @@
 // Endpoint is a fake server behind the balancers. It counts the requests that it runs, by their ids.
 type Endpoint struct {
 	Name  string
-	Build int // set with Platform.SetBuild
+	Build int // number of the build that the endpoint runs; set with Platform.SetBuild
 
 	server   *http.Server
 	address  string
 	platform *Platform
 
 	mu                sync.Mutex
-	nonIdempotentRuns map[string]int // executions by request id
+	nonIdempotentRuns map[string]int // executions of non-idempotent requests, by request id
 	requests          int
-	latency           time.Duration
-	fail              bool
+	latency           time.Duration // time from a request to its response
+	respondsWithError bool          // responses have status 500
 }
 
 func newEndpoint(p *Platform, name string) (*Endpoint, error) {
@@ -35,7 +35,7 @@
 func (e *Endpoint) SetBehavior(latency time.Duration, fail bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.latency, e.fail = latency, fail
+	e.latency, e.respondsWithError = latency, fail
 }
 
 // Requests returns the number of requests that the endpoint has received in full.
@@ -81,5 +81,5 @@
 	if r.Method == http.MethodPost && r.Header.Get("Idempotency-Key") == "" {
 		e.nonIdempotentRuns[id]++
 	}
-	return e.latency, e.fail
+	return e.latency, e.respondsWithError
 }
