--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -42,7 +42,7 @@
 	t.Helper()
 	r.cancel()
 	if err := <-r.ended; err != nil {
-		t.Error(err)
+		t.Errorf("Run: got error %v, want none", err)
 	}
 }
 
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -16,8 +16,8 @@
 const (
 	readTimeout    = 5 * time.Second  // limit for reading a request, and for an idle connection
 	writeTimeout   = 20 * time.Second // limit for a request and its response; some handlers query other instances
-	maxHeaderBytes = 4 << 10
-	maxBodyBytes   = 4 << 20 // limit for a request, and for a response that Call reads
+	maxHeaderBytes = 4 << 10          // limit for the request line and headers of a request
+	maxBodyBytes   = 4 << 20          // limit for the body of a request, and of a response that Call reads
 )
 
 const jsonType = "application/json"
@@ -68,7 +68,7 @@
 }
 
 // Post registers a path for POST requests. The response is the result of handle for the request's body, as JSON. If
-// handle returns an error, the response is its text with status 409. A body of more than 4 MiB gets status 413.
+// handle returns an error, the response is its text with status 409. A body that is longer than 4 MiB or can't be read gets status 413.
 func (s *Server) Post(path string, handle func(ctx context.Context, body []byte) (any, error)) {
 	s.mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
--- a/internal/admin/wire_golden_test.go
+++ b/internal/admin/wire_golden_test.go
@@ -67,7 +67,7 @@
 	t.Cleanup(func() {
 		cancel()
 		if err := <-ended; err != nil {
-			t.Error(err)
+			t.Errorf("Run: got error %v, want none", err)
 		}
 	})
 	return listener.Addr().String()
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -32,10 +32,10 @@
 
 // fromEnv returns the clock that a value of TestbedEnv describes. It ignores an offset or rate that is malformed, and a
 // rate that is not positive.
-func fromEnv(text string) *Clock {
+func fromEnv(envValue string) *Clock {
 	now := time.Now()
 	c := &Clock{start: now, unix: float64(now.UnixMicro()) / 1000, rate: 1}
-	offset, rate, _ := strings.Cut(text, " ")
+	offset, rate, _ := strings.Cut(envValue, " ")
 	if d, err := time.ParseDuration(offset); err == nil {
 		c.unix += float64(d) / float64(time.Millisecond)
 	}
@@ -45,7 +45,7 @@
 	return c
 }
 
-// Uptime returns the time since the clock was created.
+// Uptime returns the time since the clock was created, as this clock measures it: with the rate of the testbed.
 func (c *Clock) Uptime() decision.Millis { return c.Now() - c.unix }
 
 // Now returns the current Unix time.
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -30,7 +30,7 @@
 	sentAt           time.Time     // zero if the call is not hedged: arriving is not called then
 
 	lastByteAt atomic.Int64 // time of the last byte in ns since sentAt; 0: no byte yet
-	complete   atomic.Bool  // the body was read completely and is being decoded
+	complete   atomic.Bool  // the whole body was read; it is being decoded, or was
 }
 
 // arriving reports whether the response is in progress: a byte came within the last stallTimeout, or the body is being
@@ -40,7 +40,7 @@
 	return c.complete.Load() || lastByteAt > 0 && time.Since(c.sentAt)-lastByteAt < stallTimeout
 }
 
-// progress records that bytes were received.
+// progress records the time at which bytes of the response were received.
 func (c *call) progress() { c.lastByteAt.Store(max(1, int64(time.Since(c.sentAt)))) }
 
 // progressReader calls progress after each non-empty read.
--- a/internal/discovery/delivery.go
+++ b/internal/discovery/delivery.go
@@ -19,15 +19,16 @@
 	receivedOnce sync.Once
 }
 
-// deliver passes an update of the watch with this number to the handler. first reports whether it is the first update
+// deliver passes an update of the watch with this number to the handler, unless a newer watch has delivered or the update
+// is an empty delta and deliverEmpty is false. first reports whether it is the first update
 // of that watch, accepted whether no newer watch has delivered. Without this check an older list could follow a newer
 // one.
-func (d *delivery) deliver(number int, update engine.EndpointUpdate) (first, accepted bool) {
+func (d *delivery) deliver(watchNumber int, update engine.EndpointUpdate) (first, accepted bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	first = d.newestWatch < number
-	d.newestWatch = max(d.newestWatch, number)
-	accepted = d.newestWatch == number
+	first = d.newestWatch < watchNumber
+	d.newestWatch = max(d.newestWatch, watchNumber)
+	accepted = d.newestWatch == watchNumber
 	if accepted && (d.deliverEmpty || update.Kind == decision.FullSnapshot || len(update.Endpoints) > 0) {
 		d.handle(update)
 		d.receivedOnce.Do(func() { close(d.received) })
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -49,7 +49,7 @@
 	version     int64  // version of the last delivered list; noVersion: the next call requests a full snapshot
 	client      *http.Client
 	delivered   chan<- int // receives number after the first update was delivered
-	unavailable bool       // the last calls failed or timed out
+	unavailable bool       // set by a failed call or an overdue full snapshot, cleared by the next update
 }
 
 // run follows the list until ctx ends or a newer watch has delivered. Each call is sent as soon as the previous one has
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	watchTimeout    = 2 * time.Second        // wait of a watch for a change; short, since calls hang while the agent is down
+	watchTimeout    = 2 * time.Second        // longest wait of a call for a change; short, since calls get no response while the agent is down
 	responseTimeout = time.Second            // limit for the first byte of a response that is due
 	snapshotTimeout = 4 * time.Second        // see timing.snapshotTimeout
 	stallTimeout    = 200 * time.Millisecond // limit between two bytes of a response, which the agent has ready as a whole
@@ -26,7 +26,7 @@
 	queueFraction = 4                     // MaxPollInterval divided by this is the minimum responseTimeout of a polled service
 	hedgeFraction = 4                     // the drain grace divided by this is the time between hedged calls
 	watchFraction = 2                     // the drain grace divided by this limits a watch of a pushed list; see newTiming
-	minGrace      = 50 * time.Millisecond // used if the drain grace is 0
+	minGrace      = 50 * time.Millisecond // replaces a drain grace of 0 in newTiming
 )
 
 const noVersion = -1 // no list is known, or the next call must request a full snapshot
@@ -83,7 +83,7 @@
 
 	address      string // host:port of the first watch
 	knownVersion int64  // version of the list that is known at the start; noVersion: none
-	polls        bool   // the service has a queue and may reject calls
+	polls        bool   // the list is polled: the service has a queue and may reject calls (settings.Network.PollEndpoints)
 	decode       func([]byte) (engine.EndpointUpdate, error)
 	log          logrus.FieldLogger
 	causes       logging.Limiter // limits log lines about failed calls, by cause
@@ -93,7 +93,7 @@
 // commands passes commands of other goroutines to the running watches.
 type commands struct {
 	snapshotRequests chan struct{} // the next call must request a full snapshot; buffer of 1
-	resume           chan struct{} // the next call may be sent after a rejection; buffer of 1
+	resume           chan struct{} // see ResumeWatch; buffer of 1
 	newAddress       chan string   // host:port from which the list is to be fetched from now on
 }
 
@@ -118,7 +118,8 @@
 	return watcher
 }
 
-// FirstListReceived returns a channel that is closed once the first list was passed to the handler.
+// FirstListReceived returns a channel that is closed once the first update of a list was passed to the handler. A
+// PollRejected does not count.
 func (w *Watcher) FirstListReceived() <-chan struct{} { return w.received }
 
 // Calls returns the number of calls sent since the start.
@@ -231,12 +232,13 @@
 	}
 }
 
-// remove removes a watch that has returned.
+// remove releases the context of a watch that has returned and removes the watch.
 func (s *watchSet) remove(number int) {
 	s.cancel[number]()
 	delete(s.cancel, number)
 }
 
+// cancelAll cancels all running watches.
 func (s *watchSet) cancelAll() {
 	for _, cancel := range s.cancel {
 		cancel()
--- a/internal/discovery/wire_test.go
+++ b/internal/discovery/wire_test.go
@@ -32,7 +32,7 @@
 				Build: 41, MachineType: "m2", State: test.state, Capacity: 1.5,
 			}}
 			if err != nil || got.Kind != test.kind || len(got.Endpoints) != 1 || got.Endpoints[0] != want {
-				t.Errorf("got %+v, error %v, want %+v of kind %d", got, err, want, test.kind)
+				t.Errorf("Decode: got update %+v, error %v; want endpoints %+v in an update of kind %d", got, err, want, test.kind)
 			}
 		})
 	}
@@ -56,7 +56,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := Decode([]byte(test.text))
 			if err == nil || !test.matches(err) || err.Error() != test.message {
-				t.Errorf("got error %v, want %q", err, test.message)
+				t.Errorf("Decode: got error %v, want %q", err, test.message)
 			}
 		})
 	}
--- a/internal/ingress/benchmark_test.go
+++ b/internal/ingress/benchmark_test.go
@@ -38,10 +38,10 @@
 	go func() { served <- server.Serve(l) }()
 	b.Cleanup(func() {
 		if err := server.Drain(0); err != nil {
-			b.Error(err)
+			b.Errorf("Drain: got error %v, want none", err)
 		}
 		if err := <-served; err != nil {
-			b.Error(err)
+			b.Errorf("Serve: got error %v, want none", err)
 		}
 	})
 	return l.Addr().String()
--- a/internal/ingress/limits.go
+++ b/internal/ingress/limits.go
@@ -18,9 +18,9 @@
 // concurrent use.
 type connLimiter struct {
 	listener       net.Listener
-	listenerClosed chan struct{}
-	closeListener  func() error // closes the listener once; each call returns the result of the first
-	state          *lifecycle   // state of the server, which enters closing under mu
+	listenerClosed chan struct{} // closed after the listener
+	closeListener  func() error  // closes the listener on the first call; each call returns the result of the first
+	state          *lifecycle    // state of the server, which enters closing under mu
 
 	maxConnections int // beyond this number requests are rejected and their connections closed
 	log            logrus.FieldLogger
@@ -28,7 +28,7 @@
 	mu         sync.Mutex
 	slotFreed  *sync.Cond // signals that a connection has ended or the server is closing
 	conns      connTable
-	fullLogged bool // a warning was logged; reset at half the limit
+	fullLogged bool // the warning about the limit was logged; reset at half of maxConnections
 }
 
 // connTable holds the open connections, and lists those without a request in the order of eviction.
@@ -92,7 +92,8 @@
 	}
 }
 
-// track records a state change of a connection that http.Server reports, and evicts a connection beyond the limit.
+// track records a state change of a connection that http.Server reports. While there are more than maxConnections, it
+// also evicts one connection that carries no request, if there is one.
 func (l *connLimiter) track(conn net.Conn, state http.ConnState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,7 +162,8 @@
 	return entry.list == t.idle || entry.list == t.unused && time.Since(entry.since) >= newConnectionGrace
 }
 
-// evictOne closes one connection that carries no request, and reports whether there was one.
+// evictOne closes one connection that carries no request: the oldest unused one whose grace period is over, or else the
+// longest idle one. It reports whether there was one.
 func (t *connTable) evictOne() bool { return t.evictFrom(t.unused) || t.evictFrom(t.idle) }
 
 // evictFrom closes the first connection of a list that can be closed, and reports whether there was one. That frees the
--- a/internal/ingress/parse.go
+++ b/internal/ingress/parse.go
@@ -13,8 +13,8 @@
 // Limits on requests. Higher values need more memory for each connection.
 const (
 	maxBodyBytes     = 64 << 10
-	maxHeaderBytes   = 8 << 10
-	maxCorrelationID = 128 // bytes
+	maxHeaderBytes   = 8 << 10 // request line and headers
+	maxCorrelationID = 128     // length in bytes
 )
 
 // Headers of clients.
@@ -41,9 +41,11 @@
 
 // requestParser checks requests against the settings.
 type requestParser struct {
-	classes          map[string]*decision.RequestClass // keyed by the first segment of the path
-	tenants          map[decision.TenantID]bool        // empty: all tenants are accepted
-	maxClientTimeout decision.Millis                   // a longer remaining time is reduced to this, more than twice this is an error
+	classes map[string]*decision.RequestClass // keyed by the first segment of the path
+	tenants map[decision.TenantID]bool        // empty: all tenants are accepted
+	// maxClientTimeout is the longest remaining time of a request. A longer one is reduced to it; one of more than twice as
+	// much is an error.
+	maxClientTimeout decision.Millis
 }
 
 // parsedRequest holds the values from the headers and request line.
@@ -149,9 +151,11 @@
 	return nil
 }
 
-// remaining parses the time in seconds until the client gives up, and returns it in milliseconds.
-func (p *requestParser) remaining(text string) (decision.Millis, error) {
-	seconds, err := strconv.ParseFloat(text, 64)
+// remaining parses X-Time-Left, the time in seconds until the client gives up, and returns it in milliseconds. A time
+// above maxClientTimeout is reduced to that. The error is errInvalidTimeLeft for a time that is no number, not positive,
+// or more than twice maxClientTimeout.
+func (p *requestParser) remaining(timeLeft string) (decision.Millis, error) {
+	seconds, err := strconv.ParseFloat(timeLeft, 64)
 	remaining := seconds * 1000
 	if err != nil || math.IsNaN(remaining) || remaining <= 0 || remaining > 2*p.maxClientTimeout {
 		return 0, errInvalidTimeLeft
@@ -164,14 +168,14 @@
 // baseline.
 func stickyKey(query string) decision.Key {
 	for pair := range strings.SplitSeq(query, "&") {
-		name, text, _ := strings.Cut(pair, "=")
+		name, value, _ := strings.Cut(pair, "=")
 		if name != "key" {
 			continue
 		}
-		if unescaped, err := url.QueryUnescape(text); err == nil {
-			text = unescaped
+		if unescaped, err := url.QueryUnescape(value); err == nil {
+			value = unescaped
 		}
-		return decision.Key(text)
+		return decision.Key(value)
 	}
 	return ""
 }
--- a/internal/ingress/parse_test.go
+++ b/internal/ingress/parse_test.go
@@ -63,10 +63,10 @@
 			test.change(r)
 			parsed, err := parser.parse(r)
 			if !errors.Is(err, test.want) {
-				t.Errorf("got error %v, want %v", err, test.want)
+				t.Errorf("parse: got error %v, want %v", err, test.want)
 			}
 			if err == nil && (parsed.remaining != 2000 || parsed.correlationID != "c" || parsed.tenant != "acme") {
-				t.Errorf("got %+v, want 2000 ms, id c, tenant acme", parsed)
+				t.Errorf("parsed request: got %+v, want remaining 2000 ms, correlation id c, tenant acme", parsed)
 			}
 		})
 	}
@@ -77,7 +77,7 @@
 	for i := range requestErrorCount {
 		failure := requestError(i)
 		if failure.Error() == "" || failure.status() < 400 || failure.status() > 599 {
-			t.Errorf("requestError %d: got status %d, text %q", i, failure.status(), failure.Error())
+			t.Errorf("requestError %d: got status %d, text %q; want both set", i, failure.status(), failure.Error())
 		}
 	}
 }
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -46,7 +46,7 @@
 
 	retryAfter          decision.Millis // Retry-After of requests rejected without the engine; 0: none
 	responseGracePeriod decision.Millis // time after a client's deadline within which the engine still responds
-	drainTimeout        time.Duration   // limit of the time for open requests after the server has stopped accepting
+	drainTimeout        time.Duration   // how long Drain waits for open requests after the server has stopped accepting
 	decideResume        func(*decision.RequestClass) lease.ResumeDecision
 
 	httpServer *http.Server
@@ -129,7 +129,8 @@
 // abortConnection is the error handler of the reverse proxy. It closes the connection of a client that has disconnected.
 func abortConnection(http.ResponseWriter, *http.Request, error) { panic(http.ErrAbortHandler) }
 
-// Serve accepts connections and serves requests until Drain. It returns nil after Drain, also if Drain was called before.
+// Serve accepts connections and serves requests until Drain. It returns nil after Drain. If Drain was
+// called before, Serve closes the listener at once and returns the error of that.
 func (s *Server) Serve(listener net.Listener) error {
 	if !s.limiter.setListener(listener) { // Drain was called before
 		return listener.Close()
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -69,7 +69,7 @@
 	t.Cleanup(func() {
 		_ = server.httpServer.Close() // the test may have closed it
 		if err := <-served; err != nil {
-			t.Error(err)
+			t.Errorf("Serve: got error %v, want none", err)
 		}
 	})
 	return server, fake
@@ -372,7 +372,7 @@
 		}
 	}
 	if err := <-drained; err != nil {
-		t.Error(err)
+		t.Errorf("Drain: got error %v, want none", err)
 	}
 	if _, err := net.Dial("tcp", address); err == nil {
 		t.Error("accepts connections after Drain")
@@ -506,10 +506,10 @@
 		time.Sleep(time.Millisecond)
 	}
 	if err := server.Drain(0); err != nil {
-		t.Error(err)
+		t.Errorf("Drain: got error %v, want none", err)
 	}
 	if err := <-served; err != nil {
-		t.Error(err)
+		t.Errorf("Serve: got error %v, want none", err)
 	}
 }
 
@@ -550,7 +550,7 @@
 		}
 	}
 	if err := <-drained; err != nil {
-		t.Error(err)
+		t.Errorf("Drain: got error %v, want none", err)
 	}
 }
 
@@ -578,7 +578,7 @@
 		t.Errorf("got status %d, want 503", res.StatusCode)
 	}
 	if err := <-drained; err != nil {
-		t.Error(err)
+		t.Errorf("Drain: got error %v, want none", err)
 	}
 }
 
@@ -616,7 +616,7 @@
 		t.Errorf("open request: got status %d, body %q; want 200, hi", res.StatusCode, body)
 	}
 	if err := <-drained; err != nil {
-		t.Error(err)
+		t.Errorf("Drain: got error %v, want none", err)
 	}
 }
 
@@ -662,11 +662,11 @@
 	log.SetOutput(io.Discard)
 	server := New(fakeEngine{}, clock.New(), decision.Settings{}, testNetwork, 10, log)
 	if err := server.Drain(0); err != nil {
-		t.Error(err)
+		t.Errorf("Drain: got error %v, want none", err)
 	}
 	l := listen(t)
 	if err := server.Serve(l); err != nil {
-		t.Error(err)
+		t.Errorf("Serve after Drain: got error %v, want none", err)
 	}
 	if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
 		_ = c.Close() // the test has already failed
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -18,7 +18,7 @@
 	logger.WithField("cause", "x y").Info("written")
 	want := regexp.MustCompile(`^time="\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}(Z|[+-]\d\d:\d\d)" level=info msg=written cause="x y"\n$`)
 	if !want.Match(out.Bytes()) {
-		t.Errorf("got %q, want a match of %s", out.String(), want)
+		t.Errorf("log output: got %q, want a match of %s", out.String(), want)
 	}
 }
 
--- a/internal/sockopt/conn_test.go
+++ b/internal/sockopt/conn_test.go
@@ -71,7 +71,7 @@
 			b := make([]byte, 10)
 			n, err := s.Read(b)
 			if string(b[:n]) != test.text || !errors.Is(err, test.want) {
-				t.Errorf("got %q, error %v, want %q, error %v", b[:n], err, test.text, test.want)
+				t.Errorf("Read: got %q, error %v, want %q, error %v", b[:n], err, test.text, test.want)
 			}
 		})
 	}
@@ -134,7 +134,7 @@
 	}
 	sendText(client, "the rest")
 	if n := <-read; n != len("the rest") {
-		t.Errorf("got %d bytes, want %d", n, len("the rest"))
+		t.Errorf("Read of the rest of the request: got %d bytes, want %d", n, len("the rest"))
 	}
 }
 
--- a/internal/stats/summary.go
+++ b/internal/stats/summary.go
@@ -14,7 +14,8 @@
 	c.Failures += weight * other.Failures
 }
 
-// ScaledTo returns the count scaled down to a total of at most n. A total below 1 counts as 1.
+// ScaledTo returns the count scaled down to a total of at most n. The scale is that for a total of 1 if the total is
+// below 1.
 func (c Count) ScaledTo(n float64) Count {
 	factor := min(1, n/max(c.Total(), 1))
 	return Count{c.Successes * factor, c.Failures * factor}
@@ -44,8 +45,8 @@
 // Close makes the group that is being filled the last full one, whatever its size, and starts an empty group.
 func (g *Groups) Close() { g.Partial, g.Last, g.Previous = nil, g.Partial, g.Last }
 
-// Mean is a running mean. It is the exact mean of the first values and is exponentially smoothed once as many values as
-// the memory of Add were added.
+// Mean is a running mean. It is the exact mean of all values until their number reaches the memory argument of Add. After
+// that it is exponentially smoothed.
 type Mean struct{ Value, count float64 }
 
 // Add adds a value and returns the mean. The memory is a number of values, 1 or more; a higher one follows changes more
--- a/internal/upstream/classify.go
+++ b/internal/upstream/classify.go
@@ -102,8 +102,8 @@
 	}
 	load := &decision.Load{Utilisation: -1, Queue: -1}
 	for _, pair := range strings.Split(report, ",") {
-		name, text, _ := strings.Cut(pair, "=")
-		value, err := strconv.ParseFloat(text, 64)
+		name, encoded, _ := strings.Cut(pair, "=")
+		value, err := strconv.ParseFloat(encoded, 64)
 		if err != nil || math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
 			continue
 		}
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -93,7 +93,8 @@
 	return nil
 }
 
-// isUsable reports whether an idle connection is still open and has nothing to read. A request written to a connection
+// isUsable reports whether an idle connection is still open and has nothing to read. A connection that is no
+// syscall.Conn can't be checked and counts as usable. A request written to a connection
 // that the endpoint has closed ends with a reset; it may have run, and such a request can't always be sent again.
 func (c *conn) isUsable() bool {
 	sys, ok := c.Conn.(syscall.Conn)
@@ -101,7 +102,7 @@
 }
 
 // putIdle adds a reusable connection to the idle connections of its endpoint. It closes the connection if the pool has
-// stopped or the endpoint is no longer the listed one.
+// stopped, the endpoint is no longer the listed one, or the deadline of the connection can't be cleared.
 func (p *Pool) putIdle(id decision.EndpointID, e *endpoint, c *conn) {
 	c.idleSince = time.Now()
 	p.mu.Lock()
@@ -152,7 +153,8 @@
 	}
 }
 
-// closeExpired closes the connections that have been idle for the idle limit, or closes all of them and stops the pool.
+// closeExpired closes the connections that have been idle for the idle limit. If all is true, it closes all idle
+// connections and stops the pool. In both cases it raises a lowered idle limit by one step.
 func (p *Pool) closeExpired(all bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -38,7 +38,7 @@
 	connectTimeout      time.Duration // limit for opening a connection
 	responseReadTimeout time.Duration // limit from the first byte of a response to the last
 	reuseDelay          time.Duration // how long a connection is not reused after a response; see lateResponseWindow
-	maxIdleTime         time.Duration // idle connections are closed by then, before the endpoint closes them
+	maxIdleTime         time.Duration // longest idle time: half of the endpoint's, so that the pool closes a connection first
 }
 
 const (
@@ -48,7 +48,7 @@
 	// minResponseReadTimeout applies if the connect timeout is only a few ms: a response may arrive in two segments.
 	minResponseReadTimeout = 50 * time.Millisecond
 	// lateResponseWindow is how late an endpoint may send an erroneous second response to a request. On a connection that
-	// is reused at once, it would be taken for the response to the next request. After this delay it is detected, and the
+	// is reused at once, the late response would be taken for the response to the next request. After this delay it is detected, and the
 	// connection is closed instead of reused. A higher value makes the pool open more connections.
 	lateResponseWindow = 25 * time.Millisecond
 )
@@ -105,9 +105,9 @@
 
 // slots enforces the limit on connections.
 type slots struct {
-	limit     int
-	taken     int  // one per connection that is established or coming up
-	exhausted bool // the warning was logged and the pool has not recovered yet
+	limit       int
+	taken       int  // one per connection that is established or coming up
+	limitLogged bool // the warning about the limit was logged; reset once at most half of the slots are taken
 }
 
 // reserveSlot takes a slot for a new connection and reports whether it got one. At the limit it closes the connection
@@ -119,13 +119,13 @@
 		return false
 	}
 	if p.slots.taken >= p.slots.limit && !p.closeLongestIdle() {
-		if !p.slots.exhausted {
+		if !p.slots.limitLogged {
 			p.log.WithField("held", p.slots.taken).Warn("endpoint connection limit reached")
 		}
-		p.slots.exhausted = true
+		p.slots.limitLogged = true
 		return false
 	}
-	p.slots.exhausted = p.slots.exhausted && p.slots.taken > p.slots.limit/2
+	p.slots.limitLogged = p.slots.limitLogged && p.slots.taken > p.slots.limit/2
 	p.slots.taken++
 	return true
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -139,7 +139,7 @@
 	}
 	var failed error
 	if err := raw.Control(func(fd uintptr) { failed = syscall.Listen(int(fd), 0) }); err != nil || failed != nil {
-		t.Fatal(err, failed)
+		t.Fatalf("set the accept queue to length 0: control: %v, listen: %v", err, failed)
 	}
 	for range 10 {
 		c, err := net.DialTimeout("tcp", l.Addr().String(), 20*time.Millisecond)
@@ -264,7 +264,7 @@
 		"util=-Inf,queue=-3": {Utilisation: -1, Queue: -1}, "util=1e999,;;,=,queue": {Utilisation: -1, Queue: -1},
 	} {
 		if got := parseLoad(text); *got != want {
-			t.Errorf("%q: got %+v, want %+v", text, *got, want)
+			t.Errorf("parseLoad(%q): got load %+v, want %+v", text, *got, want)
 		}
 	}
 }
