--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -114,7 +114,7 @@
 			}
 			_ = res.Body.Close() // only the status is checked
 			if res.StatusCode != test.status {
-				t.Errorf("got status %s, want %d", res.Status, test.status)
+				t.Errorf("response: got status %s, want %d", res.Status, test.status)
 			}
 		})
 	}
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -68,7 +68,8 @@
 }
 
 // Post registers a path for POST requests. The response is the result of handle for the request's body, as JSON. If
-// handle returns an error, the response is its text with status 409. A body that is longer than 4 MiB or can't be read gets status 413.
+// handle returns an error, the response is its text with status 409. A body that is longer than 4 MiB or can't be read
+// gets status 413.
 func (s *Server) Post(path string, handle func(ctx context.Context, body []byte) (any, error)) {
 	s.mux.HandleFunc("POST "+path, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -124,26 +124,26 @@
 	select {
 	case update := <-updates:
 		if update.Version != version {
-			t.Errorf("got list %d, want %d", update.Version, version)
+			t.Errorf("got list version %d, want %d", update.Version, version)
 		}
 	case <-time.After(within):
-		t.Fatalf("got no list within %v, want list %d", within, version)
+		t.Fatalf("got no list within %v, want list version %d", within, version)
 	}
 }
 
 // segment is a part of a response with its delay after the previous segment, or after the call for the first.
 type segment struct {
-	after time.Duration
+	delay time.Duration
 	text  string
 }
 
 // neverSent is a segment that does not arrive.
-var neverSent = segment{after: time.Hour}
+var neverSent = segment{delay: time.Hour}
 
 // splitEvenly splits a response into count segments with the same delay.
-func splitEvenly(after time.Duration, body string, count int) (segments []segment) {
+func splitEvenly(delay time.Duration, body string, count int) (segments []segment) {
 	for i := range count {
-		segments = append(segments, segment{after, body[i*len(body)/count : (i+1)*len(body)/count]})
+		segments = append(segments, segment{delay, body[i*len(body)/count : (i+1)*len(body)/count]})
 	}
 	return segments
 }
@@ -160,12 +160,12 @@
 	}
 	next := &b.segments[0]
 	select {
-	case <-time.After(next.after):
+	case <-time.After(next.delay):
 	case <-b.ctx.Done():
 		return 0, b.ctx.Err()
 	}
 	n := copy(p, next.text)
-	if next.after, next.text = 0, next.text[n:]; next.text == "" {
+	if next.delay, next.text = 0, next.text[n:]; next.text == "" {
 		b.segments = b.segments[1:]
 	}
 	return n, nil
@@ -207,11 +207,11 @@
 		return nil, errBroken
 	}
 	select {
-	case <-time.After(segments[0].after):
+	case <-time.After(segments[0].delay):
 	case <-r.Context().Done():
 		return nil, r.Context().Err()
 	}
-	segments[0].after = 0
+	segments[0].delay = 0
 	return &http.Response{StatusCode: http.StatusOK, Body: &segmentedBody{r.Context(), segments}, Request: r}, nil
 }
 
--- a/internal/discovery/delivery.go
+++ b/internal/discovery/delivery.go
@@ -19,10 +19,9 @@
 	receivedOnce sync.Once
 }
 
-// deliver passes an update of the watch with this number to the handler, unless a newer watch has delivered or the update
-// is an empty delta and deliverEmpty is false. first reports whether it is the first update
-// of that watch, accepted whether no newer watch has delivered. Without this check an older list could follow a newer
-// one.
+// deliver passes an update of the watch with this number to the handler, unless a newer watch has delivered or the
+// update is an empty delta and deliverEmpty is false. first reports whether it is the first update of that watch,
+// accepted whether no newer watch has delivered. Without this check an older list could follow a newer one.
 func (d *delivery) deliver(watchNumber int, update engine.EndpointUpdate) (first, accepted bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/discovery/snapshot_test.go
+++ b/internal/discovery/snapshot_test.go
@@ -44,18 +44,18 @@
 			watcher := New(address, nil, settings.Network{DrainGrace: 40},
 				func(update engine.EndpointUpdate) { updates <- update }, discardLog())
 			if watcher.hedgeAfter != 10*time.Millisecond || watcher.retryDelay > watcher.hedgeAfter {
-				t.Errorf("got hedge interval %v, retry delay %v, want 10ms, at most 10ms", watcher.hedgeAfter, watcher.retryDelay)
+				t.Errorf("watcher: got hedge interval %v, retry delay %v, want 10ms, at most 10ms", watcher.hedgeAfter, watcher.retryDelay)
 			}
 			// At most ten calls are open, so forty unanswered calls take about four response timeouts.
 			watcher.responseTimeout = 100 * time.Millisecond
 			_, stop := runWatcher(t, watcher)
 			expectVersion(t, updates, 41, 10*time.Second)
 			if got := int(calls.Load()); got < test.unanswered+1 {
-				t.Errorf("got list 41 after %d calls, want at least %d", got, test.unanswered+1)
+				t.Errorf("got list version 41 after %d calls, want at least %d", got, test.unanswered+1)
 			}
 			stop()
 			if len(replied) != 1 {
-				t.Error("got no call after the outage, want at least 1")
+				t.Error("agent: got no call after the outage, want at least 1")
 			}
 		})
 	}
@@ -93,7 +93,7 @@
 	expectVersion(t, updates, 41, 10*time.Second)
 	// The fake agent notices the end of a call with a delay.
 	if maxOpen.Load() > 2*maxOpenCalls {
-		t.Errorf("got %d calls open at the same time, want about %d", maxOpen.Load(), maxOpenCalls)
+		t.Errorf("agent: got %d calls open at the same time, want about %d", maxOpen.Load(), maxOpenCalls)
 	}
 }
 
@@ -166,13 +166,13 @@
 		},
 		"steadily, longer than the hedge interval": {response: func(call int) []segment {
 			if call == 1 {
-				return append([]segment{{after: 5 * time.Millisecond}}, splitEvenly(100*time.Millisecond, older, 10)...)
+				return append([]segment{{delay: 5 * time.Millisecond}}, splitEvenly(100*time.Millisecond, older, 10)...)
 			}
 			return []segment{{0, newer}}
 		}, version: 41, deliveredAfter: 1005 * time.Millisecond, calls: 1},
 		"steadily, longer than snapshotTimeout": {response: func(call int) []segment {
 			if call == 1 {
-				return append([]segment{{after: 5 * time.Millisecond}}, splitEvenly(150*time.Millisecond, older, 30)...)
+				return append([]segment{{delay: 5 * time.Millisecond}}, splitEvenly(150*time.Millisecond, older, 30)...)
 			}
 			return []segment{{0, newer}}
 		}, version: 42, deliveredAfter: snapshotTimeout, calls: 2},
@@ -193,7 +193,7 @@
 			version:  41, deliveredAfter: 1005 * time.Millisecond, calls: 1, decodeTime: time.Second,
 		},
 		"slow response and slow decoding": {response: func(call int) []segment {
-			return append([]segment{{after: 5 * time.Millisecond}}, splitEvenly(390*time.Millisecond, older, 10)...)
+			return append([]segment{{delay: 5 * time.Millisecond}}, splitEvenly(390*time.Millisecond, older, 10)...)
 		}, version: 41, deliveredAfter: 4905 * time.Millisecond, decodeTime: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -230,7 +230,7 @@
 	}
 	time.Sleep(5 * time.Millisecond)
 	if len(updates) > 0 {
-		t.Errorf("got list %d afterwards, want no further list", (<-updates).Version)
+		t.Errorf("got list version %d afterwards, want no further list", (<-updates).Version)
 	}
 }
 
@@ -241,13 +241,13 @@
 	calls, maxOpen := len(agent.calls), agent.maxOpen
 	agent.mu.Unlock()
 	if update.Version != c.version || took < c.deliveredAfter || took > c.deliveredAfter+hedgeInterval {
-		t.Errorf("got list %d after %v, want list %d after %v", update.Version, took, c.version, c.deliveredAfter)
+		t.Errorf("got list version %d after %v, want list version %d after %v", update.Version, took, c.version, c.deliveredAfter)
 	}
 	if c.calls > 0 && calls > c.calls+1 { // the next watch may have been sent already
-		t.Errorf("got %d calls, want %d", calls, c.calls)
+		t.Errorf("agent: got %d calls, want %d", calls, c.calls)
 	}
 	if maxOpen > maxOpenCalls {
-		t.Errorf("got %d calls open at the same time, want at most %d", maxOpen, maxOpenCalls)
+		t.Errorf("agent: got %d calls open at the same time, want at most %d", maxOpen, maxOpenCalls)
 	}
 }
 
@@ -275,7 +275,7 @@
 		}
 		synctest.Wait()
 		if open := agent.openCalls(); agent.maxOpen > maxOpenCalls || open > 0 {
-			t.Errorf("got %d calls open at the same time, %d at the end, want at most %d, none",
+			t.Errorf("agent: got %d calls open at the same time, %d at the end, want at most %d, none",
 				agent.maxOpen, open, maxOpenCalls)
 		}
 	})
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -15,9 +15,9 @@
 func TestStalledWatchFetchesSnapshot(t *testing.T) {
 	stalled := []segment{{0, encodeUpdate(42, false, "Terminating")[:20]}, neverSent}
 	for name, test := range map[string]struct {
-		response []segment     // response to the first watch call
-		version  int64         // version of the delivered list
-		after    time.Duration // time until the list is delivered
+		response       []segment     // response to the first watch call
+		version        int64         // version of the delivered list
+		deliveredAfter time.Duration // time until the list is delivered
 	}{
 		"steadily": {splitEvenly(100*time.Millisecond, encodeUpdate(42, false, "Terminating"), 10), 42, time.Second},
 		"stalls":   {stalled, 43, stallTimeout},
@@ -39,7 +39,7 @@
 						return []segment{neverSent}
 					}
 					segments := slices.Clone(test.response)
-					segments[0].after = 0
+					segments[0].delay = 0
 					return segments
 				}}
 				slow := newSlowWatch(agent, sendOrDrop(updates))
@@ -51,9 +51,10 @@
 				defer cancel()
 				update := <-updates
 				took := time.Since(startedAt)
-				early, late := took < test.after-100*time.Millisecond, took > test.after+10*time.Millisecond
-				if update.Version != test.version || early || late {
-					t.Errorf("got list %d after %v, want list %d after %v", update.Version, took, test.version, test.after)
+				tooEarly, tooLate := took < test.deliveredAfter-100*time.Millisecond, took > test.deliveredAfter+10*time.Millisecond
+				if update.Version != test.version || tooEarly || tooLate {
+					t.Errorf("got list version %d after %v, want list version %d after %v",
+						update.Version, took, test.version, test.deliveredAfter)
 				}
 			})
 		})
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -16,17 +16,25 @@
 	"ottershed/internal/settings"
 )
 
+// Default time limits and delays of calls; see the fields of timing that have the same names.
 const (
-	watchTimeout    = 2 * time.Second        // longest wait of a call for a change; short, since calls get no response while the agent is down
-	responseTimeout = time.Second            // limit for the first byte of a response that is due
-	snapshotTimeout = 4 * time.Second        // see timing.snapshotTimeout
-	stallTimeout    = 200 * time.Millisecond // limit between two bytes of a response, which the agent has ready as a whole
-	retryDelay      = 50 * time.Millisecond  // after a failed call; a watch continues only if the next call comes within 200 ms
-
-	queueFraction = 4                     // MaxPollInterval divided by this is the minimum responseTimeout of a polled service
-	hedgeFraction = 4                     // the drain grace divided by this is the time between hedged calls
-	watchFraction = 2                     // the drain grace divided by this limits a watch of a pushed list; see newTiming
-	minGrace      = 50 * time.Millisecond // replaces a drain grace of 0 in newTiming
+	watchTimeout    = 2 * time.Second // short, since calls get no response while the agent is down
+	responseTimeout = time.Second
+	snapshotTimeout = 4 * time.Second
+	stallTimeout    = 200 * time.Millisecond // the agent has a response ready as a whole
+	retryDelay      = 50 * time.Millisecond  // a watch continues only if the next call comes within 200 ms
+)
+
+// Values from which newTiming derives time limits.
+const (
+	// queueFraction: the response timeout of a polled service is at least this fraction (1/4) of MaxPollInterval.
+	queueFraction = 4
+	// hedgeFraction: the interval between hedged calls is this fraction (1/4) of the drain grace.
+	hedgeFraction = 4
+	// watchFraction: the watch timeout of a pushed list is at most this fraction (1/2) of the drain grace.
+	watchFraction = 2
+	// minGrace replaces a drain grace of 0.
+	minGrace = 50 * time.Millisecond
 )
 
 const noVersion = -1 // no list is known, or the next call must request a full snapshot
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -90,7 +90,7 @@
 	}
 	stop()
 	if delivered == 0 || len(updates) != 0 {
-		t.Errorf("got %d expected updates and %d unexpected, want at least 1 and none", delivered, len(updates))
+		t.Errorf("delivered updates: got %d expected and %d unexpected, want at least 1 and none", delivered, len(updates))
 	}
 }
 
@@ -214,24 +214,24 @@
 		func(update engine.EndpointUpdate) { updates <- update }, discardLog())
 	watcher.watchTimeout, watcher.retryDelay = 50*time.Millisecond, time.Millisecond
 	if watcher.responseTimeout != 2500*time.Millisecond {
-		t.Errorf("got response timeout %v, want 2.5s", watcher.responseTimeout)
+		t.Errorf("watcher of a polled list: got response timeout %v, want 2.5s", watcher.responseTimeout)
 	}
 	_, stop := runWatcher(t, watcher)
 	// If the connection broke before the response header, http.Transport would repeat the call by itself.
-	broken := reply{body: "{", ending: abort}
+	brokenReply := reply{body: "{", ending: abort}
 	for i, step := range []struct {
 		awaitsResume bool // ResumeWatch must be called first
-		since        int
+		since        int  // version in the query of the call
 		response     reply
-		update       decision.SnapshotKind
+		update       decision.SnapshotKind // kind of the update that the handler gets; noUpdate: none
 	}{
 		{true, 41, reply{status: http.StatusServiceUnavailable}, decision.PollRejected},
 		{true, 41, reply{status: http.StatusTooManyRequests}, decision.PollRejected},
 		{true, 41, reply{body: encodeUpdate(43, false, "Ready")}, decision.Delta},
-		{false, 43, broken, noUpdate},
+		{false, 43, brokenReply, noUpdate},
 		{false, 43, reply{body: encodeUpdate(43, false)}, decision.Delta}, // no entries: shows that the call was accepted
 		{false, 43, reply{body: "what?"}, noUpdate},
-		{false, 43, broken, decision.PollRejected},
+		{false, 43, brokenReply, decision.PollRejected},
 		{true, 43, reply{body: encodeUpdate(44, true, "Ready")}, decision.FullSnapshot},
 		{false, 44, reply{status: http.StatusServiceUnavailable}, decision.PollRejected},
 	} {
--- a/internal/discovery/wire_test.go
+++ b/internal/discovery/wire_test.go
@@ -17,16 +17,16 @@
 
 func TestDecode(t *testing.T) {
 	for name, test := range map[string]struct {
-		text  string
-		kind  decision.SnapshotKind
-		state decision.EndpointState
+		encoded string
+		kind    decision.SnapshotKind
+		state   decision.EndpointState
 	}{
 		"ready":       {encodeUpdate(41, true, "Ready"), decision.FullSnapshot, decision.Serving},
 		"terminating": {encodeUpdate(42, false, "Terminating"), decision.Delta, decision.Draining},
 		"gone":        {encodeUpdate(42, false, "Gone"), decision.Delta, decision.Removed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, err := Decode([]byte(test.text))
+			got, err := Decode([]byte(test.encoded))
 			want := engine.Endpoint{Address: "10.1.0.18:8080", Endpoint: decision.Endpoint{
 				ID: "s-1", Cell: 3, StartedAt: 7000, Zone: "a",
 				Build: 41, MachineType: "m2", State: test.state, Capacity: 1.5,
@@ -38,7 +38,7 @@
 	}
 	is := func(want error) func(error) bool { return func(err error) bool { return errors.Is(err, want) } }
 	for name, test := range map[string]struct {
-		text    string
+		encoded string
 		matches func(error) bool
 		message string // check-config prints it
 	}{
@@ -54,7 +54,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := Decode([]byte(test.text))
+			_, err := Decode([]byte(test.encoded))
 			if err == nil || !test.matches(err) || err.Error() != test.message {
 				t.Errorf("Decode: got error %v, want %q", err, test.message)
 			}
--- a/internal/ingress/closing_test.go
+++ b/internal/ingress/closing_test.go
@@ -128,7 +128,7 @@
 	rejected := response.StatusCode == http.StatusServiceUnavailable && response.Header.Get("Retry-After") != "" &&
 		response.Close
 	if response.StatusCode != http.StatusInternalServerError && !rejected {
-		c.t.Errorf("got status %d (0: closed without a response), %v; want 500, or 503 with Retry-After and close",
+		c.t.Errorf("response: got status %d (0: closed without a response), %v; want 500, or 503 with Retry-After and close",
 			response.StatusCode, response.Header)
 	}
 	return response.Close
@@ -171,9 +171,11 @@
 // second request gets a response too.
 func TestPipelinedRequestSurvivesClosing(t *testing.T) {
 	for name, test := range map[string]struct {
-		separate bool // the second request is sent by itself; otherwise in one segment with the first
-		early    bool // connections are closed before the first response
-		late     bool // connections are closed while the server waits for the rest; otherwise when the connection becomes idle
+		sentSeparately       bool // the second request is sent by itself; otherwise in one segment with the first
+		closedBeforeResponse bool // connections are closed before the first response
+		// closedWhileReading: connections are closed while the server waits for the rest of the second request. If neither
+		// this nor closedBeforeResponse is set, they are closed when the connection becomes idle.
+		closedWhileReading bool
 	}{
 		"one segment, before the response":    {false, true, false},
 		"one segment, after the response":     {false, false, false},
@@ -190,14 +192,14 @@
 				server, fake := serve(t, l, 10, func(server *Server) {
 					closeOnce = sync.OnceFunc(func() { closeConns(server); close(connsClosed) })
 					observeStates(server, func(_ net.Conn, state http.ConnState) {
-						if state == http.StateIdle && !test.late {
+						if state == http.StateIdle && !test.closedWhileReading {
 							closeOnce()
 						}
 					})
 				})
 				conn := dial(t, l.Addr().String())
 				var request *engine.ClientRequest
-				if test.separate {
+				if test.sentSeparately {
 					conn.write(firstRequest)
 					request = <-fake.requests
 					conn.write(part)
@@ -207,14 +209,14 @@
 					conn.write(firstRequest + part)
 					request = <-fake.requests
 				}
-				if test.early {
+				if test.closedBeforeResponse {
 					closeOnce()
 				}
 				request.Respond(failedResult())
 				if conn.readFailedOrRejected() {
 					return
 				}
-				if test.late {
+				if test.closedWhileReading {
 					time.Sleep(readResumeWait)
 					closeOnce()
 				}
@@ -241,7 +243,7 @@
 			waitFor(t, "server has read the request part", func() bool { return server.limiter.pendingCount() == 1 })
 			c.setReadDeadline(time.Now().Add(readTimeout * 3 / 4)) // after the idle timeout, before readTimeout
 			if _, err := c.r.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
-				t.Fatalf("got error %v, want the connection open for the rest of the request", err)
+				t.Fatalf("read before the deadline: got error %v, want the connection open for the rest of the request", err)
 			}
 			c.setReadDeadline(time.Now().Add(responseTimeout))
 			c.write(nextRequest[length:])
@@ -263,11 +265,11 @@
 	c.readResponse()
 	c.write(nextRequest)
 	if response, _ := c.readResponse(); response.StatusCode != 0 {
-		t.Errorf("got status %d, want the connection closed", response.StatusCode)
+		t.Errorf("response after the idle timeout: got status %d, want the connection closed", response.StatusCode)
 	}
 	waitFor(t, "connection has ended", func() bool { return server.limiter.connCount() == 0 })
 	if len(fake.requests) != 0 {
-		t.Error("the request reached the engine")
+		t.Error("engine: got the request of a connection with an expired idle timeout, want none")
 	}
 }
 
--- a/internal/ingress/drain.go
+++ b/internal/ingress/drain.go
@@ -58,9 +58,9 @@
 )
 
 // Drain shuts the server down gracefully and returns when it is closed. From the call on /up responds 503. Requests are
-// still served for the grace period, since the load balancer in front learns of the readiness with a delay. After that no
-// connections are accepted, and Drain waits until all open requests have their responses, at most for
-// drainTimeout. The error is one of closing the listener.
+// still served for the grace period, since the load balancer in front learns of the readiness with a delay. After that
+// no connections are accepted, and Drain waits until all open requests have their responses, at most for drainTimeout.
+// The error is one of closing the listener.
 //
 // Drain does not use http.Server.Shutdown, which may close a connection as idle although a request was just read from
 // it.
@@ -94,8 +94,9 @@
 // noticed that shutdown closed the listener, so a second Close is not an error.
 func (l *connLimiter) Close() error { return l.closeListener() }
 
-// isClosing reports whether the server is closing or closed. shutdown enters that state and sets a deadline on the listener under
-// the lock. Without the lock here, that deadline could overwrite the later one that acceptNext sets on a closing server.
+// isClosing reports whether the server is closing or closed. shutdown enters that state and sets a deadline on the
+// listener under the lock. Without the lock here, that deadline could overwrite the later one that acceptNext sets on a
+// closing server.
 func (l *connLimiter) isClosing() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,9 +137,9 @@
 	return net.ErrClosed
 }
 
-// shutdown enters the state closing and returns if Serve was not called yet. Otherwise it waits until the queued connections are accepted, and
-// closes the listener. The wait
-// is bounded by responseTimeout, since http.Server accepts only at intervals while file descriptors are exhausted.
+// shutdown enters the state closing and returns if Serve was not called yet. Otherwise it waits until the queued
+// connections are accepted, and closes the listener. The wait is bounded by responseTimeout, since http.Server accepts
+// only at intervals while file descriptors are exhausted.
 func (l *connLimiter) shutdown() error {
 	l.mu.Lock()
 	l.state.advance(closing)
--- a/internal/ingress/floods_test.go
+++ b/internal/ingress/floods_test.go
@@ -40,7 +40,7 @@
 	t.Helper()
 	p.mu.Lock()
 	if p.connections > connections || p.requests > connections {
-		t.Errorf("got %d connections, %d requests; want at most %d", p.connections, p.requests, connections)
+		t.Errorf("peak: got %d connections, %d requests; want at most %d of each", p.connections, p.requests, connections)
 	}
 	p.mu.Unlock()
 	waitFor(t, "all requests have ended", func() bool { return server.openCount() == 0 })
@@ -53,7 +53,7 @@
 	began := time.Now()
 	c.send("GET /read/other", "X-Time-Left: 1\r\n", "")
 	if c.readFailedOrRejected(); time.Since(began) > responseTimeout {
-		c.t.Errorf("got a response after %v, want at most %v", time.Since(began), responseTimeout)
+		c.t.Errorf("response: got it after %v, want at most %v", time.Since(began), responseTimeout)
 	}
 }
 
@@ -151,10 +151,10 @@
 					time.Sleep(5 * time.Millisecond)
 				}
 				if err, took := <-ended, time.Since(began); err == nil || took > 2*readTimeout {
-					t.Errorf("got error %v after %v, want a close after %v", err, took, readTimeout)
+					t.Errorf("connection: got error %v after %v, want a close after %v", err, took, readTimeout)
 				}
 				if len(fake.requests) != 0 {
-					t.Error("the request reached the engine")
+					t.Error("engine: got an incomplete request, want none")
 				}
 			})
 		}
@@ -196,7 +196,7 @@
 	conn.r.Reset(io.MultiReader(strings.NewReader(string(read)), conn.Conn))
 	for range requests {
 		if response, body := conn.readResponse(); response.StatusCode != http.StatusOK || len(body) != maxBodyBytes {
-			t.Errorf("got status %d, %d bytes; want 200, %d", response.StatusCode, len(body), maxBodyBytes)
+			t.Errorf("response: got status %d, %d bytes; want 200, %d", response.StatusCode, len(body), maxBodyBytes)
 		}
 	}
 }
--- a/internal/ingress/lifecycle_test.go
+++ b/internal/ingress/lifecycle_test.go
@@ -42,17 +42,17 @@
 	conn.send("GET /read/1", "X-Time-Left: 2\r\n", "")
 	request := <-fake.requests
 	if server.state.reached(draining) {
-		t.Error("draining before Drain")
+		t.Error("state: draining before Drain")
 	}
 	drained := make(chan error, 1)
 	go func() { drained <- server.Drain(100 * time.Millisecond) }()
 	waitFor(t, "draining", func() bool { return server.state.reached(draining) })
 	if server.state.reached(closing) {
-		t.Error("closing within the grace period")
+		t.Error("state: closing within the grace period")
 	}
 	waitFor(t, "closing", func() bool { return server.state.reached(closing) })
 	if server.state.reached(closed) {
-		t.Error("closed with a request open")
+		t.Error("state: closed with a request open")
 	}
 	request.Respond(failedResult())
 	if closes := conn.readFailedOrRejected(); !closes {
--- a/internal/ingress/parse.go
+++ b/internal/ingress/parse.go
@@ -43,8 +43,8 @@
 type requestParser struct {
 	classes map[string]*decision.RequestClass // keyed by the first segment of the path
 	tenants map[decision.TenantID]bool        // empty: all tenants are accepted
-	// maxClientTimeout is the longest remaining time of a request. A longer one is reduced to it; one of more than twice as
-	// much is an error.
+	// maxClientTimeout is the longest remaining time of a request. A longer one is reduced to it; one of more than twice
+	// as much is an error.
 	maxClientTimeout decision.Millis
 }
 
@@ -152,8 +152,8 @@
 }
 
 // remaining parses X-Time-Left, the time in seconds until the client gives up, and returns it in milliseconds. A time
-// above maxClientTimeout is reduced to that. The error is errInvalidTimeLeft for a time that is no number, not positive,
-// or more than twice maxClientTimeout.
+// above maxClientTimeout is reduced to that. The error is errInvalidTimeLeft for a time that is no number, not
+// positive, or more than twice maxClientTimeout.
 func (p *requestParser) remaining(timeLeft string) (decision.Millis, error) {
 	seconds, err := strconv.ParseFloat(timeLeft, 64)
 	remaining := seconds * 1000
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -129,8 +129,8 @@
 // abortConnection is the error handler of the reverse proxy. It closes the connection of a client that has disconnected.
 func abortConnection(http.ResponseWriter, *http.Request, error) { panic(http.ErrAbortHandler) }
 
-// Serve accepts connections and serves requests until Drain. It returns nil after Drain. If Drain was
-// called before, Serve closes the listener at once and returns the error of that.
+// Serve accepts connections and serves requests until Drain. It returns nil after Drain. If Drain was called before,
+// Serve closes the listener at once and returns the error of that.
 func (s *Server) Serve(listener net.Listener) error {
 	if !s.limiter.setListener(listener) { // Drain was called before
 		return listener.Close()
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -181,10 +181,10 @@
 			c := dial(t, address)
 			c.send(test.line, test.headers, test.body)
 			if res, _ := c.readResponse(); res.StatusCode != test.status {
-				t.Errorf("got status %d, want %d", res.StatusCode, test.status)
+				t.Errorf("response: got status %d, want %d", res.StatusCode, test.status)
 			}
 			if len(fake.requests) != 0 {
-				t.Error("the request reached the engine")
+				t.Error("engine: got a malformed request, want none")
 			}
 		})
 	}
@@ -217,13 +217,13 @@
 				got := fmt.Sprint(request.Class, request.Tenant, request.Remaining, request.Retried, raw.Method, raw.URI, raw.Host,
 					raw.Header["X-Correlation-Id"], raw.Header["Idempotency-Key"], string(raw.Body))
 				if want := "markacme500 truePOST/mark/a%2fb?q=1;2app.svc[c1] [k]body"; got != want {
-					t.Errorf("got request %s, want %s", got, want)
+					t.Errorf("engine: got request %s, want %s", got, want)
 				}
 				request.Respond(test.result)
 				res, body := c.readResponse()
 				if res.StatusCode != test.status || res.Header.Get("Retry-After") != test.retryAfter || body != test.body || res.Close ||
 					res.Header.Get("Content-Type") != test.contentType {
-					t.Errorf("got status %d, headers %v, body %q; want %+v", res.StatusCode, res.Header, body, test)
+					t.Errorf("response: got status %d, headers %v, body %q; want %+v", res.StatusCode, res.Header, body, test)
 				}
 			}
 		})
@@ -263,7 +263,7 @@
 			(<-fake.requests).Respond(succeededResult(0)())
 		}
 		if res, _ := c.readResponse(); res.StatusCode != status {
-			t.Errorf("got status %d, want %d", res.StatusCode, status)
+			t.Errorf("response: got status %d, want %d", res.StatusCode, status)
 		}
 		if status == 409 {
 			clients[0].closeConn()
@@ -309,7 +309,7 @@
 	c.send("GET /read/1", "X-Time-Left: 0.02\r\n", "")
 	request := <-fake.requests
 	if res, _ := c.readResponse(); res.StatusCode != 500 || <-fake.disconnected != request {
-		t.Errorf("got status %d, want 500", res.StatusCode)
+		t.Errorf("response: got status %d, want 500", res.StatusCode)
 	}
 }
 
@@ -363,19 +363,19 @@
 	for i, request := range []*engine.ClientRequest{first, <-fake.requests} {
 		select {
 		case err := <-drained:
-			t.Errorf("Drain returned %v with a request open", err)
+			t.Errorf("Drain: returned %v with a request open, want it to wait", err)
 		default:
 		}
 		request.Respond(engine.Result{Kind: engine.Failed})
 		if res, _ := []*client{busy, late}[i].readResponse(); res.StatusCode != 500 || !res.Close {
-			t.Errorf("got status %d, close %v; want 500, true", res.StatusCode, res.Close)
+			t.Errorf("response: got status %d, close %v; want 500, true", res.StatusCode, res.Close)
 		}
 	}
 	if err := <-drained; err != nil {
 		t.Errorf("Drain: got error %v, want none", err)
 	}
 	if _, err := net.Dial("tcp", address); err == nil {
-		t.Error("accepts connections after Drain")
+		t.Error("listener: accepts connections after Drain")
 	}
 }
 
@@ -392,7 +392,7 @@
 			t.Fatal("the engine received no request")
 		}
 		if res, _ := c.readResponse(); res.StatusCode != 500 {
-			t.Errorf("got status %d, want 500", res.StatusCode)
+			t.Errorf("response: got status %d, want 500", res.StatusCode)
 		}
 	}
 	for range 10 {
@@ -417,7 +417,7 @@
 	}
 	began := time.Now()
 	if exchange(dial(t, address)); time.Since(began) > readTimeout {
-		t.Errorf("got a response after %v, want at most %v", time.Since(began), readTimeout)
+		t.Errorf("response: got it after %v, want at most %v", time.Since(began), readTimeout)
 	}
 }
 
@@ -452,7 +452,7 @@
 	}
 	for _, c := range clients[1:] {
 		if res, _ := c.readResponse(); res.StatusCode != 503 {
-			t.Errorf("got status %d, want 503", res.StatusCode)
+			t.Errorf("response: got status %d, want 503", res.StatusCode)
 		}
 		c.closeConn()
 	}
@@ -546,7 +546,7 @@
 	close(l.accept)
 	for _, c := range clients {
 		if res, _ := c.readResponse(); res.StatusCode != 503 || !res.Close || res.Header.Get("Retry-After") == "" {
-			t.Errorf("got status %d, close %v; want 503 with Retry-After, true", res.StatusCode, res.Close)
+			t.Errorf("response: got status %d, close %v; want 503 with Retry-After, true", res.StatusCode, res.Close)
 		}
 	}
 	if err := <-drained; err != nil {
@@ -571,11 +571,11 @@
 	<-accepted
 	drained := drain(server)
 	if n := server.limiter.connCount(); n != 1 {
-		t.Errorf("got %d connections, want 1", n)
+		t.Errorf("limiter: got %d connections, want 1", n)
 	}
 	close(release)
 	if res, _ := c.readResponse(); res.StatusCode != 503 {
-		t.Errorf("got status %d, want 503", res.StatusCode)
+		t.Errorf("response: got status %d, want 503", res.StatusCode)
 	}
 	if err := <-drained; err != nil {
 		t.Errorf("Drain: got error %v, want none", err)
@@ -608,7 +608,7 @@
 	}
 	select {
 	case err := <-drained:
-		t.Errorf("Drain returned %v with a request open", err)
+		t.Errorf("Drain: returned %v with a request open, want it to wait", err)
 	default:
 	}
 	request.Respond(engine.Result{Response: &engine.Response{Header: map[string][]string{}, Body: []byte("hi")}})
@@ -670,7 +670,7 @@
 	}
 	if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
 		_ = c.Close() // the test has already failed
-		t.Error("accepts connections after Drain")
+		t.Error("listener: accepts connections after Drain")
 	}
 }
 
@@ -691,7 +691,7 @@
 		t.Errorf("request: got status %d, %v; want 503 with Retry-After 0.500", res.StatusCode, res.Header)
 	}
 	if server.SetReady(); len(fake.requests) != 0 {
-		t.Error("a request reached the engine")
+		t.Error("engine: got a request before SetReady, want none")
 	}
 	if res := exchange("GET /up"); res.StatusCode != 200 {
 		t.Errorf("/up after SetReady: got status %d, want 200", res.StatusCode)
--- a/internal/sockopt/conn.go
+++ b/internal/sockopt/conn.go
@@ -17,7 +17,7 @@
 type Conn struct {
 	*net.TCPConn
 	raw         syscall.RawConn
-	headTimeout time.Duration // limit from the first byte of a request to the end of its header, from the second request on
+	headTimeout time.Duration // see NewConn
 
 	mu         sync.Mutex
 	pending    bool // at least a part of a request was read, and the request has no response yet
@@ -27,16 +27,16 @@
 }
 
 // NewConn wraps an accepted connection. headTimeout limits the time from the first byte of a request to the end of its
-// header, from the second request of the connection on. A higher value lets a client that stops within a header keep its connection longer. The error is that
-// of SyscallConn.
+// header, from the second request of the connection on. A higher value lets a client that stops within a header keep
+// its connection longer. The error is that of SyscallConn.
 func NewConn(c *net.TCPConn, headTimeout time.Duration) (*Conn, error) {
 	raw, err := c.SyscallConn()
 	return &Conn{TCPConn: c, raw: raw, headTimeout: headTimeout}, err
 }
 
 // Read reads like the Read method of [net.TCPConn]. The first byte of each request after the first one sets the read
-// deadline to headTimeout from now. After CloseIfIdle has closed the connection, the error wraps [net.ErrClosed]. Read may be
-// called by one goroutine at a time.
+// deadline to headTimeout from now, unless the reader has already buffered a part of that request. After CloseIfIdle
+// has closed the connection, the error wraps [net.ErrClosed]. Read may be called by one goroutine at a time.
 func (c *Conn) Read(buffer []byte) (n int, err error) {
 	if len(buffer) == 0 {
 		return 0, nil
@@ -111,8 +111,8 @@
 }
 
 // CloseIfIdle closes the connection if no request is pending and the socket has neither unread input nor an end of file
-// or error, of which the reader learns by itself. It returns true if this call or an earlier one
-// has closed the connection. It may be called from any goroutine.
+// or error, of which the reader learns by itself. It returns true if this call or an earlier one has closed the
+// connection. It may be called from any goroutine.
 func (c *Conn) CloseIfIdle() bool {
 	c.mu.Lock()
 	c.closed = c.closed || !c.pending && isIdle(c.raw)
--- a/internal/sockopt/conn_test.go
+++ b/internal/sockopt/conn_test.go
@@ -47,9 +47,9 @@
 // Read returns the same errors as net.TCPConn, and net.ErrClosed after the connection was closed as idle.
 func TestReadEndsWithCause(t *testing.T) {
 	for name, test := range map[string]struct {
-		do   func(client *net.TCPConn, server *Conn)
-		want error
-		text string
+		action   func(client *net.TCPConn, server *Conn)
+		want     error
+		received string
 	}{
 		"text":               {func(c *net.TCPConn, _ *Conn) { sendText(c, "hi") }, nil, "hi"},
 		"closed by the peer": {func(c *net.TCPConn, _ *Conn) { closeQuietly(c) }, io.EOF, ""},
@@ -67,11 +67,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, s := connPair(t)
-			go test.do(c, s)
+			go test.action(c, s)
 			b := make([]byte, 10)
 			n, err := s.Read(b)
-			if string(b[:n]) != test.text || !errors.Is(err, test.want) {
-				t.Errorf("Read: got %q, error %v, want %q, error %v", b[:n], err, test.text, test.want)
+			if string(b[:n]) != test.received || !errors.Is(err, test.want) {
+				t.Errorf("Read: got %q, error %v, want %q, error %v", b[:n], err, test.received, test.want)
 			}
 		})
 	}
@@ -85,18 +85,18 @@
 		runtime.Gosched()
 	}
 	if server.CloseIfIdle() {
-		t.Error("closed with an unread request")
+		t.Error("CloseIfIdle: closed with an unread request")
 	}
 	b := make([]byte, 10)
 	if n, err := server.Read(b); n == 0 || err != nil {
 		t.Fatalf("got %d bytes, error %v, want a request", n, err)
 	}
 	if server.CloseIfIdle() {
-		t.Error("closed with a request that has no response")
+		t.Error("CloseIfIdle: closed with a request that has no response")
 	}
 	server.MarkResponded()
 	if server.CloseIfIdle() {
-		t.Error("closed before the reader waits again, although it may have buffered a further request")
+		t.Error("CloseIfIdle: closed before the reader waits again, although it may have buffered a further request")
 	}
 	read := make(chan error)
 	go func() {
@@ -129,7 +129,7 @@
 	}()
 	for stopAt := time.Now().Add(50 * time.Millisecond); time.Now().Before(stopAt); runtime.Gosched() {
 		if server.CloseIfIdle() {
-			t.Fatal("closed while the reader has a part of a request")
+			t.Fatal("CloseIfIdle: closed while the reader has a part of a request")
 		}
 	}
 	sendText(client, "the rest")
--- a/internal/stats/ranktest.go
+++ b/internal/stats/ranktest.go
@@ -35,8 +35,8 @@
 	return float64(len(all)-1) * between / within
 }
 
-// KruskalWallisCounts returns the statistic of KruskalWallis for outcomes that are either successes or failures. It is 0 if one of
-// the groups is empty, or if all outcomes of both groups are successes or all are failures.
+// KruskalWallisCounts returns the statistic of KruskalWallis for outcomes that are either successes or failures. It is
+// 0 if one of the groups is empty, or if all outcomes of both groups are successes or all are failures.
 func KruskalWallisCounts(a, b Count) float64 {
 	if a.Total() == 0 || b.Total() == 0 || a.Successes+b.Successes == 0 || a.Failures+b.Failures == 0 {
 		return 0
@@ -45,8 +45,9 @@
 	return (a.Total() + b.Total() - 1) * d * d / (a.Total() * b.Total() * (a.Successes + b.Successes) * (a.Failures + b.Failures))
 }
 
-// CriticalValue returns the critical value of KruskalWallis and KruskalWallisCounts: the value that they exceed with the given probability,
-// from 0 to 1, if the groups do not differ. It is a quantile of the chi-squared distribution with one degree of freedom.
+// CriticalValue returns the critical value of KruskalWallis and KruskalWallisCounts: the value that they exceed with
+// the given probability, from 0 to 1, if the groups do not differ. It is a quantile of the chi-squared distribution
+// with one degree of freedom.
 func CriticalValue(probability float64) float64 {
 	z := math.Erfcinv(probability)
 	return 2 * z * z
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -38,7 +38,7 @@
 		pairs += (a - 0.5) * (b - 0.5)
 	}
 	if math.Abs(sum/8000-0.5) > 0.02 || math.Abs(pairs/4000) > 0.01 {
-		t.Errorf("got mean %v, covariance of consecutive numbers %v; want 0.5 and 0", sum/8000, pairs/4000)
+		t.Errorf("Random: got mean %v, covariance of consecutive numbers %v; want 0.5 and 0", sum/8000, pairs/4000)
 	}
 	// Over the seeds of many instances, a number does not predict the following ones either.
 	for gap := range 9 {
--- a/internal/stats/summary.go
+++ b/internal/stats/summary.go
@@ -45,8 +45,8 @@
 // Close makes the group that is being filled the last full one, whatever its size, and starts an empty group.
 func (g *Groups) Close() { g.Partial, g.Last, g.Previous = nil, g.Partial, g.Last }
 
-// Mean is a running mean. It is the exact mean of all values until their number reaches the memory argument of Add. After
-// that it is exponentially smoothed.
+// Mean is a running mean. It is the exact mean of all values until their number reaches the memory argument of Add.
+// After that it is exponentially smoothed.
 type Mean struct{ Value, count float64 }
 
 // Add adds a value and returns the mean. The memory is a number of values, 1 or more; a higher one follows changes more
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -55,7 +55,8 @@
 }
 
 // tryOnce runs an attempt over one connection: it checks that the attempt may be sent, acquires the connection, writes
-// the request, reads the response, releases the connection and classifies the result. If reconnect is true, the request did not run and the attempt continues on another connection.
+// the request, reads the response, releases the connection and classifies the result. If reconnect is true, the request
+// did not run and the attempt continues on another connection.
 func (p *Pool) tryOnce(ctx context.Context, run *attemptRun) (result engine.AttemptResult, reconnect bool) {
 	if !p.maySend(ctx, run) {
 		return engine.AttemptResult{Outcome: decision.NotSent}, false
--- a/internal/upstream/benchmark_test.go
+++ b/internal/upstream/benchmark_test.go
@@ -94,7 +94,7 @@
 				attempt.Deadline = pool.clock.Now() + 5000
 				pool.StartAttempt(attempt)
 				if result := <-results; result.Outcome != bench.want {
-					b.Fatalf("got outcome %d, want %d", result.Outcome, bench.want)
+					b.Fatalf("attempt: got outcome %d, want %d", result.Outcome, bench.want)
 				}
 			}
 			if stats := pool.Stats(); stats.Opened != 1 {
--- a/internal/upstream/classify_test.go
+++ b/internal/upstream/classify_test.go
@@ -19,7 +19,7 @@
 	unsent := exchangeResult{outcome: decision.Unreachable}
 	for name, test := range map[string]struct {
 		result           exchangeResult
-		reused, canceled bool
+		reused, canceled bool          // the connection was reused; the attempt was canceled
 		deadline, sendBy time.Duration // relative to now
 		want             decision.Outcome
 		reconnect        bool
@@ -66,7 +66,7 @@
 			acquired := acquiredConn{reused: test.reused, sendBy: now.Add(test.sendBy)}
 			outcome, reconnect := run.classify(ctx, acquired, test.result)
 			if outcome != test.want || reconnect != test.reconnect {
-				t.Errorf("got outcome %d, reconnect %v, want %d, %v", outcome, reconnect, test.want, test.reconnect)
+				t.Errorf("classify: got outcome %d, reconnect %v, want %d, %v", outcome, reconnect, test.want, test.reconnect)
 			}
 		})
 	}
@@ -76,7 +76,7 @@
 func TestClassifyReadError(t *testing.T) {
 	for name, test := range map[string]struct {
 		err              error
-		started, tooLong bool
+		started, tooLong bool // a part of a response came; the response exceeds the limit
 		want             decision.Outcome
 	}{
 		"timeout":                         {os.ErrDeadlineExceeded, false, false, decision.TimedOut},
@@ -90,7 +90,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := classifyReadError(test.err, test.started, test.tooLong); got != test.want {
-				t.Errorf("got outcome %d, want %d", got, test.want)
+				t.Errorf("classifyReadError: got outcome %d, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -15,7 +15,7 @@
 	lastResponseAt time.Time   // time of the last response to an attempt; zero: none
 }
 
-// A sendPermit allows the attempts that started under it to be sent until it is revoked.
+// sendPermit allows the attempts that started under it to be sent until it is revoked.
 type sendPermit struct{ revoked bool }
 
 // target is the endpoint of an attempt, as listed when the attempt was decided. A later lookup by id and address could
@@ -26,8 +26,8 @@
 }
 
 // SetAddress sets the address (host:port) at which an endpoint accepts requests. An empty address removes the endpoint.
-// Attempts for the previous address whose connection is still coming up are not sent: they would reach an endpoint that drains by now, or
-// another endpoint that took over the address.
+// Attempts for the endpoint's previous entry whose connection is still coming up are not sent: they would reach an
+// endpoint that drains by now, or another endpoint that took over the address.
 func (p *Pool) SetAddress(id decision.EndpointID, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -41,10 +41,9 @@
 	}
 }
 
-// CancelUnsent ends the attempts that are not yet sent to an endpoint, with the outcome NotSent. An id that is not listed
-// is ignored. A connection may take
-// longer to come up than a lower exposure limit takes to apply, and attempts decided under the old limit would be sent
-// under the new one.
+// CancelUnsent ends the attempts that are not yet sent to an endpoint, with the outcome NotSent. An id that is not
+// listed is ignored. A connection may take longer to come up than a lower exposure limit takes to apply, and attempts
+// decided under the old limit would be sent under the new one.
 func (p *Pool) CancelUnsent(id decision.EndpointID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -76,8 +75,9 @@
 func (dest target) allowsSend() bool { return dest.endpoint != nil && !dest.permit.revoked }
 
 // observeOutcome records the time of a response, and closes the idle connections of an endpoint if an attempt that
-// started after the last response got none. It does nothing if the attempt had no endpoint or was not sent. Connections to a machine that vanished stay open without an error, and a
-// request sent on one may have run. A new connection to it does not come up, so that the request certainly has not run.
+// started after the last response got none. It does nothing if the attempt had no endpoint or was not sent. Connections
+// to a machine that vanished stay open without an error, and a request sent on one may have run. A new connection to it
+// does not come up, so that the request certainly has not run.
 func (p *Pool) observeOutcome(e *endpoint, startedAt time.Time, outcome decision.Outcome) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -98,7 +98,7 @@
 		OnResult: func(r engine.AttemptResult) { results <- r },
 	})
 	if result := <-results; result.Outcome != decision.Succeeded {
-		t.Fatalf("got outcome %d, want %d", result.Outcome, decision.Succeeded)
+		t.Fatalf("attempt: got outcome %d, want %d", result.Outcome, decision.Succeeded)
 	}
 	return <-read
 }
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -94,8 +94,8 @@
 }
 
 // isUsable reports whether an idle connection is still open and has nothing to read. A connection that is no
-// syscall.Conn can't be checked and counts as usable. A request written to a connection
-// that the endpoint has closed ends with a reset; it may have run, and such a request can't always be sent again.
+// syscall.Conn can't be checked and counts as usable. A request written to a connection that the endpoint has closed
+// ends with a reset; it may have run, and such a request can't always be sent again.
 func (c *conn) isUsable() bool {
 	sys, ok := c.Conn.(syscall.Conn)
 	return !ok || sockopt.IsIdle(sys)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -48,8 +48,8 @@
 	// minResponseReadTimeout applies if the connect timeout is only a few ms: a response may arrive in two segments.
 	minResponseReadTimeout = 50 * time.Millisecond
 	// lateResponseWindow is how late an endpoint may send an erroneous second response to a request. On a connection that
-	// is reused at once, the late response would be taken for the response to the next request. After this delay it is detected, and the
-	// connection is closed instead of reused. A higher value makes the pool open more connections.
+	// is reused at once, the late response would be taken for the response to the next request. After this delay it is
+	// detected as unread input, and the connection is closed instead of reused. A higher value makes the pool open more connections.
 	lateResponseWindow = 25 * time.Millisecond
 )
 
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -137,9 +137,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var failed error
-	if err := raw.Control(func(fd uintptr) { failed = syscall.Listen(int(fd), 0) }); err != nil || failed != nil {
-		t.Fatalf("set the accept queue to length 0: control: %v, listen: %v", err, failed)
+	var listenErr error
+	if err := raw.Control(func(fd uintptr) { listenErr = syscall.Listen(int(fd), 0) }); err != nil || listenErr != nil {
+		t.Fatalf("set the accept queue to length 0: control: %v, listen: %v", err, listenErr)
 	}
 	for range 10 {
 		c, err := net.DialTimeout("tcp", l.Addr().String(), 20*time.Millisecond)
@@ -161,7 +161,7 @@
 	for name, test := range map[string]struct {
 		response func(net.Conn, *http.Request)
 		want     decision.Outcome
-		idle     int // connections afterwards
+		idle     int // open connections afterwards, all of them idle
 	}{
 		"succeeded": {respondWith(okResponse), decision.Succeeded, 1},
 		"succeeded, then closes": {
@@ -220,16 +220,16 @@
 			server, pool := newFakeEndpoint(t, test.response), newPool(4)
 			result := pool.attempt(server.Addr().String(), "POST", 200, nil)
 			if result.Outcome != test.want || (result.Response != nil) != (test.want == decision.Succeeded) {
-				t.Errorf("got outcome %d with response %v, want outcome %d", result.Outcome, result.Response, test.want)
+				t.Errorf("attempt: got outcome %d with response %v, want outcome %d", result.Outcome, result.Response, test.want)
 			}
 			if result.Response != nil && string(result.Response.Body) != "hi" {
-				t.Errorf("got body %q, want %q", result.Response.Body, "hi")
+				t.Errorf("response: got body %q, want %q", result.Response.Body, "hi")
 			}
 			if n := server.requests.Load(); n != 1 {
 				t.Errorf("got %d requests sent, want 1", n)
 			}
 			if pool.slots.taken != test.idle || len(pool.endpoints["n"].idle) != test.idle {
-				t.Errorf("got %d connections, %d idle, want %d idle", pool.slots.taken, len(pool.endpoints["n"].idle), test.idle)
+				t.Errorf("pool: got %d connections, %d idle, want %d, all idle", pool.slots.taken, len(pool.endpoints["n"].idle), test.idle)
 			}
 		})
 	}
@@ -251,7 +251,7 @@
 			pool := newPool(4)
 			result := pool.attempt(test.address(t), "GET", test.timeout, nil)
 			if result.Outcome != test.want || pool.slots.taken != 0 {
-				t.Errorf("got outcome %d, %d connections, want outcome %d, none", result.Outcome, pool.slots.taken, test.want)
+				t.Errorf("attempt: got outcome %d, %d connections, want outcome %d, none", result.Outcome, pool.slots.taken, test.want)
 			}
 		})
 	}
@@ -276,7 +276,7 @@
 	pool := newPool(4)
 	result := pool.attempt(server.Addr().String(), "POST", 5000, func(cancel func()) { <-received; cancel(); cancel() })
 	if result.Outcome != decision.Canceled || pool.slots.taken != 0 {
-		t.Errorf("got outcome %d, %d connections, want %d, none", result.Outcome, pool.slots.taken, decision.Canceled)
+		t.Errorf("attempt: got outcome %d, %d connections, want %d, none", result.Outcome, pool.slots.taken, decision.Canceled)
 	}
 	close(release)
 	<-server.closed
@@ -307,8 +307,8 @@
 // An idle connection is reused for the next attempt, unless it is closed, expired or within the reuse delay.
 func TestIdleConnectionReused(t *testing.T) {
 	for name, test := range map[string]struct {
-		change func(pool *Pool, address string)
-		conns  int32
+		change func(pool *Pool, address string) // called between the two attempts
+		conns  int32                            // number of connections that both attempts use
 	}{
 		"reused":                 {func(pool *Pool, _ string) { pool.expireReuseDelay() }, 1},
 		"within the reuse delay": {func(pool *Pool, _ string) { pool.timing.reuseDelay = time.Hour }, 2},
@@ -329,14 +329,14 @@
 					Request: &engine.Request{Method: "GET", URI: "/", Host: "h"}, OnResult: func(r engine.AttemptResult) { results <- r },
 				})
 				if result := <-results; result.Outcome != decision.Succeeded { // the fake endpoint has counted the connection by then
-					t.Errorf("got outcome %d, want %d", result.Outcome, decision.Succeeded)
+					t.Errorf("attempt: got outcome %d, want %d", result.Outcome, decision.Succeeded)
 				}
 			}
 			send()
 			test.change(pool, server.Addr().String())
 			send()
 			if n := server.conns.Load(); n != test.conns {
-				t.Errorf("got %d connections, want %d", n, test.conns)
+				t.Errorf("pool: got %d connections, want %d", n, test.conns)
 			}
 		})
 	}
@@ -382,7 +382,7 @@
 	}
 	send("first")
 	if result := send("next"); result.Outcome != decision.Succeeded || string(result.Response.Body) != "hi" {
-		t.Errorf("got outcome %d with body %q, want %d with %q", result.Outcome, result.Response.Body, decision.Succeeded, "hi")
+		t.Errorf("attempt: got outcome %d with body %q, want %d with %q", result.Outcome, result.Response.Body, decision.Succeeded, "hi")
 	}
 	pool.mu.Lock()
 	old := pool.endpoints["n"].idle[0] // its further bytes are detected after the reuse delay
@@ -442,11 +442,11 @@
 					Request: &engine.Request{Method: "POST", URI: "/", Host: "h"},
 				}, dest)
 				if result.Outcome != decision.NotSent || server.requests.Load() != requests {
-					t.Errorf("got outcome %d, sent %d times, want %d, not sent",
+					t.Errorf("attempt: got outcome %d, sent %d times, want %d, not sent",
 						result.Outcome, server.requests.Load()-requests, decision.NotSent)
 				}
 				if pool.heldConnections() != test.idle {
-					t.Errorf("got %d connections, want %d", pool.heldConnections(), test.idle)
+					t.Errorf("pool: got %d connections, want %d", pool.heldConnections(), test.idle)
 				}
 			})
 		}
@@ -491,11 +491,11 @@
 				}
 				result := pool.runAttempt(ctx, attempt, dest)
 				if result.Outcome != decision.NotSent || server.requests.Load() != requests {
-					t.Errorf("got outcome %d, sent %d times, want %d, not sent",
+					t.Errorf("attempt: got outcome %d, sent %d times, want %d, not sent",
 						result.Outcome, server.requests.Load()-requests, decision.NotSent)
 				}
 				if pool.heldConnections() != 1 {
-					t.Errorf("got %d connections, want 1 idle", pool.heldConnections())
+					t.Errorf("pool: got %d connections, want 1 idle", pool.heldConnections())
 				}
 			})
 		}
@@ -512,7 +512,7 @@
 		Request: &engine.Request{Method: "POST", URI: "/", Host: "h"},
 	}, pool.lookupTarget("n", address))
 	if took := pool.clock.Now() - now; result.Outcome != decision.NotSent || took > 90 || pool.heldConnections() != 0 {
-		t.Errorf("got outcome %d after %.0f ms, %d connections, want %d within 90 ms, none",
+		t.Errorf("attempt: got outcome %d after %.0f ms, %d connections, want %d within 90 ms, none",
 			result.Outcome, took, pool.heldConnections(), decision.NotSent)
 	}
 }
@@ -533,7 +533,7 @@
 		close(release)
 	})
 	if result.Outcome != decision.Succeeded || pool.heldConnections() != 0 {
-		t.Errorf("got outcome %d, %d connections, want %d, none",
+		t.Errorf("attempt: got outcome %d, %d connections, want %d, none",
 			result.Outcome, pool.heldConnections(), decision.Succeeded)
 	}
 }
@@ -564,7 +564,7 @@
 	pool.SetAddress("n", address)
 	cancel()
 	if result := <-results; result.Outcome != decision.Canceled || pool.heldConnections() != 0 {
-		t.Errorf("got outcome %d, %d connections, want %d, none",
+		t.Errorf("attempt: got outcome %d, %d connections, want %d, none",
 			result.Outcome, pool.heldConnections(), decision.Canceled)
 	}
 }
@@ -597,8 +597,8 @@
 func TestNoResponseClosesIdleConnections(t *testing.T) {
 	for name, test := range map[string]struct {
 		outcome   decision.Outcome
-		responded bool
-		idle      int
+		responded bool // another attempt got a response meanwhile
+		idle      int  // idle connections afterwards
 	}{
 		"timed out": {decision.TimedOut, false, 0}, "canceled": {decision.Canceled, false, 0},
 		"broken":      {decision.ConnectionBroken, false, 0},
@@ -615,7 +615,8 @@
 			}
 			pool.observeOutcome(current, startedAt, test.outcome)
 			if len(pool.endpoints["n"].idle) != test.idle || pool.slots.taken != test.idle {
-				t.Errorf("got %d idle, %d connections, want %d", len(pool.endpoints["n"].idle), pool.slots.taken, test.idle)
+				t.Errorf("pool: got %d idle connections, %d connections, want %d of each",
+					len(pool.endpoints["n"].idle), pool.slots.taken, test.idle)
 			}
 		})
 	}
@@ -627,7 +628,7 @@
 	pool := newPool(4)
 	for range 3 {
 		if result := pool.attempt(server.Addr().String(), "POST", 1000, nil); result.Outcome != decision.Succeeded {
-			t.Errorf("got outcome %d, want %d", result.Outcome, decision.Succeeded)
+			t.Errorf("attempt: got outcome %d, want %d", result.Outcome, decision.Succeeded)
 		}
 		<-server.closed
 	}
@@ -651,7 +652,7 @@
 		deadline: time.Now().Add(time.Second),
 	})
 	if c != nil || outcome != decision.NotSent || pool.slots.taken != 0 {
-		t.Errorf("got connection %v, outcome %d, %d connections, want no connection, outcome %d",
+		t.Errorf("attempt: got connection %v, outcome %d, %d connections, want no connection, outcome %d",
 			c, outcome, pool.slots.taken, decision.NotSent)
 	}
 }
@@ -685,7 +686,7 @@
 	}
 	a, b, c := len(pool.endpoints["a"].idle), len(pool.endpoints["b"].idle), len(pool.endpoints["c"].idle)
 	if a != 0 || b != 1 || c != 1 {
-		t.Errorf("got %d, %d, %d idle connections, want 0, 1, 1", a, b, c)
+		t.Errorf("idle connections of endpoints a, b, c: got %d, %d, %d, want 0, 1, 1", a, b, c)
 	}
 	first, second := send("a", "POST"), send("b", "POST")
 	for pool.heldConnections() < 2 || server.requests.Load() < 5 {
@@ -697,7 +698,7 @@
 	firstResult, secondResult := <-first, <-second
 	if firstResult.Outcome != decision.TimedOut || secondResult.Outcome != decision.TimedOut ||
 		pool.heldConnections() != 0 {
-		t.Errorf("got outcomes %d, %d, %d connections, want %d twice, none",
+		t.Errorf("attempts: got outcomes %d, %d, %d connections, want %d twice, none",
 			firstResult.Outcome, secondResult.Outcome, pool.heldConnections(), decision.TimedOut)
 	}
 }
@@ -715,8 +716,8 @@
 	pool := newPool(4) // the longest idle time is 1 s
 	for _, test := range []struct {
 		idleFor time.Duration
-		intact  bool
-		want    time.Duration
+		intact  bool          // the connection did not break
+		want    time.Duration // idle limit afterwards
 	}{
 		{100 * time.Millisecond, false, time.Second},
 		{600 * time.Millisecond, false, time.Second / 2},
@@ -742,11 +743,11 @@
 func listenSmallBuffers(t *testing.T, pool *Pool) *net.TCPListener {
 	t.Helper()
 	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
-		var failed error
+		var sockoptErr error
 		err := c.Control(func(fd uintptr) {
-			failed = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
+			sockoptErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
 		})
-		return errors.Join(err, failed)
+		return errors.Join(err, sockoptErr)
 	}}
 	l, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
 	if err != nil {
@@ -796,7 +797,7 @@
 			}
 			test.interrupt(endpoint, cancel)
 			if result := <-results; result.Outcome != test.want || pool.heldConnections() != 0 {
-				t.Errorf("got outcome %d, %d connections, want outcome %d, none",
+				t.Errorf("attempt: got outcome %d, %d connections, want outcome %d, none",
 					result.Outcome, pool.heldConnections(), test.want)
 			}
 			if received, _ := io.ReadAll(endpoint); len(received) >= 1<<20 {
--- a/internal/upstream/requests_test.go
+++ b/internal/upstream/requests_test.go
@@ -53,7 +53,7 @@
 		pause   time.Duration
 		timeout decision.Millis
 		want    decision.Outcome
-		idle    int // connections afterwards
+		idle    int // open connections afterwards, all of them idle
 	}{
 		"complete in time":           {16 << 10, 0, longDeadline, decision.Succeeded, 1},
 		"incomplete at the deadline": {oversizedBody, time.Millisecond, 300, decision.Unreachable, 0},
@@ -80,7 +80,7 @@
 			}()
 			checkResult(t, pool, <-results, test.want, test.idle)
 			if took := time.Since(startedAt); test.idle == 0 && (took < 290*time.Millisecond || took > maxWait) {
-				t.Errorf("ended after %v, want 290 ms to %v", took, maxWait)
+				t.Errorf("attempt: ended after %v, want 290 ms to %v", took, maxWait)
 			}
 		})
 	}
@@ -129,7 +129,7 @@
 			sendBy.Store(int64(pool.clock.Now() + test.untilSendBy))
 			result := pool.attemptSendBy(address, float64(sendBy.Load()), 0)
 			if sent := server.requests.Load() - 1; result.Outcome != test.want || sent != test.sent {
-				t.Errorf("got outcome %d, sent %d times, want %d, %d times", result.Outcome, sent, test.want, test.sent)
+				t.Errorf("attempt: got outcome %d, sent %d times, want %d, %d times", result.Outcome, sent, test.want, test.sent)
 			}
 		})
 	}
--- a/internal/upstream/responses_test.go
+++ b/internal/upstream/responses_test.go
@@ -78,13 +78,14 @@
 func checkResult(t *testing.T, pool *Pool, result engine.AttemptResult, want decision.Outcome, idle int) {
 	t.Helper()
 	if result.Outcome != want || (result.Response != nil) != (want == decision.Succeeded) {
-		t.Errorf("got outcome %d with response %v, want outcome %d", result.Outcome, result.Response, want)
+		t.Errorf("attempt: got outcome %d with response %v, want outcome %d, with a response only if succeeded",
+			result.Outcome, result.Response, want)
 	}
 	if result.Response != nil && string(result.Response.Body) != "hi" {
-		t.Errorf("got body %q, want %q", result.Response.Body, "hi")
+		t.Errorf("response: got body %q, want %q", result.Response.Body, "hi")
 	}
 	if n := pool.Stats(); n.Open != idle || n.Idle != idle {
-		t.Errorf("got %d connections, %d idle, want %d idle", n.Open, n.Idle, idle)
+		t.Errorf("pool: got %d connections, %d idle, want %d, all idle", n.Open, n.Idle, idle)
 	}
 }
 
@@ -129,7 +130,7 @@
 				checkResult(t, pool, pool.attempt(server.Addr().String(), "POST", longDeadline, nil), test.want, 0)
 				took := time.Since(startedAt)
 				if took > maxWait || test.want == decision.MalformedResponse && took < readTimeout {
-					t.Errorf("ended after %v, want at most %v, and at least %v if malformed", took, maxWait, readTimeout)
+					t.Errorf("attempt: ended after %v, want at most %v, and at least %v if malformed", took, maxWait, readTimeout)
 				}
 				if <-server.closed; server.requests.Load() != 1 {
 					t.Errorf("got %d requests sent, want 1", server.requests.Load())
@@ -180,7 +181,7 @@
 			startedAt := time.Now()
 			checkResult(t, pool, pool.attempt(server.Addr().String(), "POST", longDeadline, nil), decision.MalformedResponse, 0)
 			if took := time.Since(startedAt); took < test.readTimeout || took > maxWait {
-				t.Errorf("ended after %v, want %v to %v", took, test.readTimeout, maxWait)
+				t.Errorf("attempt: ended after %v, want %v to %v", took, test.readTimeout, maxWait)
 			}
 		})
 	}
@@ -192,7 +193,7 @@
 	for name, test := range map[string]struct {
 		then func(net.Conn)
 		want decision.Outcome
-		idle int // connections afterwards
+		idle int // open connections afterwards, all of them idle
 	}{
 		"response":      {func(c net.Conn) { respondWith(okResponse)(c, nil) }, decision.Succeeded, 1},
 		"two responses": {func(c net.Conn) { respondWith(okResponse+okResponse)(c, nil) }, decision.Succeeded, 0},
@@ -224,7 +225,7 @@
 		response string
 		then     func(net.Conn) // called when the pool has the response and still writes
 		want     decision.Outcome
-		idle     int // connections afterwards
+		idle     int // open connections afterwards, all of them idle
 	}{
 		"succeeded, then reads the rest": {okResponse, discardInput, decision.Succeeded, 1},
 		"two responses, reads the rest":  {okResponse + okResponse, discardInput, decision.Succeeded, 0},
