--- a/internal/discovery/agent_test.go
+++ b/internal/discovery/agent_test.go
@@ -37,7 +37,7 @@
 	case value := <-from:
 		return value
 	case <-time.After(20 * time.Second):
-		t.Fatal("nothing received within 20 s")
+		t.Fatalf("channel: received no value of type %T within 20 s", *new(T))
 		panic("unreachable")
 	}
 }
@@ -124,10 +124,10 @@
 	select {
 	case update := <-updates:
 		if update.Version != version {
-			t.Errorf("got list version %d, want %d", update.Version, version)
+			t.Errorf("handler: got list version %d, want %d", update.Version, version)
 		}
 	case <-time.After(within):
-		t.Fatalf("got no list within %v, want list version %d", within, version)
+		t.Fatalf("handler: got no list within %v, want list version %d", within, version)
 	}
 }
 
--- a/internal/discovery/snapshot_test.go
+++ b/internal/discovery/snapshot_test.go
@@ -51,7 +51,7 @@
 			_, stop := runWatcher(t, watcher)
 			expectVersion(t, updates, 41, 10*time.Second)
 			if got := int(calls.Load()); got < test.unanswered+1 {
-				t.Errorf("got list version 41 after %d calls, want at least %d", got, test.unanswered+1)
+				t.Errorf("handler: got list version 41 after %d calls, want at least %d", got, test.unanswered+1)
 			}
 			stop()
 			if len(replied) != 1 {
@@ -212,25 +212,25 @@
 		}
 		return c.response(call)
 	}}
-	slow := newSlowWatch(agent, sendOrDrop(updates))
-	slow.decode = func(raw []byte) (engine.EndpointUpdate, error) {
+	slowWatch := newSlowWatch(agent, sendOrDrop(updates))
+	slowWatch.decode = func(raw []byte) (engine.EndpointUpdate, error) {
 		time.Sleep(c.decodeTime)
 		return Decode(raw)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	startedAt := time.Now()
-	go slow.run(ctx)
+	go slowWatch.run(ctx)
 	defer time.Sleep(c.decodeTime + time.Millisecond) // decoding is not canceled
 	defer cancel()
 	select {
 	case update := <-updates:
 		c.checkUpdate(t, agent, update, time.Since(startedAt))
 	case <-time.After(20 * time.Second):
-		t.Fatal("got no list within 20 s")
+		t.Fatal("handler: got no list within 20 s")
 	}
 	time.Sleep(5 * time.Millisecond)
 	if len(updates) > 0 {
-		t.Errorf("got list version %d afterwards, want no further list", (<-updates).Version)
+		t.Errorf("handler: got list version %d afterwards, want no further list", (<-updates).Version)
 	}
 }
 
@@ -241,7 +241,7 @@
 	calls, maxOpen := len(agent.calls), agent.maxOpen
 	agent.mu.Unlock()
 	if update.Version != c.version || took < c.deliveredAfter || took > c.deliveredAfter+hedgeInterval {
-		t.Errorf("got list version %d after %v, want list version %d after %v", update.Version, took, c.version, c.deliveredAfter)
+		t.Errorf("handler: got list version %d after %v, want list version %d after %v", update.Version, took, c.version, c.deliveredAfter)
 	}
 	if c.calls > 0 && calls > c.calls+1 { // the next watch may have been sent already
 		t.Errorf("agent: got %d calls, want %d", calls, c.calls)
@@ -261,17 +261,17 @@
 			}
 			return []segment{neverSent}
 		}}
-		slow := newSlowWatch(agent, func(engine.EndpointUpdate) { t.Error("got a list, want none") })
+		slowWatch := newSlowWatch(agent, func(engine.EndpointUpdate) { t.Error("handler: got a list, want none") })
 		startedAt := time.Now()
-		var warned atomic.Int64
-		slow.log = warningHook{slow.log, func() { warned.CompareAndSwap(0, int64(time.Since(startedAt))) }}
-		_, err := slow.fetchNext(t.Context())
+		var firstWarningAfter atomic.Int64
+		slowWatch.log = warningHook{slowWatch.log, func() { firstWarningAfter.CompareAndSwap(0, int64(time.Since(startedAt))) }}
+		_, err := slowWatch.fetchNext(t.Context())
 		if took := time.Since(startedAt); !errors.Is(err, errBroken) || took < 19*time.Second || took > 21*time.Second {
-			t.Errorf("got error %v after %v, want %v after 19 s to 21 s", err, took, errBroken)
+			t.Errorf("fetchNext: got error %v after %v, want %v after 19 s to 21 s", err, took, errBroken)
 		}
-		warnedAfter := time.Duration(warned.Load())
+		warnedAfter := time.Duration(firstWarningAfter.Load())
 		if warnedAfter < responseTimeout || warnedAfter > responseTimeout+20*time.Millisecond {
-			t.Errorf("reported unavailable after %v, want %v", warnedAfter, responseTimeout)
+			t.Errorf("agent: reported unavailable after %v, want %v", warnedAfter, responseTimeout)
 		}
 		synctest.Wait()
 		if open := agent.openCalls(); agent.maxOpen > maxOpenCalls || open > 0 {
@@ -281,13 +281,13 @@
 	})
 }
 
-// warningHook is a logger that calls warned for each warning with an error.
+// warningHook is a logger that calls onWarning for each warning with an error.
 type warningHook struct {
 	logrus.FieldLogger
-	warned func()
+	onWarning func()
 }
 
 func (w warningHook) WithError(err error) *logrus.Entry {
-	w.warned()
+	w.onWarning()
 	return w.FieldLogger.WithError(err)
 }
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -42,18 +42,18 @@
 					segments[0].delay = 0
 					return segments
 				}}
-				slow := newSlowWatch(agent, sendOrDrop(updates))
-				slow.version = 41
+				slowWatch := newSlowWatch(agent, sendOrDrop(updates))
+				slowWatch.version = 41
 				ctx, cancel := context.WithCancel(t.Context())
 				startedAt := time.Now()
-				go slow.run(ctx)
+				go slowWatch.run(ctx)
 				defer synctest.Wait()
 				defer cancel()
 				update := <-updates
 				took := time.Since(startedAt)
 				tooEarly, tooLate := took < test.deliveredAfter-100*time.Millisecond, took > test.deliveredAfter+10*time.Millisecond
 				if update.Version != test.version || tooEarly || tooLate {
-					t.Errorf("got list version %d after %v, want list version %d after %v",
+					t.Errorf("handler: got list version %d after %v, want list version %d after %v",
 						update.Version, took, test.version, test.deliveredAfter)
 				}
 			})
--- a/internal/ingress/server_test.go
+++ b/internal/ingress/server_test.go
@@ -296,7 +296,7 @@
 			c.write(sent)
 			c.setReadDeadline(time.Now().Add(responseTimeout))
 			if _, err := io.ReadAll(c); err != nil || len(fake.requests) > 0 {
-				t.Errorf("got error %v, %d requests; want a close and no request", err, len(fake.requests))
+				t.Errorf("connection: got error %v, %d requests at the engine; want a close and no request", err, len(fake.requests))
 			}
 		})
 	}
@@ -346,7 +346,7 @@
 	}
 	checked, idle, busy := dial(t, address), dial(t, address), dial(t, address)
 	if readiness(checked) != 200 || readiness(idle) != 200 {
-		t.Error("/up: got another status than 200 before Drain")
+		t.Error("/up before Drain: got another status than 200, want 200")
 	}
 	busy.send("GET /read/1", "X-Time-Left: 1\r\n", "")
 	first := <-fake.requests
--- a/internal/sockopt/conn_test.go
+++ b/internal/sockopt/conn_test.go
@@ -89,7 +89,7 @@
 	}
 	b := make([]byte, 10)
 	if n, err := server.Read(b); n == 0 || err != nil {
-		t.Fatalf("got %d bytes, error %v, want a request", n, err)
+		t.Fatalf("Read: got %d bytes, error %v, want a request", n, err)
 	}
 	if server.CloseIfIdle() {
 		t.Error("CloseIfIdle: closed with a request that has no response")
@@ -107,7 +107,7 @@
 		runtime.Gosched()
 	}
 	if err := <-read; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("got read error %v, want %v", err, net.ErrClosed)
+		t.Errorf("Read: got error %v, want %v", err, net.ErrClosed)
 	}
 }
 
@@ -160,7 +160,7 @@
 			closedCount++
 		}
 		if n := <-read; closed != (n == 0) {
-			t.Fatalf("got closed %v and %d bytes read, want either closed or read", closed, n)
+			t.Fatalf("CloseIfIdle and Read: got closed %v and %d bytes read, want either closed or read", closed, n)
 		}
 		closeQuietly(client)
 		closeQuietly(server)
--- a/internal/upstream/benchmark_test.go
+++ b/internal/upstream/benchmark_test.go
@@ -98,7 +98,7 @@
 				}
 			}
 			if stats := pool.Stats(); stats.Opened != 1 {
-				b.Errorf("got %d connections opened, want 1 that is reused", stats.Opened)
+				b.Errorf("pool: got %d connections opened, want 1 that is reused", stats.Opened)
 			}
 			ctx, cancel := context.WithCancel(b.Context())
 			cancel()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -226,7 +226,7 @@
 				t.Errorf("response: got body %q, want %q", result.Response.Body, "hi")
 			}
 			if n := server.requests.Load(); n != 1 {
-				t.Errorf("got %d requests sent, want 1", n)
+				t.Errorf("endpoint: got %d requests, want 1", n)
 			}
 			if pool.slots.taken != test.idle || len(pool.endpoints["n"].idle) != test.idle {
 				t.Errorf("pool: got %d connections, %d idle, want %d, all idle", pool.slots.taken, len(pool.endpoints["n"].idle), test.idle)
@@ -293,14 +293,14 @@
 		got = fmt.Sprint(r.Method, r.RequestURI, r.Host, r.Header["X-Correlation-Id"], r.Header["Idempotency-Key"],
 			r.Header["Body"])
 		if remaining := r.Header.Get("X-Time-Left"); remaining < "0.4" || remaining > "0.500" {
-			t.Errorf("got X-Time-Left %q, want 0.4 to 0.500", remaining)
+			t.Errorf("endpoint: got X-Time-Left %q, want 0.4 to 0.500", remaining)
 		}
 		respondWith(okResponse)(c, r)
 	})
 	result := newPool(4).attempt(server.Addr().String(), "POST", 500, nil)
 	want, load := "POST/read/x?q=%2f;1app.svc[c1] [k] [body]", decision.Load{Utilisation: 0.61, Queue: 2}
 	if got != want || *result.Load != load {
-		t.Errorf("got %s, load %+v, want %s, load %+v", got, result.Load, want, load)
+		t.Errorf("endpoint and result: got request %s, load %+v, want %s, load %+v", got, result.Load, want, load)
 	}
 }
 
@@ -633,7 +633,7 @@
 		<-server.closed
 	}
 	if n := server.requests.Load(); n != 3 {
-		t.Errorf("got %d requests sent, want 3", n)
+		t.Errorf("endpoint: got %d requests, want 3", n)
 	}
 }
 
@@ -801,7 +801,7 @@
 					result.Outcome, pool.heldConnections(), test.want)
 			}
 			if received, _ := io.ReadAll(endpoint); len(received) >= 1<<20 {
-				t.Errorf("got %d bytes of the request, want fewer than %d", len(received), 1<<20)
+				t.Errorf("endpoint: got %d bytes of the request, want fewer than %d", len(received), 1<<20)
 			}
 		})
 	}
--- a/internal/upstream/requests_test.go
+++ b/internal/upstream/requests_test.go
@@ -152,7 +152,7 @@
 	sendBy = pool.clock.Now() + 200
 	checkResult(t, pool, pool.attemptSendBy(address, sendBy, 0), decision.NotSent, 0)
 	if n := pool.Stats(); n.Opened != 1 || server.requests.Load() != 1 {
-		t.Errorf("got %d connections opened, sent %d times, want 1, once", n.Opened, server.requests.Load())
+		t.Errorf("pool: got %d connections opened, request sent %d times, want 1, once", n.Opened, server.requests.Load())
 	}
 }
 
@@ -166,7 +166,7 @@
 	endpoint := acceptStarted(t, l)
 	pool.waitUntil(sendBy + 20)
 	if received, _ := io.ReadAll(endpoint); len(received) >= oversizedBody {
-		t.Errorf("got %d bytes of the request, want fewer than %d", len(received), oversizedBody)
+		t.Errorf("endpoint: got %d bytes of the request, want fewer than %d", len(received), oversizedBody)
 	}
 	checkResult(t, pool, <-results, decision.NotSent, 0)
 }
--- a/internal/upstream/responses_test.go
+++ b/internal/upstream/responses_test.go
@@ -133,7 +133,7 @@
 					t.Errorf("attempt: ended after %v, want at most %v, and at least %v if malformed", took, maxWait, readTimeout)
 				}
 				if <-server.closed; server.requests.Load() != 1 {
-					t.Errorf("got %d requests sent, want 1", server.requests.Load())
+					t.Errorf("endpoint: got %d requests, want 1", server.requests.Load())
 				}
 			})
 		}
