--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -42,7 +42,7 @@
 	t.Helper()
 	r.cancel()
 	if err := <-r.ended; err != nil {
-		t.Error(err)
+		t.Errorf("Run: got error %v, want none", err)
 	}
 }
 
@@ -114,7 +114,7 @@
 			}
 			_ = res.Body.Close() // only the status is checked
 			if res.StatusCode != test.status {
-				t.Errorf("got status %s, want %d", res.Status, test.status)
+				t.Errorf("response: got status %s, want %d", res.Status, test.status)
 			}
 		})
 	}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -15,9 +15,9 @@
 func TestStalledWatchFetchesSnapshot(t *testing.T) {
 	stalled := []segment{{0, encodeUpdate(42, false, "Terminating")[:20]}, neverSent}
 	for name, test := range map[string]struct {
-		response []segment     // response to the first watch call
-		version  int64         // version of the delivered list
-		after    time.Duration // time until the list is delivered
+		response       []segment     // response to the first watch call
+		version        int64         // version of the delivered list
+		deliveredAfter time.Duration // time until the list is delivered
 	}{
 		"steadily": {splitEvenly(100*time.Millisecond, encodeUpdate(42, false, "Terminating"), 10), 42, time.Second},
 		"stalls":   {stalled, 43, stallTimeout},
@@ -39,21 +39,22 @@
 						return []segment{neverSent}
 					}
 					segments := slices.Clone(test.response)
-					segments[0].after = 0
+					segments[0].delay = 0
 					return segments
 				}}
-				slow := newSlowWatch(agent, sendOrDrop(updates))
-				slow.version = 41
+				slowWatch := newSlowWatch(agent, sendOrDrop(updates))
+				slowWatch.version = 41
 				ctx, cancel := context.WithCancel(t.Context())
 				startedAt := time.Now()
-				go slow.run(ctx)
+				go slowWatch.run(ctx)
 				defer synctest.Wait()
 				defer cancel()
 				update := <-updates
 				took := time.Since(startedAt)
-				early, late := took < test.after-100*time.Millisecond, took > test.after+10*time.Millisecond
-				if update.Version != test.version || early || late {
-					t.Errorf("got list %d after %v, want list %d after %v", update.Version, took, test.version, test.after)
+				tooEarly, tooLate := took < test.deliveredAfter-100*time.Millisecond, took > test.deliveredAfter+10*time.Millisecond
+				if update.Version != test.version || tooEarly || tooLate {
+					t.Errorf("handler: got list version %d after %v, want list version %d after %v",
+						update.Version, took, test.version, test.deliveredAfter)
 				}
 			})
 		})
--- a/internal/upstream/requests_test.go
+++ b/internal/upstream/requests_test.go
@@ -53,7 +53,7 @@
 		pause   time.Duration
 		timeout decision.Millis
 		want    decision.Outcome
-		idle    int // connections afterwards
+		idle    int // open connections afterwards, all of them idle
 	}{
 		"complete in time":           {16 << 10, 0, longDeadline, decision.Succeeded, 1},
 		"incomplete at the deadline": {oversizedBody, time.Millisecond, 300, decision.Unreachable, 0},
@@ -80,7 +80,7 @@
 			}()
 			checkResult(t, pool, <-results, test.want, test.idle)
 			if took := time.Since(startedAt); test.idle == 0 && (took < 290*time.Millisecond || took > maxWait) {
-				t.Errorf("ended after %v, want 290 ms to %v", took, maxWait)
+				t.Errorf("attempt: ended after %v, want 290 ms to %v", took, maxWait)
 			}
 		})
 	}
@@ -129,7 +129,7 @@
 			sendBy.Store(int64(pool.clock.Now() + test.untilSendBy))
 			result := pool.attemptSendBy(address, float64(sendBy.Load()), 0)
 			if sent := server.requests.Load() - 1; result.Outcome != test.want || sent != test.sent {
-				t.Errorf("got outcome %d, sent %d times, want %d, %d times", result.Outcome, sent, test.want, test.sent)
+				t.Errorf("attempt: got outcome %d, sent %d times, want %d, %d times", result.Outcome, sent, test.want, test.sent)
 			}
 		})
 	}
@@ -152,7 +152,7 @@
 	sendBy = pool.clock.Now() + 200
 	checkResult(t, pool, pool.attemptSendBy(address, sendBy, 0), decision.NotSent, 0)
 	if n := pool.Stats(); n.Opened != 1 || server.requests.Load() != 1 {
-		t.Errorf("got %d connections opened, sent %d times, want 1, once", n.Opened, server.requests.Load())
+		t.Errorf("pool: got %d connections opened, request sent %d times, want 1, once", n.Opened, server.requests.Load())
 	}
 }
 
@@ -166,7 +166,7 @@
 	endpoint := acceptStarted(t, l)
 	pool.waitUntil(sendBy + 20)
 	if received, _ := io.ReadAll(endpoint); len(received) >= oversizedBody {
-		t.Errorf("got %d bytes of the request, want fewer than %d", len(received), oversizedBody)
+		t.Errorf("endpoint: got %d bytes of the request, want fewer than %d", len(received), oversizedBody)
 	}
 	checkResult(t, pool, <-results, decision.NotSent, 0)
 }
