--- a/cmd/balancer/admin_golden_test.go
+++ b/cmd/balancer/admin_golden_test.go
@@ -33,7 +33,7 @@
 		raw, err := admin.Call(ctx, listener.Addr().String(), "/", nil)
 		cancel()
 		if runErr := <-ended; runErr != nil {
-			t.Error(runErr)
+			t.Errorf("admin server ended with error %v, want none", runErr)
 		}
 		return raw, err
 	}
--- a/cmd/balancer/clients_test.go
+++ b/cmd/balancer/clients_test.go
@@ -17,11 +17,11 @@
 	client    *http.Client
 	pause     time.Duration              // pause of each client after a response
 	check     func(*testing.T, response) // called with each response
-	ids       atomic.Int32
-	sent      atomic.Int32
-	responded atomic.Int32
-	succeeded atomic.Int32 // responses with status 200
-	stopping  chan struct{}
+	lastID    atomic.Int32               // X-Correlation-Id of the newest request
+	sent      atomic.Int32               // number of requests
+	responses atomic.Int32               // number of responses
+	successes atomic.Int32               // number of responses with status 200
+	stopping  chan struct{}              // closed when stop is called
 	stopOnce  sync.Once
 	clients   sync.WaitGroup
 }
@@ -65,9 +65,9 @@
 	if nonIdempotent {
 		method, path, body = http.MethodPost, "/pay/1", "body"
 	}
-	request, err := newRequest(method, l.url+path, body, fmt.Sprint(l.ids.Add(1)), "0.250")
+	request, err := newRequest(method, l.url+path, body, fmt.Sprint(l.lastID.Add(1)), "0.250")
 	if err != nil {
-		t.Error(err)
+		t.Errorf("construct request: %v", err)
 		return false
 	}
 	l.sent.Add(1)
@@ -80,9 +80,9 @@
 	raw, err := io.ReadAll(res.Body)
 	_ = res.Body.Close() // the body was read to its end
 	l.check(t, response{res.StatusCode, string(raw), err, time.Since(sentAt)})
-	l.responded.Add(1)
+	l.responses.Add(1)
 	if res.StatusCode == http.StatusOK {
-		l.succeeded.Add(1)
+		l.successes.Add(1)
 	}
 	return true
 }
--- a/cmd/balancer/cluster.go
+++ b/cmd/balancer/cluster.go
@@ -30,7 +30,7 @@
 	policy        *policysync.Node  // nil: policy is off
 	failover      *failover.Manager // nil: takeover is off
 	admin         *admin.Server     // nil: admin.listen is not set
-	adminListener net.Listener
+	adminListener net.Listener      // nil: admin.listen is not set
 }
 
 // membersResponse is the response to /members, which the command `members` prints.
@@ -61,6 +61,7 @@
 	return services, nil
 }
 
+// openAdmin listens on admin.listen. It does nothing if that is not set.
 func (s *clusterServices) openAdmin() error {
 	address := s.cfg.Operator.Admin
 	if address == "" {
@@ -74,6 +75,7 @@
 	return nil
 }
 
+// openMembership opens the membership port and adds the path of the admin interface. It does nothing if membership is off.
 func (s *clusterServices) openMembership() error {
 	cfg := s.cfg.Operator.Membership
 	if cfg == nil {
@@ -94,6 +96,7 @@
 	return nil
 }
 
+// openPolicy opens the replicated log and adds the paths of the admin interface. It does nothing if policy is off.
 func (s *clusterServices) openPolicy(source *settingsSource) error {
 	cfg := s.cfg.Operator.Policy
 	if cfg == nil {
@@ -117,7 +120,8 @@
 	return nil
 }
 
-// openTakeover creates the failover manager if takeover is enabled, which config allows only with membership and policy.
+// openTakeover creates the failover manager and adds the paths of the admin interface. It does nothing if takeover is off.
+// config.ReadOperator allows takeover only with membership and policy.
 func (s *clusterServices) openTakeover(eng *engine.Engine, controller *rollout.Client) {
 	ttl := s.cfg.Operator.LeaseTTL
 	if ttl <= 0 {
@@ -139,7 +143,7 @@
 	}
 }
 
-// run runs the services until ctx ends.
+// run runs the services that are on until ctx ends.
 func (s *clusterServices) run(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -161,7 +165,8 @@
 	}
 }
 
-// leave releases the leases and announces to the other members that this instance leaves. It is called once.
+// leave releases the leases if takeover is on, and announces to the other members that this instance leaves if membership is
+// on. It is called once.
 func (s *clusterServices) leave(ctx context.Context) {
 	if s.failover != nil {
 		s.failover.ReleaseLease(ctx)
@@ -180,7 +185,8 @@
 	return controller
 }
 
-// retryPolicy retries after a reload to apply a policy that was incompatible with the previous configuration.
+// retryPolicy retries after a reload to apply a policy that was incompatible with the previous configuration. It does nothing
+// if policy is off.
 func (s *clusterServices) retryPolicy() {
 	if s.policy != nil {
 		s.policy.Retry()
--- a/cmd/balancer/cluster_test.go
+++ b/cmd/balancer/cluster_test.go
@@ -127,7 +127,7 @@
 		t.Fatal(err)
 	}
 	if current, _ := after.Get("n2"); current.Incarnation <= earlier.Incarnation || current.Run != earlier.Run {
-		t.Errorf("got %+v, want the same run with a higher incarnation than %+v, since n2 refuted the suspicion", current, earlier)
+		t.Errorf("n2 after the pause: got %+v, want the same run with a higher incarnation than %+v, since n2 refuted the suspicion", current, earlier)
 	}
 	if lines := deathLogLines(fleet); len(lines) > 0 {
 		t.Errorf("want no member declared dead, got %s", lines)
@@ -159,7 +159,7 @@
 	}
 	for i := range fleet.Names() {
 		if err := fleet.CheckMemberState(ctx, i, 0, membership.Alive); i != 1 && err != nil {
-			t.Error(err)
+			t.Errorf("n%d must consider n0 alive: %v", i, err)
 		}
 	}
 	fleet.Rules.Heal()
@@ -191,10 +191,10 @@
 		t.Fatal(err)
 	}
 	if current, _ := after.Get("n3"); current.Incarnation <= earlier.Incarnation || current.Run == earlier.Run {
-		t.Errorf("after the restart: got %+v, want another run with a higher incarnation than %+v", current, earlier)
+		t.Errorf("n3 after the restart: got %+v, want another run with a higher incarnation than %+v", current, earlier)
 	}
 	if err := fleet.Process(4).Terminate(ctx); err != nil {
-		t.Error(err)
+		t.Errorf("terminate n4: %v", err)
 	}
 	await(t, ctx, 2*time.Second, func() error {
 		return checkOthers(fleet, 4, func(i int) error { return fleet.CheckMemberState(ctx, i, 4, membership.Left) })
@@ -246,12 +246,12 @@
 			return fmt.Errorf("%d packets rejected, want 5", m.Counters.Rejected)
 		}
 		if len(m.Members) != 2 {
-			t.Errorf("got members %+v, want 2", m.Members)
+			t.Errorf("view of n0: got members %+v, want 2", m.Members)
 		}
 		return nil
 	})
 	if err := fleet.CheckViews(ctx); err != nil {
-		t.Error(err)
+		t.Errorf("views of the cluster after the foreign packets: %v", err)
 	}
 }
 
--- a/cmd/balancer/commands.go
+++ b/cmd/balancer/commands.go
@@ -159,7 +159,7 @@
 	return err
 }
 
-// readConfig reads the configuration, and the operator's file if the command line names one.
+// readConfig reads the configuration, and the operator's file if the flag --operator or its environment variable names one.
 func readConfig(cmd *cli.Command) (*config.Config, error) {
 	cfg, err := config.Read(cmd.String("config"), os.Getenv)
 	if err != nil {
@@ -187,6 +187,7 @@
 	return writeVersion(cmd.Root().Writer)
 }
 
+// writeVersion prints the version, the VCS revision if the build has recorded it, and the Go version and platform.
 func writeVersion(w io.Writer) error {
 	revision := ""
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/balancer/commands_golden_test.go
+++ b/cmd/balancer/commands_golden_test.go
@@ -154,7 +154,7 @@
 	t.Cleanup(func() {
 		cancel()
 		if err := <-ended; err != nil {
-			t.Error(err)
+			t.Errorf("admin server ended with error %v, want none", err)
 		}
 	})
 	return listener.Addr().String()
--- a/cmd/balancer/drain_test.go
+++ b/cmd/balancer/drain_test.go
@@ -44,7 +44,7 @@
 func checkInTime(t *testing.T, r response) {
 	t.Helper()
 	if r.err != nil || r.status == http.StatusOK && r.body != "hi" {
-		t.Errorf("got body %q, error %v, want body \"hi\"", r.body, r.err)
+		t.Errorf("status %d: got body %q, error %v, want body \"hi\"", r.status, r.body, r.err)
 	}
 	if r.latency > 450*time.Millisecond {
 		t.Errorf("status %d after %v, want at most 450 ms", r.status, r.latency)
@@ -71,24 +71,24 @@
 	clients.start(t, 8)
 	for f := range faultCount {
 		platform.setFault(f)
-		awaitMore(t, &clients.responded, 40)
+		awaitMore(t, &clients.responses, 40)
 		platform.version.Add(1)
 	}
 	platform.setFault(noFault)
-	awaitMore(t, &clients.succeeded, 100)
+	awaitMore(t, &clients.successes, 100)
 	platform.setFault(neverResponds)
 	server.stop <- syscall.SIGTERM
 	time.Sleep(drainGrace / 2) // clients keep sending while the instance drains
 	clients.stop()
 	if err := <-server.ended; err != nil {
-		t.Error(err)
+		t.Errorf("instance ended with error %v, want none", err)
 	}
 	client.CloseIdleConnections()
 	platform.close()
 	platform.checkRunsOnce(t)
 	for _, line := range []string{"msg=serving", "msg=draining signal=terminated", "msg=stopped"} {
 		if !strings.Contains(server.log.String(), line) {
-			t.Errorf("want a line with %q, got\n%s", line, server.log.String())
+			t.Errorf("log of the instance: want a line with %q, got\n%s", line, server.log.String())
 		}
 	}
 	checkReleased(t, before)
--- a/cmd/balancer/instance.go
+++ b/cmd/balancer/instance.go
@@ -92,7 +92,8 @@
 }
 
 // run starts the components, serves until stop delivers a signal, and drains. The ingress stops before all other
-// components, since requests in flight need them.
+// components, since requests in flight need them. If the ingress fails before a signal, run returns its error and does not
+// drain.
 func (i *instance) run(ctx context.Context, stop <-chan os.Signal, reload *reloader, readyDeadline time.Time) error {
 	endpoints := i.applyConfiguredState()
 	ctx, cancel := context.WithCancel(ctx)
@@ -109,13 +110,13 @@
 		i.ingress.SetNotReady()
 		running.Go(func() { i.awaitEndpointList(ctx, readyDeadline) })
 	}
-	served := make(chan error, 1)
-	go func() { served <- i.ingress.Serve(i.listener) }()
+	ingressEnded := make(chan error, 1)
+	go func() { ingressEnded <- i.ingress.Serve(i.listener) }()
 	i.log.WithFields(logrus.Fields{
 		"listen": i.cfg.Listen, "nodes": endpoints, "connections": i.cfg.Limits.Connections(),
 	}).Info("serving")
 	select {
-	case err := <-served:
+	case err := <-ingressEnded:
 		return fmt.Errorf("serve clients: %w", err)
 	case sig := <-stop:
 		i.log.WithField("signal", sig.String()).Info("draining")
@@ -123,8 +124,8 @@
 	return i.drain(ctx)
 }
 
-// applyConfiguredState passes the endpoint list and stage of the configuration to the engine, and returns the number of
-// endpoints.
+// applyConfiguredState passes the endpoint list and stage of the configuration to the engine, if they are set there. It
+// returns the number of endpoints, 0 without a list.
 func (i *instance) applyConfiguredState() (endpoints int) {
 	if i.cfg.Endpoints != nil {
 		endpoints = len(i.cfg.Endpoints.Endpoints)
--- a/cmd/balancer/lease.go
+++ b/cmd/balancer/lease.go
@@ -44,6 +44,7 @@
 	})
 }
 
+// writeLeaseRow writes a row of the table of leases, with tabs between columns.
 func writeLeaseRow(rows *strings.Builder, status *failover.LeaseStatus) {
 	remaining, checkpoint, merged := "lapsed", "none", ""
 	switch {
--- a/cmd/balancer/lease_cluster_test.go
+++ b/cmd/balancer/lease_cluster_test.go
@@ -142,7 +142,7 @@
 		t.Fatalf("lease of n2 merged %d times, want once: %v", len(lines), lines)
 	}
 	if m := regexp.MustCompile(`hits=(\d+)`).FindStringSubmatch(lines[0]); m == nil || m[1] != "60" {
-		t.Errorf("want hits=60, the responses of the killed instance, got %s", lines[0])
+		t.Errorf("log line about the merge: want hits=60, the responses of the killed instance, got %s", lines[0])
 	}
 	checkResponses(t, ctx, fleet, 60)
 	if err := fleet.Process(2).Start(); err != nil {
@@ -163,7 +163,7 @@
 		t.Fatal(err)
 	}
 	if err := fleet.Process(leaving).Terminate(ctx); err != nil {
-		t.Error(err)
+		t.Errorf("terminate n%d: %v", leaving, err)
 	}
 	await(t, ctx, 10*time.Second, func() error { return fleet.CheckLeasesHeld(ctx, (leaving+1)%5, 4) })
 	checkResponses(t, ctx, fleet, 60)
@@ -338,10 +338,10 @@
 	}
 	for _, test := range []struct {
 		name, class, want string
-		satisfied         func(status int, retryAfter string, latency time.Duration) bool
+		matchesWant       func(status int, retryAfter string, latency time.Duration) bool
 	}{
-		{"non-idempotent", "send-text", "status 500 with Retry-After within 200 ms", rejectedPromptly},
-		{"idempotent", "read", "status 200", succeeded},
+		{"non-idempotent", "send-text", "status 500 with Retry-After within 200 ms", isPromptRejection},
+		{"idempotent", "read", "status 200", hasStatusOK},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			id := "flight-" + test.class
@@ -349,9 +349,9 @@
 			response, err := clients.Resume(ctx, fleet.RequestAddress(1), test.class, id)
 			switch {
 			case err != nil:
-				t.Error(err)
-			case !test.satisfied(response.Status, response.RetryAfter, response.Latency):
-				t.Errorf("got response %+v, want %s", response, test.want)
+				t.Errorf("resend request %s to n1: %v", id, err)
+			case !test.matchesWant(response.Status, response.RetryAfter, response.Latency):
+				t.Errorf("resent request %s: got response %+v, want %s", id, response, test.want)
 			}
 			restartKilled(t, ctx, fleet, clients)
 		})
@@ -400,9 +400,9 @@
 	})
 }
 
-func succeeded(status int, _ string, _ time.Duration) bool { return status == http.StatusOK }
+func hasStatusOK(status int, _ string, _ time.Duration) bool { return status == http.StatusOK }
 
-func rejectedPromptly(status int, retryAfter string, latency time.Duration) bool {
+func isPromptRejection(status int, retryAfter string, latency time.Duration) bool {
 	return status == http.StatusInternalServerError && retryAfter != "" && latency <= 200*time.Millisecond
 }
 
@@ -424,12 +424,12 @@
 	}
 	await(t, ctx, 30*time.Second, func() error { return fleet.CheckLeasesHeld(ctx, 0, 5) })
 	result := load.Stop()
-	t.Logf("%+v", result)
+	t.Logf("result of the load: %+v", result)
 	if result.Lost > 0 || result.Mismatched > 0 || len(fleet.Platform().DuplicateExecutions()) > 0 {
-		t.Errorf("got %+v, ran twice: %v, want no requests lost, wrong or run twice", result, fleet.Platform().DuplicateExecutions())
+		t.Errorf("result of the load: got %+v, ran twice: %v, want no requests lost, wrong or run twice", result, fleet.Platform().DuplicateExecutions())
 	}
 	if result.Succeeded < 500 || result.Resumed < 10 {
-		t.Errorf("got %+v, want at least 500 succeeded and 10 resumed requests", result)
+		t.Errorf("result of the load: got %+v, want at least 500 succeeded and 10 resumed requests", result)
 	}
 	checkGrants(t, fleet)
 	checkVotesOnce(t, fleet)
--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -24,8 +24,8 @@
 
 // Exit codes.
 const (
-	exitFailure = 1
-	exitUsage   = 2 // as in Go's own tools
+	exitFailure = 1 // for each error that does not wrap errUsage
+	exitUsage   = 2 // for an error that wraps errUsage; Go's own tools exit with 2 too
 )
 
 // errUsage marks an invalid command line.
--- a/cmd/balancer/platform_test.go
+++ b/cmd/balancer/platform_test.go
@@ -46,11 +46,11 @@
 
 	fault           atomic.Int32 // the endpointFault of all endpoints
 	version         atomic.Int32 // version of the endpoint list; from version 2 on the first endpoint is draining
-	discoveryCalls  atomic.Int32
+	discoveryCalls  atomic.Int32 // polls and watches that the discovery agent has received
 	controllerLines atomic.Int32 // lines that the controller has received
 
 	mu                sync.Mutex
-	nonIdempotentRuns map[string]int // how often endpoints received each POST request, by its ID
+	nonIdempotentRuns map[string]int // how often endpoints received each POST request, by its X-Correlation-Id
 }
 
 // newPlatformStub starts the stubs. The end of the test stops them.
--- a/cmd/balancer/policy.go
+++ b/cmd/balancer/policy.go
@@ -17,7 +17,8 @@
 	"ottershed/internal/cluster/policysync"
 )
 
-// proposeTimeout is slightly longer than the time after which an instance abandons a proposal.
+// proposeTimeout limits how long the command `policy propose` waits for the response of an instance. It is longer than
+// maxProposeWait in internal/cluster/policysync, after which the instance abandons the proposal.
 const proposeTimeout = 25 * time.Second
 
 // Layout of the tables that commands print.
@@ -62,6 +63,7 @@
 	return body, nil
 }
 
+// checkPolicy prints the policy of a file in canonical form, or returns the error of an invalid one.
 func checkPolicy(_ context.Context, cmd *cli.Command) error {
 	body, err := readPolicy(cmd)
 	if err != nil {
--- a/cmd/balancer/policy_cluster_test.go
+++ b/cmd/balancer/policy_cluster_test.go
@@ -60,8 +60,9 @@
 	})
 }
 
-func policyText(note string, share float64) string {
-	return fmt.Sprintf(`{"note":%q,"trial-share":%g,"settings":{"domain":{"vote-ttl-ms":4000}}}`, note, share)
+// policyText returns the JSON of a policy that also sets a vote TTL.
+func policyText(note string, trialShare float64) string {
+	return fmt.Sprintf(`{"note":%q,"trial-share":%g,"settings":{"domain":{"vote-ttl-ms":4000}}}`, note, trialShare)
 }
 
 // propose proposes a policy at an instance, repeatedly with the same ID until it is committed, and returns its version.
@@ -163,15 +164,15 @@
 	clients := load.NewClients()
 	defer clients.Close()
 	requests := 0
-	sendRequests := func(i, count int) (succeeded int) {
+	sendRequests := func(i, count int) (successes int) {
 		for range count {
 			requests++
 			response, err := clients.Send(ctx, fleet.RequestAddress(i), "read", fmt.Sprintf("h%d", requests))
 			if err == nil && response.Status == 200 {
-				succeeded++
+				successes++
 			}
 		}
-		return succeeded
+		return successes
 	}
 	await(t, ctx, 10*time.Second, func() error { // without a policy, requests go to the candidate
 		if sendRequests(3, 20); candidate.Requests() == 0 {
@@ -181,23 +182,23 @@
 	})
 	killAll(t, fleet, 3, 4)
 	if v := propose(t, ctx, fleet, 0, policyText("no trials today", 0), ""); v != 1 {
-		t.Errorf("got version %d, want 1", v)
+		t.Errorf("policy proposed at n0: got version %d, want 1", v)
 	}
 	awaitVersionAt(t, ctx, 5*time.Second, fleet, 1, 0, 1, 2)
-	before := candidate.Requests()
+	requestsBefore := candidate.Requests()
 	startAll(t, fleet, 3, 4)
-	succeeded := 0
+	successes := 0
 	await(t, ctx, 20*time.Second, func() error { // clients send requests from the start of the processes
-		succeeded += sendRequests(3, 5) + sendRequests(4, 5)
+		successes += sendRequests(3, 5) + sendRequests(4, 5)
 		if err := fleet.CheckPolicyVersion(ctx, 3, 1); err != nil {
 			return err
 		}
 		return fleet.CheckPolicyVersion(ctx, 4, 1)
 	})
-	succeeded += sendRequests(3, 20) + sendRequests(4, 20)
-	if succeeded < 20 || candidate.Requests() != before {
+	successes += sendRequests(3, 20) + sendRequests(4, 20)
+	if successes < 20 || candidate.Requests() != requestsBefore {
 		t.Errorf("got %d succeeded requests and %d at the candidate, want at least 20 and %d as before the restart",
-			succeeded, candidate.Requests(), before)
+			successes, candidate.Requests(), requestsBefore)
 	}
 	for _, i := range []int{3, 4} {
 		checkAppliedBeforeAdmission(t, fleet, i)
@@ -301,7 +302,7 @@
 	awaitSameVersion(t, ctx, fleet, 1)
 	fleet.Partition(true, 0, 1)
 	if v := propose(t, ctx, fleet, 3, policyText("second", 0.4), ""); v != 2 {
-		t.Errorf("got version %d, want 2", v)
+		t.Errorf("policy proposed in the majority: got version %d, want 2", v)
 	}
 	proposeCtx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	if result, err := fleet.Propose(proposeCtx, 0, policyText("from the minority", 1), "minority"); err == nil {
@@ -310,7 +311,7 @@
 	cancel()
 	for _, i := range []int{0, 1} {
 		if err := fleet.CheckPolicyVersion(ctx, i, 1); err != nil {
-			t.Error(err)
+			t.Errorf("n%d in the minority must keep version 1: %v", i, err)
 		}
 	}
 	for _, i := range []int{2, 3, 4} {
@@ -325,12 +326,12 @@
 	await(t, ctx, 10*time.Second, func() error {
 		response, err := clients.Send(ctx, fleet.RequestAddress(1), "read", fmt.Sprint(time.Now().UnixNano()))
 		if err == nil && response.Status != 200 {
-			err = fmt.Errorf("got status %d, want 200", response.Status)
+			err = fmt.Errorf("request to n1 in the minority: got status %d, want 200", response.Status)
 		}
 		return err
 	})
 	if status, err := fleet.OwnPolicyStatus(ctx, 1); err != nil || status.TrialsAdmitted || status.Version != 1 {
-		t.Errorf("restarted in the minority: got %+v, error %v, want version 1 without trials", status, err)
+		t.Errorf("policy status of n1, restarted in the minority: got %+v, error %v, want version 1 without trials", status, err)
 	}
 	fleet.Partition(false, 0, 1)
 	awaitVersion(t, ctx, 20*time.Second, fleet, 2)
@@ -382,7 +383,7 @@
 		ids[entry.ID] = true
 	}
 	if len(history) != proposals || len(ids) != proposals {
-		t.Errorf("got %d versions with %d IDs, want %d of both", len(history), len(ids), proposals)
+		t.Errorf("history of n0: got %d versions with %d IDs, want %d of both", len(history), len(ids), proposals)
 	}
 }
 
@@ -430,7 +431,7 @@
 		}
 	}
 	if v := propose(t, ctx, fleet, 2, policyText("after all corruptions", 1), ""); v != 6 {
-		t.Errorf("got version %d, want 6", v)
+		t.Errorf("policy proposed after all corruptions: got version %d, want 6", v)
 	}
 }
 
@@ -456,7 +457,7 @@
 	t.Parallel()
 	fleet, ctx := policyCluster(t, 5, 3, 16)
 	if v := propose(t, ctx, fleet, 4, policyText("from a watcher", 0.5), ""); v != 1 {
-		t.Errorf("got version %d, want 1", v)
+		t.Errorf("policy proposed at a watcher: got version %d, want 1", v)
 	}
 	awaitVersion(t, ctx, 5*time.Second, fleet, 1)
 	for text, want := range map[string]string{
@@ -468,16 +469,16 @@
 		`{"note":"x","settings":{"rules":{"cold-from":"cold"}}}`: "settings.rules.cold-from: want a number",
 	} {
 		if _, err := fleet.Propose(ctx, 4, text, ""); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got error %v, want %q", text, err, want)
+			t.Errorf("policy %s: got error %v, want %q", text, err, want)
 		}
 	}
 	status, err := fleet.PolicyStatus(ctx, 4)
 	if err != nil || len(status.Members) != 5 {
-		t.Fatalf("got status %+v, error %v, want 5 members", status, err)
+		t.Fatalf("policy status of the cluster: got %+v, error %v, want 5 members", status, err)
 	}
 	for _, member := range status.Members {
 		if member.Version != 1 || !member.TrialsAdmitted {
-			t.Errorf("got member %+v, want version 1 with trials admitted", member)
+			t.Errorf("policy status of a member: got %+v, want version 1 with trials admitted", member)
 		}
 	}
 	killAll(t, fleet, 4)
@@ -505,7 +506,7 @@
 	await(t, ctx, 20*time.Second, func() error {
 		status, err := fleet.OwnPolicyStatus(ctx, 2)
 		if err == nil && (status.TrialsAdmitted || status.Version != 1 || !strings.Contains(status.Failure, "settings.domain.caps")) {
-			err = fmt.Errorf("got %+v, want version 1 failed for settings.domain.caps, without trials", status)
+			err = fmt.Errorf("policy status of n2: got %+v, want version 1 failed for settings.domain.caps, without trials", status)
 		}
 		return err
 	})
@@ -514,7 +515,7 @@
 	await(t, ctx, 10*time.Second, func() error {
 		response, err := clients.Send(ctx, fleet.RequestAddress(2), "read", fmt.Sprint(time.Now().UnixNano()))
 		if err == nil && response.Status != 200 {
-			err = fmt.Errorf("got response %+v, want status 200", response)
+			err = fmt.Errorf("request to n2: got response %+v, want status 200", response)
 		}
 		return err
 	})
--- a/cmd/balancer/process_test.go
+++ b/cmd/balancer/process_test.go
@@ -17,10 +17,10 @@
 // testServer is an instance that runs in the test process.
 type testServer struct {
 	log    lockedBuffer
-	stop   chan os.Signal
-	hup    chan os.Signal
-	reread chan error // result of reading the file at each SIGHUP
-	ended  chan error // result of run
+	stop   chan os.Signal // a signal on it makes the instance drain and stop
+	hup    chan os.Signal // a signal on it makes the instance reload; nil: no reloads
+	reread chan error     // result of reading the file at each SIGHUP
+	ended  chan error     // result of run
 }
 
 // startServer starts an instance without reloads.
--- a/cmd/balancer/readiness_test.go
+++ b/cmd/balancer/readiness_test.go
@@ -51,7 +51,7 @@
 	defer func() { _ = res.Body.Close() }() // nothing is left to read
 	raw, err := io.ReadAll(res.Body)
 	if err != nil {
-		t.Errorf("status %d, incomplete body: %v", res.StatusCode, err)
+		t.Errorf("response with status %d: got an incomplete body: %v", res.StatusCode, err)
 	}
 	return res.StatusCode, string(raw)
 }
@@ -110,6 +110,6 @@
 		t.Errorf("draining endpoint got %d requests, want none", n)
 	}
 	if err := <-server.ended; err != nil {
-		t.Error(err)
+		t.Errorf("instance ended with error %v, want none", err)
 	}
 }
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -27,12 +27,12 @@
 	awaitPlatformUsed(t, first, "first agent and controller are not used")
 	removeFile(t, path)
 	if server.reload() == nil {
-		t.Error("missing file: got no error")
+		t.Error("reload of a missing file: got no error, want one")
 	}
 	for _, text := range []string{original[:len(original)/2], strings.Replace(original, `"discovery":"`, `"discovery":":`, 1)} {
 		writeFile(t, path, text)
 		if server.reload() == nil {
-			t.Errorf("file %q: got no error", text)
+			t.Errorf("reload of file %q: got no error, want one", text)
 		}
 	}
 	next := strings.Replace(original, first.agentAddress(), second.agentAddress(), 1)
@@ -40,16 +40,16 @@
 	for _, text := range []string{next, original, next} { // one reload directly after the other
 		writeFile(t, path, text)
 		if err := server.reload(); err != nil {
-			t.Errorf("file %q: got error %v", text, err)
+			t.Errorf("reload of file %q: got error %v, want none", text, err)
 		}
 	}
 	server.stop <- syscall.SIGTERM
 	if err := server.reload(); err != nil {
-		t.Error(err)
+		t.Errorf("reload while draining: got error %v, want none", err)
 	}
 	awaitPlatformUsed(t, second, "second agent and controller are not used")
 	if err := <-server.ended; err != nil {
-		t.Error(err)
+		t.Errorf("instance ended with error %v, want none", err)
 	}
 	log := server.log.String()
 	if n := strings.Count(log, "configuration not reloaded"); n != 3 || !strings.Contains(log, "error=\"discovery: ") {
@@ -84,25 +84,25 @@
 	clients := &clientLoad{url: "http://" + cfg.Listen, client: client, check: func(t *testing.T, r response) {
 		t.Helper()
 		if r.err != nil {
-			t.Errorf("status %d, incomplete body: %v", r.status, r.err)
+			t.Errorf("response with status %d: got an incomplete body: %v", r.status, r.err)
 		}
 	}}
 	clients.start(t, 4)
 	for _, next := range []string{other, text, other, text} {
-		awaitMore(t, &clients.responded, 50)
+		awaitMore(t, &clients.responses, 50)
 		writeFile(t, path, next)
 		if err := server.reload(); err != nil {
-			t.Fatalf("file %q: got error %v", next, err)
+			t.Fatalf("reload of file %q: got error %v, want none", next, err)
 		}
 	}
-	awaitMore(t, &clients.responded, 50)
+	awaitMore(t, &clients.responses, 50)
 	clients.stop()
 	server.stop <- syscall.SIGTERM
 	if err := <-server.ended; err != nil {
-		t.Error(err)
+		t.Errorf("instance ended with error %v, want none", err)
 	}
-	if sent, responded := clients.sent.Load(), clients.responded.Load(); sent != responded {
-		t.Errorf("got %d responses to %d requests, want one each", responded, sent)
+	if sent, responses := clients.sent.Load(), clients.responses.Load(); sent != responses {
+		t.Errorf("got %d responses to %d requests, want one each", responses, sent)
 	}
 	platform.checkRunsOnce(t)
 	log := server.log.String()
--- a/cmd/balancer/restart_test.go
+++ b/cmd/balancer/restart_test.go
@@ -84,19 +84,19 @@
 
 // clientAttempt is one attempt of a client at the instance, and its result.
 type clientAttempt struct {
-	path            string
-	sent, responded time.Time
-	status          int
-	retryAfter      string
-	err             error
+	path                string
+	sentAt, respondedAt time.Time
+	status              int
+	retryAfter          string // Retry-After header of the response
+	err                 error  // error of sending the request or reading the response
 }
 
-// rejected reports whether the instance rejected the request with Retry-After.
-func (a *clientAttempt) rejected() bool {
+// isRejection reports whether the instance rejected the request with status 503 and Retry-After.
+func (a *clientAttempt) isRejection() bool {
 	return a.status == http.StatusServiceUnavailable && a.retryAfter == retryAfter
 }
 
-func (a *clientAttempt) latency() time.Duration { return a.responded.Sub(a.sent) }
+func (a *clientAttempt) latency() time.Duration { return a.respondedAt.Sub(a.sentAt) }
 
 // restartRun is a process and its clients, which send requests from the start of the process. Of the endpoints that are ready
 // on the configuration's list, half are draining on discovery's list.
@@ -106,7 +106,7 @@
 	draining, staying *endpointHost
 	process           *balancerProcess
 	client            *http.Client
-	responded         atomic.Bool   // the process has responded to a client
+	hasResponded      atomic.Bool   // the process has responded to a client
 	listening         chan struct{} // closed when the process has responded
 	ready             chan struct{} // closed when /up has responded with status 200
 	done              chan struct{} // closed when all clients have stopped
@@ -206,13 +206,13 @@
 // pollReadiness polls /up until it responds with status 200.
 func (r *restartRun) pollReadiness(deadline time.Time) {
 	for ; time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		sent := time.Now()
+		sentAt := time.Now()
 		res, err := r.client.Get("http://" + r.address + "/up")
 		if err != nil {
 			continue
 		}
 		_ = res.Body.Close() // only the status matters
-		if !r.responded.Swap(true) {
+		if !r.hasResponded.Swap(true) {
 			close(r.listening)
 		}
 		if res.StatusCode == http.StatusOK {
@@ -220,7 +220,7 @@
 			close(r.ready)
 			return
 		}
-		r.lastUnready = sent
+		r.lastUnready = sentAt
 	}
 }
 
@@ -234,7 +234,7 @@
 			if time.Now().After(deadline) {
 				return attempts, append(undelivered, path)
 			}
-			respondedBefore := r.responded.Load()
+			respondedBefore := r.hasResponded.Load()
 			attempt := r.request(method, path, fmt.Sprintf("%s-%d-%d", class, n, len(attempts)))
 			if errors.Is(attempt.err, syscall.ECONNREFUSED) && !respondedBefore { // the process does not listen yet
 				time.Sleep(5 * time.Millisecond)
@@ -264,14 +264,14 @@
 		a.err = err
 		return a
 	}
-	a.sent = time.Now()
+	a.sentAt = time.Now()
 	res, err := r.client.Do(request)
 	if err == nil {
 		a.status, a.retryAfter = res.StatusCode, res.Header.Get("Retry-After")
 		_, err = io.Copy(io.Discard, res.Body)
 		_ = res.Body.Close() // the body was read to its end
 	}
-	a.responded, a.err = time.Now(), err
+	a.respondedAt, a.err = time.Now(), err
 	return a
 }
 
@@ -293,7 +293,7 @@
 	var slowest time.Duration
 	for i := range r.attempts {
 		r.checkAttempt(t, &r.attempts[i])
-		if r.attempts[i].responded.Before(r.lastUnready) {
+		if r.attempts[i].respondedAt.Before(r.lastUnready) {
 			rejected++
 			slowest = max(slowest, r.attempts[i].latency())
 		}
@@ -310,16 +310,16 @@
 
 func (r *restartRun) checkAttempt(t *testing.T, a *clientAttempt) {
 	t.Helper()
-	description := fmt.Sprintf("%s, sent %v after the start, took %v", a.path, a.sent.Sub(r.started), a.latency())
-	unready := a.responded.Before(r.lastUnready)
+	description := fmt.Sprintf("%s, sent %v after the start, took %v", a.path, a.sentAt.Sub(r.started), a.latency())
+	unready := a.respondedAt.Before(r.lastUnready)
 	switch {
 	case a.err != nil:
 		t.Errorf("%s: request lost: %v", description, a.err)
-	case unready && !a.rejected():
+	case unready && !a.isRejection():
 		t.Errorf("%s: got status %d, Retry-After %q while not ready, want 503, %q", description, a.status, a.retryAfter, retryAfter)
 	case unready && a.latency() > rejectionLimit:
 		t.Errorf("%s: want a rejection within %v", description, rejectionLimit)
-	case a.status != http.StatusOK && !a.rejected():
+	case a.status != http.StatusOK && !a.isRejection():
 		t.Errorf("%s: got status %d, Retry-After %q, want 200, or 503 with %q", description, a.status, a.retryAfter, retryAfter)
 	}
 }
@@ -385,9 +385,9 @@
 	cases := []struct {
 		name     string
 		agent    startAgent
-		huge     bool
-		source   endpointSource
-		earliest time.Duration // earliest time of a request to an endpoint, since the start
+		huge     bool           // the endpoint lists are nearly as long as discovery allows
+		source   endpointSource // origin of the list that the instance uses once it is ready
+		earliest time.Duration  // earliest time of a request to an endpoint, since the start
 	}{
 		{name: "slow, half a second late", agent: lateAgent(500 * time.Millisecond), source: fromDiscovery, earliest: 500 * time.Millisecond},
 		{name: "slow, three seconds late", agent: lateAgent(3 * time.Second), source: fromDiscovery, earliest: 3 * time.Second},
--- a/cmd/balancer/serve.go
+++ b/cmd/balancer/serve.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"math"
 	"os"
 	"os/signal"
@@ -31,7 +32,7 @@
 	}
 	level, err := logrus.ParseLevel(cmd.String("log-level"))
 	if err != nil {
-		return err
+		return fmt.Errorf("flag --log-level: %w", err)
 	}
 	log := logging.New(os.Stderr, level).WithField("marshal", cfg.Name)
 	for _, warning := range cfg.Warnings {
--- a/cmd/balancer/settings_source.go
+++ b/cmd/balancer/settings_source.go
@@ -18,8 +18,8 @@
 	onChange func(decision.Settings) // called with the new settings under mu; nil: no receiver
 
 	mu            sync.Mutex
-	cfg           *config.Config
-	policy        *policy.Policy    // nil: none
+	cfg           *config.Config    // the newest configuration whose settings are compatible with policy
+	policy        *policy.Policy    // the active policy of the cluster; nil: none
 	trialsBlocked bool              // no request goes to a candidate, since this instance may not know the newest policy
 	current       decision.Settings // the last published settings
 }
@@ -90,7 +90,8 @@
 	return err
 }
 
-// apply makes a policy the active one. If the policy can't be applied, apply changes nothing and returns the error.
+// apply makes the policy in decided the active one, or none if its version is 0. It also blocks or admits trials as decided.
+// If the policy can't be applied, apply changes nothing and returns the error.
 func (s *settingsSource) apply(decided policy.Decision) error {
 	var active *policy.Policy
 	if decided.Record.Version > 0 {
--- a/cmd/balancer/signals_test.go
+++ b/cmd/balancer/signals_test.go
@@ -65,14 +65,14 @@
 			removeFile(t, path) // the next read gets a regular file
 			writeFile(t, path, text)
 			if _, err := pipe.WriteString(text); err != nil {
-				t.Error(err)
+				t.Errorf("write the configuration into the FIFO: %v", err)
 			}
 			if err := pipe.Close(); err != nil {
-				t.Error(err)
+				t.Errorf("close the FIFO: %v", err)
 			}
 			for end := time.Now().Add(10 * time.Second); !strings.Contains(process.log.String(), test.logText); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatalf("want a line with %q, got\n%s", test.logText, process.log.String())
+					t.Fatalf("log of the process: want a line with %q, got\n%s", test.logText, process.log.String())
 				}
 			}
 			_ = process.command.Process.Signal(syscall.SIGTERM) // fails if an earlier SIGTERM has ended the process
--- a/cmd/balancer/summary.go
+++ b/cmd/balancer/summary.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	minSummaryInterval  = 100 * time.Millisecond
-	finalSummaryTimeout = time.Second // limits how long the last summary line waits for the engine
+	minSummaryInterval  = 100 * time.Millisecond // shortest interval that the flag --summary accepts
+	finalSummaryTimeout = time.Second            // limits how long the last summary line waits for the engine
 )
 
 // summaryLogger writes a log line with an instance's counters and gauges at each interval; interval 0: no lines. Counters
@@ -43,7 +43,7 @@
 	}
 }
 
-// writeFinal writes the last summary line of an instance that stops.
+// writeFinal writes the last summary line of an instance that stops. It does nothing if interval is 0.
 func (s summaryLogger) writeFinal() {
 	if s.interval > 0 {
 		ctx, cancel := context.WithTimeout(context.Background(), finalSummaryTimeout)
@@ -52,6 +52,7 @@
 	}
 }
 
+// write writes a summary line. It writes none if the engine returns no counters before ctx ends.
 func (s summaryLogger) write(ctx context.Context) {
 	stats, ok := s.engine.Stats(ctx)
 	if !ok {
--- a/internal/alias/alias.go
+++ b/internal/alias/alias.go
@@ -26,7 +26,7 @@
 func execSibling(program string) error {
 	self, err := os.Executable()
 	if err != nil {
-		return err
+		return fmt.Errorf("find the path of this program: %w", err)
 	}
 	fmt.Fprintf(os.Stderr, "%s has been renamed to %s\n", filepath.Base(self), program)
 	path := filepath.Join(filepath.Dir(self), program)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -111,19 +111,19 @@
 	return text.String()
 }
 
-// KeysNeedingRestart returns the keys that differ in updated and take effect only at a restart. It leaves out the seed:
-// a new seed does not justify a warning.
+// KeysNeedingRestart returns the keys that differ in updated and take effect only at a restart. It leaves out known and
+// platform.news, which are used only at the start, and the seed: a new seed does not justify a warning.
 func (c *Config) KeysNeedingRestart(updated *Config) (keys []string) {
 	for _, comparison := range []struct {
-		key  string
-		same bool
+		key             string
+		noRestartNeeded bool
 	}{
 		{"name", c.Name == updated.Name},
 		{"listen", c.Listen == updated.Listen},
 		{"limits", c.Limits == updated.Limits},
 		{"settings", c.CanReloadSettings(updated)},
 	} {
-		if !comparison.same {
+		if !comparison.noRestartNeeded {
 			keys = append(keys, comparison.key)
 		}
 	}
@@ -138,8 +138,8 @@
 		current.ClockGranularity == updated.ClockGranularity && c.Network == next.Network
 }
 
-// WithPolicy returns the decision module's settings with those of a policy applied over them. The error is the one that
-// settings.Overlay returns.
+// WithPolicy returns the decision module's settings with those of a policy applied over them. The error is one of
+// settings.Overlay or settings.ForDecisionModule. The returned settings are not usable then.
 func (c *Config) WithPolicy(p *policy.Policy) (decision.Settings, error) {
 	merged := c.Settings
 	if len(p.Settings) > 0 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -44,7 +44,7 @@
 	want := fmt.Sprint("n4", "127.0.0.5:1", "127.2.0.1:8500", "127.2.0.2:6400", uint64(0x8c1f30d27a5be964), Limits{1, 192, 1024},
 		c.Network, 1, 2, 41, 1, 42, 310.0, []string(nil))
 	if got != want {
-		t.Errorf("got %s, want %s", got, want)
+		t.Errorf("fields of the configuration: got %s, want %s", got, want)
 	}
 }
 
@@ -63,9 +63,9 @@
 	write(validConfig)
 	first, err := Read(path, env)
 	if err != nil || first.Discovery != "127.2.0.9:1" {
-		t.Fatal(first, err)
+		t.Fatalf("read at the start: got configuration %+v, error %v, want discovery 127.2.0.9:1", first, err)
 	}
-	for _, test := range []struct{ old, new, discovery, restart string }{
+	for _, test := range []struct{ old, new, discovery, restartKeys string }{
 		{"", "", "127.2.0.1:8500", ""},
 		{`127.2.0.1:8500`, `127.2.0.7:8500`, "127.2.0.7:8500", ""},
 		{`"discovery":"127.2.0.1:8500",`, ``, "127.2.0.9:1", ""},
@@ -78,12 +78,12 @@
 		write(strings.Replace(validConfig, test.old, test.new, 1))
 		next, err := Reread(path, env)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("reread with %q in place of %q: %v", test.new, test.old, err)
 		}
-		restart := strings.Join(first.KeysNeedingRestart(next), ",")
-		if next.Discovery != test.discovery || restart != test.restart {
-			t.Errorf("%s: got discovery %s, keys that need a restart %q, want %s, %q", test.new, next.Discovery, restart,
-				test.discovery, test.restart)
+		restartKeys := strings.Join(first.KeysNeedingRestart(next), ",")
+		if next.Discovery != test.discovery || restartKeys != test.restartKeys {
+			t.Errorf("%s: got discovery %s, keys that need a restart %q, want %s, %q", test.new, next.Discovery, restartKeys,
+				test.discovery, test.restartKeys)
 		}
 	}
 }
@@ -102,10 +102,10 @@
 				go func() { written <- writeInParts(path, length) }()
 				c, err := read(path, func(string) string { return "" })
 				if err != nil || c.Name != "n3" {
-					t.Error(err)
+					t.Errorf("got configuration %+v, error %v, want the one of n3", c, err)
 				}
 				if err := <-written; err != nil {
-					t.Error(err)
+					t.Errorf("write the configuration in two parts: %v", err)
 				}
 			})
 		}
@@ -143,7 +143,7 @@
 	} {
 		_, err := read(t, strings.Replace(validConfig, test.old, test.new, 1), nil)
 		if err == nil || err.Error() != test.want {
-			t.Errorf("got error %v, want %s", err, test.want)
+			t.Errorf("%s in place of %s: got error %v, want %s", test.new, test.old, err, test.want)
 		}
 	}
 }
@@ -196,7 +196,7 @@
 			case test.errorKey != "" && errorKey(err) != test.errorKey:
 				t.Errorf("got error %v, want one that names %s", err, test.errorKey)
 			case test.errorKey == "" && err != nil:
-				t.Error(err)
+				t.Errorf("got error %v, want none", err)
 			case test.errorKey == "" && !strings.HasPrefix(strings.Join(c.Warnings, ","), test.warning):
 				t.Errorf("got warnings %v, want one for %s", c.Warnings, test.warning)
 			}
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -43,10 +43,10 @@
 
 // configFile is the JSON form of the platform's file.
 type configFile struct {
-	Name      string          `json:"name"`
+	Name      string          `json:"name"`      // of the instance
 	Listen    string          `json:"listen"`    // host:port
 	Discovery string          `json:"discovery"` // host:port
-	Seed      string          `json:"seed"`      // hexadecimal
+	Seed      string          `json:"seed"`      // a 64-bit number, hexadecimal
 	Limits    Limits          `json:"limits"`
 	Platform  platformSection `json:"platform"`
 	Known     rawSection      `json:"known"`    // an endpoint list, see discovery.Decode
@@ -129,13 +129,14 @@
 	}
 }
 
-// isTruncated reports whether raw is the beginning of a JSON value that lacks its end.
+// isTruncated reports whether raw is empty or the beginning of a JSON value that lacks its end.
 func isTruncated(raw []byte) bool {
 	err := json.NewDecoder(bytes.NewReader(raw)).Decode(new(json.RawMessage))
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// decodeError returns a KeyError for a value of the wrong type, and otherwise an error that names the file.
+// decodeError returns a KeyError for a value of the wrong type whose key is known, and otherwise an error that names the
+// file.
 func decodeError(path string, err error) error {
 	var typeErr *json.UnmarshalTypeError
 	if errors.As(err, &typeErr) && typeErr.Field != "" {
@@ -158,20 +159,22 @@
 	}
 }
 
-// applyEnv replaces values of the file by those of the environment. If isReload is set, it keeps the file's discovery.
+// applyEnv replaces values of the file by those of environment variables that are not empty. If isReload is set, it keeps
+// the file's discovery unless that is empty.
 func (f *configFile) applyEnv(env func(string) string, isReload bool) {
 	for variable, value := range map[string]*string{
 		"LB_NAME": &f.Name, "LB_LISTEN": &f.Listen, "LB_DISCOVERY": &f.Discovery,
 	} {
-		text := env(variable)
-		kept := isReload && variable == "LB_DISCOVERY" && *value != ""
-		if text != "" && !kept {
-			*value = text
+		override := env(variable)
+		keepsFileValue := isReload && variable == "LB_DISCOVERY" && *value != ""
+		if override != "" && !keepsFileValue {
+			*value = override
 		}
 	}
 }
 
-// unknownKeys returns a warning for each key that no field decodes.
+// unknownKeys returns a warning for each key of the file, and of its sections limits and platform, that no field decodes.
+// Other packages decode the other sections.
 func unknownKeys(rawKeys map[string]json.RawMessage) (warnings []string) {
 	warnings = unknownFields("", rawKeys, reflect.TypeFor[configFile]())
 	for key, structType := range map[string]reflect.Type{
@@ -190,11 +193,11 @@
 // keys.
 func unknownFields(prefix string, rawKeys map[string]json.RawMessage, structType reflect.Type) (warnings []string) {
 	for key := range rawKeys {
-		known := false
+		isDecoded := false
 		for i := range structType.NumField() {
-			known = known || structType.Field(i).Tag.Get("json") == key
+			isDecoded = isDecoded || structType.Field(i).Tag.Get("json") == key
 		}
-		if !known {
+		if !isDecoded {
 			warnings = append(warnings, prefix+key+": unknown key")
 		}
 	}
@@ -225,8 +228,8 @@
 	if err != nil || host == "" {
 		return false
 	}
-	number, err := strconv.ParseUint(port, 10, 16)
-	return err == nil && number != 0
+	portNumber, err := strconv.ParseUint(port, 10, 16)
+	return err == nil && portNumber != 0
 }
 
 func (l Limits) check() error {
@@ -245,7 +248,8 @@
 	return nil
 }
 
-// decodeSections decodes the sections that other packages define.
+// decodeSections decodes the sections that other packages define: settings, which is required, and known and platform.news.
+// If one of the latter two is absent, its field in c stays nil.
 func (c *Config) decodeSections(encoded configFile) error {
 	if err := c.decodeSettings(encoded.Settings); err != nil {
 		return err
@@ -284,6 +288,6 @@
 
 // isPresent reports whether a section is neither missing, null nor an empty object.
 func isPresent(section rawSection) bool {
-	text := strings.TrimSpace(string(section))
-	return text != "" && text != "null" && text != "{}"
+	trimmed := strings.TrimSpace(string(section))
+	return trimmed != "" && trimmed != "null" && trimmed != "{}"
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -51,7 +51,7 @@
 			operator, err := test.read(t)
 			switch {
 			case test.want == "" && err != nil:
-				t.Error(err)
+				t.Errorf("got error %v, want none", err)
 			case test.want != "" && (err == nil || !strings.Contains(err.Error(), test.want)):
 				t.Errorf("got error %v, want %q", err, test.want)
 			case test.want == "" && (name == "off") != (operator.Membership == nil):
@@ -93,7 +93,7 @@
 func TestShippedOperatorFile(t *testing.T) {
 	o, err := ReadOperator("../../deploy/operator.toml", "n0")
 	if err != nil || o.Membership != nil || o.Admin != "" {
-		t.Errorf("got %+v, error %v, want all parts off", o, err)
+		t.Errorf("deploy/operator.toml: got %+v, error %v, want all parts off", o, err)
 	}
 	raw, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil || strings.Contains(string(raw), "--operator") {
--- a/internal/config/operatorfile.go
+++ b/internal/config/operatorfile.go
@@ -27,9 +27,9 @@
 	defaultLeaseTTL         = "5s"
 
 	minElectionTimeout   = 50 * time.Millisecond
-	minElectionsPerLease = 3 // a lease must outlast this many elections, so that it does not expire during one
-	maxServers           = 9
-	minKeyBytes          = 16
+	minElectionsPerLease = 3  // a lease must outlast this many elections, so that it does not expire during one
+	maxServers           = 9  // most servers of the replicated log
+	minKeyBytes          = 16 // length of the shortest secret key that is accepted
 )
 
 // operatorFile is the TOML form of the operator's file. Durations are strings like 4s or 250ms, see parseDuration.
@@ -53,7 +53,7 @@
 	ToleratedPause   string         `toml:"bear-pause"`    // see membership.Settings.ToleratedPause
 	DetectionTimeout string         `toml:"detect-within"` // see membership.Settings.DetectionTimeout
 	MaxMembers       int            `toml:"most-members"`  // see membership.Settings.MaxMembers
-	Seeds            []namedAddress `toml:"seeds"`         // one or more
+	Seeds            []namedAddress `toml:"seeds"`         // instances through which this one joins the cluster, one or more
 }
 
 type policySection struct {
@@ -62,7 +62,7 @@
 	Bind            string         `toml:"bind"`         // ip:port, TCP; default: the address of the instance's own entry in servers
 	KeyFile         string         `toml:"key-file"`     // relative to this file; default empty: the log accepts any connection
 	ElectionTimeout string         `toml:"elect-within"` // see raftlog.Config.ElectionTimeout
-	Servers         []namedAddress `toml:"servers"`      // 1 to 9
+	Servers         []namedAddress `toml:"servers"`      // servers of the replicated log, 1 to maxServers
 }
 
 type takeoverSection struct {
@@ -125,7 +125,7 @@
 	return operator, err
 }
 
-// withLine adds the line, and the key if it is known, to an error of the TOML decoder.
+// withLine adds the line, and the key if it is known, to an error of the TOML decoder. It returns other errors unchanged.
 func withLine(err error) error {
 	var unknownErr *toml.StrictMissingError
 	if errors.As(err, &unknownErr) && len(unknownErr.Errors) > 0 {
@@ -198,11 +198,11 @@
 	if advertise == "" {
 		return nil, keyErrorf("membership.bind", "missing, and membership.seeds has no entry for %q", name)
 	}
-	tolerated, err := parseDuration("membership.bear-pause", m.ToleratedPause)
+	toleratedPause, err := parseDuration("membership.bear-pause", m.ToleratedPause)
 	if err != nil {
 		return nil, err
 	}
-	detection, err := parseDuration("membership.detect-within", m.DetectionTimeout)
+	detectionTimeout, err := parseDuration("membership.detect-within", m.DetectionTimeout)
 	if err != nil {
 		return nil, err
 	}
@@ -217,7 +217,7 @@
 		Bind: cmp.Or(m.Bind, advertise), Codec: membership.Codec{Cluster: m.Cluster, Key: secret},
 		Membership: membership.Settings{
 			Name: membership.Name(name), Address: advertise, Seeds: seeds, MaxMembers: m.MaxMembers,
-			ToleratedPause: milliseconds(tolerated), DetectionTimeout: milliseconds(detection),
+			ToleratedPause: milliseconds(toleratedPause), DetectionTimeout: milliseconds(detectionTimeout),
 		},
 	}
 	if err := config.Membership.Check(); err != nil {
--- a/internal/config/page_test.go
+++ b/internal/config/page_test.go
@@ -174,12 +174,12 @@
 		t.Errorf("%s: got term %q, want package.Type.Field", key, term)
 		return
 	}
-	documentedType, known := documentedTypes[term[:dot]]
-	if !known {
+	documentedType, isListed := documentedTypes[term[:dot]]
+	if !isListed {
 		t.Errorf("%s: type %q is not in documentedTypes", key, term[:dot])
 		return
 	}
-	if _, known := documentedType.FieldByName(term[dot+1:]); !known {
+	if _, exists := documentedType.FieldByName(term[dot+1:]); !exists {
 		t.Errorf("%s: field %s does not exist", key, term)
 	}
 }
--- a/internal/settings/decision.go
+++ b/internal/settings/decision.go
@@ -22,6 +22,8 @@
 	return decisionSettings(&settingReader{texts: texts})
 }
 
+// decisionSettings reads the settings of the decision module, and returns the first error of reader. MaxRetryAfter stays 0
+// unless limits.retry-after is on.
 func decisionSettings(reader *settingReader) (decision.Settings, error) {
 	settings := decision.Settings{
 		Instances:           reader.count("n-instances", 1, maxCount),
@@ -78,15 +80,16 @@
 }
 
 // class reads the request class whose settings begin with prefix. usedNames holds the names of the classes before it, and
-// class adds the name that it reads.
+// class adds the name that it reads. The settings group and window-ms are required if idempotency is keyed; window-ms is
+// not read otherwise.
 func (reader *settingReader) class(prefix string, usedNames map[string]bool) decision.RequestClass {
 	idempotency, ok := idempotencyByName[reader.text(prefix+"idempotency")]
 	if !ok {
 		reader.recordError(prefix+"idempotency", reasonUnknownName)
 	}
-	keyed := idempotency == decision.IdempotentWithKey
+	isKeyed := idempotency == decision.IdempotentWithKey
 	scope, ok := retryScopeByName[reader.text(prefix+"group")]
-	if !ok && keyed {
+	if !ok && isKeyed {
 		reader.recordError(prefix+"group", reasonUnknownName)
 	}
 	class := decision.RequestClass{
@@ -95,7 +98,7 @@
 		Idempotency:      idempotency,
 		RetryScope:       scope,
 	}
-	if keyed {
+	if isKeyed {
 		class.DedupWindow = reader.requiredNumber(prefix+"window-ms", 0, maxNumber)
 	}
 	return class
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -20,16 +20,16 @@
 // The names of the settings that ForDecisionModule and ForNetwork read match the golden file.
 func TestGoldenKeys(t *testing.T) {
 	texts := ParsePairs(strings.Fields(allSettings))
-	module := &settingReader{texts: texts, keysRead: map[string]bool{}}
-	if _, err := decisionSettings(module); err != nil {
-		t.Fatal(err)
+	moduleReader := &settingReader{texts: texts, keysRead: map[string]bool{}}
+	if _, err := decisionSettings(moduleReader); err != nil {
+		t.Fatalf("read allSettings for the decision module: %v", err)
 	}
-	network := &settingReader{texts: texts, keysRead: map[string]bool{}}
-	if _, err := networkSettings(network); err != nil {
-		t.Fatal(err)
+	networkReader := &settingReader{texts: texts, keysRead: map[string]bool{}}
+	if _, err := networkSettings(networkReader); err != nil {
+		t.Fatalf("read allSettings for the network: %v", err)
 	}
-	observed := golden.Section("decision module", joinKeys(module.keysRead)) +
-		golden.Section("sockets", joinKeys(network.keysRead))
+	observed := golden.Section("decision module", joinKeys(moduleReader.keysRead)) +
+		golden.Section("sockets", joinKeys(networkReader.keysRead))
 	if err := golden.CheckFile("testdata/keys.golden", []byte(observed)); err != nil {
 		t.Error(err)
 	}
--- a/internal/settings/overlay.go
+++ b/internal/settings/overlay.go
@@ -17,19 +17,19 @@
 	}
 	merged := maps.Clone(base)
 	maps.Copy(merged, changes)
-	module := &settingReader{texts: merged, keysRead: map[string]bool{}}
-	network := &settingReader{texts: base, keysRead: map[string]bool{}}
-	if _, err := decisionSettings(module); err != nil {
+	moduleReader := &settingReader{texts: merged, keysRead: map[string]bool{}}
+	networkReader := &settingReader{texts: base, keysRead: map[string]bool{}}
+	if _, err := decisionSettings(moduleReader); err != nil {
 		return nil, err
 	}
-	if _, err := networkSettings(network); err != nil {
+	if _, err := networkSettings(networkReader); err != nil {
 		return nil, err
 	}
 	for _, key := range slices.Sorted(maps.Keys(changes)) {
 		switch {
-		case needsRestart(key) || network.keysRead[key]:
+		case needsRestart(key) || networkReader.keysRead[key]:
 			return nil, FieldError{Key: key, Reason: reasonNotChangeable}
-		case !module.keysRead[key]:
+		case !moduleReader.keysRead[key]:
 			return nil, FieldError{Key: key, Reason: reasonUnknownSetting}
 		}
 	}
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -118,7 +118,7 @@
 	return "from " + decimal(low) + " to " + decimal(high)
 }
 
-// fractions reads a list of numbers from 0 to 1, separated by commas.
+// fractions reads a list of numbers from 0 to 1, separated by commas. An absent or empty list is an error.
 func (reader *settingReader) fractions(key string) []float64 {
 	var out []float64
 	for s := range strings.SplitSeq(reader.text(key), ",") {
@@ -127,7 +127,7 @@
 	return out
 }
 
-// flag reports whether a setting is on. The default is off.
+// flag reports whether a setting is on, that is, whether its text is true or 1. The default is off.
 func (reader *settingReader) flag(key string) bool {
 	return reader.text(key) == "true" || reader.text(key) == "1"
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -52,15 +52,15 @@
 		},
 	}
 	if !reflect.DeepEqual(fromPairs.Classes, want) {
-		t.Errorf("got classes %+v, want %+v", fromPairs.Classes, want)
+		t.Errorf("got request classes %+v, want %+v", fromPairs.Classes, want)
 	}
 	if !slices.Equal(fromPairs.ExposureCaps, []float64{0.112, 0.35, 1}) || fromPairs.StickyKeys ||
 		!fromPairs.CancelAllowed || !fromPairs.InPlace {
-		t.Errorf("got %+v, want caps 0.112, 0.35, 1, no sticky keys, cancelling, and builds replaced in place", fromPairs)
+		t.Errorf("got settings %+v, want caps 0.112, 0.35, 1, no sticky keys, cancelling, and builds replaced in place", fromPairs)
 	}
 	if fromPairs.Instances != 3 || fromPairs.MaxRetryAfter != 500 || fromPairs.ClockGranularity != 5 ||
 		fromPairs.Zone != "oulu" {
-		t.Errorf("got %+v, want 3 instances, Retry-After of at most 500 ms, granularity 5 ms, zone oulu", fromPairs)
+		t.Errorf("got settings %+v, want 3 instances, Retry-After of at most 500 ms, granularity 5 ms, zone oulu", fromPairs)
 	}
 }
 
@@ -68,7 +68,7 @@
 	got, err := ForNetwork(flattenNested(t))
 	want := Network{IdleTimeout: 30000, ConnectTimeout: 250, ResponseGracePeriod: 20, MaxClientTimeout: 2000}
 	if err != nil || got != want {
-		t.Errorf("got %+v, error %v, want %+v", got, err, want)
+		t.Errorf("got network settings %+v, error %v, want %+v", got, err, want)
 	}
 }
 
@@ -119,7 +119,7 @@
 		}
 	}
 	if texts := flattenNested(t); fmt.Sprint(texts["none"], texts["empty"], texts["areas"]) != "oulu" {
-		t.Errorf("got %v, want none and empty without a text, areas as oulu", texts)
+		t.Errorf("got flattened settings %v, want none and empty without a text, areas as oulu", texts)
 	}
 }
 
@@ -158,11 +158,11 @@
 		"settings.x: not a figure that the marshals read":                    FieldError{"x", reasonUnknownSetting},
 	} {
 		if err.Error() != want {
-			t.Errorf("got %q, want %q", err, want)
+			t.Errorf("error text: got %q, want %q", err, want)
 		}
 	}
 	if _, err := Overlay(nil, []byte(`[]`)); !strings.HasPrefix(err.Error(), "settings: want an object") {
-		t.Errorf("got %q, want a text that begins with %q", err, "settings: want an object")
+		t.Errorf("settings that are an array: got error %q, want one that begins with %q", err, "settings: want an object")
 	}
 }
 
