--- a/cmd/balancer/clients_test.go
+++ b/cmd/balancer/clients_test.go
@@ -18,7 +18,7 @@
 	pause     time.Duration              // pause of each client after a response
 	check     func(*testing.T, response) // called with each response
 	lastID    atomic.Int32               // X-Correlation-Id of the newest request
-	sent      atomic.Int32               // number of requests
+	requests  atomic.Int32               // number of requests
 	responses atomic.Int32               // number of responses
 	successes atomic.Int32               // number of responses with status 200
 	stopping  chan struct{}              // closed when stop is called
@@ -70,7 +70,7 @@
 		t.Errorf("construct request: %v", err)
 		return false
 	}
-	l.sent.Add(1)
+	l.requests.Add(1)
 	sentAt := time.Now()
 	res, err := l.client.Do(request)
 	if err != nil {
--- a/cmd/balancer/cluster_test.go
+++ b/cmd/balancer/cluster_test.go
@@ -71,7 +71,7 @@
 	ctx, cancel := context.WithTimeout(ctx, within)
 	defer cancel()
 	if err := poll.Until(ctx, check); err != nil {
-		t.Fatal(err)
+		t.Fatalf("condition not met within %v: %v", within, err)
 	}
 }
 
--- a/cmd/balancer/commands.go
+++ b/cmd/balancer/commands.go
@@ -58,15 +58,15 @@
 // otherwise none.
 func groupCommand(name, usage string, commands []*cli.Command) *cli.Command {
 	for _, c := range commands {
-		want := 0
+		wantArguments := 0
 		if c.ArgsUsage != "" {
-			want = 1
+			wantArguments = 1
 		}
 		c.OnUsageError, c.HideHelpCommand = usageError, true
 		c.Before = func(ctx context.Context, cmd *cli.Command) (context.Context, error) {
-			if n := cmd.Args().Len(); n != want {
+			if n := cmd.Args().Len(); n != wantArguments {
 				return ctx, fmt.Errorf("%w: %s %s: wrong number of arguments: want %d, got %d; see --help",
-					errUsage, name, cmd.Name, want, n)
+					errUsage, name, cmd.Name, wantArguments, n)
 			}
 			return ctx, nil
 		}
--- a/cmd/balancer/drain_test.go
+++ b/cmd/balancer/drain_test.go
@@ -33,7 +33,7 @@
 		}
 		if time.Now().After(end) {
 			stacks := make([]byte, 1<<20)
-			t.Fatalf("got %d goroutines and %d descriptors, want at most %d and %d\n%s", now.goroutines, now.descriptors,
+			t.Fatalf("resources of the test process: got %d goroutines and %d descriptors, want at most %d and %d\n%s", now.goroutines, now.descriptors,
 				before.goroutines, before.descriptors, stacks[:runtime.Stack(stacks, true)])
 		}
 	}
--- a/cmd/balancer/lease_cluster_test.go
+++ b/cmd/balancer/lease_cluster_test.go
@@ -313,7 +313,7 @@
 	fleet.Rules.Heal()
 	await(t, ctx, 10*time.Second, func() error { return fleet.CheckLeasesHeld(ctx, 0, 4) })
 	if lines := awaitLogLines(t, ctx, fleet, 1, `msg="lease merged"`, "work=trial/n4"); len(lines) != 1 || winners.Load() > 1 {
-		t.Errorf("got %d winners and merges %v, want at most one winner and one merge", winners.Load(), lines)
+		t.Errorf("lease of n4: got %d winners and merges %v, want at most one winner and one merge", winners.Load(), lines)
 	}
 	for i, text := range rejections {
 		if text != "" && !strings.Contains(text, "no piece any more") && !strings.Contains(text, "is held by") {
@@ -321,7 +321,7 @@
 		}
 	}
 	if n := strings.Count(strings.Join(rejections, "\n"), "trial/n4"); n < 3-int(1-winners.Load()) {
-		t.Errorf("got %d rejections, want one for each of the others: %q", n, rejections)
+		t.Errorf("takeovers of the lease of n4: got %d rejections, want one for each of the others: %q", n, rejections)
 	}
 	checkGrants(t, fleet)
 }
--- a/cmd/balancer/policy.go
+++ b/cmd/balancer/policy.go
@@ -154,12 +154,12 @@
 	return printResponse(ctx, cmd, "/policy/history", nil, &history, func(rows *strings.Builder) {
 		rows.WriteString("VERSION\tAT\tBY\tPOLICY\n")
 		for _, entry := range history {
-			var text bytes.Buffer
-			if err := json.Compact(&text, entry.Policy); err != nil {
-				text.WriteString("unreadable: " + err.Error()) // not expected: entry.Policy was decoded from valid JSON
+			var policyText bytes.Buffer
+			if err := json.Compact(&policyText, entry.Policy); err != nil {
+				policyText.WriteString("unreadable: " + err.Error()) // not expected: entry.Policy was decoded from valid JSON
 			}
-			at := time.UnixMilli(int64(entry.ProposedAt)).UTC().Format(time.RFC3339)
-			fmt.Fprintf(rows, "%d\t%s\t%s\t%s\n", entry.Version, at, entry.Proposer, text.String())
+			proposedAt := time.UnixMilli(int64(entry.ProposedAt)).UTC().Format(time.RFC3339)
+			fmt.Fprintf(rows, "%d\t%s\t%s\t%s\n", entry.Version, proposedAt, entry.Proposer, policyText.String())
 		}
 	})
 }
--- a/cmd/balancer/policy_cluster_test.go
+++ b/cmd/balancer/policy_cluster_test.go
@@ -95,7 +95,7 @@
 		lines += checkVersionOrder(t, fleet, i)
 	}
 	if len(checksums) != 1 {
-		t.Errorf("got checksums %v, want the same at all instances", checksums)
+		t.Errorf("histories of the instances: got checksums %v, want the same at all instances", checksums)
 	}
 	if lines == 0 {
 		t.Error("want log lines about applied versions, got none")
--- a/cmd/balancer/reload.go
+++ b/cmd/balancer/reload.go
@@ -13,8 +13,8 @@
 // reloader reloads the configuration at each SIGHUP.
 type reloader struct {
 	instance *instance
-	hup      <-chan os.Signal
-	reread   func() (*config.Config, error)
+	hup      <-chan os.Signal               // each signal on it causes a reload; nil: no reloads
+	reread   func() (*config.Config, error) // reads the configuration again
 }
 
 // run reloads until ctx ends.
@@ -39,8 +39,8 @@
 		inst.log.WithError(err).Error("configuration not reloaded")
 		return
 	}
-	if fixed := inst.cfg.KeysNeedingRestart(next); len(fixed) > 0 {
-		inst.log.WithField("keys", strings.Join(fixed, ",")).Warn("configuration: changed keys not applied, they need a restart")
+	if restartKeys := inst.cfg.KeysNeedingRestart(next); len(restartKeys) > 0 {
+		inst.log.WithField("keys", strings.Join(restartKeys, ",")).Warn("configuration: changed keys not applied, they need a restart")
 	}
 	if inst.cfg.CanReloadSettings(next) {
 		inst.settings.reload(next)
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -101,8 +101,8 @@
 	if err := <-server.ended; err != nil {
 		t.Errorf("instance ended with error %v, want none", err)
 	}
-	if sent, responses := clients.sent.Load(), clients.responses.Load(); sent != responses {
-		t.Errorf("got %d responses to %d requests, want one each", responses, sent)
+	if requests, responses := clients.requests.Load(), clients.responses.Load(); requests != responses {
+		t.Errorf("got %d responses to %d requests, want one each", responses, requests)
 	}
 	platform.checkRunsOnce(t)
 	log := server.log.String()
--- a/cmd/balancer/settings_source.go
+++ b/cmd/balancer/settings_source.go
@@ -67,11 +67,11 @@
 func (s *settingsSource) reload(next *config.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	previous := s.cfg
+	previousConfig := s.cfg
 	s.cfg = next
 	settings, err := s.resolve(s.policy)
 	if err != nil {
-		s.cfg = previous
+		s.cfg = previousConfig
 		s.log.WithError(err).Error("settings not reloaded: incompatible with the active policy")
 		return
 	}
@@ -102,11 +102,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	previous := s.trialsBlocked
+	wereTrialsBlocked := s.trialsBlocked
 	s.trialsBlocked = !decided.TrialsAdmitted
 	settings, err := s.resolve(active)
 	if err != nil {
-		s.trialsBlocked = previous
+		s.trialsBlocked = wereTrialsBlocked
 		return err
 	}
 	s.policy = active
--- a/cmd/balancer/settings_source_test.go
+++ b/cmd/balancer/settings_source_test.go
@@ -97,7 +97,7 @@
 	}
 	keys := leafPaths(tree, "")
 	if len(keys) < 35 {
-		t.Fatalf("got %d keys, want at least 35", len(keys))
+		t.Fatalf("test configuration: got %d keys, want at least 35", len(keys))
 	}
 	for _, key := range keys {
 		for _, value := range []string{"", "-1", "0", "1e300", `"x"`, "null", "{}"} {
@@ -167,7 +167,7 @@
 	lines := strings.Split(strings.TrimSpace(p.log.String()), "\n")
 	lastLine := lines[len(lines)-1]
 	if p.command.ProcessState.ExitCode() != 1 || !mentionsKey(lastLine, key) || strings.Contains(p.log.String(), "goroutine ") {
-		t.Errorf("got exit code %d, output %q, want exit code 1 and a last line with %s",
+		t.Errorf("process with the changed key: got exit code %d, output %q, want exit code 1 and a last line with %s",
 			p.command.ProcessState.ExitCode(), p.log.String(), key)
 	}
 }
--- a/cmd/balancer/summary.go
+++ b/cmd/balancer/summary.go
@@ -58,14 +58,14 @@
 	if !ok {
 		return
 	}
-	pool, status := s.pool.Stats(), stats.Status
+	poolStats, status := s.pool.Stats(), stats.Status
 	s.log.WithFields(logrus.Fields{
 		"taken": stats.Requests, "forwarded": stats.Attempts, "delivered": stats.RequestsSucceeded,
 		"missed": stats.ObjectivesMissed, "bounced": stats.RequestsRejected, "errored": stats.RequestsFailed,
 		"gone": stats.ClientsDisconnected, "cancelled": stats.AttemptsCanceled, "full": stats.AttemptsRejected,
 		"unreachable": stats.AttemptsUnreachable, "broken": stats.AttemptsBroken, "timedout": stats.AttemptsTimedOut,
-		"failed": stats.AttemptsFailed, "probes": stats.HealthChecks, "votes": stats.Votes, "opened": pool.Opened,
-		"refused": pool.Unreachable, "held": pool.Open, "idle": pool.Idle, "lists": s.watcher.Calls(),
+		"failed": stats.AttemptsFailed, "probes": stats.HealthChecks, "votes": stats.Votes, "opened": poolStats.Opened,
+		"refused": poolStats.Unreachable, "held": poolStats.Open, "idle": poolStats.Idle, "lists": s.watcher.Calls(),
 		"nodes": status.Serving, "cold": status.WarmingUp, "away": status.Unavailable, "out": status.InFlight,
 		"waiting": status.Queued, "build": status.Build, "stage": status.Stage, "phase": status.Phase,
 		"verdict": status.Verdict, "seen": status.Outcomes, "failing": status.FailureEvidence,
--- a/internal/alias/alias_test.go
+++ b/internal/alias/alias_test.go
@@ -36,7 +36,7 @@
 	cmd.Env = append(os.Environ(), targetEnv+"=present")
 	output, err := cmd.CombinedOutput()
 	if want := "former has been renamed to present\none two words\n"; string(output) != want || cmd.ProcessState.ExitCode() != 7 {
-		t.Errorf("got output %q, error %v, want %q, exit code 7", output, err, want)
+		t.Errorf("program with the former name: got output %q, error %v, want %q, exit code 7", output, err, want)
 	}
 }
 
@@ -45,6 +45,6 @@
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
 	cmd.Env = append(os.Environ(), targetEnv+"=no-such-program")
 	if output, err := cmd.CombinedOutput(); cmd.ProcessState.ExitCode() != exitFailure {
-		t.Errorf("got output %q, error %v, want exit code %d", output, err, exitFailure)
+		t.Errorf("program without its present name: got output %q, error %v, want exit code %d", output, err, exitFailure)
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -56,7 +56,7 @@
 
 const (
 	reservedDescriptors = 32       // descriptors not used for connections to clients and endpoints
-	maxBodyBytes        = 64 << 10 // limit on the body of a request or response
+	maxBodyBytes        = 64 << 10 // limit on a request's body in internal/ingress, and on a response's in internal/upstream
 	bodiesPerConnection = 3        // most bodies that a request keeps in memory at once
 	bytesPerMiB         = 1 << 20
 )
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -102,7 +102,7 @@
 				go func() { written <- writeInParts(path, length) }()
 				c, err := read(path, func(string) string { return "" })
 				if err != nil || c.Name != "n3" {
-					t.Errorf("got configuration %+v, error %v, want the one of n3", c, err)
+					t.Errorf("file with %d bytes at the first read: got configuration %+v, error %v, want the one of n3", length, c, err)
 				}
 				if err := <-written; err != nil {
 					t.Errorf("write the configuration in two parts: %v", err)
--- a/internal/config/operatorfile.go
+++ b/internal/config/operatorfile.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	defaultToleratedPause   = "4s"
-	defaultDetectionTimeout = "12s"
-	defaultMaxMembers       = 4096
-	defaultElectionTimeout  = "1s"
-	defaultLeaseTTL         = "5s"
+	defaultToleratedPause   = "4s"  // membership.bear-pause
+	defaultDetectionTimeout = "12s" // membership.detect-within
+	defaultMaxMembers       = 4096  // membership.most-members
+	defaultElectionTimeout  = "1s"  // policy.elect-within
+	defaultLeaseTTL         = "5s"  // takeover.lease
 
 	minElectionTimeout   = 50 * time.Millisecond
 	minElectionsPerLease = 3  // a lease must outlast this many elections, so that it does not expire during one
