--- a/cmd/balancer/commands.go
+++ b/cmd/balancer/commands.go
@@ -58,15 +58,15 @@
 // otherwise none.
 func groupCommand(name, usage string, commands []*cli.Command) *cli.Command {
 	for _, c := range commands {
-		want := 0
+		wantArguments := 0
 		if c.ArgsUsage != "" {
-			want = 1
+			wantArguments = 1
 		}
 		c.OnUsageError, c.HideHelpCommand = usageError, true
 		c.Before = func(ctx context.Context, cmd *cli.Command) (context.Context, error) {
-			if n := cmd.Args().Len(); n != want {
+			if n := cmd.Args().Len(); n != wantArguments {
 				return ctx, fmt.Errorf("%w: %s %s: wrong number of arguments: want %d, got %d; see --help",
-					errUsage, name, cmd.Name, want, n)
+					errUsage, name, cmd.Name, wantArguments, n)
 			}
 			return ctx, nil
 		}
@@ -159,7 +159,7 @@
 	return err
 }
 
-// readConfig reads the configuration, and the operator's file if the command line names one.
+// readConfig reads the configuration, and the operator's file if the flag --operator or its environment variable names one.
 func readConfig(cmd *cli.Command) (*config.Config, error) {
 	cfg, err := config.Read(cmd.String("config"), os.Getenv)
 	if err != nil {
@@ -187,6 +187,7 @@
 	return writeVersion(cmd.Root().Writer)
 }
 
+// writeVersion prints the version, the VCS revision if the build has recorded it, and the Go version and platform.
 func writeVersion(w io.Writer) error {
 	revision := ""
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/cmd/balancer/policy.go
+++ b/cmd/balancer/policy.go
@@ -17,7 +17,8 @@
 	"ottershed/internal/cluster/policysync"
 )
 
-// proposeTimeout is slightly longer than the time after which an instance abandons a proposal.
+// proposeTimeout limits how long the command `policy propose` waits for the response of an instance. It is longer than
+// maxProposeWait in internal/cluster/policysync, after which the instance abandons the proposal.
 const proposeTimeout = 25 * time.Second
 
 // Layout of the tables that commands print.
@@ -62,6 +63,7 @@
 	return body, nil
 }
 
+// checkPolicy prints the policy of a file in canonical form, or returns the error of an invalid one.
 func checkPolicy(_ context.Context, cmd *cli.Command) error {
 	body, err := readPolicy(cmd)
 	if err != nil {
@@ -152,12 +154,12 @@
 	return printResponse(ctx, cmd, "/policy/history", nil, &history, func(rows *strings.Builder) {
 		rows.WriteString("VERSION\tAT\tBY\tPOLICY\n")
 		for _, entry := range history {
-			var text bytes.Buffer
-			if err := json.Compact(&text, entry.Policy); err != nil {
-				text.WriteString("unreadable: " + err.Error()) // not expected: entry.Policy was decoded from valid JSON
+			var policyText bytes.Buffer
+			if err := json.Compact(&policyText, entry.Policy); err != nil {
+				policyText.WriteString("unreadable: " + err.Error()) // not expected: entry.Policy was decoded from valid JSON
 			}
-			at := time.UnixMilli(int64(entry.ProposedAt)).UTC().Format(time.RFC3339)
-			fmt.Fprintf(rows, "%d\t%s\t%s\t%s\n", entry.Version, at, entry.Proposer, text.String())
+			proposedAt := time.UnixMilli(int64(entry.ProposedAt)).UTC().Format(time.RFC3339)
+			fmt.Fprintf(rows, "%d\t%s\t%s\t%s\n", entry.Version, proposedAt, entry.Proposer, policyText.String())
 		}
 	})
 }
