--- a/cmd/balancer/cluster.go
+++ b/cmd/balancer/cluster.go
@@ -96,7 +96,8 @@
 	return nil
 }
 
-// openPolicy opens the replicated log and adds the paths of the admin interface. It does nothing if policy is off.
+// openPolicy opens the node that keeps the policy up to date, and adds the paths below /policy to the admin interface. It
+// does nothing if the operator's file does not enable section policy.
 func (s *clusterServices) openPolicy(source *settingsSource) error {
 	cfg := s.cfg.Operator.Policy
 	if cfg == nil {
--- a/cmd/balancer/settings_source_test.go
+++ b/cmd/balancer/settings_source_test.go
@@ -167,7 +167,7 @@
 	lines := strings.Split(strings.TrimSpace(p.log.String()), "\n")
 	lastLine := lines[len(lines)-1]
 	if p.command.ProcessState.ExitCode() != 1 || !mentionsKey(lastLine, key) || strings.Contains(p.log.String(), "goroutine ") {
-		t.Errorf("process with the changed key: got exit code %d, output %q, want exit code 1 and a last line with %s",
+		t.Errorf("process: got exit code %d, output %q, want exit code 1, no stack trace and a last line that names key %s",
 			p.command.ProcessState.ExitCode(), p.log.String(), key)
 	}
 }
--- a/cmd/testbed/settings.go
+++ b/cmd/testbed/settings.go
@@ -50,17 +50,17 @@
 			report(removeErr.Error())
 		}
 	}()
-	services, err := platform.New(endpointCount)
+	fakePlatform, err := platform.New(endpointCount)
 	if err != nil {
 		return err
 	}
-	defer services.Close()
+	defer fakePlatform.Close()
 	program, err := filepath.Abs(cmd.String("program"))
 	if err != nil {
 		return err
 	}
 	return use(fleet.Settings{
-		Dir: dir, Program: program, Instances: instances, Seed: cmd.Uint64("seed"), Platform: services,
+		Dir: dir, Program: program, Instances: instances, Seed: cmd.Uint64("seed"), Platform: fakePlatform,
 		ToleratedPause: cmd.Duration("bear-pause"), DetectionTimeout: cmd.Duration("detect-within"), Seeds: seedCount,
 		ElectionTimeout: cmd.Duration("elect-within"), Key: clusterKey,
 	})
--- a/decision/classes.go
+++ b/decision/classes.go
@@ -42,7 +42,7 @@
 	}
 	for i, class := range settings.Classes {
 		state := &classState{RequestClass: class, index: i, exposure: exposure, slowShare: new(float64)}
-		// Of two classes with the same name, the later one takes effect.
+		// Of two classes with the same name, the later one gets all requests. The earlier one stays in ordered.
 		table.byName[class.Name] = state
 		table.ordered = append(table.ordered, table.byName[class.Name])
 		table.overall.LatencyObjective = max(table.overall.LatencyObjective, class.LatencyObjective)
--- a/decision/failures.go
+++ b/decision/failures.go
@@ -30,7 +30,7 @@
 	// baseline includes the endpoints that were removed from the list. Without them there would be nothing to
 	// compare with once all baseline endpoints are replaced.
 	baseline           stats.Count
-	candidate          stats.Count // without the candidate's excluded endpoints
+	candidate          stats.Count // without the endpoints that countFailures excludes
 	candidateAll       stats.Count // of all the candidate's endpoints
 	candidateOutcomes  float64     // total of candidateAll
 	candidateEndpoints float64     // number of listed endpoints that run the candidate
--- a/decision/proof_test.go
+++ b/decision/proof_test.go
@@ -16,11 +16,11 @@
 		sim := start(t, trialUpdate(0, 0.1), func(s *Settings) {
 			s.Instances, s.RollbackQuorum = test.instances, test.quorum
 		})
-		rejections, statistic := sim.balancer.classes.overall.rejectionsNeeded, sim.balancer.thresholds.statistic
+		rejectionsNeeded, statistic := sim.balancer.classes.overall.rejectionsNeeded, sim.balancer.thresholds.statistic
 		oneDecides := statistic > 1.9*rejectStatistic
-		if rejections != test.rejections || statistic < rejectStatistic || (test.quorum == 1) != oneDecides {
+		if rejectionsNeeded != test.rejections || statistic < rejectStatistic || (test.quorum == 1) != oneDecides {
 			t.Errorf("%+v: got %d required rejections and statistic %v, want %d, and at least %v, above 1.9 times that only with quorum 1",
-				test, rejections, statistic, test.rejections, rejectStatistic)
+				test, rejectionsNeeded, statistic, test.rejections, rejectStatistic)
 		}
 	}
 }
--- a/decision/retry_test.go
+++ b/decision/retry_test.go
@@ -94,7 +94,7 @@
 			sim := start(t, releasedUpdate(8), func(s *Settings) { s.MaxAttempts = test.maxAttempts })
 			req, _ := sim.request(test.class, "")
 			for _, ep := range sim.balancer.endpoints.ordered {
-				ep.ejectedUntil = sim.now + 5000 // no other endpoint is available
+				ep.ejectedUntil = sim.now + 5000 // no endpoint is available for a retry
 			}
 			sim.endAttempt(req, 0, test.outcome, 1)
 			if n, last := sim.responses(req); last != test.last || n > 1 {
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -55,7 +55,7 @@
 	// Settings of the operators:
 
 	WithheldShare float64 // the exposure cap is at most 1 minus this share; 0: no effect
-	Halt          bool    // no vote to advance is cast, and a clock is held by votes; votes to roll back are still cast
+	Halt          bool    // the instance votes to hold with ByClock, never to advance, and may still vote to roll back
 }
 
 // tickFraction times the shortest latency objective is the tick interval, unless that is below the clock granularity
--- a/internal/cluster/lease/table_test.go
+++ b/internal/cluster/lease/table_test.go
@@ -252,7 +252,7 @@
 		}
 	}
 	if l, _ := table.Get(own); string(l.Checkpoint) != "both" || l.ExpiresAt != 2005 {
-		t.Errorf("got lease %+v, want checkpoint both and expiry at 2005 ms", l)
+		t.Errorf("got lease %+v, want checkpoint \"both\" and expiry at 2005 ms", l)
 	}
 }
 
--- a/internal/cluster/quorum/readmit.go
+++ b/internal/cluster/quorum/readmit.go
@@ -7,7 +7,7 @@
 const (
 	Absent  Membership = iota // not in the configuration
 	Learner                   // receives entries and has no vote
-	Voter                     // receives entries and votes
+	Voter                     // receives entries and has a vote
 )
 
 // Step is a step by which a leader readmits a server that has lost its store. The numbers are part of the wire format.
@@ -16,7 +16,7 @@
 // The steps. A server that has lost its store goes through Remove, AddLearner, CatchUp, Promote and Done, in this
 // order.
 const (
-	NoStep     Step = iota // no step was decided
+	NoStep     Step = iota // the leader could not decide on a step; returned with an error
 	Remove                 // remove the voter: without the record of its votes it could vote twice in a term
 	AddLearner             // add the server as a learner
 	CatchUp                // the server may start as a learner and has to catch up
--- a/internal/cluster/raftlog/golden_test.go
+++ b/internal/cluster/raftlog/golden_test.go
@@ -205,7 +205,7 @@
 		err = errors.Join(err, encoder.EncodeString(name), encoder.EncodeBytes(parts[name]))
 	}
 	if err != nil || out.Len() != len(plain) {
-		t.Errorf("snapshot with sorted parts: got %d bytes, %v, want %d", out.Len(), err, len(plain))
+		t.Errorf("snapshot with sorted parts: got %d bytes, error %v, want %d bytes and no error", out.Len(), err, len(plain))
 	}
 	return out.Bytes()
 }
--- a/internal/cluster/raftlog/propose_test.go
+++ b/internal/cluster/raftlog/propose_test.go
@@ -52,7 +52,7 @@
 	}
 	base := 1.7e12
 	if want := []logclock.Millis{base, base, base + 250, base + 250}; fmt.Sprint(recorder.times) != fmt.Sprint(want) {
-		t.Errorf("log times: got %v, want %v", recorder.times, want)
+		t.Errorf("log's time at each command: got %v, want %v", recorder.times, want)
 	}
 	for _, corrupt := range []string{"t", "t12345678", "t12345678\x7f\xf8\x00\x00\x00\x00\x00\x01x"} {
 		if got := applyEntry(machine, []byte(corrupt), wallClock); len(got.([]byte)) != 0 || len(recorder.times) != 4 {
@@ -76,7 +76,7 @@
 	raw := snapshot(appendChecksum([]byte{0x80})) // no state machine and no clock
 	m := &fsm{machines: map[byte]StateMachine{'x': &timeRecorder{time: 1.7e12}}}
 	if err := m.Restore(io.NopCloser(bytes.NewReader(raw))); err != nil || m.logClock.Now != 1.7e12 {
-		t.Errorf("restored clock: got %+v, %v, want 1.7e12", m.logClock, err)
+		t.Errorf("restored clock: got %+v, error %v, want Now 1.7e12 and no error", m.logClock, err)
 	}
 }
 
--- a/internal/ingress/closing_test.go
+++ b/internal/ingress/closing_test.go
@@ -295,8 +295,8 @@
 // short response when the handler has ended, and a long one earlier, so here the handler is blocked after the last byte.
 func TestCorrelationIDIsFreeAfterResponse(t *testing.T) {
 	for name, test := range map[string]struct {
-		size     int
-		sameConn bool // both requests use one connection
+		responseBytes int  // length of the body of each response
+		sameConn      bool // both requests use one connection
 	}{
 		"short, same connection":  {2, true},
 		"short, other connection": {2, false},
@@ -317,14 +317,14 @@
 			if test.sameConn {
 				clients[1] = clients[0]
 			}
-			respondToRequests(t, fake, succeededResult(test.size))
+			respondToRequests(t, fake, succeededResult(test.responseBytes))
 			for i, c := range clients {
 				c.send("GET /read/1", "X-Time-Left: 1\r\nX-Correlation-Id: same\r\n", "")
 				if i == 1 && test.sameConn {
 					unblock()
 				}
-				if response, body := c.readResponse(); response.StatusCode != http.StatusOK || len(body) != test.size {
-					t.Errorf("request %d: got status %d, %d bytes; want 200, %d", i+1, response.StatusCode, len(body), test.size)
+				if response, body := c.readResponse(); response.StatusCode != http.StatusOK || len(body) != test.responseBytes {
+					t.Errorf("request %d: got status %d, %d bytes; want 200, %d", i+1, response.StatusCode, len(body), test.responseBytes)
 				}
 			}
 		})
--- a/internal/testbed/days/day_test.go
+++ b/internal/testbed/days/day_test.go
@@ -82,7 +82,8 @@
 	}
 	if day.Instances != 2 || day.Skipped != 1 || day.Seconds[5].Starts != 1 ||
 		math.Abs(day.Seconds[2].Counts["opened"]-2) > 1e-9 {
-		t.Errorf("day: got %d instances, %d skipped lines, second 2 %+v, second 5 %+v; want 2, 1, 2 opened and 1 start",
+		t.Errorf("day: got %d instances, %d skipped lines, second 2 %+v, second 5 %+v; "+
+			"want 2 instances, 1 skipped line, 2 opened in second 2 and 1 start in second 5",
 			day.Instances, day.Skipped, day.Seconds[2], day.Seconds[5])
 	}
 	t.Run("table", func(t *testing.T) { checkTable(t, day) })
--- a/internal/testbed/experiment/policy.go
+++ b/internal/testbed/experiment/policy.go
@@ -67,7 +67,7 @@
 	if err := run.awaitApplied(ctx); err != nil {
 		return nil, err
 	}
-	progress.report("%d instances: %d versions", settings.Instances, versions)
+	progress.report("%d instances: proposing %d versions", settings.Instances, versions)
 	if err := run.proposeAll(ctx, versions); err != nil {
 		return nil, err
 	}
