--- a/cmd/balancer/readiness.go
+++ b/cmd/balancer/readiness.go
@@ -6,9 +6,9 @@
 )
 
 // discoveryTimeout limits how long a new process rejects requests because discovery has not sent an endpoint list yet. The
-// operators' published requirement is that nine in ten restarted instances are ready within 10 s, or within 6 s if the day
-// (see internal/testbed/days) ends before those 10 s. The 1 s below the stricter limit is for starting the process, for a
-// configuration that is still being written, and for a busy machine.
+// operators' published requirement is that nine in ten restarted instances are ready within 10 s, or within 6 s in a
+// trial run that ends before those 10 s. The 1 s below the stricter limit is for starting the process, for a configuration
+// that is still being written, and for a busy machine.
 const discoveryTimeout = 5 * time.Second
 
 // requiresEndpointList reports whether the instance is ready only after discovery has sent a list. An instance is expected
--- a/decision/event.go
+++ b/decision/event.go
@@ -86,7 +86,7 @@
 
 // StageUpdate reports the newest build and its stage, as known to the rollout controller.
 type StageUpdate struct {
-	Age          Millis // time since the start of the stage
+	Age          Millis // time since the build entered this stage and phase
 	Build        Build
 	Phase        Phase
 	IsVoteResult bool       // the update is the response to a vote
@@ -95,21 +95,22 @@
 	VoteResult   VoteResult // if not VoteAccepted, the other fields are not set except IsVoteResult
 }
 
-// ControllerCounts holds the rollout controller's counts for one period, class and build, over all instances.
+// ControllerCounts holds the rollout controller's counts for one period, class and build, from a sample of the
+// attempts of all instances.
 type ControllerCounts struct {
 	Build  Build
 	Class  ClassName
-	Count  int    // responses
-	Failed int    // of the Count responses, those that failed
-	Mean   Millis // mean response time
-	Age    Millis // time since the counts were taken
+	Count  int    // attempts in the sample
+	Failed int    // attempts in the sample that did not succeed
+	Mean   Millis // mean response time of the others
+	Age    Millis // time since the end of the period
 }
 
 // ResponseFlagged reports that a client found a response wrong.
 type ResponseFlagged struct {
 	Endpoint EndpointID
 	Class    ClassName
-	Age      Millis // time since the client reported it
+	Age      Millis // time since the attempt was sent
 }
 
 // SettingsChanged delivers new settings of the deployment to a running balancer. The classes, tenants and
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -3,7 +3,7 @@
 // RequestClass holds the settings of one class of requests.
 type RequestClass struct {
 	Name             ClassName
-	LatencyObjective Millis // target response time, above 0
+	LatencyObjective Millis // response time up to which a response has its full value, above 0
 	Idempotency      Idempotency
 	RetryScope       RetryScope // for IdempotentWithKey
 	// DedupWindow is the time for which endpoints remember an idempotency key, from the first attempt that may
--- a/internal/cluster/failover/status.go
+++ b/internal/cluster/failover/status.go
@@ -10,7 +10,7 @@
 // leasePath is the HTTP path of the list of leases at a server of the log.
 const leasePath = "/lease/list"
 
-// LeaseStatus is one line of `ottershed work status`. Times are those of the log, as of its newest entry.
+// LeaseStatus is one line of `balancer work status`. Times are those of the log, as of its newest entry.
 type LeaseStatus struct {
 	Lease         lease.ID         `json:"work"`
 	Holder        string           `json:"owner"`      // abandoned lease: the instance that abandoned it
--- a/internal/cluster/policysync/status.go
+++ b/internal/cluster/policysync/status.go
@@ -27,7 +27,7 @@
 	ReportedAt     float64        `json:"at_ms,omitempty" msgpack:"At"`        // Unix time in milliseconds
 }
 
-// FleetStatus is the result of `ottershed policy status`.
+// FleetStatus is the result of `balancer policy status`.
 type FleetStatus struct {
 	Members     []MemberStatus  `json:"marshals"`      // sorted by name
 	Log         *raftlog.Status `json:"log,omitempty"` // nil at a watcher
@@ -40,7 +40,7 @@
 	Watchers []MemberStatus `json:"watchers"`
 }
 
-// HistoryEntry is one version in the result of `ottershed policy history`.
+// HistoryEntry is one version in the result of `balancer policy history`.
 type HistoryEntry struct {
 	Version    policy.Version  `json:"version"`
 	ID         string          `json:"id"`
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -22,7 +22,7 @@
 	responseTimeout = time.Second
 	snapshotTimeout = 4 * time.Second
 	stallTimeout    = 200 * time.Millisecond // the agent has a response ready as a whole
-	retryDelay      = 50 * time.Millisecond  // a watch continues only if the next call comes within 200 ms
+	retryDelay      = 50 * time.Millisecond  // the agent ends a watch without another call within 200 ms
 )
 
 // Values from which newTiming derives time limits.
