--- a/cmd/testbed/members.go
+++ b/cmd/testbed/members.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	simulatedDelay    experiment.Millis = 2      // of a packet
-	maxSimulatedWatch experiment.Millis = 10_000 // simulated clusters are so large that a short time shows enough
+	simulatedDelay    experiment.Millis = 2      // delay of each simulated packet
+	maxSimulatedWatch experiment.Millis = 10_000 // sufficient because simulated clusters are large
 )
 
 func membersCommand() *cli.Command {
 	return &cli.Command{
-		Name: "members", Usage: "measure how soon the death of an instance is detected, how often falsely, and at what cost",
-		Description: "Kills instances one after another and measures when the others declare them dead; then loses\n" +
+		Name: "members", Usage: "measure the time and cost of failure detection, and false detections",
+		Description: "Kills instances one after another and measures when the others declare them dead. Then drops\n" +
 			"packets and counts running instances that are declared dead. Clusters of processes are measured first, then\n" +
-			"larger ones of failure detectors alone in simulated time. Prints a row for each, as it is ready.\n\n" +
+			"larger clusters of failure detectors in simulated time. Prints a row for each as soon as it is measured.\n\n" +
 			"Example: five processes and a thousand simulated members:\n\n" +
 			"   bin/testbed members --processes 5 --simulated 1000 --rounds 3 --watch 20s",
 		Flags: append(
@@ -38,7 +38,7 @@
 			&cli.IntFlag{Name: "rounds", Usage: "`NUMBER` of kills in each cluster", Value: 5},
 			&cli.FloatSliceFlag{
 				Name: "simulated-loss", Value: []float64{0.05, 0.2},
-				Usage: "`SHARES` of packets lost in simulated clusters all the time, each measured beside no loss",
+				Usage: "`SHARES` of packets lost in simulated clusters throughout; no loss is measured as well",
 			},
 			&cli.FloatFlag{
 				Name: "loss", Usage: "`SHARE` of packets lost among processes while false deaths are counted", Value: 0.2,
@@ -63,19 +63,19 @@
 	if path == "" {
 		return nil
 	}
-	lines := detectionSeries(append(processes, simulated...))
-	return chart.Distribution(path, "from a kill until another declares it dead", "seconds", lines)
+	series := detectionSeries(append(processes, simulated...))
+	return chart.Distribution(path, "time from a kill to its declaration by another instance", "seconds", series)
 }
 
-// measureProcesses measures and prints the clusters of processes.
+// measureProcesses measures clusters of processes and prints their results.
 func measureProcesses(ctx context.Context, cmd *cli.Command) (results []*experiment.MembershipResult, err error) {
 	for _, size := range cmd.IntSlice("processes") {
 		if size <= 0 {
 			continue
 		}
-		err := withFleet(cmd, size, func(set fleet.Settings) error {
+		err := withFleet(cmd, size, func(settings fleet.Settings) error {
 			rounds, loss, watch := cmd.Int("rounds"), cmd.Float("loss"), cmd.Duration("watch")
-			result, err := experiment.MeasureProcessMembership(ctx, set, rounds, loss, watch, report)
+			result, err := experiment.MeasureProcessMembership(ctx, settings, rounds, loss, watch, report)
 			if err != nil {
 				return err
 			}
@@ -90,7 +90,7 @@
 	return results, nil
 }
 
-// measureSimulated measures and prints the simulated clusters.
+// measureSimulated measures simulated clusters and prints their results.
 func measureSimulated(cmd *cli.Command) (results []*experiment.MembershipResult, err error) {
 	watch := min(millis(cmd.Duration("watch")), maxSimulatedWatch)
 	for _, size := range cmd.IntSlice("simulated") {
@@ -117,21 +117,22 @@
 
 func millis(d time.Duration) experiment.Millis { return float64(d) / float64(time.Millisecond) }
 
-// detectionSeries are the curves of the chart, in seconds.
+// detectionSeries returns the series of the chart, in seconds.
 func detectionSeries(results []*experiment.MembershipResult) []chart.Series {
-	lines := make([]chart.Series, 0, len(results))
+	series := make([]chart.Series, 0, len(results))
 	for _, result := range results {
 		seconds := make([]float64, len(result.DetectionTimes))
 		for i, ms := range result.DetectionTimes {
 			seconds[i] = ms / 1000
 		}
 		name := fmt.Sprintf("%d %s, loss %.0f%%", result.Members, result.Kind, 100*detectionLoss(result))
-		lines = append(lines, chart.Series{Name: name, Values: seconds})
+		series = append(series, chart.Series{Name: name, Values: seconds})
 	}
-	return lines
+	return series
 }
 
-// detectionLoss is the loss under which deaths were measured: among processes there was none.
+// detectionLoss returns the packet loss under which deaths were measured. Clusters of processes are measured without
+// loss.
 func detectionLoss(result *experiment.MembershipResult) float64 {
 	if result.Kind == "processes" {
 		return 0
--- a/cmd/testbed/policy.go
+++ b/cmd/testbed/policy.go
@@ -13,7 +13,7 @@
 
 func policyCommand() *cli.Command {
 	return &cli.Command{
-		Name: "policy", Usage: "measure how soon a policy is in force everywhere, and how soon an instance catches up",
+		Name: "policy", Usage: "measure the time until a policy applies everywhere and until an instance catches up",
 		Description: "Proposes policy versions one after another and measures when each is committed and when all\n" +
 			"instances run it. Then restarts instances and kills leaders. Prints a table at the end.\n\n" +
 			"Example: twenty versions and three restarts in a cluster of five:\n\n" +
@@ -30,15 +30,15 @@
 
 func measurePolicy(ctx context.Context, cmd *cli.Command) error {
 	var results []*experiment.PolicyResult
-	var lines []chart.Series
+	var series []chart.Series
 	for _, size := range cmd.IntSlice("processes") {
-		err := withFleet(cmd, size, func(set fleet.Settings) error {
-			result, err := experiment.MeasurePolicy(ctx, set, cmd.Int("versions"), cmd.Int("rounds"), report)
+		err := withFleet(cmd, size, func(settings fleet.Settings) error {
+			result, err := experiment.MeasurePolicy(ctx, settings, cmd.Int("versions"), cmd.Int("rounds"), report)
 			if err != nil {
 				return err
 			}
 			results = append(results, result)
-			lines = append(lines, chart.Series{Name: fmt.Sprintf("%d marshals", size), Values: result.ApplyTimes})
+			series = append(series, chart.Series{Name: fmt.Sprintf("%d instances", size), Values: result.ApplyTimes})
 			return nil
 		})
 		if err != nil {
@@ -47,7 +47,7 @@
 	}
 	fmt.Print(experiment.PolicyTable(results))
 	if path := cmd.String("chart"); path != "" {
-		return chart.Distribution(path, "from a proposal until all marshals run it", "milliseconds", lines)
+		return chart.Distribution(path, "time from a proposal until all instances run it", "milliseconds", series)
 	}
 	return nil
 }
--- a/internal/golden/text.go
+++ b/internal/golden/text.go
@@ -9,7 +9,8 @@
 	"strings"
 )
 
-// Check compares the observed text with the golden file at path. The error has the first line that differs.
+// Check compares observed text with the golden file at path. The error describes the first line that differs. With
+// -update it writes the file instead.
 func Check(path string, observed []byte) error {
 	if *update {
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
@@ -38,7 +39,7 @@
 	return "equal"
 }
 
-// lineAt returns a line of a text, or an empty one past its end.
+// lineAt returns a line of a text, or "" past its end.
 func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
@@ -46,7 +47,7 @@
 	return ""
 }
 
-// Quote returns bytes in readable form: a quoted string for each line, its line end included.
+// Quote returns bytes as text with one quoted string per line, including the line ending.
 func Quote(raw []byte) string {
 	var b strings.Builder
 	for _, line := range strings.SplitAfter(string(raw), "\n") {
@@ -58,5 +59,5 @@
 	return b.String()
 }
 
-// Section returns a part of a golden file under its title.
+// Section returns a section of a golden file with its title.
 func Section(title, text string) string { return "== " + title + "\n" + text }
--- a/internal/testbed/chart/chart.go
+++ b/internal/testbed/chart/chart.go
@@ -29,8 +29,8 @@
 	timeSeriesHeight   = 12 * vg.Centimeter
 )
 
-// Distribution draws the empirical cumulative distribution of each series. The extension of path, .svg or .png, sets the
-// format.
+// Distribution draws the empirical cumulative distribution of each series. The extension of path, .svg or .png, sets
+// the format.
 func Distribution(path, title, xLabel string, series []Series) error {
 	drawing := plot.New()
 	drawing.Title.Text = title
--- a/internal/testbed/days/day.go
+++ b/internal/testbed/days/day.go
@@ -2,14 +2,15 @@
 // cluster did in each second and its state at the end of that second.
 //
 // Read takes a directory with one .log file per instance, as `balancer serve --summary 1s` writes them. A line may
-// start with a number: the second of the day on the clock of the test driver. If any log has a line without that number,
-// seconds are counted by the lines' own timestamps from the first such line, which requires that all instances share one
-// clock.
+// start with a number: the second of the day on the clock of the test driver. If any log has a line without that
+// number, seconds are counted by the lines' own timestamps from the first such line, which requires that all instances
+// share one clock.
 //
 //	day, err := days.Read("logs")
 //	err = day.WriteTable(os.Stdout, 5) // one row per five seconds
 //
-// Files: day.go (aggregation of summaries), logline.go (parsing of one log file), report.go (table, other lines, chart).
+// Files: day.go (aggregation of summaries), logline.go (parsing of one log file), report.go (table, other lines,
+// chart).
 //
 // Column names are the field names of the balancer's summary line. They must not change, because operators search for
 // them.
--- a/internal/testbed/faultinject/doc.go
+++ b/internal/testbed/faultinject/doc.go
@@ -1,7 +1,7 @@
 // Package faultinject injects faults into processes on loopback and into the connections between them. Relays in front
-// of each process (PacketRelays for UDP, StreamRelays for TCP) drop, delay, duplicate and cut traffic by the Rules of each
-// link. A Process can be stalled, killed and restarted. The delivery of a packet is decided without I/O from a seed: the
-// same seed gives the packets of a link the same deliveries.
+// of each process (PacketRelays for UDP, StreamRelays for TCP) drop, delay, duplicate and cut traffic by the Rules of
+// each link. A Process can be stalled, killed and restarted. The delivery of a packet is decided without I/O from a
+// seed: the same seed gives the packets of a link the same deliveries.
 //
 // Faults are injected by method calls, by a script (ParseScript) or by a script generated from a seed (Random). An
 // Environment plays scripts:
@@ -11,9 +11,9 @@
 //
 // # Scripts
 //
-// A script has one step per line: a time since the start of the script, an action and its arguments. Words are separated
-// by spaces. Steps may appear in any order; steps with the same time run in the order of their lines. Empty lines are
-// ignored.
+// A script has one step per line: a time since the start of the script, an action and its arguments. Words are
+// separated by spaces. Steps may appear in any order; steps with the same time run in the order of their lines. Empty
+// lines are ignored.
 //
 //	script  = { [ step ] [ "#" remark ] newline }
 //	step    = time action
--- a/internal/testbed/faultinject/process.go
+++ b/internal/testbed/faultinject/process.go
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// Terminate sends SIGTERM and waits for the exit. It returns an error for a nonzero exit code, or ErrTimeout if ctx ends
-// first.
+// Terminate sends SIGTERM and waits for the exit. It returns an error for a nonzero exit code, or ErrTimeout if ctx
+// ends first.
 func (p *Process) Terminate(ctx context.Context) error {
 	exited, err := p.signal(syscall.SIGTERM)
 	if err != nil {
--- a/internal/testbed/faultinject/random.go
+++ b/internal/testbed/faultinject/random.go
@@ -42,10 +42,10 @@
 
 func (d *scriptGenerator) intN(n int) int { return int(d.random.Next() * float64(n)) }
 
-// nextStep draws one step. Of the eight kinds, two stall a process, two kill a process (all four bring back a process that
-// is down), one heals a link, one loses packets, one cuts a link in one direction and one in both. If no further process
-// may be down, a link is cut instead.
-func (d *scriptGenerator) nextStep(at time.Duration) Step {
+// nextStep draws one step. Of the eight kinds, two stall a process, two kill a process (all four bring back a process
+// that is down), one heals a link, one loses packets, one cuts a link in one direction and one in both. If no further
+// process may be down, a link is cut instead.
+func (d *scriptGenerator) nextStep(start time.Duration) Step {
 	target := d.names[d.intN(len(d.names))]
 	peer := d.names[d.intN(len(d.names)-1)]
 	if peer == target {
@@ -57,18 +57,18 @@
 	switch {
 	case kind < 4 && isDown:
 		delete(d.down, target)
-		return Step{At: at, Verb: back, Target: target}
+		return Step{At: start, Verb: back, Target: target}
 	case kind < 2 && mayTakeDown:
 		d.down[target] = Resume
-		return Step{At: at, Verb: Stall, Target: target}
+		return Step{At: start, Verb: Stall, Target: target}
 	case kind < 4 && mayTakeDown:
 		d.down[target] = Start
-		return Step{At: at, Verb: Kill, Target: target}
+		return Step{At: start, Verb: Kill, Target: target}
 	case kind == 4:
-		return Step{At: at, Verb: Heal, Target: target, Peer: peer}
+		return Step{At: start, Verb: Heal, Target: target, Peer: peer}
 	case kind == 5:
-		return Step{At: at, Verb: Loss, Share: maxRandomLoss * d.random.Next()}
+		return Step{At: start, Verb: Loss, Share: maxRandomLoss * d.random.Next()}
 	default:
-		return Step{At: at, Verb: Cut, Target: target, Peer: peer, Both: kind == 7}
+		return Step{At: start, Verb: Cut, Target: target, Peer: peer, Both: kind == 7}
 	}
 }
--- a/internal/testbed/faultinject/streams.go
+++ b/internal/testbed/faultinject/streams.go
@@ -15,9 +15,9 @@
 )
 
 // StreamRelays relays TCP. It has one relay for each ordered pair of a connecting and a listening process, so that the
-// relay identifies both ends of a connection. Each direction of a connection follows the rule of its own link. A cut link
-// holds data until it is healed, as in a network that drops packets: neither side is notified of the cut. A lost chunk
-// arrives late.
+// relay identifies both ends of a connection. Each direction of a connection follows the rule of its own link. A cut
+// link holds data until it is healed, as in a network that drops packets: neither side is notified of the cut. A lost
+// chunk arrives late.
 type StreamRelays struct {
 	rules   *Rules
 	running sync.WaitGroup
@@ -33,8 +33,8 @@
 	return &StreamRelays{rules: rules, conns: map[net.Conn]bool{}, closed: make(chan struct{})}
 }
 
-// AddRelay starts a relay from one process, opener, to another, listener, which listens at address. It returns the address
-// to which opener must connect.
+// AddRelay starts a relay from one process, opener, to another, listener, which listens at address. It returns the
+// address to which opener must connect.
 func (s *StreamRelays) AddRelay(opener, listener, address string) (string, error) {
 	target, err := parseLoopbackAddress(address)
 	if err != nil {
@@ -128,7 +128,8 @@
 	}
 }
 
-// waitForDelivery waits for the delay of a chunk under its link's rule. It returns false if the relays are closed first.
+// waitForDelivery waits for the delay of a chunk under its link's rule. It returns false if the relays are closed
+// first.
 func (s *StreamRelays) waitForDelivery(link Link) bool {
 	delivery := s.rules.NextDelivery(link)
 	if delivery.Copies == 0 {
--- a/internal/testbed/fleet/settings.go
+++ b/internal/testbed/fleet/settings.go
@@ -6,22 +6,22 @@
 	"ottershed/internal/testbed/platform"
 )
 
-// Settings say which fleet is started.
+// Settings defines a fleet.
 type Settings struct {
-	Dir       string             // existing directory for the instances' files, logs and stores
-	Program   string             // path of the balancer
+	Dir       string             // existing directory for the files, logs and stores of the instances
+	Program   string             // path of the balancer program
 	Env       []string           // added to the environment of each instance
-	Clocks    []string           // of the instances in turn, such as "-1h 1.1" (see clock.TestbedEnv); none: exact clocks
+	Clocks    []string           // used in turn, such as "-1h 1.1" (see clock.TestbedEnv); empty: exact clocks
 	Instances int                // 1 to 200
-	Seed      uint64             // of the faults and of the instances' own random choices
-	Platform  *platform.Platform // that all instances work with
+	Seed      uint64             // of the faults and of the random choices of the instances
+	Platform  *platform.Platform // shared by all instances
 
-	ToleratedPause   time.Duration // for which a member may stop without being declared dead; longer detects more slowly
-	DetectionTimeout time.Duration // within which a death is to be detected; shorter costs more probes
-	Seeds            int           // the first so many instances are the seeds of membership; 0: all
-	Key              string        // that packets and streams of the cluster are sealed with; empty: they are not
+	ToleratedPause   time.Duration // pause of a member that is not declared a death; larger values slow detection
+	DetectionTimeout time.Duration // time limit for the detection of a death; smaller values cost more probes
+	Seeds            int           // number of instances, from the first, that are membership seeds; 0: all
+	Key              string        // seals packets and streams of the cluster; empty: unsealed
 
-	Servers         int           // the first so many instances keep the policy's log; 0: no policy
-	ElectionTimeout time.Duration // without a message of the leader until another one is elected
-	LeaseTTL        time.Duration // of the instances' leases; 0: no takeover
+	Servers         int           // number of instances, from the first, that are voters of the policy log; 0: no policy
+	ElectionTimeout time.Duration // time without a message from the leader before an election
+	LeaseTTL        time.Duration // TTL of the instances' leases; 0: no takeover
 }
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -13,19 +13,19 @@
 	"ottershed/internal/testbed/fleet"
 )
 
-// RequestLatency is how long endpoints should work on a request (platform.Endpoint.Behave) while balancers are killed
-// under load, so that requests are in flight when their balancer dies.
+// RequestLatency is the latency that endpoints should have (platform.Endpoint.Behave) while balancers are killed under
+// load. It makes it likely that requests are in flight when their balancer dies.
 const RequestLatency = 30 * time.Millisecond
 
 const (
-	resumeTimeout      = 5 * time.Second      // for which a client looks for a balancer that takes its request
-	resumeInterval     = 5 * time.Millisecond // between two balancers that it tries
-	maxThinkTimeMillis = 20                   // between two requests of a client, drawn
-	sendTextOneIn      = 3                    // one request in so many is non-idempotent
+	resumeTimeout      = 5 * time.Second      // time limit of the search for a balancer that accepts the request
+	resumeInterval     = 5 * time.Millisecond // pause between two attempts at different balancers
+	maxThinkTimeMillis = 20                   // maximum of the random pause between two requests of a client
+	sendTextOneIn      = 3                    // one of this many requests is non-idempotent
 )
 
-// Generator is clients that each send one request after another to the balancers of a fleet, and resume a request at another
-// balancer where the first one was lost with it.
+// Generator runs clients that each send requests in sequence to the balancers of a fleet. A client resumes a request at
+// another balancer if the first one was lost with the request.
 type Generator struct {
 	fleet   *fleet.Fleet
 	clients int
@@ -37,30 +37,30 @@
 	result Result
 }
 
-// Result counts requests by how they ended.
+// Result counts requests by outcome.
 type Result struct {
 	Requests        int
 	Succeeded       int
 	Rejected        int
 	Failed          int
-	Resumed         int // sent again, for their balancer was lost
-	ResumesRejected int // of those: non-idempotent ones, which a balancer never forwards again
-	Lost            int // without a response of any balancer
-	Wrong           int // with a response to another request
+	Resumed         int // sent again because their balancer was lost
+	ResumesRejected int // the part of Resumed that is non-idempotent, which a balancer never forwards again
+	Lost            int // no response from any balancer within resumeTimeout
+	Wrong           int // response to another request
 }
 
-// String writes all figures. `testbed fleet` prints them, so their names are fixed here.
+// String formats all counts. The names are part of the output of `testbed fleet` and must not change.
 func (r Result) String() string {
 	return fmt.Sprintf("{Hits:%d Delivered:%d Bounced:%d Errored:%d Resumed:%d Refused:%d Lost:%d Wrong:%d}",
 		r.Requests, r.Succeeded, r.Rejected, r.Failed, r.Resumed, r.ResumesRejected, r.Lost, r.Wrong)
 }
 
-// New makes a load of so many clients; the seed decides what they send.
+// New returns a generator with a number of clients. The seed determines the requests of each client.
 func New(f *fleet.Fleet, clients int, seed uint64) *Generator {
 	return &Generator{fleet: f, clients: clients, seed: seed}
 }
 
-// Start starts the clients.
+// Start starts the clients, which run until Stop is called or ctx ends.
 func (l *Generator) Start(ctx context.Context) {
 	ctx, l.cancel = context.WithCancel(ctx)
 	for client := range l.clients {
@@ -68,7 +68,7 @@
 	}
 }
 
-// Stop ends the clients, each after the request that it is sending, and returns the counts.
+// Stop stops the clients after their current requests and returns the counts. Start must have been called.
 func (l *Generator) Stop() Result {
 	l.cancel()
 	l.running.Wait()
@@ -77,7 +77,7 @@
 	return l.result
 }
 
-// runClient is one client.
+// runClient sends the requests of one client until ctx ends.
 func (l *Generator) runClient(ctx context.Context, client int) {
 	random := rand.New(rand.NewPCG(l.seed, uint64(client)+1))
 	clients := NewClients()
@@ -92,9 +92,9 @@
 	}
 }
 
-// sendUntilDone sends one request, first to an instance and then to those after it, until one responds.
+// sendUntilDone sends one request to an instance and, on failure, to the following instances, until one responds.
 func (l *Generator) sendUntilDone(clients *Clients, instance int, class, id string) {
-	// The request's context is not the load's: a request that the end of the load cuts off would count as lost.
+	// The context does not derive from that of the generator: a request canceled by Stop would count as lost.
 	ctx, cancel := context.WithTimeout(context.Background(), resumeTimeout)
 	defer cancel()
 	resumed := false
@@ -111,14 +111,14 @@
 			l.count(func(r *Result) { r.Lost++ })
 			return
 		}
-		// A request that came to a balancer may be at an endpoint; one whose connection failed has not begun.
+		// A request that reached a balancer may have reached an endpoint; a request without a connection has not.
 		resumed = resumed || !isDialError(err)
 		instance = (instance + 1) % len(l.fleet.Names())
 		time.Sleep(resumeInterval)
 	}
 }
 
-// count counts a request and how it ended.
+// count counts one request and applies add to the result.
 func (l *Generator) count(add func(*Result)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,7 +126,7 @@
 	add(&l.result)
 }
 
-// record counts a request that has a response.
+// record counts a request that got a response.
 func (l *Generator) record(status int, class string, resumed bool) {
 	l.count(func(r *Result) {
 		if resumed {
@@ -146,8 +146,8 @@
 	})
 }
 
-// isDialError tells whether a request failed because its connection did not come up.
+// isDialError reports whether a request failed because no connection was established.
 func isDialError(err error) bool {
-	var op *net.OpError
-	return errors.As(err, &op) && op.Op == "dial"
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
--- a/internal/testbed/platform/discovery.go
+++ b/internal/testbed/platform/discovery.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// maxWatchWaitMS bounds how long a watch waits for a change, in milliseconds, whatever it asks for.
+// maxWatchWaitMS bounds the wait of a watch, in milliseconds, whatever timeout the request has.
 const maxWatchWaitMS = 60_000
 
-// listedEndpoint is an endpoint as the discovery agent describes it.
+// listedEndpoint is an endpoint in a response of the discovery agent.
 type listedEndpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -22,28 +22,29 @@
 	Build   int     `json:"image_id"`
 }
 
-// endpointList is the discovery agent's response.
+// endpointList is a response of the discovery agent.
 type endpointList struct {
 	Index     int              `json:"index"`
 	Snapshot  bool             `json:"snapshot"`
 	Endpoints []listedEndpoint `json:"endpoints"`
 }
 
-// serveHosts answers with the list: at once without an index, otherwise at the first change after that index or at the
-// end of the time that the watch waits.
+// serveHosts responds with the endpoint list. Without an index it responds at once; otherwise it responds at the first
+// change after that index or at the timeout of the watch.
 func (p *Platform) serveHosts(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Query().Get("since") != "" && !p.awaitChange(r) {
 		return
 	}
-	_ = json.NewEncoder(w).Encode(p.endpointList()) // a balancer that has left needs no response
+	_ = json.NewEncoder(w).Encode(p.endpointList()) // a failed write means that the balancer has disconnected
 }
 
-// awaitChange waits for a list newer than the watch knows; false where the watcher has left or the platform closes.
+// awaitChange waits for a list newer than the index of the watch. It returns false if the client has disconnected or
+// the platform is closed.
 func (p *Platform) awaitChange(r *http.Request) bool {
-	// An index or a time that is no number counts as 0: the watch is answered at once.
+	// A malformed index or timeout counts as 0, so that the watch returns at once.
 	since, _ := strconv.Atoi(r.URL.Query().Get("since"))
-	waitMS, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
-	expired := time.After(time.Duration(min(waitMS, maxWatchWaitMS)) * time.Millisecond)
+	timeoutMS, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
+	expired := time.After(time.Duration(min(timeoutMS, maxWatchWaitMS)) * time.Millisecond)
 	for {
 		p.mu.Lock()
 		index, changed := p.index, p.changed
--- a/internal/testbed/platform/endpoint.go
+++ b/internal/testbed/platform/endpoint.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Endpoint is a stand-in for a server that is balanced to. It counts what it runs, by the request's id.
+// Endpoint is a fake server behind the balancers. It counts the requests that it runs, by their ids.
 type Endpoint struct {
 	Name  string
-	Build int // change it by Platform.SetBuild
+	Build int // set with Platform.SetBuild
 
 	server   *http.Server
 	address  string
 	platform *Platform
 
 	mu                sync.Mutex
-	nonIdempotentRuns map[string]int // by the request's id
+	nonIdempotentRuns map[string]int // executions by request id
 	requests          int
 	latency           time.Duration
 	fail              bool
@@ -31,25 +31,25 @@
 	return e, err
 }
 
-// Behave sets how long the endpoint works on a request, and whether it then answers with an error.
+// Behave sets the latency of the endpoint, and whether it responds with status 500.
 func (e *Endpoint) Behave(latency time.Duration, fail bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.latency, e.fail = latency, fail
 }
 
-// Requests is how many requests the endpoint has received in full.
+// Requests returns the number of requests that the endpoint has received in full.
 func (e *Endpoint) Requests() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.requests
 }
 
-func (e *Endpoint) addNonIdempotentRuns(sum map[string]int) {
+func (e *Endpoint) addNonIdempotentRuns(totals map[string]int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for id, times := range e.nonIdempotentRuns {
-		sum[id] += times
+	for id, runs := range e.nonIdempotentRuns {
+		totals[id] += runs
 	}
 }
 
@@ -70,10 +70,10 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	_, _ = fmt.Fprintf(w, "%s of %s", id, e.Name) // a balancer that has left needs no response
+	_, _ = fmt.Fprintf(w, "%s of %s", id, e.Name) // a failed write means that the balancer has disconnected
 }
 
-// begin counts a request and returns how it is to be handled.
+// begin counts a request and returns the behavior for it.
 func (e *Endpoint) begin(r *http.Request, id string) (latency time.Duration, fail bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
