--- a/cmd/balancer/cluster.go
+++ b/cmd/balancer/cluster.go
@@ -172,7 +172,7 @@
 
 // voter takes the votes of the decision module: the client of the rollout controller, or the failover manager in front of
 // it, which lets only the votes of a lease's holder pass.
-func (s *clusterServices) voter(controller *rollout.Client) engine.Controller {
+func (s *clusterServices) voteController(controller *rollout.Client) engine.Controller {
 	if s.failover != nil {
 		return s.failover
 	}
@@ -180,7 +180,7 @@
 }
 
 // reload follows a configuration that was read again: a policy that did not go with the earlier one is tried anew.
-func (s *clusterServices) reload() {
+func (s *clusterServices) retryPolicy() {
 	if s.policy != nil {
 		s.policy.Retry()
 	}
--- a/cmd/balancer/commands.go
+++ b/cmd/balancer/commands.go
@@ -17,7 +17,7 @@
 )
 
 // revisionLength is how many digits of the source's revision `version` prints.
-const revisionLength = 12
+const revisionDigits = 12
 
 // command is the root of the command line.
 func command() *cli.Command {
@@ -40,7 +40,7 @@
 	}
 	for _, c := range commands {
 		if len(c.Commands) == 0 { // a group has checks of its own
-			c.OnUsageError, c.HideHelpCommand, c.Before = usageError, true, takesNoArguments
+			c.OnUsageError, c.HideHelpCommand, c.Before = usageError, true, requireNoArguments
 		}
 	}
 	return &cli.Command{
@@ -55,7 +55,7 @@
 }
 
 // commandGroup is a command that has commands of its own, each with no argument or the one that its usage names.
-func commandGroup(name, usage string, commands []*cli.Command) *cli.Command {
+func groupCommand(name, usage string, commands []*cli.Command) *cli.Command {
 	for _, c := range commands {
 		want := 0
 		if c.ArgsUsage != "" {
@@ -85,7 +85,7 @@
 	return fmt.Errorf("%w: %w; see --help", errUsage, err)
 }
 
-func takesNoArguments(ctx context.Context, cmd *cli.Command) (context.Context, error) {
+func requireNoArguments(ctx context.Context, cmd *cli.Command) (context.Context, error) {
 	if cmd.Args().Present() {
 		return ctx, fmt.Errorf("%w: %s takes no arguments, got %q; see --help", errUsage, cmd.Name, cmd.Args().First())
 	}
@@ -190,7 +190,7 @@
 	if info, ok := debug.ReadBuildInfo(); ok {
 		for _, setting := range info.Settings {
 			if setting.Key == "vcs.revision" {
-				revision = " " + setting.Value[:min(revisionLength, len(setting.Value))]
+				revision = " " + setting.Value[:min(revisionDigits, len(setting.Value))]
 			}
 		}
 	}
--- a/cmd/balancer/instance.go
+++ b/cmd/balancer/instance.go
@@ -40,7 +40,7 @@
 	watcher    *discovery.Watcher
 	cluster    *clusterServices
 	ingress    *ingress.Server
-	summary    summary
+	summary    summaryLogger
 }
 
 // run runs an instance from its start until stop delivers a signal; at each signal of hup it reads its configuration
@@ -73,7 +73,7 @@
 	connections := cfg.Limits.Connections()
 	monotonic := clock.New()
 	inst.settings = newSettingsSource(cfg, log)
-	inst.engine = engine.New(inst.settings.settings(), cfg.Seed, monotonic, log)
+	inst.engine = engine.New(inst.settings.initial(), cfg.Seed, monotonic, log)
 	inst.settings.onChange = inst.engine.UpdateSettings
 	inst.pool = upstream.NewPool(monotonic, cfg.Network, connections, log)
 	inst.controller = rollout.New(cfg.Platform, cfg.Settings.VoteWait, inst.engine.HandleEvent, log)
@@ -81,18 +81,18 @@
 	if inst.cluster, err = newClusterServices(cfg, inst.settings, inst.engine, inst.controller, monotonic, log); err != nil {
 		return nil, err
 	}
-	inst.engine.Connect(inst.pool, inst.cluster.voter(inst.controller), inst.watcher)
+	inst.engine.Connect(inst.pool, inst.cluster.voteController(inst.controller), inst.watcher)
 	inst.ingress = ingress.New(inst.engine, monotonic, cfg.Settings, cfg.Network, connections, log)
 	if inst.cluster.failover != nil {
 		inst.ingress.HandleResumed(lease.DecideResume)
 	}
-	inst.summary = summary{inst.engine, inst.pool, inst.watcher, log, every}
+	inst.summary = summaryLogger{inst.engine, inst.pool, inst.watcher, log, every}
 	return inst, nil
 }
 
 // run starts the components, serves until a signal and drains. The ingress ends first, all others after it.
 func (i *instance) run(ctx context.Context, stop <-chan os.Signal, reload *reloader, readyBy time.Time) error {
-	known := i.loadKnownState()
+	known := i.applyConfiguredState()
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -103,9 +103,9 @@
 	for _, component := range components {
 		running.Go(func() { component(ctx) })
 	}
-	if i.waitsForEndpoints() {
+	if i.requiresEndpointList() {
 		i.ingress.SetNotReady()
-		running.Go(func() { i.becomeReady(ctx, readyBy) })
+		running.Go(func() { i.awaitEndpointList(ctx, readyBy) })
 	}
 	served := make(chan error, 1)
 	go func() { served <- i.ingress.Serve(i.listener) }()
@@ -123,7 +123,7 @@
 
 // loadKnownState hands the engine what the configuration says of endpoints and rollout, and returns the number of
 // endpoints.
-func (i *instance) loadKnownState() (endpoints int) {
+func (i *instance) applyConfiguredState() (endpoints int) {
 	if i.cfg.Endpoints != nil {
 		endpoints = len(i.cfg.Endpoints.Endpoints)
 		i.engine.UpdateEndpoints(*i.cfg.Endpoints)
--- a/cmd/balancer/lease.go
+++ b/cmd/balancer/lease.go
@@ -23,7 +23,7 @@
 			Flags: []cli.Flag{adminFlag()}, Action: takeOverLease,
 		},
 	}
-	return commandGroup("work", "the work that marshals have in hand, and who has taken it over", commands)
+	return groupCommand("work", "the work that marshals have in hand, and who has taken it over", commands)
 }
 
 func takeOverLease(ctx context.Context, cmd *cli.Command) error {
@@ -36,7 +36,7 @@
 
 func printLeases(ctx context.Context, cmd *cli.Command) error {
 	var leases []failover.LeaseStatus
-	return show(ctx, cmd, "/work", []byte("{}"), &leases, func(rows *strings.Builder) {
+	return printResponse(ctx, cmd, "/work", []byte("{}"), &leases, func(rows *strings.Builder) {
 		rows.WriteString("WORK\tOWNER\tSTATE\tTOKEN\tLEASE\tCHECKPOINT\tMERGED\n")
 		for i := range leases {
 			writeLeaseRow(rows, &leases[i])
--- a/cmd/balancer/policy.go
+++ b/cmd/balancer/policy.go
@@ -18,7 +18,7 @@
 )
 
 // proposeWait is a little more than an instance takes to give a proposal up.
-const proposeWait = 25 * time.Second
+const proposeTimeout = 25 * time.Second
 
 // Layout of the tables that commands print.
 const (
@@ -45,7 +45,7 @@
 			Flags: []cli.Flag{adminFlag(), jsonFlag()}, Action: printPolicyHistory,
 		},
 	}
-	return commandGroup("policy", "what all marshals of a fleet run, everywhere or nowhere", commands)
+	return groupCommand("policy", "what all marshals of a fleet run, everywhere or nowhere", commands)
 }
 
 // readPolicy reads and checks the file that is named, and returns its canonical form.
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, proposeWait)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	response, err := admin.Call(ctx, cmd.String("at"), "/policy/propose", raw)
 	if err != nil {
@@ -105,7 +105,7 @@
 
 // show asks an instance and prints its response: as it is with --json, else as the table that writeRows writes, with a tab
 // between columns. response is decoded before writeRows is called.
-func show(ctx context.Context, cmd *cli.Command, path string, request []byte, response any,
+func printResponse(ctx context.Context, cmd *cli.Command, path string, request []byte, response any,
 	writeRows func(*strings.Builder),
 ) error {
 	raw, err := admin.Call(ctx, cmd.String("at"), path, request)
@@ -130,7 +130,7 @@
 
 func printPolicyStatus(ctx context.Context, cmd *cli.Command) error {
 	var status policysync.FleetStatus
-	return show(ctx, cmd, "/policy/status", nil, &status, func(rows *strings.Builder) {
+	return printResponse(ctx, cmd, "/policy/status", nil, &status, func(rows *strings.Builder) {
 		rows.WriteString("MARSHAL\tROLE\tVERSION\tSUM\tTRIALS\t\n")
 		for _, member := range status.Members {
 			trials, version := "closed", fmt.Sprint(member.Version)
@@ -148,7 +148,7 @@
 
 func printPolicyHistory(ctx context.Context, cmd *cli.Command) error {
 	var history []policysync.HistoryEntry
-	return show(ctx, cmd, "/policy/history", nil, &history, func(rows *strings.Builder) {
+	return printResponse(ctx, cmd, "/policy/history", nil, &history, func(rows *strings.Builder) {
 		rows.WriteString("VERSION\tAT\tBY\tPOLICY\n")
 		for _, entry := range history {
 			var text bytes.Buffer
--- a/cmd/balancer/readiness.go
+++ b/cmd/balancer/readiness.go
@@ -14,10 +14,10 @@
 // as known from the process's first moment, and the list of the configuration may be older: an endpoint that was
 // announced as draining must get nothing. Where a poll costs the service something, the decision module says when to
 // poll, and there is no wait.
-func (i *instance) waitsForEndpoints() bool { return !i.cfg.Settings.PollEndpoints }
+func (i *instance) requiresEndpointList() bool { return !i.cfg.Settings.PollEndpoints }
 
 // becomeReady waits for the endpoint list, until readyBy at most. Opening the components takes a part of that time.
-func (i *instance) becomeReady(ctx context.Context, readyBy time.Time) {
+func (i *instance) awaitEndpointList(ctx context.Context, readyBy time.Time) {
 	limit := time.NewTimer(time.Until(readyBy))
 	defer limit.Stop()
 	select {
--- a/cmd/balancer/reload.go
+++ b/cmd/balancer/reload.go
@@ -39,12 +39,12 @@
 		inst.log.WithError(err).Error("configuration not reloaded")
 		return
 	}
-	if fixed := inst.cfg.RestartOnly(next); len(fixed) > 0 {
+	if fixed := inst.cfg.KeysNeedingRestart(next); len(fixed) > 0 {
 		inst.log.WithField("keys", strings.Join(fixed, ",")).Warn("configuration: these need a restart")
 	}
-	if inst.cfg.Switchable(next) {
+	if inst.cfg.CanReloadSettings(next) {
 		inst.settings.reload(next)
-		inst.cluster.reload()
+		inst.cluster.retryPolicy()
 	}
 	// The watcher takes its address at once; the controller's client may wait while it connects, so it comes last.
 	inst.watcher.SetAddress(ctx, next.Discovery)
--- a/cmd/balancer/settings_source.go
+++ b/cmd/balancer/settings_source.go
@@ -17,22 +17,22 @@
 	log      logrus.FieldLogger
 	onChange func(decision.Settings) // nil: nobody is told
 
-	mu           sync.Mutex
-	cfg          *config.Config
-	policy       *policy.Policy    // nil: none
-	trialsClosed bool              // no request goes to a build in trial: what the cluster has decided is not known here yet
-	current      decision.Settings // as last published
+	mu            sync.Mutex
+	cfg           *config.Config
+	policy        *policy.Policy    // nil: none
+	trialsBlocked bool              // no request goes to a build in trial: what the cluster has decided is not known here yet
+	current       decision.Settings // as last published
 }
 
 func newSettingsSource(cfg *config.Config, log logrus.FieldLogger) *settingsSource {
 	source := &settingsSource{log: log, cfg: cfg}
-	source.trialsClosed = cfg.Operator != nil && cfg.Operator.Policy != nil
+	source.trialsBlocked = cfg.Operator != nil && cfg.Operator.Policy != nil
 	source.current, _ = source.resolve(nil) // without a policy nothing can be wrong
 	return source
 }
 
 // settings are those to begin with.
-func (s *settingsSource) settings() decision.Settings { return s.current }
+func (s *settingsSource) initial() decision.Settings { return s.current }
 
 // resolve returns the settings under a policy, nil for none. The lock is held.
 func (s *settingsSource) resolve(running *policy.Policy) (decision.Settings, error) {
@@ -41,7 +41,7 @@
 	if running != nil {
 		settings, err = s.cfg.WithPolicy(running)
 	}
-	if s.trialsClosed {
+	if s.trialsBlocked {
 		settings.WithheldShare = 1
 	}
 	return settings, err
@@ -101,11 +101,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	previous := s.trialsClosed
-	s.trialsClosed = !decided.TrialsAdmitted
+	previous := s.trialsBlocked
+	s.trialsBlocked = !decided.TrialsAdmitted
 	settings, err := s.resolve(running)
 	if err != nil {
-		s.trialsClosed = previous
+		s.trialsBlocked = previous
 		return err
 	}
 	s.policy = running
--- a/cmd/balancer/summary.go
+++ b/cmd/balancer/summary.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	minSummaryInterval  = 100 * time.Millisecond
-	finalSummaryTimeout = time.Second // for the figures of the end
+	minSummaryInterval = 100 * time.Millisecond
+	finalStatsTimeout  = time.Second // for the figures of the end
 )
 
 // summary writes what an instance has done, a line every so often; none where every is 0. All counts are since the start, so
 // that a line that is lost costs the reader no more than its moment.
-type summary struct {
-	engine *engine.Engine
-	pool   *upstream.Pool
-	list   *discovery.Watcher
-	log    logrus.FieldLogger
-	every  time.Duration
+type summaryLogger struct {
+	engine   *engine.Engine
+	pool     *upstream.Pool
+	watcher  *discovery.Watcher
+	log      logrus.FieldLogger
+	interval time.Duration
 }
 
 // run writes lines until ctx ends.
-func (s summary) run(ctx context.Context) {
-	if s.every <= 0 {
+func (s summaryLogger) run(ctx context.Context) {
+	if s.interval <= 0 {
 		return
 	}
-	tick := time.NewTicker(s.every)
+	tick := time.NewTicker(s.interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -44,15 +44,15 @@
 }
 
 // writeFinal writes the summary line of an instance that stops.
-func (s summary) writeFinal() {
-	if s.every > 0 {
-		ctx, cancel := context.WithTimeout(context.Background(), finalSummaryTimeout)
+func (s summaryLogger) writeFinal() {
+	if s.interval > 0 {
+		ctx, cancel := context.WithTimeout(context.Background(), finalStatsTimeout)
 		defer cancel()
 		s.write(ctx)
 	}
 }
 
-func (s summary) write(ctx context.Context) {
+func (s summaryLogger) write(ctx context.Context) {
 	f, ok := s.engine.Stats(ctx)
 	if !ok {
 		return
@@ -62,7 +62,7 @@
 		"taken": f.Requests, "forwarded": f.Attempts, "delivered": f.RequestsSucceeded, "missed": f.ObjectivesMissed,
 		"bounced": f.RequestsRejected, "errored": f.RequestsFailed, "gone": f.ClientsDisconnected, "cancelled": f.AttemptsCanceled, "full": f.AttemptsRejected,
 		"unreachable": f.AttemptsUnreachable, "broken": f.AttemptsBroken, "timedout": f.AttemptsTimedOut, "failed": f.AttemptsFailed, "probes": f.HealthChecks,
-		"votes": f.Votes, "opened": c.Opened, "refused": c.Unreachable, "held": c.Open, "idle": c.Idle, "lists": s.list.Calls(),
+		"votes": f.Votes, "opened": c.Opened, "refused": c.Unreachable, "held": c.Open, "idle": c.Idle, "lists": s.watcher.Calls(),
 		"nodes": at.Serving, "cold": at.WarmingUp, "away": at.Unavailable, "out": at.InFlight, "waiting": at.Queued, "build": at.Build,
 		"stage": at.Stage, "phase": at.Phase, "verdict": at.Verdict, "seen": at.Outcomes, "failing": at.FailureEvidence,
 		"rejects": at.Rejections,
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,6 +1,6 @@
-// Command benchlink is the earlier name of simadapter.
+// Command benchlink is the former name of simadapter.
 package main
 
 import "ottershed/internal/alias"
 
-func main() { alias.Become("simadapter") }
+func main() { alias.Exec("simadapter") }
--- a/cmd/otterlab/main.go
+++ b/cmd/otterlab/main.go
@@ -1,6 +1,6 @@
-// Command otterlab is the earlier name of testbed.
+// Command otterlab is the former name of testbed.
 package main
 
 import "ottershed/internal/alias"
 
-func main() { alias.Become("testbed") }
+func main() { alias.Exec("testbed") }
--- a/cmd/ottershed/main.go
+++ b/cmd/ottershed/main.go
@@ -1,6 +1,6 @@
-// Command ottershed is the earlier name of balancer.
+// Command ottershed is the former name of balancer.
 package main
 
 import "ottershed/internal/alias"
 
-func main() { alias.Become("balancer") }
+func main() { alias.Exec("balancer") }
--- a/internal/alias/alias.go
+++ b/internal/alias/alias.go
@@ -1,5 +1,5 @@
-// Package alias keeps the earlier names of the programs working. A program of an earlier name has a main function that calls
-// Become with the present name.
+// Package alias keeps the former names of renamed programs working. The main function of a program with a former name calls
+// Exec with the present name.
 package alias
 
 import (
@@ -9,25 +9,25 @@
 	"syscall"
 )
 
-// exitFailure is the exit code of a program that can't start the one of its present name.
+// exitFailure is the exit code if the program with the present name can't be started.
 const exitFailure = 1
 
-// Become prints the present name on standard error and replaces the process by the program of that name in the same directory,
-// with the same arguments and environment. Where that fails, it prints why and exits. It does not return.
-func Become(program string) {
-	earlier := filepath.Base(os.Args[0])
-	err := become(program)
-	fmt.Fprintf(os.Stderr, "%s: %v\n", earlier, err)
+// Exec prints the present name on standard error and replaces the process by the program of that name in the same directory,
+// with the same arguments and environment. If that fails, Exec prints the error and exits with code 1. It does not return.
+func Exec(program string) {
+	formerName := filepath.Base(os.Args[0])
+	err := execSibling(program)
+	fmt.Fprintf(os.Stderr, "%s: %v\n", formerName, err)
 	os.Exit(exitFailure)
 }
 
-// become does the same, and returns the error where that fails.
-func become(program string) error {
+// execSibling prints the present name and replaces the process. It returns only an error.
+func execSibling(program string) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(os.Stderr, "%s is called %s now\n", filepath.Base(self), program)
+	fmt.Fprintf(os.Stderr, "%s has been renamed to %s\n", filepath.Base(self), program)
 	path := filepath.Join(filepath.Dir(self), program)
 	if err := syscall.Exec(path, append([]string{path}, os.Args[1:]...), os.Environ()); err != nil {
 		return fmt.Errorf("start %s: %w", path, err)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -11,39 +11,39 @@
 	"ottershed/internal/settings"
 )
 
-// Config is what holds for this start.
+// Config holds an instance's configuration after precedence, checks and defaults.
 type Config struct {
-	// Name (name, LB_NAME) is the instance's name, in each line of the log as marshal. Required.
+	// Name (name, LB_NAME) is the instance's name; each log line has it in the field marshal. Required.
 	Name string
 	// Listen (listen, LB_LISTEN) is the host:port that clients connect to. Required, port 1 to 65535.
 	Listen string
-	// Discovery (discovery, LB_DISCOVERY) is the host:port of the endpoint list. Required, port 1 to 65535. It can
-	// change while the instance runs.
+	// Discovery (discovery, LB_DISCOVERY) is the host:port of the discovery service. Required, port 1 to 65535. A
+	// running instance can change it.
 	Discovery string
-	// Platform (platform.address) is the host:port of the rollout controller. Required, port 1 to 65535. It can
-	// change while the instance runs.
+	// Platform (platform.address) is the host:port of the rollout controller. Required, port 1 to 65535. A running
+	// instance can change it.
 	Platform string
-	// Seed (seed) seeds all random choices. Required, a hexadecimal number of 64 bits, new with each start.
+	// Seed (seed) seeds the random number generator. Required, a 64-bit hexadecimal number, new with each start.
 	Seed uint64
-	// Limits (limits) are what the machine gives.
+	// Limits (limits) are the resources of the machine.
 	Limits Limits
-	// Settings and Network (settings) are those of the deployment. Required; those of Settings can change while the
-	// instance runs, see Switchable.
+	// Settings and Network (settings) are the settings of the deployment. Required. A running instance can change
+	// part of Settings, see CanReloadSettings, and nothing of Network.
 	Settings decision.Settings
 	Network  settings.Network
-	// Values are the texts of all settings by their names, those included that nothing reads.
-	Values map[string]string
-	// Endpoints (known) is the endpoint list as it was last held, which may be old; nil: none. Default none.
+	// RawSettings maps each setting's name to its text, including settings that no code reads.
+	RawSettings map[string]string
+	// Endpoints (known) is the last known endpoint list, which may be out of date. Default nil: none.
 	Endpoints *engine.EndpointUpdate
-	// Stage (platform.news) is the newest stage update; nil: none. Default none.
+	// Stage (platform.news) is the newest stage update. Default nil: none.
 	Stage *decision.StageUpdate
-	// Warnings are lines on what is odd but does no harm, such as keys that are not known.
+	// Warnings describe harmless mistakes, such as unknown keys, one per element.
 	Warnings []string
-	// Operator is what the operator's own file says; nil: there is none.
+	// Operator holds the operator's file; nil: no such file.
 	Operator *Operator
 }
 
-// Limits are what the machine gives.
+// Limits holds the resources of the machine that an instance runs on.
 type Limits struct {
 	// Cores (limits.cores) is the number of processors, 0.01 to 1024, default 1. Rounded up it is GOMAXPROCS.
 	Cores float64 `json:"cores"`
@@ -55,24 +55,24 @@
 }
 
 const (
-	reservedDescriptors = 32       // descriptors that are neither a client's nor an endpoint's
-	maxBodyBytes        = 64 << 10 // of the body of a request or response
-	bodiesPerConnection = 3        // bodies that a request holds at most
-	bytesPerMB          = 1 << 20
+	reservedDescriptors = 32       // descriptors not used for connections to clients and endpoints
+	maxBodyBytes        = 64 << 10 // limit on the body of a request or response
+	bodiesPerConnection = 3        // most bodies that a request keeps in memory at once
+	bytesPerMiB         = 1 << 20
 )
 
-// Connections is the number of connections to clients, and also of those to endpoints, that the limits allow: each open
-// request may need one of both, and half of the memory holds the bodies.
+// Connections returns how many connections to clients the limits allow, and likewise to endpoints, at least 1. Each open
+// request may need one connection of both kinds, and half of the memory is reserved for bodies.
 func (l Limits) Connections() int {
 	byDescriptors := (l.Sockets - reservedDescriptors) / 2
-	byMemory := int(l.MemoryMB*bytesPerMB/2) / (bodiesPerConnection * maxBodyBytes)
+	byMemory := int(l.MemoryMB*bytesPerMiB/2) / (bodiesPerConnection * maxBodyBytes)
 	return max(1, min(byDescriptors, byMemory))
 }
 
-// MemoryLimit is the limit for the garbage collector, in bytes: three quarters of the memory.
-func (l Limits) MemoryLimit() int64 { return int64(l.MemoryMB * bytesPerMB * 3 / 4) }
+// MemoryLimit returns the soft memory limit of the Go runtime in bytes: three quarters of the memory.
+func (l Limits) MemoryLimit() int64 { return int64(l.MemoryMB * bytesPerMiB * 3 / 4) }
 
-// String lists what holds, defaults and what follows from the limits included.
+// String lists the configuration, one key per line, including defaults and values derived from the limits.
 func (c *Config) String() string {
 	known, stage := "none", "none"
 	if c.Endpoints != nil {
@@ -102,7 +102,7 @@
 		{"longest client timeout", fmt.Sprintf("%g ms", c.Network.LongestTimeout)},
 		{"connections to clients", c.Limits.Connections()},
 		{"connections to nodes", c.Limits.Connections()},
-		{"memory limit", fmt.Sprintf("%d MB", c.Limits.MemoryLimit()/bytesPerMB)},
+		{"memory limit", fmt.Sprintf("%d MB", c.Limits.MemoryLimit()/bytesPerMiB)},
 	}
 	var text strings.Builder
 	for _, line := range lines {
@@ -111,8 +111,9 @@
 	return text.String()
 }
 
-// RestartOnly names the keys that differ in updated and hold from a start on only. A new seed is not worth a line.
-func (c *Config) RestartOnly(updated *Config) (keys []string) {
+// KeysNeedingRestart returns the keys that differ in updated and take effect only at a restart. It leaves out the seed:
+// a new seed does not justify a warning.
+func (c *Config) KeysNeedingRestart(updated *Config) (keys []string) {
 	for _, part := range []struct {
 		key  string
 		same bool
@@ -120,7 +121,7 @@
 		{"name", c.Name == updated.Name},
 		{"listen", c.Listen == updated.Listen},
 		{"limits", c.Limits == updated.Limits},
-		{"settings", c.Switchable(updated)},
+		{"settings", c.CanReloadSettings(updated)},
 	} {
 		if !part.same {
 			keys = append(keys, part.key)
@@ -129,29 +130,30 @@
 	return keys
 }
 
-// Switchable tells whether a running instance can take next's settings: all but its request classes, tenants, clock
-// granularity and the settings of the sockets.
-func (c *Config) Switchable(next *Config) bool {
-	now, then := c.Settings, next.Settings
-	return reflect.DeepEqual(now.Classes, then.Classes) && reflect.DeepEqual(now.Tenants, then.Tenants) &&
-		now.ClockGranularity == then.ClockGranularity && c.Network == next.Network
+// CanReloadSettings reports whether a running instance can apply next's settings. Request classes, tenants, clock
+// granularity and network settings must be the same, since they need a restart.
+func (c *Config) CanReloadSettings(next *Config) bool {
+	current, updated := c.Settings, next.Settings
+	return reflect.DeepEqual(current.Classes, updated.Classes) && reflect.DeepEqual(current.Tenants, updated.Tenants) &&
+		current.ClockGranularity == updated.ClockGranularity && c.Network == next.Network
 }
 
-// WithPolicy returns the decision module's settings under a policy of the fleet. The error is that of settings.Overlay.
+// WithPolicy returns the decision module's settings with those of a policy applied over them. The error is the one of
+// settings.Overlay.
 func (c *Config) WithPolicy(p *policy.Policy) (decision.Settings, error) {
-	set := c.Settings
+	merged := c.Settings
 	if len(p.Settings) > 0 {
-		values, err := settings.Overlay(c.Values, p.Settings)
+		values, err := settings.Overlay(c.RawSettings, p.Settings)
 		if err != nil {
-			return set, err
+			return merged, err
 		}
-		if set, err = settings.ForModule(values); err != nil {
-			return set, err
+		if merged, err = settings.ForModule(values); err != nil {
+			return merged, err
 		}
 	}
-	set.Halt = p.Halt
+	merged.Halt = p.Halt
 	if p.TrialShare != nil {
-		set.WithheldShare = 1 - *p.TrialShare
+		merged.WithheldShare = 1 - *p.TrialShare
 	}
-	return set, nil
+	return merged, nil
 }
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -21,201 +21,204 @@
 	"ottershed/internal/settings"
 )
 
-// KeyError is returned for a key that is missing or wrong. Keys below settings have settings.FieldError instead.
+// KeyError is returned for a key that is missing, unknown or invalid. For a key below settings, settings.FieldError is
+// returned instead.
 type KeyError struct {
-	Key string // such as limits.cores
+	Key string // full path of the key, such as limits.cores
 	Err error
 }
 
 func (e *KeyError) Error() string { return e.Key + ": " + e.Err.Error() }
 
-// Unwrap returns what is wrong with the key.
+// Unwrap returns the cause without the key.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// errMissing is the fault of a key that is required and not there.
+// errMissing is the cause for a required key that the file does not set.
 var errMissing = errors.New("missing")
 
-// wrongValue makes the fault of a key that has another value than is wanted.
-func wrongValue(key, format string, args ...any) error {
+// keyErrorf returns a KeyError with a formatted cause.
+func keyErrorf(key, format string, args ...any) error {
 	return &KeyError{Key: key, Err: fmt.Errorf(format, args...)}
 }
 
-// file is the configuration as it is encoded.
-type file struct {
-	Name      string   `json:"name"`
-	Listen    string   `json:"listen"`    // host:port
-	Discovery string   `json:"discovery"` // host:port
-	Seed      string   `json:"seed"`      // hexadecimal
-	Limits    Limits   `json:"limits"`
-	Platform  platform `json:"platform"`
-	Known     optional `json:"known"`    // an endpoint list, see discovery.Decode
-	Settings  optional `json:"settings"` // see settings.Flatten
+// configFile is the JSON form of the platform's file.
+type configFile struct {
+	Name      string          `json:"name"`
+	Listen    string          `json:"listen"`    // host:port
+	Discovery string          `json:"discovery"` // host:port
+	Seed      string          `json:"seed"`      // hexadecimal
+	Limits    Limits          `json:"limits"`
+	Platform  platformSection `json:"platform"`
+	Known     rawSection      `json:"known"`    // an endpoint list, see discovery.Decode
+	Settings  rawSection      `json:"settings"` // see settings.Flatten
 }
 
-// platform is the part of the file on the rollout controller.
-type platform struct {
-	Address string   `json:"address"` // host:port
-	News    optional `json:"news"`    // a stage update, see rollout.DecodeStage
+// platformSection is the section of the file about the rollout controller.
+type platformSection struct {
+	Address string     `json:"address"` // host:port
+	News    rawSection `json:"news"`    // a stage update, see rollout.DecodeStage
 }
 
-// optional is a part that has a form of its own.
-type optional = json.RawMessage
+// rawSection is an optional section that another package decodes.
+type rawSection = json.RawMessage
 
-// defaultLimits hold where the file says nothing.
+// defaultLimits apply where the file sets no limits.
 var defaultLimits = Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}
 
-// embedded is the configuration of an instance that is started without one: to try it out, on loopback.
+// defaultConfig is the file of an instance that is started without one: for trying the program out on loopback.
 //
 //go:embed default.json
-var embedded []byte
+var defaultConfig []byte
 
-// Read reads the file at path, or the embedded default if path is empty, and the environment.
+// Read reads the file at path, or the embedded default if path is empty, and applies the environment, which env looks up
+// by variable name. The error is a KeyError, a settings.FieldError, or one of reading or decoding the file.
 func Read(path string, env func(string) string) (*Config, error) {
-	return readAs(path, env, false)
+	return load(path, env, false)
 }
 
-// Reread reads the file again for a running instance. Its environment is that of its start and would keep an address
-// that has been left; so here the file's discovery takes precedence.
+// Reread reads the file again for a running instance. The environment of a process dates from its start, and LB_DISCOVERY
+// would keep an address that discovery has moved away from. The file's discovery therefore takes precedence here.
 func Reread(path string, env func(string) string) (*Config, error) {
-	return readAs(path, env, true)
+	return load(path, env, true)
 }
 
-func readAs(path string, env func(string) string, again bool) (*Config, error) {
-	raw, err := contents(path)
+func load(path string, env func(string) string, isReload bool) (*Config, error) {
+	raw, err := readComplete(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
-	encoded := file{Limits: defaultLimits}
-	var given map[string]json.RawMessage
-	err = json.Unmarshal(raw, &given)
+	encoded := configFile{Limits: defaultLimits}
+	var rawKeys map[string]json.RawMessage
+	err = json.Unmarshal(raw, &rawKeys)
 	if err == nil {
 		err = json.Unmarshal(raw, &encoded)
 	}
 	if err != nil {
-		return nil, unreadable(path, err)
+		return nil, decodeError(path, err)
 	}
-	encoded.override(env, again)
+	encoded.applyEnv(env, isReload)
 	cfg := &Config{
 		Name: encoded.Name, Listen: encoded.Listen, Discovery: encoded.Discovery, Platform: encoded.Platform.Address,
-		Limits: encoded.Limits, Warnings: unknownKeys(given),
+		Limits: encoded.Limits, Warnings: unknownKeys(rawKeys),
 	}
 	if path == "" {
-		cfg.Warnings = append(cfg.Warnings, "config: none is given, the embedded default holds")
+		cfg.Warnings = append(cfg.Warnings, "config: no file given, using the embedded default")
 	}
 	slices.Sort(cfg.Warnings)
 	if err := cfg.check(encoded.Seed); err != nil {
 		return nil, err
 	}
-	return cfg, cfg.decode(encoded)
+	return cfg, cfg.decodeSections(encoded)
 }
 
-// rewriteTimeout is how long a file that ends too soon is read again, since it may still be being written. Without
-// that, an instance that starts in that moment would not come up, and a running one would not take the change.
+// rewriteTimeout is how long an incomplete file is read again, since it may still be being written. Otherwise an instance
+// that starts at that moment would fail, and a running instance would miss the change.
 const rewriteTimeout = 500 * time.Millisecond
 
-// contents are those of the file at path, complete if they are so in time, or of the embedded default if path is empty.
-func contents(path string) (raw []byte, err error) {
+// readComplete returns the contents of the file at path, or the embedded default if path is empty. It reads an incomplete
+// file again until rewriteTimeout, and then returns the incomplete contents.
+func readComplete(path string) (raw []byte, err error) {
 	if path == "" {
-		return embedded, nil
+		return defaultConfig, nil
 	}
 	for end := time.Now().Add(rewriteTimeout); ; time.Sleep(rewriteTimeout / 50) {
 		raw, err = os.ReadFile(path)
-		if err != nil || !truncated(raw) || time.Now().After(end) {
+		if err != nil || !isTruncated(raw) || time.Now().After(end) {
 			return raw, err
 		}
 	}
 }
 
-// truncated tells whether a text is the beginning of JSON and no more.
-func truncated(raw []byte) bool {
+// isTruncated reports whether raw is the beginning of a JSON value that lacks its end.
+func isTruncated(raw []byte) bool {
 	err := json.NewDecoder(bytes.NewReader(raw)).Decode(new(json.RawMessage))
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// unreadable names the key that can't be read, or the file.
-func unreadable(path string, err error) error {
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) && wrong.Field != "" {
-		return wrongValue(wrong.Field, "want %s, got %s", typeName(wrong.Type), wrong.Value)
+// decodeError returns a KeyError for a value of the wrong type, and otherwise an error that names the file.
+func decodeError(path string, err error) error {
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) && typeErr.Field != "" {
+		return keyErrorf(typeErr.Field, "want %s, got %s", jsonTypeName(typeErr.Type), typeErr.Value)
 	}
 	return fmt.Errorf("configuration %s: %w", path, err)
 }
 
-// typeName names what a key must hold, in the terms of the file.
-func typeName(t reflect.Type) string {
+// jsonTypeName returns the JSON type that a Go type is decoded from, for error messages.
+func jsonTypeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Int:
-		return "a whole number"
+		return "an integer"
 	case reflect.Float64:
 		return "a number"
 	case reflect.Struct:
 		return "an object"
 	default:
-		return "text"
+		return "a string"
 	}
 }
 
-// override puts the environment over the file; where it is read again, the file's discovery stays.
-func (f *file) override(env func(string) string, again bool) {
+// applyEnv replaces values of the file by those of the environment. If isReload is set, it keeps the file's discovery.
+func (f *configFile) applyEnv(env func(string) string, isReload bool) {
 	for variable, value := range map[string]*string{
 		"LB_NAME": &f.Name, "LB_LISTEN": &f.Listen, "LB_DISCOVERY": &f.Discovery,
 	} {
 		text := env(variable)
-		kept := again && variable == "LB_DISCOVERY" && *value != ""
+		kept := isReload && variable == "LB_DISCOVERY" && *value != ""
 		if text != "" && !kept {
 			*value = text
 		}
 	}
 }
 
-// unknownKeys returns a warning for each key that nothing reads.
-func unknownKeys(given map[string]json.RawMessage) (warnings []string) {
-	warnings = unknownIn("", given, reflect.TypeFor[file]())
+// unknownKeys returns a warning for each key that no field decodes.
+func unknownKeys(rawKeys map[string]json.RawMessage) (warnings []string) {
+	warnings = unknownFields("", rawKeys, reflect.TypeFor[configFile]())
 	for key, in := range map[string]reflect.Type{
 		"limits":   reflect.TypeFor[Limits](),
-		"platform": reflect.TypeFor[platform](),
+		"platform": reflect.TypeFor[platformSection](),
 	} {
-		var part map[string]json.RawMessage
-		if json.Unmarshal(given[key], &part) == nil {
-			warnings = append(warnings, unknownIn(key+".", part, in)...)
+		var section map[string]json.RawMessage
+		if json.Unmarshal(rawKeys[key], &section) == nil {
+			warnings = append(warnings, unknownFields(key+".", section, in)...)
 		}
 	}
 	return warnings
 }
 
-// unknownIn does so for the keys of one struct; prefix stands before them.
-func unknownIn(prefix string, given map[string]json.RawMessage, in reflect.Type) (warnings []string) {
-	for key := range given {
+// unknownFields returns a warning for each key that is not the JSON tag of a field of in. It puts prefix before the keys.
+func unknownFields(prefix string, rawKeys map[string]json.RawMessage, in reflect.Type) (warnings []string) {
+	for key := range rawKeys {
 		known := false
 		for i := range in.NumField() {
 			known = known || in.Field(i).Tag.Get("json") == key
 		}
 		if !known {
-			warnings = append(warnings, prefix+key+": not a key that is known")
+			warnings = append(warnings, prefix+key+": unknown key")
 		}
 	}
 	return warnings
 }
 
-// check checks the values that the file holds directly, and reads the seed.
+// check checks the values that have no section decoder of their own, and parses the seed.
 func (c *Config) check(seed string) (err error) {
 	if c.Name == "" {
 		return &KeyError{Key: "name", Err: errMissing}
 	}
-	for _, part := range []struct{ key, address string }{
+	for _, entry := range []struct{ key, address string }{
 		{"listen", c.Listen}, {"discovery", c.Discovery}, {"platform.address", c.Platform},
 	} {
-		if !isHostPort(part.address) {
-			return wrongValue(part.key, "want host:port, got %q", part.address)
+		if !isHostPort(entry.address) {
+			return keyErrorf(entry.key, "want host:port, got %q", entry.address)
 		}
 	}
 	if c.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
-		return wrongValue("seed", "want a hexadecimal number of 64 bits, got %q", seed)
+		return keyErrorf("seed", "want a 64-bit hexadecimal number, got %q", seed)
 	}
 	return c.Limits.check()
 }
 
-// isHostPort tells whether an address has a host and a port other than 0.
+// isHostPort reports whether an address is host:port with a host and a port other than 0.
 func isHostPort(address string) bool {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || host == "" {
@@ -235,14 +238,14 @@
 		{"limits.sockets", float64(l.Sockets), 2 * reservedDescriptors, 1 << 20},
 	} {
 		if limit.value < limit.low || limit.value > limit.high {
-			return wrongValue(limit.key, "want %v to %.0f, got %v", limit.low, limit.high, limit.value)
+			return keyErrorf(limit.key, "want %v to %.0f, got %v", limit.low, limit.high, limit.value)
 		}
 	}
 	return nil
 }
 
-// decode reads the parts that have a form of their own.
-func (c *Config) decode(encoded file) error {
+// decodeSections decodes the sections that other packages define.
+func (c *Config) decodeSections(encoded configFile) error {
 	if err := c.decodeSettings(encoded.Settings); err != nil {
 		return err
 	}
@@ -264,22 +267,22 @@
 	return nil
 }
 
-func (c *Config) decodeSettings(raw optional) (err error) {
+func (c *Config) decodeSettings(raw rawSection) (err error) {
 	if !isPresent(raw) {
 		return &KeyError{Key: "settings", Err: errMissing}
 	}
-	if c.Values, err = settings.Flatten(raw); err != nil {
+	if c.RawSettings, err = settings.Flatten(raw); err != nil {
 		return &KeyError{Key: "settings", Err: err}
 	}
-	if c.Settings, err = settings.ForModule(c.Values); err != nil {
+	if c.Settings, err = settings.ForModule(c.RawSettings); err != nil {
 		return err
 	}
-	c.Network, err = settings.ForNetwork(c.Values)
+	c.Network, err = settings.ForNetwork(c.RawSettings)
 	return err
 }
 
-// isPresent tells whether a part is there and holds something.
-func isPresent(part optional) bool {
-	text := strings.TrimSpace(string(part))
+// isPresent reports whether a section is neither missing, null nor an empty object.
+func isPresent(section rawSection) bool {
+	text := strings.TrimSpace(string(section))
 	return text != "" && text != "null" && text != "{}"
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -10,21 +10,22 @@
 	"ottershed/internal/cluster/raftlog"
 )
 
-// Operator is what the operator's own file says, beside what the platform hands over. Each part is off by default.
+// Operator holds the configuration from the operator's file, which complements the platform's file. Each part is off by
+// default.
 type Operator struct {
-	// Admin (admin.listen) is the ip:port of the admin server, an address of loopback. Default empty: no server.
+	// Admin (admin.listen) is the ip:port of the admin server, a loopback address. Default empty: no admin server.
 	Admin string
 	// Membership (membership) configures the failure detector among instances. Default nil: off.
 	Membership *gossip.Config
 	// Policy (policy) configures the replicated log. Default nil: off.
 	Policy *raftlog.Config
 	// LeaseTTL (takeover.lease) is how long a lease lasts without renewal, at least three times
-	// Policy.ElectionTimeout. By default 5 s where takeover is on; 0: off. Higher tolerates longer outages, and work
-	// is taken over later.
+	// Policy.ElectionTimeout. Default 5 s if takeover is enabled; 0: takeover is off. A higher value tolerates longer
+	// outages and delays takeovers.
 	LeaseTTL time.Duration
 }
 
-// String lists what holds of the operator's file.
+// String lists the configuration, one key per line.
 func (o *Operator) String() string {
 	lines := [][2]string{
 		{"admin.listen", cmp.Or(o.Admin, "none")},
@@ -43,11 +44,11 @@
 		lines[2][1] = fmt.Sprintf("%s, %d servers, %v to elect, store in %s", role, len(c.Servers), c.ElectionTimeout, c.Dir)
 	}
 	if c := o.Membership; c != nil {
-		sealed := "packets not sealed"
+		signing := "packets not sealed"
 		if len(c.Codec.Key) > 0 {
-			sealed = "packets sealed"
+			signing = "packets sealed"
 		}
-		lines[1][1] = fmt.Sprintf("cluster %q, %s, %d seeds", c.Codec.Cluster, sealed, len(c.Membership.Seeds))
+		lines[1][1] = fmt.Sprintf("cluster %q, %s, %d seeds", c.Codec.Cluster, signing, len(c.Membership.Seeds))
 		lines = append(lines, [][2]string{
 			{"membership.bind", c.Bind},
 			{"membership.advertise", c.Membership.Address},
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,13 +1,13 @@
-// Package settings reads the settings of a deployment by their names, from the simulator's wire and from the
-// configuration's JSON alike: Pairs or Flatten make a map of texts, ForModule and ForNetwork read it. Overlay puts
-// settings of a policy over those of a running instance.
+// Package settings parses a deployment's settings by name. They come as pairs from the simulator or as JSON from the
+// configuration file: Pairs and Flatten turn either form into a map from names to texts, and ForModule and ForNetwork read
+// this map. Overlay applies the settings of a policy over those of a running instance.
 //
-// The names and bounds of all settings are listed in docs/configuration.md. The first setting that is missing or out of
-// bounds is reported as a FieldError.
+// docs/configuration.md lists the names and bounds of all settings. The first setting that is missing or out of bounds is
+// reported as a FieldError.
 //
-//	values.go    reading one value with its bounds; FieldError
-//	flatten.go   Pairs and Flatten
-//	network.go   Network: what the sockets need
-//	module.go    ForModule: what the decision module needs
-//	overlay.go   Overlay
+//	reader.go     settingReader: reads single settings and checks their bounds; FieldError
+//	flatten.go    Pairs and Flatten
+//	network.go    Network: the settings of the sockets
+//	decision.go   ForModule: the settings of the decision module
+//	overlay.go    Overlay
 package settings
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Pairs splits texts of the form name=value; those without = are left out.
+// Pairs splits texts of the form name=value into a map. It leaves out texts without =.
 func Pairs(parts []string) map[string]string {
 	texts := make(map[string]string, len(parts))
 	for _, part := range parts {
@@ -19,12 +19,12 @@
 	return texts
 }
 
-// ErrNotObject is returned for settings that are not a JSON object.
+// ErrNotObject is returned by Flatten and Overlay for settings that are not a JSON object.
 var ErrNotObject = errors.New("want an object")
 
-// Flatten turns nested JSON into the names that Pairs gives: dots join the keys on the way, commas the items of plain
-// lists; a list of objects gives its length under .count and its items under .0, .1 and so on. What is null is left
-// out.
+// Flatten turns a JSON object into the same map of names and texts that Pairs returns. Names are the keys on the path,
+// joined by dots. The items of a list of scalars are joined by commas. A list of objects has its length under .count and
+// its items under .0, .1 and so on. Flatten leaves out null values. The error wraps ErrNotObject.
 func Flatten(raw []byte) (map[string]string, error) {
 	decoder := json.NewDecoder(strings.NewReader(string(raw)))
 	decoder.UseNumber()
@@ -37,7 +37,7 @@
 	return texts, nil
 }
 
-// flatten puts a value into texts under its name, or what is below it under the names there.
+// flatten adds a scalar to texts under its name, and the members of an object or list under their names.
 func flatten(texts map[string]string, name string, value any) {
 	switch value := value.(type) {
 	case nil:
@@ -53,16 +53,16 @@
 }
 
 func flattenList(texts map[string]string, name string, list []any) {
-	var plain []string
+	var scalars []string
 	for i, item := range list {
 		if _, nested := item.(map[string]any); nested {
 			flatten(texts, name+"."+strconv.Itoa(i), item)
 			texts[name+".count"] = strconv.Itoa(i + 1)
 		} else {
-			plain = append(plain, fmt.Sprint(item))
+			scalars = append(scalars, fmt.Sprint(item))
 		}
 	}
-	if len(plain) > 0 || len(list) == 0 {
-		texts[name] = strings.Join(plain, ",")
+	if len(scalars) > 0 || len(list) == 0 {
+		texts[name] = strings.Join(scalars, ",")
 	}
 }
--- a/internal/settings/overlay.go
+++ b/internal/settings/overlay.go
@@ -7,36 +7,36 @@
 	"strings"
 )
 
-// Overlay puts settings, nested JSON by the same names, over those of a running instance. It takes only those that the
-// decision module reads and a running instance can change. The error is a FieldError for the first that is neither, or
-// wraps ErrNotObject.
-func Overlay(base map[string]string, over []byte) (map[string]string, error) {
-	changes, err := Flatten(over)
+// Overlay returns base, the settings of a running instance, with those of the JSON object override applied over them. It
+// accepts only settings that the decision module reads and a running instance can change. The error is a FieldError for
+// the first other or invalid setting, or wraps ErrNotObject.
+func Overlay(base map[string]string, override []byte) (map[string]string, error) {
+	changes, err := Flatten(override)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	merged := maps.Clone(base)
 	maps.Copy(merged, changes)
-	module := &values{texts: merged, requested: map[string]bool{}}
-	network := &values{texts: base, requested: map[string]bool{}}
-	if _, err := forModule(module); err != nil {
+	module := &settingReader{texts: merged, keysRead: map[string]bool{}}
+	network := &settingReader{texts: base, keysRead: map[string]bool{}}
+	if _, err := decisionSettings(module); err != nil {
 		return nil, err
 	}
-	if _, err := forNetwork(network); err != nil {
+	if _, err := networkSettings(network); err != nil {
 		return nil, err
 	}
 	for _, key := range slices.Sorted(maps.Keys(changes)) {
 		switch {
-		case needsRestart(key) || network.requested[key]:
+		case needsRestart(key) || network.keysRead[key]:
 			return nil, FieldError{Key: key, Reason: reasonNotChangeable}
-		case !module.requested[key]:
-			return nil, FieldError{Key: key, Reason: reasonNotASetting}
+		case !module.keysRead[key]:
+			return nil, FieldError{Key: key, Reason: reasonUnknownSetting}
 		}
 	}
 	return merged, nil
 }
 
-// needsRestart tells whether a setting of the decision module holds from a start on.
+// needsRestart reports whether a setting of the decision module takes effect only at a restart.
 func needsRestart(key string) bool {
 	return strings.HasPrefix(key, "services.") || strings.HasPrefix(key, "tenants.") ||
 		key == "granularity-ms" || key == "zone"
