--- a/cmd/balancer/admin_golden_test.go
+++ b/cmd/balancer/admin_golden_test.go
@@ -17,7 +17,7 @@
 	"ottershed/internal/golden"
 )
 
-// served returns an encoder that serves a value on an admin address and returns the response's body.
+// adminEncoder returns a function that serves a value on an admin address and returns the response's body.
 func adminEncoder(t *testing.T) func(value any) ([]byte, error) {
 	t.Helper()
 	return func(value any) ([]byte, error) {
@@ -61,14 +61,14 @@
 	}
 }
 
-// The responses of the admin address are as commands of earlier programs, and scripts of operators, read them.
+// The JSON of the admin interface stays as it was, since commands of earlier versions and operators' scripts read it.
 func TestAdminResponseFormat(t *testing.T) {
 	encode := adminEncoder(t)
 	status := fleetStatus()
 	golden.RoundTrip(t, "members.json", memberView(), encode, json.Unmarshal)
 	golden.RoundTrip(t, "policy_status.json", status, encode, json.Unmarshal)
 	golden.RoundTrip(t, "policy_self.json", status.Members[0], encode, json.Unmarshal)
-	// The admin address indents a policy's JSON too, and so changes its bytes; a number has none to indent.
+	// The admin server indents a policy's JSON too, which would change its bytes. A number stays the same.
 	golden.RoundTrip(t, "policy_history.json", []policysync.HistoryEntry{{
 		Version: 7, ID: "an-id", Proposer: "marshal-a", At: 1764700000123.5,
 		Sum: "fedcba98", Policy: json.RawMessage(`7`),
--- a/cmd/balancer/cluster.go
+++ b/cmd/balancer/cluster.go
@@ -20,8 +20,8 @@
 	"ottershed/internal/rollout"
 )
 
-// clusterServices are what an instance shares with the other members of its cluster and shows its operators. Without an
-// operator's file it is empty, and nothing of it runs.
+// clusterServices holds the services that connect an instance to its cluster and to its operators: membership, policy,
+// takeover and the admin server. Without an operator's file none of them runs.
 type clusterServices struct {
 	cfg           *config.Config
 	clock         *clock.Clock
@@ -29,17 +29,18 @@
 	gossip        *gossip.Transport // nil: membership is off
 	policy        *policysync.Node  // nil: policy is off
 	failover      *failover.Manager // nil: takeover is off
-	admin         *admin.Server     // nil: the operator's file names no address for it
-	adminListener net.Listener      // of admin
+	admin         *admin.Server     // nil: admin.listen is not set
+	adminListener net.Listener
 }
 
-// membersResponse is what `members` prints.
+// membersResponse is the response to /members, which the command `members` prints.
 type membersResponse struct {
 	*membership.View
 	Counters gossip.Counters `json:"counters"`
 }
 
-// newClusterServices opens what the operator's file switches on. Each service needs the ones before it.
+// newClusterServices opens the services that the operator's file enables, in the order in which they depend on each
+// other.
 func newClusterServices(cfg *config.Config, source *settingsSource, eng *engine.Engine, controller *rollout.Client,
 	monotonic *clock.Clock, log logrus.FieldLogger,
 ) (*clusterServices, error) {
@@ -86,7 +87,7 @@
 	s.log.WithFields(logrus.Fields{
 		"bind": cfg.Bind, "advertise": cfg.Membership.Address,
 		"cluster": cfg.Codec.Cluster, "seeds": len(cfg.Membership.Seeds),
-	}).Info("membership on")
+	}).Info("membership enabled")
 	if s.admin != nil {
 		s.admin.Get("/members", func() any { return membersResponse{s.gossip.View(), s.gossip.Counters()} })
 	}
@@ -106,7 +107,7 @@
 	s.policy = node
 	s.log.WithFields(logrus.Fields{
 		"server": cfg.IsServer(), "bind": cfg.Bind, "servers": len(cfg.Servers), "dir": cfg.Dir,
-	}).Info("policy on")
+	}).Info("policy enabled")
 	if s.admin != nil {
 		s.admin.GetWith("/policy/status", func(ctx context.Context) any { return node.FleetStatus(ctx) })
 		s.admin.Get("/policy/self", func() any { return node.Self() })
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// openTakeover switches takeover on. The operator's file can't without membership and policy.
+// openTakeover creates the failover manager if takeover is enabled, which config allows only with membership and policy.
 func (s *clusterServices) openTakeover(eng *engine.Engine, controller *rollout.Client) {
 	ttl := s.cfg.Operator.LeaseTTL
 	if ttl <= 0 {
@@ -128,7 +129,7 @@
 	cfg := failover.Config{Name: s.cfg.Name, Incarnation: uint64(s.gossip.RunID()), TTL: ttl}
 	manager := failover.New(cfg, s.policy, eng, controller, s.gossip, s.clock, s.log)
 	s.failover = manager
-	s.log.WithField("lease", ttl.String()).Info("takeover on")
+	s.log.WithField("lease", ttl.String()).Info("takeover enabled")
 	if s.admin != nil {
 		s.admin.Post("/work", func(ctx context.Context, _ []byte) (any, error) { return manager.Status(ctx) })
 		s.admin.GetWith("/work/seen", func(ctx context.Context) any { return manager.EvidenceSummary(ctx) })
@@ -154,13 +155,13 @@
 	if s.admin != nil {
 		running.Go(func() {
 			if err := s.admin.Run(ctx, s.adminListener); err != nil {
-				s.log.WithError(err).Error("admin ended")
+				s.log.WithError(err).Error("admin server failed")
 			}
 		})
 	}
 }
 
-// leave releases the leases and tells the other members that this one goes. It is called once.
+// leave releases the leases and announces to the other members that this instance leaves. It is called once.
 func (s *clusterServices) leave(ctx context.Context) {
 	if s.failover != nil {
 		s.failover.ReleaseAll(ctx)
@@ -170,8 +171,8 @@
 	}
 }
 
-// voter takes the votes of the decision module: the client of the rollout controller, or the failover manager in front of
-// it, which lets only the votes of a lease's holder pass.
+// voteController returns the receiver of the decision module's votes. This is the client of the rollout controller, or the
+// failover manager in front of that client, which passes on only the votes of a lease holder.
 func (s *clusterServices) voteController(controller *rollout.Client) engine.Controller {
 	if s.failover != nil {
 		return s.failover
@@ -179,7 +180,7 @@
 	return controller
 }
 
-// reload follows a configuration that was read again: a policy that did not go with the earlier one is tried anew.
+// retryPolicy retries after a reload to apply a policy that was incompatible with the previous configuration.
 func (s *clusterServices) retryPolicy() {
 	if s.policy != nil {
 		s.policy.Retry()
--- a/cmd/balancer/lease.go
+++ b/cmd/balancer/lease.go
@@ -11,19 +11,19 @@
 	"ottershed/internal/cluster/failover"
 )
 
-// leaseCommand is `work`: the leases of a cluster.
+// leaseCommand returns the command group `work`, which lists and takes over leases.
 func leaseCommand() *cli.Command {
 	commands := []*cli.Command{
 		{
-			Name: "status", Usage: "who owns which piece of work, under which token",
+			Name: "status", Usage: "print the holder, token and checkpoint of each lease",
 			Flags: []cli.Flag{adminFlag(), jsonFlag()}, Action: printLeases,
 		},
 		{
-			Name: "take", Usage: "have the marshal take a piece over whose lease has lapsed", ArgsUsage: "WORK",
+			Name: "take", Usage: "have the instance take over a lease that has expired", ArgsUsage: "WORK",
 			Flags: []cli.Flag{adminFlag()}, Action: takeOverLease,
 		},
 	}
-	return groupCommand("work", "the work that marshals have in hand, and who has taken it over", commands)
+	return groupCommand("work", "leases on the work of instances, and their takeover", commands)
 }
 
 func takeOverLease(ctx context.Context, cmd *cli.Command) error {
--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -1,12 +1,13 @@
-// Command balancer is the load balancer: it serves requests as one instance, and asks running instances for their state.
+// Command balancer is the load balancer. It runs an instance that serves requests, and queries and controls running
+// instances.
 //
-//	serve, instance.go     an instance: its components, the order in which they start and stop
-//	readiness.go           when a new instance takes requests
-//	reload.go              SIGHUP: what a running instance takes over from its configuration
-//	settings_source.go     where the configuration's settings and the cluster's policy meet
-//	cluster.go             membership, policy and takeover, off by default
-//	summary.go             the line of figures
-//	commands.go            the command line; policy.go and lease.go have its two groups of commands
+//	serve.go, instance.go  an instance: its components, and the order in which they start and stop
+//	readiness.go           when a new instance becomes ready
+//	reload.go              SIGHUP: which part of the configuration a running instance reloads
+//	settings_source.go     the settings in force, from the configuration and the cluster's policy
+//	cluster.go             membership, policy, takeover and the admin server, all off by default
+//	summary.go             summary log lines
+//	commands.go            the command line; policy.go and lease.go have the command groups policy and work
 package main
 
 import (
@@ -18,16 +19,16 @@
 	"github.com/urfave/cli/v3"
 )
 
-// version is the newest one in CHANGELOG.md.
+// version is the newest version in CHANGELOG.md.
 const version = "0.3.1"
 
 // Exit codes.
 const (
 	exitFailure = 1
-	exitUsage   = 2 // as of Go's own tools
+	exitUsage   = 2 // as in Go's own tools
 )
 
-// errUsage marks a mistake on the command line.
+// errUsage marks an invalid command line.
 var errUsage = errors.New("usage")
 
 func main() {
--- a/cmd/balancer/policy.go
+++ b/cmd/balancer/policy.go
@@ -17,7 +17,7 @@
 	"ottershed/internal/cluster/policysync"
 )
 
-// proposeWait is a little more than an instance takes to give a proposal up.
+// proposeTimeout is slightly longer than the time after which an instance abandons a proposal.
 const proposeTimeout = 25 * time.Second
 
 // Layout of the tables that commands print.
@@ -26,29 +26,29 @@
 	tablePadding  = 2
 )
 
-// policyCommand is `policy`: the versions of a cluster's policy.
+// policyCommand returns the command group `policy`, which proposes, checks and lists versions of a cluster's policy.
 func policyCommand() *cli.Command {
-	id := &cli.StringFlag{Name: "id", Usage: "the `ID` of an earlier try whose end is not known"}
-	base := &cli.Uint64Flag{Name: "base", Usage: "only if `VERSION` still holds"}
+	id := &cli.StringFlag{Name: "id", Usage: "the `ID` of an earlier attempt whose result is unknown"}
+	base := &cli.Uint64Flag{Name: "base", Usage: "reject the proposal unless `VERSION` is still the newest"}
 	commands := []*cli.Command{
 		{
-			Name: "propose", Usage: "have all marshals run the policy of a file, or none", ArgsUsage: "FILE",
+			Name: "propose", Usage: "have all instances apply the policy in a file, or none", ArgsUsage: "FILE",
 			Flags: []cli.Flag{adminFlag(), id, base}, Action: proposePolicy,
 		},
-		{Name: "check", Usage: "read a policy's file and say what is wrong with it", ArgsUsage: "FILE", Action: checkPolicy},
+		{Name: "check", Usage: "check a policy file, and print the policy or the error", ArgsUsage: "FILE", Action: checkPolicy},
 		{
-			Name: "status", Usage: "which marshal runs which version",
+			Name: "status", Usage: "print which version each instance has applied",
 			Flags: []cli.Flag{adminFlag(), jsonFlag()}, Action: printPolicyStatus,
 		},
 		{
-			Name: "history", Usage: "the versions so far",
+			Name: "history", Usage: "print all versions so far",
 			Flags: []cli.Flag{adminFlag(), jsonFlag()}, Action: printPolicyHistory,
 		},
 	}
-	return groupCommand("policy", "what all marshals of a fleet run, everywhere or nowhere", commands)
+	return groupCommand("policy", "the policy that all instances of a cluster share", commands)
 }
 
-// readPolicy reads and checks the file that is named, and returns its canonical form.
+// readPolicy reads and checks the file that the argument names, and returns the policy in canonical form.
 func readPolicy(cmd *cli.Command) ([]byte, error) {
 	path := cmd.Args().First()
 	raw, err := os.ReadFile(path)
@@ -95,16 +95,17 @@
 	if err := json.Unmarshal(response, &result); err != nil {
 		return err
 	}
-	repeated := ""
+	duplicate := ""
 	if result.Duplicate {
-		repeated = ", which it had got before"
+		duplicate = ", already committed by an earlier proposal"
 	}
-	_, err = fmt.Fprintf(cmd.Root().Writer, "version %d%s (id %s)\n", result.Version, repeated, result.ID)
+	_, err = fmt.Fprintf(cmd.Root().Writer, "version %d%s (id %s)\n", result.Version, duplicate, result.ID)
 	return err
 }
 
-// show asks an instance and prints its response: as it is with --json, else as the table that writeRows writes, with a tab
-// between columns. response is decoded before writeRows is called.
+// printResponse requests a path of an instance's admin interface and prints the response. With --json it prints the JSON
+// unchanged, otherwise a table. It decodes the JSON into response and then calls writeRows, which writes the rows with tabs
+// between columns.
 func printResponse(ctx context.Context, cmd *cli.Command, path string, request []byte, response any,
 	writeRows func(*strings.Builder),
 ) error {
@@ -153,7 +154,7 @@
 		for _, entry := range history {
 			var text bytes.Buffer
 			if err := json.Compact(&text, entry.Policy); err != nil {
-				text.WriteString("unreadable: " + err.Error()) // it came from JSON, so it can't be
+				text.WriteString("unreadable: " + err.Error()) // not expected: entry.Policy was decoded from valid JSON
 			}
 			at := time.UnixMilli(int64(entry.At)).UTC().Format(time.RFC3339)
 			fmt.Fprintf(rows, "%d\t%s\t%s\t%s\n", entry.Version, at, entry.Proposer, text.String())
--- a/cmd/balancer/readiness.go
+++ b/cmd/balancer/readiness.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// discoveryTimeout is how long a new process rejects requests while discovery has sent no endpoint list. The operators
-// publish that nine in ten restarted instances are ready within 10 s, within 6 s where the day ends sooner. The second in
-// between is for the process to come up, for a configuration that is still being written, and for a busy machine.
+// discoveryTimeout is how long a new process rejects requests until discovery has sent an endpoint list. The operators
+// publish that nine in ten restarted instances are ready within 10 s, or within 6 s if the day ends sooner. The difference
+// of 1 s is for starting the process, for a configuration that is still being written, and for a busy machine.
 const discoveryTimeout = 5 * time.Second
 
-// waitsForEndpoints tells whether the instance is ready only once discovery has sent a list. What discovery holds counts
-// as known from the process's first moment, and the list of the configuration may be older: an endpoint that was
-// announced as draining must get nothing. Where a poll costs the service something, the decision module says when to
-// poll, and there is no wait.
+// requiresEndpointList reports whether the instance is ready only after discovery has sent a list. An instance is expected
+// to know discovery's list from its start, and the configuration's list may be older. It could still have an endpoint that
+// was announced as draining and must get no requests. If polls are charged for, the decision module decides when to poll,
+// and the instance does not wait.
 func (i *instance) requiresEndpointList() bool { return !i.cfg.Settings.PollEndpoints }
 
-// becomeReady waits for the endpoint list, until readyBy at most. Opening the components takes a part of that time.
-func (i *instance) awaitEndpointList(ctx context.Context, readyBy time.Time) {
-	limit := time.NewTimer(time.Until(readyBy))
-	defer limit.Stop()
+// awaitEndpointList makes the instance ready as soon as discovery has sent a list, at the latest at readyDeadline. The
+// deadline counts from before the components are opened.
+func (i *instance) awaitEndpointList(ctx context.Context, readyDeadline time.Time) {
+	timeout := time.NewTimer(time.Until(readyDeadline))
+	defer timeout.Stop()
 	select {
 	case <-ctx.Done():
 		return
 	case <-i.watcher.Received():
-	case <-limit.C:
-		i.log.Warn("no endpoint list since the start, using the one of the configuration")
+	case <-timeout.C:
+		i.log.Warn("no endpoint list received since the start, using the configured list")
 	}
 	i.ingress.SetReady()
 }
--- a/cmd/balancer/reload.go
+++ b/cmd/balancer/reload.go
@@ -10,7 +10,7 @@
 	"ottershed/internal/config"
 )
 
-// reloader reads the configuration again at each SIGHUP.
+// reloader reloads the configuration at each SIGHUP.
 type reloader struct {
 	instance *instance
 	hup      <-chan os.Signal
@@ -29,9 +29,9 @@
 	}
 }
 
-// reload takes over what a running process can: the addresses, and the settings, all or none of them: none
-// if a class, a tenant, the granularity or a setting of the sockets differs, or if the cluster's policy does
-// not go with them. A file that is wrong or half written leaves everything as it was.
+// reload applies the part of the configuration that a running instance can change: the addresses, and the settings. It
+// applies all settings or none: none if a request class, tenant, the clock granularity or a network setting differs, or if
+// the cluster's policy is incompatible with them. An invalid or incomplete file changes nothing.
 func (r *reloader) reload(ctx context.Context) {
 	inst := r.instance
 	next, err := r.reread()
@@ -40,13 +40,13 @@
 		return
 	}
 	if fixed := inst.cfg.KeysNeedingRestart(next); len(fixed) > 0 {
-		inst.log.WithField("keys", strings.Join(fixed, ",")).Warn("configuration: these need a restart")
+		inst.log.WithField("keys", strings.Join(fixed, ",")).Warn("configuration: these keys need a restart")
 	}
 	if inst.cfg.CanReloadSettings(next) {
 		inst.settings.reload(next)
 		inst.cluster.retryPolicy()
 	}
-	// The watcher takes its address at once; the controller's client may wait while it connects, so it comes last.
+	// The watcher accepts its address at once. The controller's client may block while it connects, so it comes last.
 	inst.watcher.SetAddress(ctx, next.Discovery)
 	inst.controller.SetAddress(ctx, next.Platform)
 	fields := logrus.Fields{"discovery": next.Discovery, "platform": next.Platform}
--- a/cmd/balancer/serve.go
+++ b/cmd/balancer/serve.go
@@ -16,10 +16,10 @@
 	"ottershed/internal/logging"
 )
 
-// serve is the command of that name: it reads the configuration and runs an instance until SIGTERM or an interrupt.
+// serve implements the command `serve`: it reads the configuration and runs an instance until SIGTERM or an interrupt.
 //
-// Signals are caught before the configuration is read. A SIGHUP from before that was ignored by the deploy file's `run`,
-// and is of a file that is read anyway.
+// It catches signals before it reads the configuration, so that a SIGHUP in between does not end the process. The command
+// `run` in the deploy file ignores an earlier SIGHUP, which loses nothing: the file is read after it.
 func serve(ctx context.Context, cmd *cli.Command) error {
 	stop, hup := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
--- a/cmd/balancer/settings_source.go
+++ b/cmd/balancer/settings_source.go
@@ -11,35 +11,35 @@
 	"ottershed/internal/config"
 )
 
-// settingsSource is the one place where the settings of the configuration, as last read, and the policy that the cluster
-// runs come together. It publishes the settings that follow when they change.
+// settingsSource derives the settings in force from the last configuration and the cluster's policy, and publishes them
+// when they change. No other code combines the two.
 type settingsSource struct {
 	log      logrus.FieldLogger
-	onChange func(decision.Settings) // nil: nobody is told
+	onChange func(decision.Settings) // called with the new settings under mu; nil: no receiver
 
 	mu            sync.Mutex
 	cfg           *config.Config
 	policy        *policy.Policy    // nil: none
-	trialsBlocked bool              // no request goes to a build in trial: what the cluster has decided is not known here yet
-	current       decision.Settings // as last published
+	trialsBlocked bool              // no request goes to a candidate, since this instance may not know the newest policy
+	current       decision.Settings // the last published settings
 }
 
 func newSettingsSource(cfg *config.Config, log logrus.FieldLogger) *settingsSource {
 	source := &settingsSource{log: log, cfg: cfg}
 	source.trialsBlocked = cfg.Operator != nil && cfg.Operator.Policy != nil
-	source.current, _ = source.resolve(nil) // without a policy nothing can be wrong
+	source.current, _ = source.resolve(nil) // only a policy can cause an error
 	return source
 }
 
-// settings are those to begin with.
+// initial returns the settings at the start. It must not be called after the first reload or policy.
 func (s *settingsSource) initial() decision.Settings { return s.current }
 
-// resolve returns the settings under a policy, nil for none. The lock is held.
-func (s *settingsSource) resolve(running *policy.Policy) (decision.Settings, error) {
+// resolve returns the settings under a policy, nil for none. The caller holds the lock.
+func (s *settingsSource) resolve(active *policy.Policy) (decision.Settings, error) {
 	settings := s.cfg.Settings
 	var err error
-	if running != nil {
-		settings, err = s.cfg.WithPolicy(running)
+	if active != nil {
+		settings, err = s.cfg.WithPolicy(active)
 	}
 	if s.trialsBlocked {
 		settings.WithheldShare = 1
@@ -47,7 +47,7 @@
 	return settings, err
 }
 
-// publish hands settings over if they are new. The lock is held.
+// publish calls onChange if settings differ from the last published ones. The caller holds the lock.
 func (s *settingsSource) publish(settings decision.Settings) {
 	if reflect.DeepEqual(s.current, settings) {
 		return
@@ -59,11 +59,11 @@
 	s.log.WithFields(logrus.Fields{
 		"marshals": settings.Instances, "control": settings.Control, "hold_votes": settings.HoldQuorum,
 		"back_votes": settings.RollbackQuorum, "withheld": settings.WithheldShare, "halt": settings.Halt,
-	}).Info("settings taken")
+	}).Info("settings applied")
 }
 
-// reload takes over a configuration that was read again. The policy that the cluster runs comes first: a configuration
-// that does not go with it is not taken over.
+// reload applies a new configuration. The cluster's policy takes precedence: a configuration that is incompatible with it
+// is not applied.
 func (s *settingsSource) reload(next *config.Config) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,13 +72,13 @@
 	settings, err := s.resolve(s.policy)
 	if err != nil {
 		s.cfg = previous
-		s.log.WithError(err).Error("configuration not reloaded: the running policy does not go with it")
+		s.log.WithError(err).Error("configuration not reloaded: incompatible with the active policy")
 		return
 	}
 	s.publish(settings)
 }
 
-// check tells whether this instance could run a policy.
+// check returns an error if this instance could not apply the policy in body.
 func (s *settingsSource) check(body []byte) error {
 	proposed, _, err := policy.Parse(body)
 	if err != nil {
@@ -90,12 +90,12 @@
 	return err
 }
 
-// apply runs a policy from now on. One that can't be run changes nothing.
+// apply makes a policy the active one. If the policy can't be applied, apply changes nothing and returns the error.
 func (s *settingsSource) apply(decided policy.Decision) error {
-	var running *policy.Policy
+	var active *policy.Policy
 	if decided.Record.Version > 0 {
 		var err error
-		if running, _, err = policy.Parse(decided.Record.Body); err != nil {
+		if active, _, err = policy.Parse(decided.Record.Body); err != nil {
 			return err
 		}
 	}
@@ -103,12 +103,12 @@
 	defer s.mu.Unlock()
 	previous := s.trialsBlocked
 	s.trialsBlocked = !decided.TrialsAdmitted
-	settings, err := s.resolve(running)
+	settings, err := s.resolve(active)
 	if err != nil {
 		s.trialsBlocked = previous
 		return err
 	}
-	s.policy = running
+	s.policy = active
 	s.publish(settings)
 	return nil
 }
