--- a/cmd/balancer/cluster.go
+++ b/cmd/balancer/cluster.go
@@ -109,7 +109,7 @@
 		"server": cfg.IsServer(), "bind": cfg.Bind, "servers": len(cfg.Servers), "dir": cfg.Dir,
 	}).Info("policy enabled")
 	if s.admin != nil {
-		s.admin.GetWith("/policy/status", func(ctx context.Context) any { return node.FleetStatus(ctx) })
+		s.admin.GetWithContext("/policy/status", func(ctx context.Context) any { return node.FleetStatus(ctx) })
 		s.admin.Get("/policy/self", func() any { return node.Self() })
 		s.admin.Get("/policy/history", func() any { return node.History() })
 		s.admin.Post("/policy/propose", node.Propose)
@@ -132,7 +132,7 @@
 	s.log.WithField("lease", ttl.String()).Info("takeover enabled")
 	if s.admin != nil {
 		s.admin.Post("/work", func(ctx context.Context, _ []byte) (any, error) { return manager.Status(ctx) })
-		s.admin.GetWith("/work/seen", func(ctx context.Context) any { return manager.EvidenceSummary(ctx) })
+		s.admin.GetWithContext("/work/seen", func(ctx context.Context) any { return manager.EvidenceSummary(ctx) })
 		s.admin.Post("/work/take", func(ctx context.Context, body []byte) (any, error) {
 			return struct{}{}, manager.TakeOver(ctx, lease.ID(body))
 		})
@@ -164,7 +164,7 @@
 // leave releases the leases and announces to the other members that this instance leaves. It is called once.
 func (s *clusterServices) leave(ctx context.Context) {
 	if s.failover != nil {
-		s.failover.ReleaseAll(ctx)
+		s.failover.ReleaseLease(ctx)
 	}
 	if s.gossip != nil {
 		s.gossip.Leave(ctx)
--- a/cmd/balancer/instance.go
+++ b/cmd/balancer/instance.go
@@ -77,7 +77,7 @@
 	inst.engine = engine.New(inst.settings.initial(), cfg.Seed, monotonic, log)
 	inst.settings.onChange = inst.engine.UpdateSettings
 	inst.pool = upstream.NewPool(monotonic, cfg.Network, connections, log)
-	inst.controller = rollout.New(cfg.Platform, cfg.Settings.VoteWait, inst.engine.HandleEvent, log)
+	inst.controller = rollout.New(cfg.Platform, cfg.Settings.VoteRetryWait, inst.engine.HandleEvent, log)
 	inst.watcher = discovery.New(cfg.Discovery, cfg.Endpoints, cfg.Network, inst.engine.UpdateEndpoints, log)
 	if inst.cluster, err = newClusterServices(cfg, inst.settings, inst.engine, inst.controller, monotonic, log); err != nil {
 		return nil, err
@@ -85,7 +85,7 @@
 	inst.engine.Connect(inst.pool, inst.cluster.voteController(inst.controller), inst.watcher)
 	inst.ingress = ingress.New(inst.engine, monotonic, cfg.Settings, cfg.Network, connections, log)
 	if inst.cluster.failover != nil {
-		inst.ingress.HandleResumed(lease.DecideResume)
+		inst.ingress.SetResumeDecision(lease.DecideResume)
 	}
 	inst.summary = summaryLogger{inst.engine, inst.pool, inst.watcher, log, summaryInterval}
 	return inst, nil
--- a/cmd/balancer/policy.go
+++ b/cmd/balancer/policy.go
@@ -79,7 +79,7 @@
 	request := policysync.ProposeRequest{Policy: body, ID: cmd.String("id")}
 	if cmd.IsSet("base") {
 		base := policy.Version(cmd.Uint64("base"))
-		request.Base = &base
+		request.BaseVersion = &base
 	}
 	raw, err := json.Marshal(request)
 	if err != nil {
@@ -139,10 +139,10 @@
 				trials = "open"
 			}
 			if member.Unreachable != "" {
-				member.Role, version, member.Sum, trials = "not reached", "?", "?", "?"
+				member.Role, version, member.Checksum, trials = "not reached", "?", "?", "?"
 			}
 			fmt.Fprintf(rows, "%s\t%s\t%s\t%s\t%s\t%s\n",
-				member.Name, member.Role, version, member.Sum, trials, member.Failure)
+				member.Name, member.Role, version, member.Checksum, trials, member.Failure)
 		}
 	})
 }
@@ -156,7 +156,7 @@
 			if err := json.Compact(&text, entry.Policy); err != nil {
 				text.WriteString("unreadable: " + err.Error()) // not expected: entry.Policy was decoded from valid JSON
 			}
-			at := time.UnixMilli(int64(entry.At)).UTC().Format(time.RFC3339)
+			at := time.UnixMilli(int64(entry.ProposedAt)).UTC().Format(time.RFC3339)
 			fmt.Fprintf(rows, "%d\t%s\t%s\t%s\n", entry.Version, at, entry.Proposer, text.String())
 		}
 	})
--- a/cmd/testbed/fleet.go
+++ b/cmd/testbed/fleet.go
@@ -45,7 +45,7 @@
 		settings.LeaseTTL = cmd.Duration("lease")
 		settings.Servers = min(cmd.Int("servers"), instances)
 		settings.Platform.SetBuild(settings.Platform.Endpoints()[0], candidateBuild)
-		settings.Platform.Controller().SetStage(platform.Stage{Image: candidateBuild, Progress: "testing", Ceiling: 0.3})
+		settings.Platform.Controller().SetStage(platform.Stage{Build: candidateBuild, Progress: "testing", ExposureLimit: 0.3})
 		cluster, err := fleet.Start(settings)
 		if err != nil {
 			return err
@@ -74,9 +74,9 @@
 
 func printAddresses(cluster *fleet.Fleet) {
 	for i, name := range cluster.Names() {
-		fmt.Printf("%s  requests %s  admin %s  log %s\n", name, cluster.Listen(i), cluster.Admin(i), cluster.File(i, "log"))
+		fmt.Printf("%s  requests %s  admin %s  log %s\n", name, cluster.RequestAddress(i), cluster.AdminAddress(i), cluster.FilePath(i, "log"))
 	}
-	fmt.Printf("build 2 is on trial at one endpoint of three; try: bin/balancer members --at %s\n", cluster.Admin(0))
+	fmt.Printf("build 2 is on trial at one endpoint of three; try: bin/balancer members --at %s\n", cluster.AdminAddress(0))
 }
 
 // runUnderLoad runs a script while clients send requests. If the script is empty, it waits for the end of ctx instead.
--- a/cmd/testbed/members.go
+++ b/cmd/testbed/members.go
@@ -100,7 +100,7 @@
 		for _, loss := range append([]float64{0}, cmd.FloatSlice("simulated-loss")...) {
 			report(fmt.Sprintf("%d simulated, loss %.0f%%", size, 100*loss))
 			result, err := experiment.MeasureSimulatedMembership(sim.Settings{
-				Members: size, Seeds: seedCount, Seed: cmd.Uint64("seed"), Loss: loss, Delay: simulatedDelay,
+				Members: size, Seeds: seedCount, RandomSeed: cmd.Uint64("seed"), Loss: loss, Delay: simulatedDelay,
 				ToleratedPause:   millis(cmd.Duration("bear-pause")),
 				DetectionTimeout: millis(cmd.Duration("detect-within")),
 				Codec:            membership.Codec{Cluster: "lab", Key: []byte(clusterKey)},
--- a/decision/comparison.go
+++ b/decision/comparison.go
@@ -48,7 +48,7 @@
 	if c.baseline.Last == nil {
 		return
 	}
-	last, previous := c.candidate.Last, c.candidate.Before
+	last, previous := c.candidate.Last, c.candidate.Previous
 	if c.slower(last, 1) {
 		c.agrees = false
 		c.rejections++
@@ -65,7 +65,7 @@
 // group may be fast by chance. margin multiplies the required ratio of medians. A group whose median is a
 // failure is not slower: failures are evaluated by endpoint, because some endpoints fail fast with any build.
 func (c *comparison) slower(outcomes []float64, margin float64) bool {
-	for _, baseline := range [][]float64{c.baseline.Before, c.baseline.Last} {
+	for _, baseline := range [][]float64{c.baseline.Previous, c.baseline.Last} {
 		if len(baseline) == 0 || len(outcomes) == 0 {
 			return false
 		}
--- a/decision/evidence.go
+++ b/decision/evidence.go
@@ -74,7 +74,7 @@
 
 // outcomesOf returns all stored outcomes of a build, oldest first.
 func outcomesOf(groups stats.Groups) []float64 {
-	return slices.Concat(groups.Before, groups.Last, groups.Fill)
+	return slices.Concat(groups.Previous, groups.Last, groups.Partial)
 }
 
 // acquireEvidence adds the evidence of another instance to this instance's own: the counts if they are of the
--- a/decision/fleetslowdown.go
+++ b/decision/fleetslowdown.go
@@ -36,7 +36,7 @@
 	if noCandidate {
 		slowdown.addPreCandidate(relative)
 	}
-	if len(slowdown.candidate.Fill) == 0 {
+	if len(slowdown.candidate.Partial) == 0 {
 		slowdown.fillStartedAt = b.now
 	}
 	if noCandidate || slowdown.slowBeforeTrial || !slowdown.candidate.Add(relative, groupSize) {
--- a/decision/healthcheck.go
+++ b/decision/healthcheck.go
@@ -70,7 +70,7 @@
 	if len(b.routing.eligible[homeZone]) == 0 || lastCheck && len(b.routing.eligible[otherZone]) > 0 {
 		zone = otherZone
 	}
-	return b.routing.eligible[zone][b.random.Draw(b.routing.weights[zone])]
+	return b.routing.eligible[zone][b.random.WeightedIndex(b.routing.weights[zone])]
 }
 
 // handleHealthCheck records the result of a health check. Endpoints respond to checks ahead of queued requests,
@@ -84,8 +84,8 @@
 	*idle = cmp.Or(*idle, event.After)
 	ep.healthCheckRatio = event.After / *idle
 	ep.healthCheckedAt = b.now
-	if event.Load != nil && event.Load.Util >= 0 {
-		ep.healthCheckRatio = max(ep.healthCheckRatio, 1/max(1-event.Load.Util, minIdleCoreShare))
+	if event.Load != nil && event.Load.Utilisation >= 0 {
+		ep.healthCheckRatio = max(ep.healthCheckRatio, 1/max(1-event.Load.Utilisation, minIdleCoreShare))
 	}
 	*idle *= 1 + idleDurationRise
 	if ep.healthCheckRatio < 1 {
--- a/decision/proof.go
+++ b/decision/proof.go
@@ -30,7 +30,7 @@
 	advance := float64(max(1, settings.AdvanceQuorum))
 	withoutGroups := outcomesWithoutGroupsFactor * math.Log(instances/advance) * max(0, 1-advance/noOutcomesQuorum)
 	return evidenceThresholds{
-		statistic:             stats.ExceededBy(probability),
+		statistic:             stats.CriticalValue(probability),
 		rejections:            rejections,
 		holdRejections:        holdRejections,
 		outcomesWithoutGroups: withoutGroups,
--- a/decision/routing.go
+++ b/decision/routing.go
@@ -132,8 +132,8 @@
 	if len(eligible) == 0 {
 		return
 	}
-	first := eligible[b.random.Draw(weights)]
-	second := eligible[b.random.Draw(weights)]
+	first := eligible[b.random.WeightedIndex(weights)]
+	second := eligible[b.random.WeightedIndex(weights)]
 	if first == nil {
 		return
 	}
--- a/decision/settings.go
+++ b/decision/settings.go
@@ -38,14 +38,14 @@
 	Control          Control
 	InPlace          bool      // endpoints of the candidate replace those of the baseline, which drain
 	ExposureCaps     []float64 // share of requests that may go to a build in trial, by stage
-	Stages           []float64 // share of endpoints that run the candidate, by stage
+	StageShares      []float64 // share of endpoints that run the candidate, by stage
 	FreeAttempts     float64   // attempts at a build in trial beyond the exposure cap
 	ExposurePerClass bool      // the exposure cap applies to each request class separately
 	GuardedStages    int       // number of first stages in which the candidate gets only idempotent requests
 	StickyKeys       bool      // a key that the candidate has responded to does not go back to the baseline
 	FlagShare        float64   // share of wrong responses that clients report, 0 to 1
 	VoteTTL          Millis    // time to live of a vote
-	VoteWait         Millis    // maximum time after which a vote that was not accepted is cast again
+	VoteRetryWait    Millis    // maximum time after which a vote that was not accepted is cast again
 	AdvanceQuorum    int       // number of votes that advance a stage
 	RollbackQuorum   int       // number of votes that roll a build back
 	HoldQuorum       int       // number of votes that hold the clock; 0: unknown, treated as 1
--- a/decision/types.go
+++ b/decision/types.go
@@ -135,6 +135,6 @@
 
 // Load is the load that an endpoint reports of itself. A value that was not reported is negative.
 type Load struct {
-	Util  float64 // share of busy cores, 0 to 1
-	Queue float64 // number of queued requests
+	Utilisation float64 // share of busy cores, 0 to 1
+	Queue       float64 // number of queued requests
 }
--- a/decision/verdict.go
+++ b/decision/verdict.go
@@ -169,10 +169,10 @@
 		return decidedVote{}, false
 	}
 	overall, controller := b.classes.overall, b.classes.controller
-	if overall.slower(overall.candidate.Fill, 1) || controller.slower(controller.candidate.Fill, 1) {
+	if overall.slower(overall.candidate.Partial, 1) || controller.slower(controller.candidate.Partial, 1) {
 		return decidedVote{}, false
 	}
-	warm := float64(len(overall.candidate.Fill) + len(overall.candidate.Last))
+	warm := float64(len(overall.candidate.Partial) + len(overall.candidate.Last))
 	if next >= 1 && warm < max(1, 2*b.thresholds.outcomesWithoutGroups) {
 		return decidedVote{}, false
 	}
@@ -182,10 +182,10 @@
 // nextStageShare returns the share of endpoints that run the candidate in the next stage, or 1 in the last stage.
 func (b *Balancer) nextStageShare() float64 {
 	next := b.trial.update.Stage + 1
-	if next >= len(b.settings.Stages) {
+	if next >= len(b.settings.StageShares) {
 		return 1
 	}
-	return b.settings.Stages[max(next, 0)]
+	return b.settings.StageShares[max(next, 0)]
 }
 
 // suspectsSlowness reports whether few response times are reason enough not to vote to advance: their median is
@@ -194,13 +194,13 @@
 // hundreds of instances most suspicions are right. In the last stage, response times during a fault are no evidence,
 // because the fault overloads the remaining endpoints.
 func (b *Balancer) suspectsSlowness() bool {
-	lastStage := b.trial.update.Stage+1 >= len(b.settings.Stages)
+	lastStage := b.trial.update.Stage+1 >= len(b.settings.StageShares)
 	if b.thresholds.outcomesWithoutGroups != 0 || lastStage && b.faultWithin(b.settings.SlowStartWindow) {
 		return false
 	}
 	overall := b.classes.overall
-	before := slices.Concat(overall.baselineAtStageStart, overall.baseline.Fill)
-	now := slices.Concat(overall.candidate.Last, overall.candidate.Fill)
+	before := slices.Concat(overall.baselineAtStageStart, overall.baseline.Partial)
+	now := slices.Concat(overall.candidate.Last, overall.candidate.Partial)
 	return len(before) > 0 && len(now) > 0 &&
 		stats.Median(now) > slowRatio*math.Sqrt(slowRatio)*stats.Median(before)
 }
--- a/decision/vote.go
+++ b/decision/vote.go
@@ -23,7 +23,7 @@
 // after a random part of the retry wait.
 func (b *Balancer) handleVoteResult(result VoteResult) {
 	b.voting.accepted = result == VoteAccepted
-	wait := b.settings.VoteWait * b.random.Next()
+	wait := b.settings.VoteRetryWait * b.random.Next()
 	if b.voting.accepted {
 		wait = 0
 	}
@@ -55,7 +55,7 @@
 	b.voting.vote = Vote{Build: update.Build, Stage: update.Stage, Verdict: decided.verdict}
 	b.voting.castAt = b.now
 	b.voting.accepted = false
-	b.voting.nextAt = b.now + b.settings.VoteWait
+	b.voting.nextAt = b.now + b.settings.VoteRetryWait
 	b.emit(b.voting.vote)
 }
 
@@ -71,7 +71,7 @@
 		return
 	}
 	b.voting.partialGroupAt = b.now + partialGroupInterval
-	if overall := b.classes.overall; len(overall.candidate.Fill) >= minPartialGroupSize {
+	if overall := b.classes.overall; len(overall.candidate.Partial) >= minPartialGroupSize {
 		overall.closeCandidate()
 	}
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -57,11 +57,11 @@
 
 // Get registers a path for GET requests. The response is the result of handle as JSON.
 func (s *Server) Get(path string, handle func() any) {
-	s.GetWith(path, func(context.Context) any { return handle() })
+	s.GetWithContext(path, func(context.Context) any { return handle() })
 }
 
-// GetWith does the same for a handler that takes time. The context of handle ends with the request.
-func (s *Server) GetWith(path string, handle func(context.Context) any) {
+// GetWithContext does the same for a handler that takes time. The context of handle ends with the request.
+func (s *Server) GetWithContext(path string, handle func(context.Context) any) {
 	s.mux.HandleFunc("GET "+path, func(w http.ResponseWriter, r *http.Request) {
 		writeJSON(w, http.StatusOK, handle(r.Context()))
 	})
@@ -110,10 +110,9 @@
 
 func (e *AddressError) Error() string { return fmt.Sprintf("want %s, got %q", e.Want, e.Address) }
 
-// Check returns an AddressError unless the server may listen on the address. Only ip:port of a loopback address is
-// allowed, with a port other than 0, since the interface has no authentication and is for this
-// machine alone.
-func Check(address string) error {
+// CheckAddress returns an AddressError unless the server may listen on the address. Only ip:port of a loopback address
+// is allowed, with a port other than 0, since the interface has no authentication and is for this machine alone.
+func CheckAddress(address string) error {
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil || parsed.Port() == 0 {
 		return &AddressError{Want: "ip:port", Address: address}
--- a/internal/cluster/failover/doc.go
+++ b/internal/cluster/failover/doc.go
@@ -4,7 +4,7 @@
 // does the I/O.
 //
 // An instance creates one [Manager] with [New], runs it with [Manager.Run] until shutdown, sends its votes through
-// [Manager.Vote], and calls [Manager.ReleaseAll] once when it leaves the cluster. Each server of the log registers a
+// [Manager.Vote], and calls [Manager.ReleaseLease] once when it leaves the cluster. Each server of the log registers a
 // [StateMachine] with [NewStateMachine]. A Manager is safe for concurrent use.
 //
 // # Order of a takeover
--- a/internal/cluster/failover/release.go
+++ b/internal/cluster/failover/release.go
@@ -8,9 +8,9 @@
 	"ottershed/internal/cluster/lease"
 )
 
-// ReleaseAll writes a last checkpoint and releases this instance's lease, so that a successor need not wait for the
+// ReleaseLease writes a last checkpoint and releases this instance's lease, so that a successor need not wait for the
 // lease to expire. It does nothing without a valid lease.
-func (mgr *Manager) ReleaseAll(ctx context.Context) {
+func (mgr *Manager) ReleaseLease(ctx context.Context) {
 	if mgr.checkpointMutex.lock(ctx) != nil {
 		return
 	}
--- a/internal/cluster/failover/takeover.go
+++ b/internal/cluster/failover/takeover.go
@@ -102,7 +102,7 @@
 	}
 	return mgr.proposeUntilReply(ctx, &lease.Command{
 		Operation: lease.Merge, ID: grant.ID, Holder: session.Holder, Token: grant.Token, TTL: session.TTL,
-		Into: session.ID, IntoToken: session.Token(), Checkpoint: raw, CheckpointSeq: mgr.own.nextSeq(),
+		MergeInto: session.ID, MergeIntoToken: session.Token(), Checkpoint: raw, CheckpointSeq: mgr.own.nextSeq(),
 	})
 }
 
--- a/internal/cluster/gossip/changes.go
+++ b/internal/cluster/gossip/changes.go
@@ -55,12 +55,12 @@
 		"member": change.Name, "state": change.State, "was": change.Previous, "address": change.Address,
 		"incarnation": uint64(change.Incarnation),
 	})
-	if change.By != "" {
-		line = line.WithField("by", change.By)
+	if change.Accuser != "" {
+		line = line.WithField("by", change.Accuser)
 	}
 	switch {
-	case change.Name == view.Self && view.Superseded != "":
-		line.WithField("superseded_by", view.Superseded).Error("membership: superseded by a newer process with this name")
+	case change.Name == view.Self && view.SupersededBy != "":
+		line.WithField("superseded_by", view.SupersededBy).Error("membership: superseded by a newer process with this name")
 	case change.New:
 		line.Info("member found")
 	case change.State == membership.Suspect, change.State == membership.Dead:
--- a/internal/cluster/lease/command.go
+++ b/internal/cluster/lease/command.go
@@ -20,16 +20,16 @@
 
 // Command is one entry of the log. Each operation uses a subset of the fields.
 type Command struct {
-	Operation     Operation `msgpack:"Verb"`
-	ID            ID        `msgpack:"Work"`
-	Holder        Holder    `msgpack:"By"`         // the proposing process
-	Token         Token     `msgpack:"Token"`      // of the lease ID; unused by Acquire and TakeOver
-	TTL           Millis    `msgpack:"Span"`       // minTTL to maxTTL, higher delays takeover; unused by Release, Abandon
-	Checkpoint    []byte    `msgpack:"Checkpoint"` // Renew and Merge; nil in Renew keeps the stored checkpoint
-	Into          ID        `msgpack:"Into"`       // Merge: the holder's own lease
-	IntoToken     Token     `msgpack:"IntoToken"`  // Merge: token of the holder's own lease
-	CheckpointSeq uint64    `msgpack:"Seq"`        // of Checkpoint; a holder increases the number with each checkpoint
-	Reason        string    `msgpack:"Why"`        // Abandon: up to MaxReasonBytes
+	Operation      Operation `msgpack:"Verb"`
+	ID             ID        `msgpack:"Work"`
+	Holder         Holder    `msgpack:"By"`         // the proposing process
+	Token          Token     `msgpack:"Token"`      // of the lease ID; unused by Acquire and TakeOver
+	TTL            Millis    `msgpack:"Span"`       // minTTL to maxTTL, higher delays takeover; unused by Release, Abandon
+	Checkpoint     []byte    `msgpack:"Checkpoint"` // Renew and Merge; nil in Renew keeps the stored checkpoint
+	MergeInto      ID        `msgpack:"Into"`       // Merge: the holder's own lease
+	MergeIntoToken Token     `msgpack:"IntoToken"`  // Merge: token of the holder's own lease
+	CheckpointSeq  uint64    `msgpack:"Seq"`        // of Checkpoint; a holder increases the number with each checkpoint
+	Reason         string    `msgpack:"Why"`        // Abandon: up to MaxReasonBytes
 }
 
 // Reply is the result of a command.
@@ -66,7 +66,7 @@
 
 func (c *Command) validateNames() string {
 	switch {
-	case c.ID == "" || len(c.ID) > maxIDBytes || len(c.Into) > maxIDBytes || !strings.Contains(string(c.ID), "/"):
+	case c.ID == "" || len(c.ID) > maxIDBytes || len(c.MergeInto) > maxIDBytes || !strings.Contains(string(c.ID), "/"):
 		return fmt.Sprintf("no piece of work: %q", c.ID)
 	case c.Holder.Name == "" || len(c.Holder.Name) > maxHolderBytes:
 		return "nobody asks"
@@ -82,7 +82,7 @@
 		return fmt.Sprintf("a lease of %g ms", c.TTL)
 	case len(c.Checkpoint) > MaxCheckpointBytes:
 		return fmt.Sprintf("a checkpoint of %d bytes", len(c.Checkpoint))
-	case c.Operation == Merge && c.ID == c.Into:
+	case c.Operation == Merge && c.ID == c.MergeInto:
 		return "a piece does not go into itself"
 	}
 	return ""
--- a/internal/cluster/lease/session.go
+++ b/internal/cluster/lease/session.go
@@ -91,7 +91,7 @@
 // invalidatedBy reports whether a rejection of the command means that the session's lease is held by another instance
 // or has ended.
 func (s *Session) invalidatedBy(c *Command) bool {
-	return c.Operation == Renew && c.Token == s.token || c.Operation == Merge && c.IntoToken == s.token
+	return c.Operation == Renew && c.Token == s.token || c.Operation == Merge && c.MergeIntoToken == s.token
 }
 
 // MayVote reports whether a vote may be sent at now, a time of the instance's local clock. Votes that advance or hold a
--- a/internal/cluster/lease/table.go
+++ b/internal/cluster/lease/table.go
@@ -140,9 +140,9 @@
 	if !heldUnder(l, command.Holder, command.Token) {
 		return rejectStale(l, command.ID, command.Holder, command.Token)
 	}
-	into := t.leases[command.Into]
-	if !heldUnder(into, command.Holder, command.IntoToken) {
-		return rejectStale(into, command.Into, command.Holder, command.IntoToken)
+	into := t.leases[command.MergeInto]
+	if !heldUnder(into, command.Holder, command.MergeIntoToken) {
+		return rejectStale(into, command.MergeInto, command.Holder, command.MergeIntoToken)
 	}
 	into.ExpiresAt = t.now + command.TTL
 	into.writeCheckpoint(command.Checkpoint, command.CheckpointSeq, t.now)
@@ -156,8 +156,8 @@
 
 // alreadyMerged reports whether the same Merge was applied before. A holder repeats the command if the reply was lost.
 func (t *Table) alreadyMerged(c *Command) bool {
-	into := t.leases[c.Into]
-	return heldUnder(into, c.Holder, c.IntoToken) && slices.Contains(into.Merged, Grant{c.ID, c.Token})
+	into := t.leases[c.MergeInto]
+	return heldUnder(into, c.Holder, c.MergeIntoToken) && slices.Contains(into.Merged, Grant{c.ID, c.Token})
 }
 
 // release expires the lease immediately, so that a successor need not wait.
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -13,23 +13,23 @@
 	Incarnation Incarnation `json:"incarnation"`
 	Run         RunID       `json:"run,string"`
 	Since       Millis      `json:"since_ms"`     // Unix time at which the member entered its state
-	By          Name        `json:"by,omitempty"` // the accuser of a member that is suspect or dead
+	Accuser     Name        `json:"by,omitempty"` // the accuser of a member that is suspect or dead
 }
 
 // View is an immutable snapshot of one member's table, which includes that member itself.
 type View struct {
-	Self       Name     `json:"self"`
-	At         Millis   `json:"at_ms"`                   // Unix time of the snapshot
-	Health     int      `json:"health"`                  // local health multiplier of Self: 0 (healthy) to 8
-	Superseded string   `json:"superseded_by,omitempty"` // ip:port of a newer process of Self's name; empty if none
-	Rejected   int      `json:"refused"`                 // updates about unknown members, rejected by a full table
-	Members    []Member `json:"members"`                 // sorted by name
+	Self         Name     `json:"self"`
+	At           Millis   `json:"at_ms"`                   // Unix time of the snapshot
+	Health       int      `json:"health"`                  // local health multiplier of Self: 0 (healthy) to 8
+	SupersededBy string   `json:"superseded_by,omitempty"` // ip:port of a newer process of Self's name; empty if none
+	Rejected     int      `json:"refused"`                 // updates about unknown members, rejected by a full table
+	Members      []Member `json:"members"`                 // sorted by name
 }
 
 // View returns a snapshot of the current state.
 func (d *Detector) View() View {
 	v := View{
-		Self: d.settings.Name, At: d.now, Health: int(d.awareness), Superseded: d.supersededBy, Rejected: d.rejected,
+		Self: d.settings.Name, At: d.now, Health: int(d.awareness), SupersededBy: d.supersededBy, Rejected: d.rejected,
 	}
 	for i := range d.table.slots() {
 		if m := d.table.memberAt(i); m != nil {
@@ -79,7 +79,7 @@
 func (m *member) snapshot() Member {
 	return Member{
 		Name: m.Name, Address: m.Address, State: m.State, Incarnation: m.Incarnation, Run: m.Run,
-		Since: m.since, By: m.Accuser,
+		Since: m.since, Accuser: m.Accuser,
 	}
 }
 
--- a/internal/cluster/policy/record.go
+++ b/internal/cluster/policy/record.go
@@ -17,23 +17,23 @@
 
 // Proposal is a policy that is proposed to the log as the next version.
 type Proposal struct {
-	ID    string  `msgpack:"ID"`    // chosen by the proposer, 1 to 64 bytes; a later proposal with it is a duplicate
-	By    string  `msgpack:"By"`    // the process that proposes the policy
-	At    float64 `msgpack:"At"`    // Unix time in milliseconds at that process
-	Based bool    `msgpack:"Based"` // reject the proposal unless the base is still the latest version
-	Base  Version `msgpack:"Base"`
-	Body  []byte  `msgpack:"Body"` // the policy's encoding for the log, see Parse
+	ID          string  `msgpack:"ID"`    // chosen by the proposer, 1 to 64 bytes; a later proposal with it is a duplicate
+	Proposer    string  `msgpack:"By"`    // the process that proposes the policy
+	ProposedAt  float64 `msgpack:"At"`    // Unix time in milliseconds at that process
+	RequireBase bool    `msgpack:"Based"` // reject the proposal unless the base is still the latest version
+	BaseVersion Version `msgpack:"Base"`
+	Body        []byte  `msgpack:"Body"` // the policy's encoding for the log, see Parse
 }
 
 // Record is a committed version. The fields that it shares with Proposal have the proposal's values.
 type Record struct {
-	Version Version `msgpack:"Version"`
-	ID      string  `msgpack:"ID"`
-	By      string  `msgpack:"By"`
-	At      float64 `msgpack:"At"`
-	Body    []byte  `msgpack:"Body"`
+	Version    Version `msgpack:"Version"`
+	ID         string  `msgpack:"ID"`
+	Proposer   string  `msgpack:"By"`
+	ProposedAt float64 `msgpack:"At"`
+	Body       []byte  `msgpack:"Body"`
 	// Checksum over this record and the checksum of the previous version. Equal checksums mean equal histories.
-	Sum uint64 `msgpack:"Sum"`
+	Checksum uint64 `msgpack:"Sum"`
 }
 
 // Outcome is the result of a proposal.
@@ -63,7 +63,7 @@
 
 // follows reports whether the record is the version immediately after previous.
 func (r *Record) follows(previous *Record) bool {
-	return r.Version == previous.Version+1 && r.Sum == r.chainedSum(previous.Sum)
+	return r.Version == previous.Version+1 && r.Checksum == r.chainedSum(previous.Checksum)
 }
 
 func brokenChainError(r, previous *Record) error {
--- a/internal/cluster/policy/state.go
+++ b/internal/cluster/policy/state.go
@@ -56,10 +56,10 @@
 		return Outcome{Rejection: reason}
 	}
 	r := Record{
-		Version: latest.Version + 1, ID: proposal.ID, By: proposal.By, At: proposal.At,
+		Version: latest.Version + 1, ID: proposal.ID, Proposer: proposal.Proposer, ProposedAt: proposal.ProposedAt,
 		Body: proposal.Body,
 	}
-	r.Sum = r.chainedSum(latest.Sum)
+	r.Checksum = r.chainedSum(latest.Checksum)
 	s.appendRecord(r)
 	return Outcome{Version: r.Version}
 }
@@ -79,8 +79,8 @@
 	if proposal.ID == "" || len(proposal.ID) > maxIDBytes {
 		return "no id, or one that is too long"
 	}
-	if proposal.Based && proposal.Base != latest {
-		return fmt.Sprintf("version %d holds, and it was made from %d", latest, proposal.Base)
+	if proposal.RequireBase && proposal.BaseVersion != latest {
+		return fmt.Sprintf("version %d holds, and it was made from %d", latest, proposal.BaseVersion)
 	}
 	if _, _, err := Parse(proposal.Body); err != nil {
 		return err.Error()
--- a/internal/cluster/policysync/applier.go
+++ b/internal/cluster/policysync/applier.go
@@ -97,7 +97,7 @@
 	previous := a.admission.Current()
 	a.admission.MarkApplied(latest)
 	log := a.log.WithFields(logrus.Fields{
-		"version": uint64(latest.Version), "was": uint64(previous.Record.Version), "sum": formatChecksum(latest.Sum),
+		"version": uint64(latest.Version), "was": uint64(previous.Record.Version), "sum": formatChecksum(latest.Checksum),
 	})
 	if err := a.apply(a.admission.Current()); err != nil {
 		a.admission.MarkFailed(err)
--- a/internal/cluster/policysync/propose.go
+++ b/internal/cluster/policysync/propose.go
@@ -27,7 +27,7 @@
 	// ID is the ID of an earlier request whose result is unknown, to propose the policy again. Default: a new ID.
 	ID string `json:"id,omitempty"`
 	// The proposal is rejected unless this is the latest version. Default: no condition.
-	Base *policy.Version `json:"base,omitempty"`
+	BaseVersion *policy.Version `json:"base,omitempty"`
 	// WaitMS limits the wait for the result, in milliseconds; the proposal is not committed later. Default and upper
 	// limit 15 s. A higher value lets a proposal wait for a new leader.
 	WaitMS int64 `json:"wait_ms,omitempty"`
@@ -137,13 +137,13 @@
 }
 
 func (n *Node) newProposal(request *ProposeRequest, policyBody []byte) *policy.Proposal {
-	proposal := &policy.Proposal{ID: request.ID, By: n.cfg.Name, At: n.clock.Now(), Body: policyBody}
+	proposal := &policy.Proposal{ID: request.ID, Proposer: n.cfg.Name, ProposedAt: n.clock.Now(), Body: policyBody}
 	if proposal.ID == "" {
 		proposal.ID = uuid.NewString()
 	}
-	if request.Base != nil {
-		proposal.Based = true
-		proposal.Base = *request.Base
+	if request.BaseVersion != nil {
+		proposal.RequireBase = true
+		proposal.BaseVersion = *request.BaseVersion
 	}
 	return proposal
 }
--- a/internal/cluster/policysync/status.go
+++ b/internal/cluster/policysync/status.go
@@ -20,7 +20,7 @@
 	Name           string         `json:"name" msgpack:"Name"`
 	Role           string         `json:"role" msgpack:"Role"` // leader, follower, candidate, placing, watcher
 	Version        policy.Version `json:"version" msgpack:"Version"`
-	Sum            string         `json:"sum" msgpack:"Sum"`                   // of Version and all before, hexadecimal
+	Checksum       string         `json:"sum" msgpack:"Sum"`                   // of Version and all before, hexadecimal
 	TrialsAdmitted bool           `json:"open" msgpack:"Open"`                 // whether requests may go to a candidate
 	Failure        string         `json:"failed,omitempty" msgpack:"Failed"`   // why the latest version can't be applied
 	Unreachable    string         `json:"missing,omitempty" msgpack:"Missing"` // why the status could not be requested
@@ -42,12 +42,12 @@
 
 // HistoryEntry is one version in the result of `ottershed policy history`.
 type HistoryEntry struct {
-	Version  policy.Version  `json:"version"`
-	ID       string          `json:"id"`
-	Proposer string          `json:"by"`
-	At       float64         `json:"at_ms"` // Unix time in milliseconds
-	Sum      string          `json:"sum"`   // hexadecimal
-	Policy   json.RawMessage `json:"policy"`
+	Version    policy.Version  `json:"version"`
+	ID         string          `json:"id"`
+	Proposer   string          `json:"by"`
+	ProposedAt float64         `json:"at_ms"` // Unix time in milliseconds
+	Checksum   string          `json:"sum"`   // hexadecimal
+	Policy     json.RawMessage `json:"policy"`
 }
 
 // Self returns the status of this process.
@@ -56,7 +56,7 @@
 func (n *Node) memberStatus(current appliedState) MemberStatus {
 	applied := current.decision.Record
 	m := MemberStatus{
-		Name: n.cfg.Name, Role: roleWatcher, Version: applied.Version, Sum: formatChecksum(applied.Sum),
+		Name: n.cfg.Name, Role: roleWatcher, Version: applied.Version, Checksum: formatChecksum(applied.Checksum),
 		TrialsAdmitted: current.decision.TrialsAdmitted, Failure: current.failure, ReportedAt: n.clock.Now(),
 	}
 	if n.raft != nil {
@@ -130,7 +130,7 @@
 	entries := []HistoryEntry{} // not nil, so that an empty history is [] in JSON
 	for _, r := range records {
 		entries = append(entries, HistoryEntry{
-			Version: r.Version, ID: r.ID, Proposer: r.By, At: r.At, Sum: formatChecksum(r.Sum),
+			Version: r.Version, ID: r.ID, Proposer: r.Proposer, ProposedAt: r.ProposedAt, Checksum: formatChecksum(r.Checksum),
 			Policy: r.Body,
 		})
 	}
--- a/internal/cluster/raftlog/node.go
+++ b/internal/cluster/raftlog/node.go
@@ -205,12 +205,12 @@
 
 // Status is the state of the log as known to one server.
 type Status struct {
-	Role    string   `json:"role"`          // leader, follower, candidate or shutdown; placing: raft has not started
-	Leader  string   `json:"leader"`        // name of the leader; empty if unknown
-	Term    uint64   `json:"term"`          // current term
-	Commit  uint64   `json:"commit_index"`  // index of the last committed entry
-	Applied uint64   `json:"applied_index"` // index of the newest command that the state machines have applied
-	Voters  []string `json:"voters"`        // names of the voters
+	Role         string   `json:"role"`          // leader, follower, candidate or shutdown; placing: raft has not started
+	Leader       string   `json:"leader"`        // name of the leader; empty if unknown
+	Term         uint64   `json:"term"`          // current term
+	CommitIndex  uint64   `json:"commit_index"`  // index of the last committed entry
+	AppliedIndex uint64   `json:"applied_index"` // index of the newest command that the state machines have applied
+	Voters       []string `json:"voters"`        // names of the voters
 }
 
 // Status returns the current status. Any goroutine may call it.
@@ -221,11 +221,11 @@
 	}
 	_, leader := r.LeaderWithID()
 	status := Status{
-		Role:    strings.ToLower(r.State().String()),
-		Leader:  string(leader),
-		Term:    r.CurrentTerm(),
-		Commit:  r.CommitIndex(),
-		Applied: n.fsm.lastApplied.Load(),
+		Role:         strings.ToLower(r.State().String()),
+		Leader:       string(leader),
+		Term:         r.CurrentTerm(),
+		CommitIndex:  r.CommitIndex(),
+		AppliedIndex: n.fsm.lastApplied.Load(),
 	}
 	if f := r.GetConfiguration(); f.Error() == nil {
 		for _, server := range f.Configuration().Servers {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -97,7 +97,7 @@
 		{"platform.news", stage},
 		{"known", known},
 		{"settings", fmt.Sprintf("%d marshals, zone %q, stages %v, caps %v", c.Settings.Instances, c.Settings.Zone,
-			c.Settings.Stages, c.Settings.ExposureCaps)},
+			c.Settings.StageShares, c.Settings.ExposureCaps)},
 		{"path groups", strings.Join(classes, ", ")},
 		{"longest client timeout", fmt.Sprintf("%g ms", c.Network.LongestTimeout)},
 		{"connections to clients", c.Limits.Connections()},
@@ -147,7 +147,7 @@
 		if err != nil {
 			return merged, err
 		}
-		if merged, err = settings.ForModule(values); err != nil {
+		if merged, err = settings.ForDecisionModule(values); err != nil {
 			return merged, err
 		}
 	}
--- a/internal/config/file.go
+++ b/internal/config/file.go
@@ -274,7 +274,7 @@
 	if c.RawSettings, err = settings.Flatten(raw); err != nil {
 		return &KeyError{Key: "settings", Err: err}
 	}
-	if c.Settings, err = settings.ForModule(c.RawSettings); err != nil {
+	if c.Settings, err = settings.ForDecisionModule(c.RawSettings); err != nil {
 		return err
 	}
 	c.Network, err = settings.ForNetwork(c.RawSettings)
--- a/internal/config/operatorfile.go
+++ b/internal/config/operatorfile.go
@@ -104,7 +104,7 @@
 func (f *operatorFile) toOperator(path, name string) (operator *Operator, err error) {
 	operator = &Operator{Admin: f.Admin.Listen}
 	if operator.Admin != "" {
-		if err := admin.Check(operator.Admin); err != nil {
+		if err := admin.CheckAddress(operator.Admin); err != nil {
 			return nil, &KeyError{Key: "admin.listen", Err: err}
 		}
 	}
--- a/internal/engine/types.go
+++ b/internal/engine/types.go
@@ -7,13 +7,13 @@
 // Request holds the parts of a client's HTTP request. It is decoded once, for all attempts.
 type Request struct {
 	Method, URI, Host string
-	Fields            map[string][]string // HTTP header fields
+	Header            map[string][]string // HTTP header fields
 	Body              []byte
 }
 
 // Response holds the header and the complete body of an endpoint's response.
 type Response struct {
-	Fields map[string][]string // HTTP header fields
+	Header map[string][]string // HTTP header fields
 	Body   []byte
 }
 
--- a/internal/ingress/doc.go
+++ b/internal/ingress/doc.go
@@ -1,7 +1,7 @@
 // Package ingress is the HTTP server for clients. It checks each request, passes it to the engine and sends the final
 // result of the engine as the response.
 //
-// [New] returns a [Server]. Call [Server.HandleResumed] and [Server.SetNotReady], where they are needed, before
+// [New] returns a [Server]. Call [Server.SetResumeDecision] and [Server.SetNotReady], where they are needed, before
 // [Server.Serve]. [Server.Drain] shuts the server down gracefully.
 //
 // # Files
--- a/internal/ingress/response.go
+++ b/internal/ingress/response.go
@@ -39,7 +39,7 @@
 	switch result.Kind {
 	case engine.Succeeded:
 		res.StatusCode = http.StatusOK
-		res.Header, body = result.Response.Fields, result.Response.Body
+		res.Header, body = result.Response.Header, result.Response.Body
 		res.Header.Del("Transfer-Encoding")
 	case engine.Rejected:
 		res.StatusCode = http.StatusServiceUnavailable
--- a/internal/ingress/serve.go
+++ b/internal/ingress/serve.go
@@ -123,7 +123,7 @@
 		return res, nil
 	}
 	request := pendingRequestOf(r).request
-	request.Request.Fields = r.Header
+	request.Request.Header = r.Header
 	results := make(chan engine.Result, 1)
 	request.Respond = func(result engine.Result) { results <- result }
 	s.engine.ReceiveRequest(request)
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -92,10 +92,10 @@
 // discardLog returns a logger that writes nothing. net/http logs errors that clients cause, such as malformed requests.
 func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
 
-// HandleResumed sets the decision on requests with the header X-Resume, which clients repeat after an instance has
+// SetResumeDecision sets the decision on requests with the header X-Resume, which clients repeat after an instance has
 // disappeared. If decide returns lease.ResumeReject for the class of such a request, the response is an error with
 // Retry-After. By default these requests are served like all others. It must be called before Serve.
-func (s *Server) HandleResumed(decide func(*decision.RequestClass) lease.ResumeDecision) {
+func (s *Server) SetResumeDecision(decide func(*decision.RequestClass) lease.ResumeDecision) {
 	s.decideResume = decide
 }
 
--- a/internal/settings/decision.go
+++ b/internal/settings/decision.go
@@ -16,8 +16,9 @@
 	"all": decision.ScopeAll, "zone": decision.ScopeZone, "cell": decision.ScopeCell,
 }
 
-// ForModule returns the settings of the decision module from a map of names and texts. The error is a FieldError.
-func ForModule(texts map[string]string) (decision.Settings, error) {
+// ForDecisionModule returns the settings of the decision module from a map of names and texts. The error is a
+// FieldError.
+func ForDecisionModule(texts map[string]string) (decision.Settings, error) {
 	return decisionSettings(&settingReader{texts: texts})
 }
 
@@ -40,14 +41,14 @@
 		OverloadWindow:      reader.requiredNumber("rules.overload-for-ms", 0, maxNumber),
 		InPlace:             reader.text("domain.swap") == "rolling",
 		ExposureCaps:        reader.fractions("domain.caps"),
-		Stages:              reader.fractions("domain.waves"),
+		StageShares:         reader.fractions("domain.waves"),
 		FreeAttempts:        reader.requiredNumber("domain.uncounted", 0, maxNumber),
 		ExposurePerClass:    reader.text("domain.per") == "per_lane",
 		GuardedStages:       reader.count("domain.guarded-stages", 0, maxCount),
 		StickyKeys:          reader.text("domain.keys-stay") != "false",
 		FlagShare:           reader.optionalNumber("domain.reported-share"),
 		VoteTTL:             reader.optionalNumber("domain.vote-ttl-ms"),
-		VoteWait:            reader.optionalNumber("domain.vote-wait-ms"),
+		VoteRetryWait:       reader.optionalNumber("domain.vote-wait-ms"),
 		AdvanceQuorum:       int(reader.optionalNumber("domain.on-votes")),
 		RollbackQuorum:      int(reader.optionalNumber("domain.votes-to-revert")),
 		HoldQuorum:          int(reader.optionalNumber("domain.to-pause")),
@@ -59,7 +60,7 @@
 	if reader.text("domain.vote-mode") == "clocked" {
 		set.Control = decision.ByClock
 	}
-	if len(set.ExposureCaps) != len(set.Stages) {
+	if len(set.ExposureCaps) != len(set.StageShares) {
 		reader.recordError("domain.caps", reasonLengthsDiffer)
 	}
 	set.Classes = reader.classes()
--- a/internal/settings/flatten.go
+++ b/internal/settings/flatten.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Pairs splits texts of the form name=value into a map. It leaves out texts without =.
-func Pairs(parts []string) map[string]string {
+// ParsePairs splits texts of the form name=value into a map. It leaves out texts without =.
+func ParsePairs(parts []string) map[string]string {
 	texts := make(map[string]string, len(parts))
 	for _, part := range parts {
 		if key, value, ok := strings.Cut(part, "="); ok {
@@ -22,9 +22,9 @@
 // ErrNotObject is returned by Flatten and Overlay for settings that are not a JSON object.
 var ErrNotObject = errors.New("want an object")
 
-// Flatten turns a JSON object into the same map of names and texts that Pairs returns. Names are the keys on the path,
-// joined by dots. The items of a list of scalars are joined by commas. A list of objects has its length under .count and
-// its items under .0, .1 and so on. Flatten leaves out null values. The error wraps ErrNotObject.
+// Flatten turns a JSON object into the same map of names and texts that ParsePairs returns. Names are the keys on the
+// path, joined by dots. The items of a list of scalars are joined by commas. A list of objects has its length under
+// .count and its items under .0, .1 and so on. Flatten leaves out null values. The error wraps ErrNotObject.
 func Flatten(raw []byte) (map[string]string, error) {
 	decoder := json.NewDecoder(strings.NewReader(string(raw)))
 	decoder.UseNumber()
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -56,7 +56,7 @@
 
 func decodeStart(_ *Decoder, f *fields, input *Input) {
 	start := &Start{Seed: f.token(2)}
-	start.Settings, start.Err = settings.ForModule(settings.Pairs(f.parts[3:]))
+	start.Settings, start.Err = settings.ForDecisionModule(settings.ParsePairs(f.parts[3:]))
 	input.Start = start
 }
 
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -105,7 +105,7 @@
 	if f.parts[i] == absent {
 		return nil
 	}
-	load := &decision.Load{Util: -1, Queue: -1}
+	load := &decision.Load{Utilisation: -1, Queue: -1}
 	for pair := range strings.SplitSeq(f.parts[i], ",") {
 		name, text, found := strings.Cut(pair, ":")
 		value, err := strconv.ParseFloat(text, 64)
@@ -115,7 +115,7 @@
 		}
 		switch name {
 		case "cpu":
-			load.Util = value
+			load.Utilisation = value
 		case "waiting":
 			load.Queue = value
 		}
--- a/internal/stats/random.go
+++ b/internal/stats/random.go
@@ -30,9 +30,9 @@
 	return float64(crc32.ChecksumIEEE(b[:])*0x9e3779b1) / (1 << 32)
 }
 
-// Draw returns a random index into weights, with a probability in proportion to its weight. It returns the last index
-// if all weights are 0, and -1 if there are no weights.
-func (r *Random) Draw(weights []float64) int {
+// WeightedIndex returns a random index into weights, with a probability in proportion to its weight. It returns the
+// last index if all weights are 0, and -1 if there are no weights.
+func (r *Random) WeightedIndex(weights []float64) int {
 	total := 0.0
 	for _, w := range weights {
 		total += w
--- a/internal/stats/ranktest.go
+++ b/internal/stats/ranktest.go
@@ -44,9 +44,9 @@
 	return (a.Total() + b.Total() - 1) * d * d / (a.Total() * b.Total() * (a.Good + b.Good) * (a.Bad + b.Bad))
 }
 
-// ExceededBy returns the critical value of both statistics: the value that they exceed with the given probability,
+// CriticalValue returns the critical value of both statistics: the value that they exceed with the given probability,
 // from 0 to 1, if the groups do not differ. It is a quantile of the chi-squared distribution with one degree of freedom.
-func ExceededBy(probability float64) float64 {
+func CriticalValue(probability float64) float64 {
 	z := math.Erfcinv(probability)
 	return 2 * z * z
 }
--- a/internal/stats/summary.go
+++ b/internal/stats/summary.go
@@ -26,15 +26,15 @@
 	return (sorted[(len(sorted)-1)/2] + sorted[len(sorted)/2]) / 2
 }
 
-// Groups divides a stream of values into disjoint groups. Fill is the group that is being filled, Last is the last full
-// group, Before the one before Last.
-type Groups struct{ Fill, Last, Before []float64 }
+// Groups divides a stream of values into disjoint groups. Partial is the group that is being filled, Last is the last
+// full group, Previous the one before Last.
+type Groups struct{ Partial, Last, Previous []float64 }
 
 // Add adds a value to the group that is being filled. It closes the group and returns true if the group then holds size
 // values.
 func (g *Groups) Add(v float64, size int) bool {
-	g.Fill = append(g.Fill, v)
-	if len(g.Fill) < size {
+	g.Partial = append(g.Partial, v)
+	if len(g.Partial) < size {
 		return false
 	}
 	g.Close()
@@ -42,7 +42,7 @@
 }
 
 // Close makes the group that is being filled the last full one, whatever its size, and starts an empty group.
-func (g *Groups) Close() { g.Fill, g.Last, g.Before = nil, g.Fill, g.Last }
+func (g *Groups) Close() { g.Partial, g.Last, g.Previous = nil, g.Partial, g.Last }
 
 // Mean is a running mean. It is the exact mean of the first values and is exponentially smoothed once as many values as
 // the memory of Add were added.
--- a/internal/testbed/experiment/simulated.go
+++ b/internal/testbed/experiment/simulated.go
@@ -65,7 +65,7 @@
 	if change.State != membership.Dead || change.New {
 		return
 	}
-	if change.Running {
+	if change.SubjectRunning {
 		r.result.FalseDeaths++
 		return
 	}
--- a/internal/testbed/faultinject/doc.go
+++ b/internal/testbed/faultinject/doc.go
@@ -3,8 +3,8 @@
 // each link. A Process can be stalled, killed and restarted. The delivery of a packet is decided without I/O from a
 // seed: the same seed gives the packets of a link the same deliveries.
 //
-// Faults are injected by method calls, by a script (ParseScript) or by a script generated from a seed (Random). An
-// Environment plays scripts:
+// Faults are injected by method calls, by a script (ParseScript) or by a script generated from a seed (RandomScript).
+// An Environment plays scripts:
 //
 //	script, err := faultinject.ParseScript("2s cut n0 > n1\n10s heal all")
 //	err = cluster.FaultEnvironment().Play(ctx, script)
--- a/internal/testbed/faultinject/process.go
+++ b/internal/testbed/faultinject/process.go
@@ -147,8 +147,8 @@
 	return err
 }
 
-// HangUp sends SIGHUP, on which a balancer reloads its configuration.
-func (p *Process) HangUp() error {
+// Reload sends SIGHUP, on which a balancer reloads its configuration.
+func (p *Process) Reload() error {
 	_, err := p.signal(syscall.SIGHUP)
 	return err
 }
--- a/internal/testbed/faultinject/random.go
+++ b/internal/testbed/faultinject/random.go
@@ -11,10 +11,10 @@
 	maxRandomLoss = 0.3 // maximum share of packets lost
 )
 
-// Random returns a script of overlapping faults, steps of them at regular times within duration. At the end of
+// RandomScript returns a script of overlapping faults, steps of them at regular times within duration. At the end of
 // duration all faults are healed and all processes run. At most maxDown processes are stalled or killed at a time. The
 // same seed gives the same script.
-func Random(seed uint64, names []string, duration time.Duration, steps, maxDown int) Script {
+func RandomScript(seed uint64, names []string, duration time.Duration, steps, maxDown int) Script {
 	generator := scriptGenerator{
 		random: stats.Random{Seed: seed}, names: names, maxDown: maxDown, down: map[string]Verb{},
 	}
--- a/internal/testbed/faultinject/rules.go
+++ b/internal/testbed/faultinject/rules.go
@@ -69,8 +69,8 @@
 	r.stateFor(l).rule = &rule
 }
 
-// Cut blocks a link if on is true, and otherwise unblocks the link, which keeps its rule.
-func (r *Rules) Cut(l Link, on bool) {
+// SetCut blocks a link if on is true, and otherwise unblocks the link, which keeps its rule.
+func (r *Rules) SetCut(l Link, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stateFor(l).cut = on
--- a/internal/testbed/fleet/faults.go
+++ b/internal/testbed/fleet/faults.go
@@ -22,7 +22,7 @@
 	for i := range f.names {
 		for j := range f.names {
 			if separated[i] != separated[j] {
-				f.Rules.Cut(faultinject.Link{From: f.names[i], To: f.names[j]}, on)
+				f.Rules.SetCut(faultinject.Link{From: f.names[i], To: f.names[j]}, on)
 			}
 		}
 	}
--- a/internal/testbed/fleet/files.go
+++ b/internal/testbed/fleet/files.go
@@ -32,8 +32,8 @@
 		env = append(env, clock.TestbedEnv+"="+clocks[i%len(clocks)])
 	}
 	return &faultinject.Process{
-		Name: f.names[i], Path: f.settings.Program, Env: env, Log: f.File(i, "log"),
-		Args: []string{"serve", "--config", f.File(i, "json"), "--operator", f.File(i, "toml")},
+		Name: f.names[i], Path: f.settings.Program, Env: env, Log: f.FilePath(i, "log"),
+		Args: []string{"serve", "--config", f.FilePath(i, "json"), "--operator", f.FilePath(i, "toml")},
 	}
 }
 
@@ -48,7 +48,7 @@
 		return err
 	}
 	for kind, text := range map[string]string{"json": f.configuration(i), "toml": operator} {
-		if err := os.WriteFile(f.File(i, kind), []byte(text), filePermissions); err != nil {
+		if err := os.WriteFile(f.FilePath(i, kind), []byte(text), filePermissions); err != nil {
 			return fmt.Errorf("write configuration of %s: %w", f.names[i], err)
 		}
 	}
@@ -59,7 +59,7 @@
 func (f *Fleet) configuration(i int) string {
 	return fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"%x",
 "limits":{"cores":1,"memory_mb":192,"sockets":1024},
-"platform":{"address":%q},"settings":%s}`, f.names[i], f.Listen(i), f.settings.Platform.Discovery(),
+"platform":{"address":%q},"settings":%s}`, f.names[i], f.RequestAddress(i), f.settings.Platform.Discovery(),
 		f.settings.Seed*1000+uint64(i)+1, f.settings.Platform.Controller().Address(),
 		fmt.Sprintf(instanceSettings, f.settings.Instances))
 }
@@ -90,7 +90,7 @@
 	}
 	return fmt.Sprintf("[admin]\nlisten = %q\n\n[membership]\nenabled = true\ncluster = \"lab\"\n"+
 		"bind = %q\nadvertise = %q\n%sbear-pause = %q\ndetect-within = %q\n%s\n%s",
-		f.Admin(i), f.address(i, memberPort), f.relayAddresses[i], key,
+		f.AdminAddress(i), f.address(i, memberPort), f.relayAddresses[i], key,
 		f.settings.ToleratedPause.String(), f.settings.DetectionTimeout.String(), seeds.String(), policy), nil
 }
 
--- a/internal/testbed/fleet/fleet.go
+++ b/internal/testbed/fleet/fleet.go
@@ -3,7 +3,7 @@
 //
 //	cluster, err := fleet.Start(fleet.Settings{Dir: dir, Program: "bin/balancer", Instances: 5, Platform: services, ...})
 //	defer cluster.Close()
-//	err = poll.Until(ctx, func() error { return cluster.Agree(ctx) }) // wait for full membership
+//	err = poll.Until(ctx, func() error { return cluster.CheckViews(ctx) }) // wait for full membership
 //	err = cluster.Process(2).Kill()
 //
 // Instances are named n0, n1 and so on; methods take the number of an instance.
@@ -138,19 +138,19 @@
 // Process returns the process of an instance.
 func (f *Fleet) Process(i int) *faultinject.Process { return f.processes[f.names[i]] }
 
-// Admin returns the admin address of an instance.
-func (f *Fleet) Admin(i int) string { return f.address(i, adminPort) }
+// AdminAddress returns the admin address of an instance.
+func (f *Fleet) AdminAddress(i int) string { return f.address(i, adminPort) }
 
-// Listen returns the address at which an instance accepts requests.
-func (f *Fleet) Listen(i int) string { return f.address(i, requestPort) }
+// RequestAddress returns the address at which an instance accepts requests.
+func (f *Fleet) RequestAddress(i int) string { return f.address(i, requestPort) }
 
 // RelayAddress returns the address at which other instances reach the membership of an instance.
 func (f *Fleet) RelayAddress(i int) string { return f.relayAddresses[i] }
 
-// File returns the path of an instance's file with an extension: json or toml (configuration), log or store.
-func (f *Fleet) File(i int, extension string) string {
+// FilePath returns the path of an instance's file with an extension: json or toml (configuration), log or store.
+func (f *Fleet) FilePath(i int, extension string) string {
 	return filepath.Join(f.settings.Dir, f.names[i]+"."+extension)
 }
 
-// Store returns the store directory of an instance.
-func (f *Fleet) Store(i int) string { return f.File(i, "store") }
+// StoreDir returns the store directory of an instance.
+func (f *Fleet) StoreDir(i int) string { return f.FilePath(i, "store") }
--- a/internal/testbed/fleet/lease.go
+++ b/internal/testbed/fleet/lease.go
@@ -17,7 +17,7 @@
 
 // Leases returns the leases and their holders as an instance reports them.
 func (f *Fleet) Leases(ctx context.Context, i int) (leases []failover.LeaseStatus, err error) {
-	raw, err := admin.Call(ctx, f.Admin(i), "/work", []byte("{}"))
+	raw, err := admin.Call(ctx, f.AdminAddress(i), "/work", []byte("{}"))
 	if err != nil {
 		return nil, err
 	}
@@ -25,9 +25,9 @@
 	return leases, err
 }
 
-// Responses returns the number of responses in the evidence on the candidate, summed over all running instances.
-// Each response is in the evidence of exactly one instance.
-func (f *Fleet) Responses(ctx context.Context) (responses int, err error) {
+// EvidenceResponses returns the number of responses in the evidence on the candidate, summed over all running
+// instances. Each response is in the evidence of exactly one instance.
+func (f *Fleet) EvidenceResponses(ctx context.Context) (responses int, err error) {
 	for i := range f.names {
 		if !f.Process(i).Running() {
 			continue
@@ -43,12 +43,12 @@
 
 // TakeOver makes an instance take over a lease, named as in the admin interface, such as "trial/n4".
 func (f *Fleet) TakeOver(ctx context.Context, i int, lease string) error {
-	_, err := admin.Call(ctx, f.Admin(i), "/work/take", []byte(lease))
+	_, err := admin.Call(ctx, f.AdminAddress(i), "/work/take", []byte(lease))
 	return err
 }
 
-// CheckHeld returns an error unless instance at reports want leases, each held by a running instance.
-func (f *Fleet) CheckHeld(ctx context.Context, at, want int) error {
+// CheckLeasesHeld returns an error unless instance at reports want leases, each held by a running instance.
+func (f *Fleet) CheckLeasesHeld(ctx context.Context, at, want int) error {
 	leases, err := f.Leases(ctx, at)
 	if err != nil {
 		return err
@@ -68,8 +68,8 @@
 // InstanceNumber returns the number of the instance with a name.
 func InstanceNumber(name string) (int, error) { return strconv.Atoi(strings.TrimPrefix(name, "n")) }
 
-// Grants returns how often each fencing token was granted, according to the logs of all instances.
-func (f *Fleet) Grants() map[string]int {
+// GrantsByToken returns how often each fencing token was granted, according to the logs of all instances.
+func (f *Fleet) GrantsByToken() map[string]int {
 	grants := map[string]int{}
 	for i := range f.names {
 		for _, match := range grantLine.FindAllStringSubmatch(f.Process(i).Output(), -1) {
--- a/internal/testbed/fleet/members.go
+++ b/internal/testbed/fleet/members.go
@@ -18,7 +18,7 @@
 
 // get decodes the JSON response of an instance's admin address to a request without a body.
 func (f *Fleet) get(ctx context.Context, i int, path string, target any) error {
-	raw, err := admin.Call(ctx, f.Admin(i), path, nil)
+	raw, err := admin.Call(ctx, f.AdminAddress(i), path, nil)
 	if err != nil {
 		return err
 	}
@@ -34,8 +34,8 @@
 	return members, f.get(ctx, i, "/members", members)
 }
 
-// Holds returns an error unless an instance, observer, has another instance, subject, in a state.
-func (f *Fleet) Holds(ctx context.Context, observer, subject int, want membership.State) error {
+// CheckMemberState returns an error unless an instance, observer, has another instance, subject, in a state.
+func (f *Fleet) CheckMemberState(ctx context.Context, observer, subject int, want membership.State) error {
 	members, err := f.Members(ctx, observer)
 	if err != nil {
 		return err
@@ -48,9 +48,9 @@
 	return nil
 }
 
-// Agree returns an error unless each running instance sees all running instances as alive and no other instance as
+// CheckViews returns an error unless each running instance sees all running instances as alive and no other instance as
 // alive or suspect.
-func (f *Fleet) Agree(ctx context.Context) error {
+func (f *Fleet) CheckViews(ctx context.Context) error {
 	for i := range f.names {
 		if !f.Process(i).Running() {
 			continue
--- a/internal/testbed/fleet/policy.go
+++ b/internal/testbed/fleet/policy.go
@@ -17,21 +17,21 @@
 	return status, f.get(ctx, i, "/policy/status", status)
 }
 
-// History returns the policy versions that an instance keeps.
-func (f *Fleet) History(ctx context.Context, i int) (past []policysync.HistoryEntry, err error) {
+// PolicyHistory returns the policy versions that an instance keeps.
+func (f *Fleet) PolicyHistory(ctx context.Context, i int) (past []policysync.HistoryEntry, err error) {
 	err = f.get(ctx, i, "/policy/history", &past)
 	return past, err
 }
 
-// Self returns the policy status of an instance about itself.
-func (f *Fleet) Self(ctx context.Context, i int) (self policysync.MemberStatus, err error) {
+// OwnPolicyStatus returns the policy status of an instance about itself.
+func (f *Fleet) OwnPolicyStatus(ctx context.Context, i int) (self policysync.MemberStatus, err error) {
 	err = f.get(ctx, i, "/policy/self", &self)
 	return self, err
 }
 
-// Runs returns an error unless an instance runs a policy version and admits trial traffic.
-func (f *Fleet) Runs(ctx context.Context, i int, v policy.Version) error {
-	self, err := f.Self(ctx, i)
+// CheckPolicyVersion returns an error unless an instance runs a policy version and admits trial traffic.
+func (f *Fleet) CheckPolicyVersion(ctx context.Context, i int, v policy.Version) error {
+	self, err := f.OwnPolicyStatus(ctx, i)
 	if err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	raw, err := admin.Call(ctx, f.Admin(i), "/policy/propose", body)
+	raw, err := admin.Call(ctx, f.AdminAddress(i), "/policy/propose", body)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/load/clients.go
+++ b/internal/testbed/load/clients.go
@@ -48,7 +48,7 @@
 	Status     int    // HTTP status; 0 if there is no response
 	RetryAfter string // value of the Retry-After header
 	Endpoint   string // name of the endpoint that handled the request; empty if the request failed
-	Took       time.Duration
+	Latency    time.Duration
 }
 
 // Send sends a request of a class to a balancer. A non-2xx response is not an error.
@@ -69,15 +69,15 @@
 	}
 	reply, err := c.http.Do(request)
 	if err != nil {
-		return Response{Took: time.Since(start)}, err
+		return Response{Latency: time.Since(start)}, err
 	}
 	defer func() { _ = reply.Body.Close() }() // the body has been read
 	text, err := io.ReadAll(reply.Body)
 	if err != nil {
-		return Response{Took: time.Since(start)}, err
+		return Response{Latency: time.Since(start)}, err
 	}
 	response := Response{
-		Status: reply.StatusCode, RetryAfter: reply.Header.Get("Retry-After"), Took: time.Since(start),
+		Status: reply.StatusCode, RetryAfter: reply.Header.Get("Retry-After"), Latency: time.Since(start),
 	}
 	responseID, endpoint, ok := strings.Cut(string(text), " of ")
 	if !ok || reply.StatusCode != http.StatusOK {
--- a/internal/testbed/load/load.go
+++ b/internal/testbed/load/load.go
@@ -13,8 +13,8 @@
 	"ottershed/internal/testbed/fleet"
 )
 
-// RequestLatency is the latency that endpoints should have (platform.Endpoint.Behave) while balancers are killed under
-// load. It makes it likely that requests are in flight when their balancer dies.
+// RequestLatency is the latency that endpoints should have (platform.Endpoint.SetBehavior) while balancers are killed
+// under load. It makes it likely that requests are in flight when their balancer dies.
 const RequestLatency = 30 * time.Millisecond
 
 const (
@@ -46,13 +46,13 @@
 	Resumed         int // sent again because their balancer was lost
 	ResumesRejected int // the part of Resumed that is non-idempotent, which a balancer never forwards again
 	Lost            int // no response from any balancer within resumeTimeout
-	Wrong           int // response to another request
+	Mismatched      int // response to another request
 }
 
 // String formats all counts. The names are part of the output of `testbed fleet` and must not change.
 func (r Result) String() string {
 	return fmt.Sprintf("{Hits:%d Delivered:%d Bounced:%d Errored:%d Resumed:%d Refused:%d Lost:%d Wrong:%d}",
-		r.Requests, r.Succeeded, r.Rejected, r.Failed, r.Resumed, r.ResumesRejected, r.Lost, r.Wrong)
+		r.Requests, r.Succeeded, r.Rejected, r.Failed, r.Resumed, r.ResumesRejected, r.Lost, r.Mismatched)
 }
 
 // New returns a generator with a number of clients. The seed determines the requests of each client.
@@ -99,13 +99,13 @@
 	defer cancel()
 	resumed := false
 	for {
-		response, err := clients.send(ctx, l.fleet.Listen(instance), class, id, resumed)
+		response, err := clients.send(ctx, l.fleet.RequestAddress(instance), class, id, resumed)
 		switch {
 		case err == nil:
 			l.record(response.Status, class, resumed)
 			return
 		case errors.Is(err, ErrMismatchedResponse):
-			l.count(func(r *Result) { r.Wrong++ })
+			l.count(func(r *Result) { r.Mismatched++ })
 			return
 		case ctx.Err() != nil:
 			l.count(func(r *Result) { r.Lost++ })
--- a/internal/testbed/platform/controller.go
+++ b/internal/testbed/platform/controller.go
@@ -24,11 +24,11 @@
 
 // Stage is the rollout state of the newest build, as the controller sends it.
 type Stage struct {
-	Image    int     `json:"image"`    // number of the build
-	Number   int     `json:"ring"`     // number of the stage, from 0
-	Progress string  `json:"progress"` // progress of the rollout, such as "testing" or "live"
-	Ceiling  float64 `json:"ceiling"`  // exposure limit: maximum share of requests for the build, 0 to 1
-	AgeMS    float64 `json:"lag_ms"`   // time since the build entered the stage; set when a message is sent
+	Build         int     `json:"image"`    // number of the build
+	Number        int     `json:"ring"`     // number of the stage, from 0
+	Progress      string  `json:"progress"` // progress of the rollout, such as "testing" or "live"
+	ExposureLimit float64 `json:"ceiling"`  // exposure limit: maximum share of requests for the build, 0 to 1
+	AgeMS         float64 `json:"lag_ms"`   // time since the build entered the stage; set when a message is sent
 }
 
 // Vote is a vote as the controller received it.
@@ -38,7 +38,7 @@
 	Build         int    `json:"image"`
 	Stage         int    `json:"ring"`
 	Verdict       string `json:"opinion"`
-	Fences        []struct {
+	FencingTokens []struct {
 		Work  string `json:"work"`
 		Token uint64 `json:"token"`
 	} `json:"fences"`
@@ -66,7 +66,7 @@
 		return nil, fmt.Errorf("start fake controller: %w", err)
 	}
 	ctl := &Controller{
-		listener: listener, closing: make(chan struct{}), stage: Stage{Image: 1, Progress: "live", Ceiling: 1},
+		listener: listener, closing: make(chan struct{}), stage: Stage{Build: 1, Progress: "live", ExposureLimit: 1},
 		stageSetAt: time.Now(), followers: map[net.Conn]bool{}, newestTokens: map[string]uint64{},
 	}
 	go ctl.accept()
@@ -87,8 +87,8 @@
 	}
 }
 
-// Ballots returns the recorded votes in the order of their arrival.
-func (ctl *Controller) Ballots() []Vote {
+// Votes returns the recorded votes in the order of their arrival.
+func (ctl *Controller) Votes() []Vote {
 	ctl.mu.Lock()
 	defer ctl.mu.Unlock()
 	return slices.Clone(ctl.votes)
@@ -224,11 +224,11 @@
 		return "ValidationError"
 	}
 	vote.At, vote.RemoteAddress = time.Now(), conn.RemoteAddr().String()
-	for _, fence := range vote.Fences {
+	for _, fence := range vote.FencingTokens {
 		vote.Fenced = vote.Fenced || fence.Token < ctl.newestTokens[fence.Work]
 		ctl.newestTokens[fence.Work] = max(ctl.newestTokens[fence.Work], fence.Token)
 	}
-	vote.Counted = !vote.Fenced && vote.Build == ctl.stage.Image && vote.Stage == ctl.stage.Number
+	vote.Counted = !vote.Fenced && vote.Build == ctl.stage.Build && vote.Stage == ctl.stage.Number
 	if len(ctl.votes) < maxVotes {
 		ctl.votes = append(ctl.votes, vote)
 	}
--- a/internal/testbed/platform/endpoint.go
+++ b/internal/testbed/platform/endpoint.go
@@ -31,8 +31,8 @@
 	return e, err
 }
 
-// Behave sets the latency of the endpoint, and whether it responds with status 500.
-func (e *Endpoint) Behave(latency time.Duration, fail bool) {
+// SetBehavior sets the latency of the endpoint, and whether it responds with status 500.
+func (e *Endpoint) SetBehavior(latency time.Duration, fail bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.latency, e.fail = latency, fail
--- a/internal/testbed/platform/platform.go
+++ b/internal/testbed/platform/platform.go
@@ -6,7 +6,7 @@
 //
 //	services, err := platform.New(3)                                       // three endpoints that run build 1
 //	services.SetBuild(services.Endpoints()[0], 2)                          // one of them runs the candidate
-//	services.Controller().SetStage(platform.Stage{Image: 2, Progress: "testing", Ceiling: 0.3})
+//	services.Controller().SetStage(platform.Stage{Build: 2, Progress: "testing", ExposureLimit: 0.3})
 //
 // Files: platform.go (start, stop, totals over all endpoints), endpoint.go (an endpoint), discovery.go (the endpoint
 // list and its watch), controller.go (the rollout controller).
@@ -112,8 +112,8 @@
 	return requests
 }
 
-// RanTwice returns the ids of non-idempotent requests that ran more than once, over all endpoints.
-func (p *Platform) RanTwice() (ids []string) {
+// DuplicateExecutions returns the ids of non-idempotent requests that ran more than once, over all endpoints.
+func (p *Platform) DuplicateExecutions() (ids []string) {
 	runs := map[string]int{}
 	for _, endpoint := range p.endpoints {
 		endpoint.addNonIdempotentRuns(runs)
--- a/internal/upstream/classify.go
+++ b/internal/upstream/classify.go
@@ -100,7 +100,7 @@
 	if report == "" {
 		return nil
 	}
-	load := &decision.Load{Util: -1, Queue: -1}
+	load := &decision.Load{Utilisation: -1, Queue: -1}
 	for _, pair := range strings.Split(report, ",") {
 		name, text, _ := strings.Cut(pair, "=")
 		value, err := strconv.ParseFloat(text, 64)
@@ -109,7 +109,7 @@
 		}
 		switch name {
 		case "util", "cpu":
-			load.Util = value
+			load.Utilisation = value
 		case "queue", "waiting":
 			load.Queue = value
 		}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -89,7 +89,7 @@
 		reusable: !res.Close && c.reader.Buffered() == 0,
 	}
 	if result.outcome == decision.Succeeded {
-		result.response = &engine.Response{Fields: res.Header, Body: body}
+		result.response = &engine.Response{Header: res.Header, Body: body}
 	}
 	return result
 }
--- a/internal/upstream/encode.go
+++ b/internal/upstream/encode.go
@@ -14,7 +14,7 @@
 
 // encodeRequest encodes a request for HTTP/1.1 and sets X-Time-Left to the remaining time, in seconds.
 func encodeRequest(r *engine.Request, remaining decision.Millis) []byte {
-	header := maps.Clone(http.Header(r.Fields)) // shallow: Set below replaces the value slice
+	header := maps.Clone(http.Header(r.Header)) // shallow: Set below replaces the value slice
 	if header == nil {
 		header = http.Header{}
 	}
